--- a/api.go
+++ b/api.go
@@ -1,24 +1,24 @@
-// Package snowjunction makes the decisions of a courier: a relay that hands
-// messages to destinations nobody on its side controls.
+// Package snowjunction is the decision module of a courier, a daemon that delivers messages to
+// destinations run by other parties.
 //
-// A Courier is fed events and answers with actions. It reads no clock, opens
-// no connection and starts no goroutine: the program around it does the I/O.
+// A Courier takes events and returns actions. It reads no clock, opens no connection and starts
+// no goroutine: the program that embeds it performs all input and output.
 package snowjunction
 
 import "time"
 
-// Identifiers are opaque: nothing is to be read into their values.
+// Identifiers are opaque: their values carry no meaning.
 type (
 	RequestID     uint32
 	EndpointID    uint32
 	DestinationID uint32
 )
 
-// Settings is what a courier is told once, at its start.
+// Settings configures a Courier. It does not change after New.
 type Settings struct {
-	Seed   uint64        // source of this courier's randomness
-	Fleet  int           // couriers of this tier, this one included
-	Number int           // of this courier among them
+	Seed   uint64        // seeds the courier's random number generator
+	Fleet  int           // number of couriers in this fleet, including this one
+	Number int           // index of this courier in the fleet
 	Tick   time.Duration // shortest time between two calls of Handle
 	Zone   int           // this courier's zone
 	Zones  int           // number of zones
@@ -27,129 +27,129 @@
 	Tenants []Tenant
 	Kinds   []Kind // kinds of destination
 
-	Slots            int     // calls that may be out at once
-	MaxHeld          int     // requests that may be held; 0: no bound
-	MaxAttempts      int     // attempts for one request; 0: no bound
-	OverShareWorth   float64 // worth of a request over its tenant's quota, as a share
-	Halving          bool    // worth halves with each further aim, instead of falling evenly
-	WeightsAreLimits bool    // Endpoint.Weight is the destination's limit in calls a second
-	AskForList       bool    // the endpoint list is told only to couriers that ask
+	Slots            int     // maximum number of concurrent calls
+	MaxHeld          int     // maximum number of requests held; zero means no limit
+	MaxAttempts      int     // maximum number of attempts for one request; zero means no limit
+	OverShareWorth   float64 // share of the value kept above the tenant's quota
+	Halving          bool    // value halves per further target latency, not linearly
+	WeightsAreLimits bool    // Endpoint.Weight is the destination's rate limit in calls per second
+	AskForList       bool    // the list is sent only to subscribers (Watch)
 	Report           []ReportField
 
-	Probes      bool          // Probe may be used
-	Cancelling  bool          // Cancel may be used
-	ParallelTry bool          // a request may have two attempts out
-	RetryAfter  bool          // clients are told how long to stay away
-	MaxRetry    time.Duration // the longest such time a client honours
+	Probes      bool          // the Probe action is available
+	Cancelling  bool          // the Cancel action is available
+	ParallelTry bool          // a request may have two concurrent attempts
+	RetryAfter  bool          // Refuse carries a retry-after delay for the client
+	MaxRetry    time.Duration // longest retry-after delay that clients honour
 
-	ConnIdle       time.Duration // idle connections close after this
-	ConnectTimeout time.Duration // an unmade connection fails after this
-	StreamsPerConn int           // calls one connection carries at once
+	ConnIdle       time.Duration // idle connections are closed after this time
+	ConnectTimeout time.Duration // a connection attempt fails after this time
+	StreamsPerConn int           // maximum number of concurrent calls on one connection
 
-	AskWithin    time.Duration // a courier that must ask has to ask this often
-	OrderSettle  time.Duration // rest of a key after an attempt that may still run
+	AskWithin    time.Duration // longest time between two list subscriptions
+	OrderSettle  time.Duration // delay of a key after an attempt that may still run
 	DrainGrace   time.Duration // time allowed to stop sending to a draining endpoint
-	AnswerSlack  time.Duration // how late a final answer still counts
-	ColdShare    float64       // least share of its capacity a returning destination has
-	WarmUp       time.Duration // it has all of its capacity after this
-	FallMultiple float64       // sent more than this many times its present capacity
-	FallTime     time.Duration // for this long, it falls over
+	AnswerSlack  time.Duration // time by which a final answer may be late
+	ColdShare    float64       // share of its capacity that a recovering destination has at first
+	WarmUp       time.Duration // time until it has its full capacity again
+	FallMultiple float64       // it collapses above this multiple of its present capacity
+	FallTime     time.Duration // sustained for this time
 
-	Notes bool // couriers can tell each other things
+	Notes bool // couriers of the fleet can exchange peer messages
 
-	Tuning *Tuning // nil: the module's own
+	Tuning *Tuning // nil selects StandardTuning
 }
 
-// Tuning are constants of the module that experiments vary; courier.go has their
-// values and reasons.
+// Tuning holds the constants that experiments vary. The standard values and their reasons are in
+// courier.go.
 type Tuning struct {
-	LedgerRatio float64 // repeats over first sends to a destination, sliding window
-	LedgerFloor float64 // repeats that are free, over the slots
-	SlotsShare  float64 // calls to one destination stay under it, over the slots
-	PaceStart   float64 // calls to a route at first, over its even share of the limit
-	PaceWoken   float64 // the same, to a destination woken a moment ago
-	ColdSafety  float64 // of the calls that make a cold destination fall over
+	LedgerRatio float64 // retry budget: retries per first attempt, in a sliding window
+	LedgerFloor float64 // retry budget: retries always allowed in a window, per slot
+	SlotsShare  float64 // upper bound on the calls to one destination, as a share of the slots
+	PaceStart   float64 // initial pacing rate, over this courier's even share of the limit
+	PaceWoken   float64 // the same for a destination that was loaded recently
+	ColdSafety  float64 // used multiple of the calls that a cold destination is to withstand
 }
 
-// StandardTuning is what the module uses if Settings say nothing.
+// StandardTuning returns the values used if Settings.Tuning is nil.
 func StandardTuning() Tuning {
 	return Tuning{
-		LedgerRatio: ledgerRatio, LedgerFloor: ledgerFloor, SlotsShare: capShare,
-		PaceStart: paceStart, PaceWoken: paceCareful, ColdSafety: coldSafety,
+		LedgerRatio: retryRatio, LedgerFloor: retryFloorPerSlot, SlotsShare: maxSlotShare,
+		PaceStart: initialPaceShare, PaceWoken: cautiousPaceShare, ColdSafety: coldBudgetFactor,
 	}
 }
 
-// Effect tells whether a request may be repeated.
+// Effect states whether a request may be executed more than once.
 type Effect int
 
 // The effects.
 const (
-	Safe   Effect = iota // repeats do no harm
-	Keyed                // the destination drops repeats for Class.Window
-	Unsafe               // must never take effect twice
+	Safe   Effect = iota // repeated execution is harmless
+	Keyed                // the destination drops duplicates for Class.Window
+	Unsafe               // must not be executed twice
 )
 
-// Group tells which endpoints of a destination drop a keyed repeat.
+// Group states which endpoints of a destination recognize the duplicate of a keyed request.
 type Group int
 
 // The groups.
 const (
 	GroupAll      Group = iota // all endpoints of the destination
-	GroupZone                  // those of the zone first sent to
-	GroupEndpoint              // the very same endpoint
+	GroupZone                  // the endpoints in the zone of the first attempt
+	GroupEndpoint              // only the endpoint of the first attempt
 )
 
-// Class is a class of requests.
+// Class describes one class of requests.
 type Class struct {
 	Name       string
 	Effect     Effect
 	Group      Group         // for Keyed
-	Window     time.Duration // for Keyed: how long repeats are dropped
-	Aim        time.Duration // answered within this, a request earns all its worth
-	AimStretch float64       // the aim grows by this multiple of the request's own work
-	Deadline   time.Duration // after this it earns nothing
+	Window     time.Duration // for Keyed: time for which the destination drops duplicates
+	Aim        time.Duration // target latency: a request answered within it has its full value
+	AimStretch float64       // the target latency grows by this multiple of Request.Work
+	Deadline   time.Duration // a request answered later has no value
 	Worth      float64
-	LateShare  float64 // share of the worth left at the deadline
-	InOrder    bool    // requests of one key run one at a time, in order
+	LateShare  float64 // share of the value that remains at the deadline
+	InOrder    bool    // requests with the same key are sent one at a time, in order
 }
 
-// Tenant is a party with a quota.
+// Tenant is a client organization with a request quota.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second within its share, over all couriers
+	Quota float64 // requests per second, over all couriers
 }
 
-// Kind is a kind of destination.
+// Kind describes one kind of destination.
 type Kind struct {
-	BundleMax   int  // requests that one call carries at most
-	RoutesApart bool // each endpoint has its own limit, pace and outages
+	BundleMax   int  // maximum number of requests in one call
+	RoutesApart bool // each endpoint has a rate limit, pacing rate and outages of its own
 }
 
-// ReportField is a value that destinations tell in their answers.
+// ReportField identifies a value that destinations report in their answers.
 type ReportField int
 
-// The report fields a courier can use; others are skipped.
+// The report fields that a courier uses. It ignores all others.
 const (
 	OtherField    ReportField = iota
-	AllowanceLeft             // share of the limit that is left
-	LimitRate                 // the limit in calls a second; 0: none
+	AllowanceLeft             // share of the rate limit that is left
+	LimitRate                 // rate limit in calls per second; zero means no limit
 )
 
-// Event is something that happened.
+// Event is an input of Courier.Handle.
 type Event interface{ event() }
 
-// ListKind is a kind of List event.
+// ListKind tells how a List event is to be read.
 type ListKind int
 
-// The kinds of list news.
+// The kinds of List event.
 const (
 	ListFull   ListKind = iota // the complete list
-	ListCached                 // the complete list as last held, maybe stale
-	ListFailed                 // asking failed or a subscription broke
+	ListCached                 // the complete list from a cache, possibly stale
+	ListFailed                 // the list request failed or the subscription broke
 	ListDelta                  // changed entries only
 )
 
-// Phase is an endpoint's standing in the list. It says nothing of health.
+// Phase is an endpoint's lifecycle state in the list. It does not describe its health.
 type Phase int
 
 // The phases.
@@ -159,7 +159,7 @@
 	Draining
 )
 
-// Endpoint is one entry of the list.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID          EndpointID
 	Destination DestinationID
@@ -168,127 +168,129 @@
 	Phase       Phase
 	Weight      float64
 
-	// Doubtful: the word on it is old, and nothing has shown that it is still
-	// there. One call at a time goes to it, where no better one is free.
+	// Doubtful marks an entry that is old and whose endpoint has not been seen working since.
+	// It gets one call at a time, and only if no better endpoint is free.
 	Doubtful bool
 
-	// WasOut is how long it had been taken out by hand, where that ended a moment ago:
-	// it has been restarted and is cold. 0: it was not.
+	// WasOut is set on an endpoint that an operator excluded until a moment ago: it is the
+	// length of the exclusion. Such an endpoint has been restarted and is cold. Zero means that
+	// it was not excluded.
 	WasOut time.Duration
 }
 
-// Outcome is how an attempt or a probe ended.
+// Outcome is the result of an attempt or a probe.
 type Outcome int
 
-// The outcomes. Full, ConnectFailed and Moot prove that it never ran.
+// The outcomes. Full, ConnectFailed and Moot prove that the request was not executed.
 const (
 	OK            Outcome = iota
 	Error                 // answered with an error
-	Full                  // turned away unseen
+	Full                  // rejected before execution, for example by a rate limit
 	TimedOut              // no answer in time
 	ConnectFailed         // no connection
 	Reset                 // the connection broke
-	Cancelled             // called off
+	Cancelled             // cancelled by the courier
 	Moot                  // not sent
 )
 
 // The events.
 type (
-	// List is news of the endpoint list.
+	// List brings news of the endpoint list.
 	List struct {
 		Kind      ListKind
 		Endpoints []Endpoint
 
-		// Destinations is how many are listed, where the program tells the
-		// module only of those that requests have come for; 0: all are told.
+		// Destinations is the number of listed destinations if the program passes only those
+		// that have had requests. Zero means that all are passed.
 		Destinations int
 	}
-	// Sleep has the module hand out what it knows of a destination that has
-	// neither a request nor a call, and forget it. Asleep is the answer.
+	// Sleep unloads an idle destination: the module returns a snapshot of it and removes it.
+	// A destination with queued requests or open calls stays. The answer is Asleep.
 	Sleep struct{ Destination DestinationID }
-	// Wake brings a destination back, before its first request: its endpoints
-	// and what was handed out, weighed by its age.
+	// Wake loads a destination before its first request, with its endpoints and the snapshot
+	// that was taken when it was unloaded.
 	Wake struct {
 		Destination  DestinationID
 		Endpoints    []Endpoint
-		State        *State        // nil: nothing is known of it
-		Slept        time.Duration // since State was handed out
+		State        *State        // nil if nothing is known about the destination
+		Slept        time.Duration // time since State was taken
 		Caution      Caution
-		Destinations int // as in List
+		Destinations int // see List.Destinations
 	}
-	// Look has the module tell what it knows of a destination, which it goes on
-	// knowing. Seen is the answer.
+	// Look asks for a snapshot of a destination without unloading it. The answer is Seen.
 	Look struct{ Destination DestinationID }
-	// Request is a message this courier now owes a final answer.
+	// Request is a message accepted by this courier, which has to give it a final answer.
 	Request struct {
 		ID          RequestID
 		Destination DestinationID
 		Class       int
 		Tenant      int
-		Key         uint64        // for classes in order; 0: none
+		Key         uint64        // for classes with InOrder; zero means no key
 		Deadline    time.Duration // time left
-		Work        time.Duration // expected work; 0: unknown
-		Again       bool          // handed in before
+		Work        time.Duration // expected processing time; zero if unknown
+		Again       bool          // the client has submitted it before
 
-		// What a restarted courier finds in its journal: the attempts of its
-		// earlier life, and whether one may have run, and how long ago it left.
+		// What a restarted courier finds in its journal: the attempts made by previous process
+		// runs, whether one of them may have been executed, and how long ago that one was sent.
 		Attempts int
 		Ran      bool
 		RanFor   time.Duration
 
-		// The last of these attempts is out still, at OutOn, and left so long ago; 0: none is.
+		// If the last of these attempts is still open: its endpoint and the time since it was
+		// sent. Zero means that there is no open attempt.
 		OutOn  EndpointID
 		OutFor time.Duration
 	}
-	// Rests tells of a key whose next message may not go for so long.
+	// Rests restores the settling delay of a key: no request of this key may be sent before For
+	// has passed.
 	Rests struct {
 		Key uint64
 		For time.Duration
 	}
-	// StreamStarted tells that an answer has begun to flow.
+	// StreamStarted reports that a streamed answer has begun to arrive.
 	StreamStarted struct {
 		Request RequestID
 		Attempt int
 	}
-	// WaitTold tells of a wait that an answer names before what becomes of its attempt is known:
-	// it stands at once.
+	// WaitTold reports a retry-after delay that an answer named before the outcome of its
+	// attempt is known. It takes effect at once.
 	WaitTold struct {
 		Endpoint EndpointID
 		Wait     time.Duration
 	}
-	// AttemptEnded is the one outcome of a Send.
+	// AttemptEnded reports the outcome of a Send. There is exactly one for each Send.
 	AttemptEnded struct {
 		Request  RequestID
 		Endpoint EndpointID
 		Attempt  int
 		Outcome  Outcome
 		Took     time.Duration
-		Wait     time.Duration // for Full: told wait; 0: none
-		Done     bool          // the request is over
-		Dialled  time.Duration // from its Send until its first byte could leave: its window runs from then
-		Report   []float64     // in the order of Settings.Report
+		Wait     time.Duration // retry-after delay named by the destination; zero if none
+		Done     bool          // the request has its final result
+		Dialled  time.Duration // time until the first byte could be sent; starts Class.Window
+		Report   []float64     // values in the order of Settings.Report
 
-		// Where it is known what the call went on: a new connection, or one
-		// that had been idle for so long. Neither: the module's guess stands.
+		// The connection of the call, if known: new, or reused after it was idle for Kept. If
+		// neither is set, the module's own assumption is used.
 		Fresh bool
 		Kept  time.Duration
 	}
-	// ProbeEnded is the result of a Probe.
+	// ProbeEnded reports the result of a Probe.
 	ProbeEnded struct {
 		Endpoint EndpointID
 		Outcome  Outcome
 		Took     time.Duration
 		Report   []float64
 	}
-	// Withdrawn tells that nothing more is owed for a request.
+	// Withdrawn reports that a request needs no final answer any more.
 	Withdrawn struct{ Request RequestID }
-	// Heard is what another courier of the fleet has told. It may come late, out of
-	// turn or never.
+	// Heard brings messages from another courier of the fleet. They may arrive late, out of
+	// order or not at all.
 	Heard struct {
-		Peer  int // its number
+		Peer  int // index of the sender
 		Notes []Note
 	}
-	// Timer is a SetTimer come due.
+	// Timer reports that the timer of a SetTimer action has expired.
 	Timer struct{ Token uint64 }
 )
 
@@ -306,59 +308,59 @@
 func (Rests) event()         {}
 func (Heard) event()         {}
 
-// Note is what one courier tells another of one destination: what it wishes, or what
-// the other may call.
+// Note is a peer message between two couriers about one destination. A lease owner is the courier
+// that shares out the destination's rate limit to the fleet.
 type Note struct {
 	Destination DestinationID
-	Asks        bool // the sender wishes to make Calls calls, the first of them worth Rank
-	Grants      bool // the receiver may make Calls calls; 0: its wish waits
+	Asks        bool // requests a grant of Calls calls, with Rank as the highest priority
+	Grants      bool // grants Calls calls; with zero Calls the request is queued
 	Calls       int
-	Rank        int     // up to 255
-	Back        int     // granted calls that were not made, less those made without a grant
-	Refused     int     // calls that were refused above the limit
-	Failing     bool    // calls of the sender do not reach it
-	Serves      bool    // it has answered one again; from a keeper: somebody else's
-	Cold        bool    // from a keeper: it is back from an outage, and grants are what it bears
-	Limit       float64 // as an answer has told it, in calls a second; 0: nothing new
-	Old         bool    // with Asks: the limit is what the sender has known for a while
+	Rank        int     // at most 255
+	Back        int     // unused granted calls that are returned, less calls made without a grant
+	Refused     int     // calls rejected because of the rate limit
+	Failing     bool    // calls of the sender do not reach the destination
+	Serves      bool    // the destination answers again; from a lease owner: to another courier
+	Cold        bool    // from a lease owner: it is recovering, grants are reduced
+	Limit       float64 // reported rate limit in calls per second; zero if not new
+	Old         bool    // with Asks: the limit was reported to the sender some time ago
 }
 
-// Action is something to do now.
+// Action is an output of Courier.Handle, to be carried out at once.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Send calls an endpoint with a request. Sends to one endpoint in one
-	// answer of Handle share a call, as far as Kind.BundleMax allows.
+	// Send calls an endpoint with a request. Sends to one endpoint returned by the same call of
+	// Handle share a call, up to Kind.BundleMax.
 	Send struct {
 		Request  RequestID
 		Endpoint EndpointID
 		Timeout  time.Duration
 	}
-	// Refuse is a final answer: trying again is harmless.
+	// Refuse is a final answer which states that a retry by the client is harmless.
 	Refuse struct {
 		Request    RequestID
-		RetryAfter time.Duration // 0: no advice
+		RetryAfter time.Duration // zero means no advice
 	}
-	// Fail is a final answer that promises nothing.
+	// Fail is a final answer that does not state whether the request was executed.
 	Fail struct{ Request RequestID }
-	// Cancel stops waiting for an attempt.
+	// Cancel ends the wait for the outcome of an attempt.
 	Cancel struct {
 		Request RequestID
 		Attempt int
 	}
-	// Probe checks an endpoint.
+	// Probe checks an endpoint without a request.
 	Probe struct{ Endpoint EndpointID }
-	// CloseIdle closes idle connections to an endpoint.
+	// CloseIdle closes the idle connections to an endpoint.
 	CloseIdle struct{ Endpoint EndpointID }
-	// Watch asks for the changes of the endpoint list from now on.
+	// Watch subscribes to the endpoint list.
 	Watch struct{}
-	// SetTimer asks for a Timer event.
+	// SetTimer requests a Timer event.
 	SetTimer struct {
 		Token uint64
 		After time.Duration
 	}
-	// Asleep answers a Sleep. With Busy nothing was handed out or forgotten.
+	// Asleep answers a Sleep. If Busy is set, the destination stays loaded and State is nil.
 	Asleep struct {
 		Destination DestinationID
 		State       *State
@@ -367,14 +369,14 @@
 	// Seen answers a Look.
 	Seen struct {
 		Destination DestinationID
-		State       *State // nil: nothing is known
+		State       *State // nil if nothing is known about the destination
 	}
-	// Tell tells another courier of the fleet, by its number.
+	// Tell sends messages to another courier of the fleet. Peer is its index.
 	Tell struct {
 		Peer  int
 		Notes []Note
 	}
-	// Log is a line for on-call staff.
+	// Log is a log line for operators.
 	Log struct{ Text string }
 )
 
@@ -391,63 +393,62 @@
 func (Log) action()       {}
 func (Tell) action()      {}
 
-// State is what the module knows of a destination. All times are relative to
-// the moment at which it was handed out, latencies are in seconds and rates in
-// calls a second.
+// State is a snapshot of what the module knows about a destination. Durations are relative to the
+// moment at which it was taken, latencies are in seconds and rates in calls per second.
 type State struct {
-	Recent, Best float64 // latency: smoothed, and the best of late
-	Peak         float64 // most successes a second
-	Window       float64 // calls that may be out
-	First        float64 // first sends in the ledger's window
-	Repeats      float64 // repeats in it
-	Served       float64 // successes in it
-	// Of its kind, not its own: the gap that refused repeats have taught, and for how
-	// long connection tables are still taken for small.
+	Recent, Best float64 // latency: smoothed, and lowest recent value
+	Peak         float64 // highest rate of successes
+	Window       float64 // concurrency window: maximum number of open calls
+	First        float64 // first attempts in the window of the retry budget
+	Repeats      float64 // retries in that window
+	Served       float64 // successes in that window
+	// Both belong to the kind of destination: the call gap learned from rejected retries, and
+	// the time for which connection tables are still assumed to be small.
 	RepeatGap     time.Duration
 	Small         time.Duration
 	Routes        []RouteState
 	EndpointsSeen []EndpointState
 }
 
-// RouteState is the state of what has a limit of its own.
+// RouteState is the snapshot of a route: the endpoints that share one rate limit.
 type RouteState struct {
-	Limit, Left float64 // limit of all couriers, 0: none known; share of it left
-	Pace        float64 // this courier's own
+	Limit, Left float64 // limit for the whole fleet, zero if unknown; share of it that is left
+	Pace        float64 // this courier's own pacing rate
 	Gap         time.Duration
-	Wait        time.Duration // still to be kept; a told one binds
+	Wait        time.Duration // time until the next call is allowed, including a retry-after delay
 	Fulls       int
 	FullAgo     time.Duration
-	ColdSends   float64 // calls of late to endpoints that were not well
+	ColdSends   float64 // recent calls to endpoints that were not healthy
 }
 
-// Condition is how an endpoint does.
+// Condition is the health of an endpoint.
 type Condition int
 
 // The conditions.
 const (
 	Serving Condition = iota
-	Held              // it failed and is asked now and then
-	Warming           // back from an outage
+	Held              // failed: its circuit breaker is open and it gets trial calls only
+	Warming           // recovering from an outage, with slow start
 )
 
-// EndpointState is the state of one endpoint.
+// EndpointState is the snapshot of one endpoint.
 type EndpointState struct {
 	ID        EndpointID
-	Route     int // its number in State.Routes
+	Route     int // index in State.Routes
 	Latency   float64
 	Condition Condition
-	For       time.Duration // since when
-	Failed    time.Duration // how long ago its failures began
-	DownFor   time.Duration // length of the outage before
+	For       time.Duration // time since Condition was entered
+	Failed    time.Duration // time since its failures began
+	DownFor   time.Duration // length of its last outage
 	Backoff   time.Duration
-	Trial     time.Duration // until the next trial; negative: it is due
+	Trial     time.Duration // time until the next trial; negative if overdue
 	Fails     int
 	Vouched   bool
 }
 
-// Caution is how a destination is sent to after it has slept.
+// Caution limits the calls to a destination after it has been loaded.
 type Caution struct {
-	Window  float64       // calls out to start with; 0: as known
-	Cold    bool          // endpoints that served count as just back from an outage
-	Careful time.Duration // the pace stays under the even share for so long
+	Window  float64       // initial concurrency window; zero keeps the window of the snapshot
+	Cold    bool          // treat endpoints that served as recovering from an outage
+	Careful time.Duration // time for which the pacing rate stays below the even share
 }
--- a/capacity_test.go
+++ b/capacity_test.go
@@ -10,16 +10,16 @@
 
 // The fleet of docs/CAPACITY.md.
 const (
-	fleetToCome        = 3_400
-	destinationsToCome = 1_300_000
-	eventsToCome       = 7_900_000 // a second
+	plannedFleet           = 3_400
+	plannedDestinations    = 1_300_000
+	plannedEventsPerSecond = 7_900_000 // a second
 )
 
-func memberToCome(b *testing.B, number int) *Courier {
+func newPlannedMember(b *testing.B, number int) *Courier {
 	c, err := New(Settings{
-		Fleet: fleetToCome, Number: number, Notes: true, Tick: time.Millisecond, Slots: 4096, MaxAttempts: 6,
+		Fleet: plannedFleet, Number: number, Notes: true, Tick: time.Millisecond, Slots: 4096, MaxAttempts: 6,
 		Classes: []Class{{Effect: Safe, Aim: 1500 * time.Millisecond, Deadline: 8 * time.Second, Worth: 2, LateShare: 0.1}},
-		Tenants: []Tenant{{Quota: eventsToCome}}, Report: []ReportField{AllowanceLeft, LimitRate}, ConnectTimeout: 1500 * time.Millisecond,
+		Tenants: []Tenant{{Quota: plannedEventsPerSecond}}, Report: []ReportField{AllowanceLeft, LimitRate}, ConnectTimeout: 1500 * time.Millisecond,
 		ColdShare: 0.2, FallMultiple: 2, WarmUp: 14 * time.Second, FallTime: 1500 * time.Millisecond,
 	})
 	if err != nil {
@@ -28,7 +28,7 @@
 	return c
 }
 
-func twoOf(d DestinationID) []Endpoint {
+func twoEndpoints(d DestinationID) []Endpoint {
 	return []Endpoint{{ID: EndpointID(2*d + 1), Destination: d, Phase: Ready, Weight: 1}, {ID: EndpointID(2*d + 2), Destination: d, Phase: Ready, Weight: 1}}
 }
 
@@ -36,17 +36,17 @@
 // of the accounts and is asked at the rate of their events.
 func BenchmarkKeeper(b *testing.B) {
 	const n = 20_000
-	c := memberToCome(b, 5)
+	c := newPlannedMember(b, 5)
 	var mine []DestinationID
-	for d := range DestinationID(destinationsToCome) {
-		if c.line.First(uint32(d)) == 5 {
+	for d := range DestinationID(plannedDestinations) {
+		if c.leaseOwners.First(uint32(d)) == 5 {
 			mine = append(mine, d)
 		}
 	}
 	now, i, grants := time.Second, 0, 0
 	gauge.CPU(b, n, "ask", func() {
 		for range n {
-			now += time.Second * fleetToCome / eventsToCome
+			now += time.Second * plannedFleet / plannedEventsPerSecond
 			note := Note{Destination: mine[i%len(mine)], Asks: true, Calls: 1, Rank: 150, Limit: 12}
 			for _, a := range c.Handle(now, []Event{Heard{Peer: 6 + i%3000, Notes: []Note{note}}}) {
 				if t, ok := a.(Tell); ok && len(t.Notes) > 0 {
@@ -67,15 +67,15 @@
 func BenchmarkAwakeDestination(b *testing.B) {
 	const n = 4096
 	gauge.Held(b, n, "destination", func() any {
-		c := memberToCome(b, 5)
-		c.s.Notes = false
+		c := newPlannedMember(b, 5)
+		c.settings.Notes = false
 		id := RequestID(0)
 		for round := range 2 {
 			for d := range DestinationID(n) {
 				now := time.Second + time.Duration(n*round+int(d))*time.Millisecond
 				var events []Event
 				if round == 0 {
-					events = append(events, Wake{Destination: d, Endpoints: twoOf(d), Destinations: destinationsToCome})
+					events = append(events, Wake{Destination: d, Endpoints: twoEndpoints(d), Destinations: plannedDestinations})
 				}
 				id++
 				for _, a := range c.Handle(now, append(events, Request{ID: id, Destination: d, Deadline: 8 * time.Second})) {
@@ -91,23 +91,23 @@
 	})
 }
 
-// held is a courier that holds so many messages, over so many destinations, none of which
+// courierWithPending is a courier that holds so many messages, over so many destinations, none of which
 // may be called before a minute.
-func held(b *testing.B, messages, destinations int) *Courier {
-	c := memberToCome(b, 5)
-	c.s.Notes = false
+func courierWithPending(b *testing.B, messages, destinations int) *Courier {
+	c := newPlannedMember(b, 5)
+	c.settings.Notes = false
 	now := time.Second
 	for d := range DestinationID(destinations) {
-		c.Handle(now, []Event{Wake{Destination: d, Endpoints: twoOf(d), Destinations: destinationsToCome}})
-		c.destination(d).routes[0].toldUntil = now + time.Hour
-		c.destination(d).routes[0].waitUntil = now + time.Hour
+		c.Handle(now, []Event{Wake{Destination: d, Endpoints: twoEndpoints(d), Destinations: plannedDestinations}})
+		c.destinationFor(d).routes[0].retryAfterUntil = now + time.Hour
+		c.destinationFor(d).routes[0].waitUntil = now + time.Hour
 	}
 	for i := range messages {
-		c.hold(&request{id: RequestID(i + 1), class: c.class(0), dest: c.destination(DestinationID(i % destinations)), aimAt: now + time.Hour, deadline: now + 2*time.Hour})
+		c.addRequest(&request{id: RequestID(i + 1), class: c.classAt(0), dest: c.destinationFor(DestinationID(i % destinations)), targetAt: now + time.Hour, deadline: now + 2*time.Hour})
 	}
 	c.Handle(now, nil)
-	if len(c.held) != messages {
-		b.Fatalf("%d held of %d", len(c.held), messages)
+	if len(c.pending) != messages {
+		b.Fatalf("%d held of %d", len(c.pending), messages)
 	}
 	return c
 }
@@ -115,7 +115,7 @@
 // What a message that waits takes of the module, beside its destination.
 func BenchmarkHeldRequest(b *testing.B) {
 	const n = 100_000
-	gauge.Held(b, n, "event", func() any { return held(b, n, 100) })
+	gauge.Held(b, n, "event", func() any { return courierWithPending(b, n, 100) })
 }
 
 // What a turn of the module costs for each destination with messages that wait, and for each
@@ -123,7 +123,7 @@
 func BenchmarkTurn(b *testing.B) {
 	for _, x := range []struct{ messages, destinations int }{{100, 100}, {1_000, 1_000}, {4_000, 4_000}, {40_000, 4_000}, {1_000, 1}, {100_000, 1}} {
 		b.Run(fmt.Sprintf("messages=%d/destinations=%d", x.messages, x.destinations), func(b *testing.B) {
-			c, now := held(b, x.messages, x.destinations), time.Second
+			c, now := courierWithPending(b, x.messages, x.destinations), time.Second
 			gauge.CPU(b, 100, "turn", func() {
 				for range 100 {
 					now += time.Millisecond
@@ -138,13 +138,13 @@
 func BenchmarkEndAmongHeld(b *testing.B) {
 	for _, n := range []int{1_000, 10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := held(b, n, 1_000)
+			c := courierWithPending(b, n, 1_000)
 			i := 0
 			gauge.CPU(b, 100, "event", func() {
 				for range 100 {
-					r := c.held[(i*7919)%len(c.held)]
-					c.finish(r)
-					c.hold(&request{id: r.id, class: r.class, dest: r.dest, aimAt: r.aimAt, deadline: r.deadline})
+					r := c.pending[(i*7919)%len(c.pending)]
+					c.finishRequest(r)
+					c.addRequest(&request{id: r.id, class: r.class, dest: r.dest, targetAt: r.targetAt, deadline: r.deadline})
 					i++
 				}
 			})
@@ -157,17 +157,17 @@
 // thousand others are awake meanwhile.
 func BenchmarkCarrier(b *testing.B) {
 	const n, awake = 20_000, 4_000
-	c, now, i, sent := memberToCome(b, 5), time.Second, 0, 0
+	c, now, i, sent := newPlannedMember(b, 5), time.Second, 0, 0
 	gauge.CPU(b, n, "event", func() {
 		for range n {
-			now += time.Second * fleetToCome / eventsToCome
-			d, old := DestinationID(i*7919%destinationsToCome), DestinationID((i-awake)*7919%destinationsToCome)
+			now += time.Second * plannedFleet / plannedEventsPerSecond
+			d, old := DestinationID(i*7919%plannedDestinations), DestinationID((i-awake)*7919%plannedDestinations)
 			var events []Event
 			if i >= awake {
 				events = append(events, Sleep{Destination: old})
 			}
 			i++
-			events = append(events, Wake{Destination: d, Endpoints: twoOf(d), Destinations: destinationsToCome}, Request{ID: RequestID(i), Destination: d, Deadline: 8 * time.Second})
+			events = append(events, Wake{Destination: d, Endpoints: twoEndpoints(d), Destinations: plannedDestinations}, Request{ID: RequestID(i), Destination: d, Deadline: 8 * time.Second})
 			for len(events) > 0 {
 				actions := c.Handle(now, events)
 				events = nil
@@ -200,9 +200,9 @@
 			var asks, failing, sends, out, end float64
 			for b.Loop() {
 				asks, failing, sends, out, end = 0, 0, 0, 0, 0
-				c := memberToCome(b, 5)
-				c.s.Slots, c.classes[0].Deadline = 64, deadline
-				c.Handle(time.Second, []Event{Wake{Destination: 7, Endpoints: twoOf(7), Destinations: destinationsToCome}})
+				c := newPlannedMember(b, 5)
+				c.settings.Slots, c.classes[0].Deadline = 64, deadline
+				c.Handle(time.Second, []Event{Wake{Destination: 7, Endpoints: twoEndpoints(7), Destinations: plannedDestinations}})
 				coming := map[time.Duration][]Event{2 * time.Second: {Request{ID: 1, Destination: 7, Deadline: deadline}}}
 				for now := 2 * time.Second; now < 3*time.Second+deadline; now += time.Millisecond {
 					events := coming[now]
@@ -210,7 +210,7 @@
 						switch a := a.(type) {
 						case Tell:
 							for _, x := range a.Notes {
-								asks, failing = asks+one(x.Asks), failing+one(x.Failing)
+								asks, failing = asks+boolToFloat(x.Asks), failing+boolToFloat(x.Failing)
 								if x.Asks && x.Calls > 0 {
 									at := now + 40*time.Millisecond
 									coming[at] = append(coming[at], Heard{Peer: a.Peer, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}}})
@@ -235,7 +235,7 @@
 	}
 }
 
-func one(is bool) float64 {
+func boolToFloat(is bool) float64 {
 	if is {
 		return 1
 	}
--- a/courier.go
+++ b/courier.go
@@ -1,25 +1,25 @@
 package snowjunction
 
-// The module: every decision of a courier. Its interface, the events it is
-// fed and the actions it answers with, is api.go; state.go only keeps books
-// and hands each event to take, ended, probed or list before decide runs.
+// This file holds every decision of a courier. Its interface (events and actions) is in api.go.
+// state.go keeps the state and passes each event to acceptRequest, attemptEnded, probeEnded or
+// applyList before decide runs.
 //
-// The path of a request, top to bottom in this file:
+// The path of a request, in the order of this file:
 //
-//	take      the request joins its destination's queue (and its key's line)
-//	pump      while slots are free the request worth most per slot goes, if
-//	            the destination's delay window has room     (candidate, most)
-//	            its route's pace and told wait allow it     (ready, refill)
-//	            an endpoint is up, or cold within budget    (cost, coldRoom)
-//	ended     an outcome moves the window, the pace and the gate
-//	settle    a failure repeats if its effect allows it and the ledger funds
-//	            it, else it is answered at once             (fund)
-//	turn      a failing endpoint closes, and gets one trial at a time   (strike, trial)
-//	sweep     what can no longer be served is answered, what does not fit is shed
+//	acceptRequest   queues the request at its destination and in the queue of its key
+//	dispatch        while slots are free, sends the request with the highest value per slot if
+//	                  the destination's concurrency window has room   (nextSend, maxCalls)
+//	                  pacing and retry-after delay of its route allow it   (routeReady)
+//	                  an endpoint is up, or cold within its budget   (withinColdBudget)
+//	attemptEnded    updates window, pacing rate and circuit breaker from the outcome
+//	retryOrAnswer   retries if the effect and the retry budget allow it, else answers at once
+//	setHealth       opens the breaker of a failing endpoint, which then gets one trial call
+//	                  at a time   (recordFailure, sendTrial)
+//	sweep           answers requests that can no longer be served and sheds excess ones
 //
-// The ordinary path is the retry budget of Linkerd 2.2 with a delay window
-// (docs/design.md); the gate, pacing, slow start and shedding are departures,
-// each with the condition under which it acts.
+// The ordinary path is the retry budget of Linkerd 2.2 with a latency-based concurrency window
+// (docs/design.md). Circuit breaker, pacing, slow start and load shedding are additions. The
+// condition under which each of them acts is stated at its code.
 
 import (
 	"math"
@@ -28,906 +28,923 @@
 	"snowjunction/internal/lease"
 )
 
-// The ledger: repeats stay under ratio x first sends + floor, per window.
+// The retry budget: per window, retries stay under ratio x first attempts + floor.
 const (
-	ledgerSpan  = 10 * time.Second
-	ledgerRatio = 0.2 // repeats must not multiply the load of a failing destination
-	ledgerFloor = 1.0 // of the slots: a seldom-called destination lives on it
+	retryBudgetWindow = 10 * time.Second
+	retryRatio        = 0.2 // retries must not multiply the load of a failing destination
+	retryFloorPerSlot = 1.0 // times the slots; the only budget of a rarely called destination
 )
 
-// The delay window, in multiples of the best recent latency.
+// The concurrency window. Latencies are multiples of the best recent latency.
 const (
-	widenUnder  = 1.7  // returning near the best: widen
-	narrowOver  = 3.0  // lengthening: narrow, and count as slow
-	narrowBy    = 0.9  // per return
-	smooth      = 0.15 // weight of one return in the smoothed latency
-	bestDrift   = 1.01 // the best is forgotten by this factor a return
-	capShare    = 0.75 // of the slots, kept under
-	startShare  = 0.5  // of the slots, rounded down, to start with
-	hurtShare   = 0.5  // of the slots, while failing or slow
-	bundleExtra = 0.15 // work of each further request in a call
+	widenBelow         = 1.7  // widen the window below this latency
+	narrowAbove        = 3.0  // above this latency narrow the window and treat the destination as slow
+	narrowFactor       = 0.9  // applied on each answer
+	latencySmoothing   = 0.15 // weight of one answer in the smoothed latency
+	bestLatencyDrift   = 1.01 // the best latency grows by this factor on each answer, to forget old values
+	maxSlotShare       = 0.75 // of the slots, exclusive
+	initialWindowShare = 0.5  // of the slots, rounded down
+	impairedSlotShare  = 0.5  // of the slots, while the destination fails or is slow
+	bundledRequestCost = 0.15 // cost of each further request in a call
 )
 
-// Time-outs, in multiples of the smoothed latency.
+// Attempt timeouts.
 const (
-	timeoutOver  = 8.0 // guards slots against lost calls, yet lets slow ones return
-	timeoutAim   = 0.6 // and not under this share of the aim
-	unsafeLonger = 3.0 // a time-out burns an unsafe request for good
+	timeoutLatencyMultiple = 8.0 // of the smoothed latency: frees slots of lost calls, admits slow answers
+	timeoutTargetShare     = 0.6 // of the target latency, as a lower bound
+	unsafeTimeoutFactor    = 3.0 // an unsafe request cannot be retried after a timeout
 )
 
-// The gate.
+// The circuit breaker and the treatment of connections.
 const (
-	strikesOut   = 4   // strikes in a row that close it; a reset is one, a time-out is all
-	errorsOut    = 8   // quick errors in a row that do: cheap, and good answers may come among them
-	shutEpisodes = 5   // refusals in a row, none taken: shut, not limited
-	shutWait     = 2.5 // seconds: a told wait over it is that of a shut destination, which opens cold
-	firstTrial   = 0.4 // of the connect time-out, to the first trial: short outages are left soon
-	trialGrowth  = 1.5 // trials of a long outage become rarer, to spare slots and the ledger
-	lastTrial    = 0.7 // of the connect time-out at most, or the return would be found late
-	sourTimes    = 4.0 // an endpoint that just failed this class looks so much slower: siblings come first
-	reapSigns    = 2.0 // calls failed on idle connections, more than went well: they are dropped unseen
-	reapMemory   = 3   // ledger spans that these are kept
-	reuses       = 0.2 // of the fleet: uses of a connection before it idles out that make it worth its place
-	goneMemory   = 6   // spans for which an endpoint that left is remembered: it may be listed again
-	crowdMemory  = 6   // spans for which a kind is then taken to have small tables
-	pauseMost    = 2   // shortest aims after a full table, not growing: each return would be found late
+	breakerFailures       = 4   // consecutive failures that open it; a reset counts one, a timeout all
+	breakerErrors         = 8   // consecutive quick errors that open it: cheap, and often among successes
+	unavailableRejections = 5   // consecutive rejection episodes: unavailable, not rate limited
+	unavailableRetryAfter = 2.5 // seconds; after a longer retry-after delay it is treated as cold
+	firstTrialDelay       = 0.4 // of the connect timeout; detects the end of short outages early
+	trialBackoffFactor    = 1.5 // longer outages get fewer trials, which saves slots and retry budget
+	maxTrialDelay         = 0.7 // of the connect timeout; a longer delay would detect recovery late
+	recentFailureCost     = 4.0 // cost factor after a recent failure of this class; prefers siblings
+	minIdleFailures       = 2.0 // failures on idle connections, more than successes: the peer closes them
+	idleFailureWindows    = 3   // retry budget windows for which such failures are kept
+	minReuseShare         = 0.2 // of the fleet: a connection with fewer uses per ConnIdle is closed
+	goneRetentionWindows  = 6   // retry budget windows; a removed endpoint may be listed again
+	smallTableWindows     = 6   // retry budget windows for which a kind is assumed to have small tables
+	maxConnectPause       = 2   // of minTargetLatency, after a full table; more would detect recovery late
 )
 
-// Pacing, as shares of limit / fleet.
+// Pacing. Rates are multiples of limit / fleet.
 const (
-	paceStart   = 1.15 // a little over the even share: traffic is seldom even
-	paceFloor   = 0.5  // one refusal after another must not starve this courier
-	paceGrowth  = 0.2  // a second, while requests wait and none is refused
-	paceCut     = 0.75 // on a refusal, as another courier needs the room
-	peakOver    = 1.5  // capacity over the most served, where no limit is told
-	limitJump   = 1.6  // times its last value: a told limit has been cut or restored
-	leastPart   = 0.25 // of the mean destination's part of the quotas: capacity where nothing is known
-	paceRest    = 1.0  // of the shortest aim: no growth after a refusal
-	shareLeast  = 0.06 // of the fleet: calls of the even share in the shortest aim; below, refusals set a gap
-	gapMost     = 16   // shortest aims between calls to a route that refuses: it doubles up to this, from one
-	gapGrowth   = 1.25 // of the first gap of a kind, a refused repeat; as much less a successful one
-	paceLeft    = 0.15 // no growth while less of the limit is reported left
-	paceBurst   = 0.3  // seconds of pace that may go at once
-	paceCareful = 0.85 // of the even share, where woken a moment ago: with a call in hand it stays under
-	trialPart   = 0.9  // of the outage so far: the longest time between trials for the fall budget's sake
-	coldSafety  = 1.1  // of the fall budget: a limit is set below what the destination can do
+	initialPaceShare     = 1.15 // slightly above the even share, as traffic is seldom even
+	minPaceShare         = 0.5  // a series of rejections must not starve this courier
+	paceGrowthPerSecond  = 0.2  // while requests wait and none is rejected
+	rejectionPaceFactor  = 0.75 // applied on a rejection, as another courier needs the capacity
+	peakHeadroom         = 1.5  // assumed capacity, over the highest success rate, if no limit is reported
+	limitChangeFactor    = 1.6  // a reported limit that changed by this factor was cut or restored
+	unknownCapacityShare = 0.25 // of the mean destination's part of the quotas, if nothing is known
+	paceGrowthPause      = 1.0  // of minTargetLatency: no growth for this time after a rejection
+	minPacedShare        = 0.06 // of the fleet: calls per minTargetLatency; below it, rejections set a gap
+	maxCallGap           = 16   // of minTargetLatency: the gap of a rejecting route doubles from 1 up to this
+	retryGapFactor       = 1.25 // rejected retries multiply a kind's first gap, successful ones divide it
+	minLeftForGrowth     = 0.15 // no growth while a smaller share of the limit is left
+	burstSeconds         = 0.3  // seconds of pacing rate that may be sent at once
+	cautiousPaceShare    = 0.85 // of the even share, after a load; stays under it with one call in hand
+	maxTrialOutageShare  = 0.9  // of the outage so far: longest trial interval that the cold budget sets
+	coldBudgetFactor     = 1.1  // of the cold budget; a limit is set below what the destination can do
 )
 
-// Shedding.
+// Load shedding and the choice of an endpoint. Costs are latency factors.
 const (
-	heldMost   = 0.92 // of MaxHeld
-	urgency    = 0.1  // weight of the share of the aim gone by
-	crossZone  = 1.5  // an endpoint elsewhere looks so much slower
-	coldStart  = 1.3  // one without a warm connection too
-	doubtTimes = 100  // one that may be gone: any sibling comes first
-	tenantSpan = 2.0  // seconds of quota that may come at once
+	maxHeldShare      = 0.92 // of MaxHeld
+	urgencyWeight     = 0.1  // weight of the elapsed share of the target latency
+	crossZoneCost     = 1.5  // an endpoint in another zone
+	newConnCost       = 1.3  // an endpoint without an idle connection
+	doubtfulCost      = 100  // an endpoint that may be gone; any sibling is preferred
+	quotaBurstSeconds = 2.0  // seconds of quota that may be used at once
 )
 
-// decide runs once all news are in.
+// decide returns the actions that follow from the events handled so far.
 func (c *Courier) decide() {
-	c.ask()
+	c.subscribe()
 	c.sweep()
 	for _, d := range c.active {
 		for _, r := range d.routes {
-			c.trial(r)
+			c.sendTrial(r)
 		}
 	}
-	c.pump()
+	c.dispatch()
 }
 
-// ask subscribes to the list where it is told only to those who ask.
-func (c *Courier) ask() {
-	if !c.s.AskForList || c.asked {
+// subscribe subscribes to the endpoint list if it is sent only to subscribers.
+func (c *Courier) subscribe() {
+	if !c.settings.AskForList || c.watching {
 		return
 	}
-	if c.soon(c.askAt); c.now >= c.askAt {
-		c.asked, c.out = true, append(c.out, Watch{})
+	if c.wakeBy(c.watchAt); c.now >= c.watchAt {
+		c.watching, c.actions = true, append(c.actions, Watch{})
 	}
 }
 
-// list follows the endpoint list. What drains or is gone gets nothing more
-// from this moment on; an endpoint that is listed again keeps its history.
-func (c *Courier) list(ev List) {
+// applyList applies news of the endpoint list. Draining and removed endpoints get no further
+// calls from now on. An endpoint that is listed again keeps its state.
+func (c *Courier) applyList(ev List) {
 	if ev.Kind == ListFailed {
-		c.asked, c.askAt = false, c.now+c.jitter(max(c.s.AskWithin/4, c.s.ConnectTimeout))
+		c.watching, c.watchAt = false, c.now+c.jitter(max(c.settings.AskWithin/4, c.settings.ConnectTimeout))
 		return
 	}
 	if ev.Kind != ListDelta {
-		for _, d := range c.order {
-			for _, e := range d.eps {
-				c.leave(e)
+		for _, d := range c.destinationOrder {
+			for _, e := range d.endpoints {
+				c.markGone(e)
 			}
 		}
 	}
-	c.listed = max(ev.Destinations, len(c.order))
+	c.listedDestinations = max(ev.Destinations, len(c.destinationOrder))
 	for _, entry := range ev.Endpoints {
-		e := c.eps[entry.ID]
+		e := c.endpoints[entry.ID]
 		if e == nil {
 			e = &endpoint{Endpoint: entry}
-			c.eps[entry.ID] = e
-			c.place(e)
+			c.endpoints[entry.ID] = e
+			c.addEndpoint(e)
 		}
 		if entry.Phase == Gone {
-			c.leave(e)
+			c.markGone(e)
 		}
 		e.update(entry, c.now)
-		if c.s.WeightsAreLimits && entry.Weight > 0 {
+		if c.settings.WeightsAreLimits && entry.Weight > 0 {
 			e.route.limit = entry.Weight
 		}
 	}
-	c.forgetGone()
+	c.removeGone()
 }
 
-// take queues a new request.
-func (c *Courier) take(ev Request) {
-	if c.reqs[ev.ID] != nil {
+// acceptRequest queues a new request.
+func (c *Courier) acceptRequest(ev Request) {
+	if c.requests[ev.ID] != nil {
 		return
 	}
-	class := c.class(ev.Class)
-	r := &request{id: ev.ID, class: class, dest: c.destination(ev.Destination), deadline: c.now + ev.Deadline}
-	handed := r.deadline - class.Deadline // it may have come before, with part of its time gone
+	class := c.classAt(ev.Class)
+	r := &request{
+		id: ev.ID, class: class, dest: c.destinationFor(ev.Destination), deadline: c.now + ev.Deadline,
+	}
+	originalStart := r.deadline - class.Deadline // a resubmitted request has used part of its time
 	aim := class.Aim + time.Duration(class.AimStretch*float64(ev.Work))
-	r.aimAt = handed + min(aim, class.Deadline)
-	r.excess = c.overQuota(ev.Tenant)
+	r.targetAt = originalStart + min(aim, class.Deadline)
+	r.overQuota = c.overQuota(ev.Tenant)
 	if class.InOrder && ev.Key != 0 {
 		r.key = ev.Key
 	}
-	r.attempts, r.ran, r.ranAt = ev.Attempts, ev.Ran, c.now-ev.RanFor
-	c.hold(r)
-	c.sweepAt = min(c.sweepAt, c.last(r))
-	// After a restart a further attempt is a repeat like any other: it needs
-	// an effect that allows it, attempts left and the ledger's consent.
-	if r.attempts > 0 && !c.goesOn(r, ev) && !c.repeatable(r) {
-		c.giveUp(r)
+	r.attempts, r.mayHaveRun, r.ranAt = ev.Attempts, ev.Ran, c.now-ev.RanFor
+	c.addRequest(r)
+	c.sweepAt = min(c.sweepAt, c.latestSend(r))
+	// After a restart a further attempt is a retry like any other: the effect, the number of
+	// attempts and the retry budget have to allow it.
+	if r.attempts > 0 && !c.resumeAttempt(r, ev) && !c.mayRetry(r) {
+		c.abandon(r)
 	}
 }
 
-// overQuota draws on the tenant's quota at this courier. What is over it is
-// worth little, so it goes last.
+// overQuota draws on the tenant's quota at this courier and reports whether it is used up. A
+// request above the quota has a reduced value, so it is sent last.
 func (c *Courier) overQuota(tenant int) bool {
-	if tenant < 0 || tenant >= len(c.quotas) {
+	if tenant < 0 || tenant >= len(c.tenantQuotas) {
 		return false
 	}
-	share := c.s.Tenants[tenant].Quota / float64(c.s.Fleet)
-	q := &c.quotas[tenant]
-	q.fill(c.now, share, share*tenantSpan)
+	share := c.settings.Tenants[tenant].Quota / float64(c.settings.Fleet)
+	q := &c.tenantQuotas[tenant]
+	q.refill(c.now, share, share*quotaBurstSeconds)
 	return !q.take()
 }
 
-// worth is what r still earns if answered at t.
-func (c *Courier) worth(r *request, t time.Duration) float64 {
-	w, late := r.class.Worth, float64(t-r.aimAt)
-	if r.excess {
-		w *= c.s.OverShareWorth
+// valueAt returns the value of r if it is answered at t.
+func (c *Courier) valueAt(r *request, t time.Duration) float64 {
+	value, late := r.class.Worth, float64(t-r.targetAt)
+	if r.overQuota {
+		value *= c.settings.OverShareWorth
 	}
 	switch {
 	case t >= r.deadline:
 		return 0
 	case late <= 0:
-		return w
-	case c.s.Halving:
-		return w * math.Max(r.class.LateShare, math.Exp2(-late/math.Max(1, float64(r.class.Aim))))
+		return value
+	case c.settings.Halving:
+		return value * math.Max(r.class.LateShare, math.Exp2(-late/math.Max(1, float64(r.class.Aim))))
 	}
-	return w * (1 - (1-r.class.LateShare)*late/math.Max(1, float64(r.deadline-r.aimAt)))
+	return value * (1 - (1-r.class.LateShare)*late/math.Max(1, float64(r.deadline-r.targetAt)))
 }
 
-// rank orders the queue: the worth still to gain, the one nearest to its aim
-// first among equals. Aged requests rank by what is left of their worth, so
-// they cannot make all work late.
-func (c *Courier) rank(r *request) float64 {
-	w := c.worth(r, c.now+span(r.dest.recent))
-	if left := r.aimAt - c.now; left > 0 && r.class.Aim > 0 {
-		w *= 1 + urgency*math.Max(0, 1-float64(left)/float64(r.class.Aim))
+// priority returns the priority of r in its queue: the value still to be gained, with requests
+// close to their target latency first among equals. Late requests count with their remaining
+// value only, so that they cannot delay all others.
+func (c *Courier) priority(r *request) float64 {
+	value := c.valueAt(r, c.now+durationOf(r.dest.latency))
+	if left := r.targetAt - c.now; left > 0 && r.class.Aim > 0 {
+		value *= 1 + urgencyWeight*math.Max(0, 1-float64(left)/float64(r.class.Aim))
 	}
-	return w
+	return value
 }
 
-// pump sends while slots are free, the most worth per slot first.
-func (c *Courier) pump() {
-	c.offers = c.offers[:0] // one of each; a send changes that of its destination alone
-	for top := -1; c.calls < c.s.Slots; {
+// dispatch sends requests while slots are free, highest value per slot first.
+func (c *Courier) dispatch() {
+	c.sendOptions = c.sendOptions[:0] // one per destination; a send changes only its own
+	for top := -1; c.openCalls < c.settings.Slots; {
 		if top >= 0 {
-			c.offers[top] = c.offer(c.active[top])
+			c.sendOptions[top] = c.optionFor(c.active[top])
 		}
-		for i := len(c.offers); i < len(c.active); i++ {
-			c.offers = append(c.offers, c.offer(c.active[i]))
+		for i := len(c.sendOptions); i < len(c.active); i++ {
+			c.sendOptions = append(c.sendOptions, c.optionFor(c.active[i]))
 		}
-		offers := c.offers
+		options := c.sendOptions
 		top = -1
-		for j := range offers {
-			if offers[j].r != nil && (top < 0 || offers[j].worth > offers[top].worth) {
+		for j := range options {
+			if options[j].request != nil && (top < 0 || options[j].valuePerSlot > options[top].valuePerSlot) {
 				top = j
 			}
 		}
 		if top < 0 {
 			return
 		}
-		best, on := offers[top].r, offers[top].on
-		// Where the kind takes bundles, those that wait share the call. They
-		// share its fate too, which is no worse than each one's own.
-		for c.send(best, on); c.round[on].size < best.dest.kind.BundleMax && !on.Doubtful; c.send(best, on) {
-			if best, _ = c.choose(on.route.dest, []*endpoint{on}); best == nil {
+		best, ep := options[top].request, options[top].endpoint
+		// Waiting requests of the same destination share the call if its kind takes bundles. They
+		// also share its outcome, which is no worse than separate calls.
+		for c.send(best, ep); c.roundCalls[ep].size < best.dest.kind.BundleMax &&
+			!ep.Doubtful; c.send(best, ep) {
+			if best, _ = c.chooseSend(ep.route.dest, []*endpoint{ep}); best == nil {
 				break
 			}
 		}
 	}
 }
 
-// offer is what d would send now, with its worth per slot.
-func (c *Courier) offer(d *destination) (o offer) {
-	if o.r, o.on = c.candidate(d); o.r != nil {
-		o.worth = c.rank(o.r) / math.Max(d.recent, seconds(c.s.Tick))
+// optionFor returns what d would send now, with its value per slot.
+func (c *Courier) optionFor(d *destination) (o sendOption) {
+	if o.request, o.endpoint = c.nextSend(d); o.request != nil {
+		o.valuePerSlot = c.priority(o.request) / math.Max(d.latency, seconds(c.settings.Tick))
 	}
 	return o
 }
 
-// candidate is the request of d that would go now, and where to.
-func (c *Courier) candidate(d *destination) (*request, *endpoint) {
-	if len(d.queue) == 0 || d.calls >= min(c.most(d), int(d.window)) {
+// nextSend returns the request of d to be sent now and its endpoint, or nil if there is none.
+func (c *Courier) nextSend(d *destination) (*request, *endpoint) {
+	if len(d.queue) == 0 || d.openCalls >= min(c.maxCalls(d), int(d.window)) {
 		return nil, nil
 	}
-	open := c.scratch[:0]
+	candidates := c.scratch[:0]
 	for _, r := range d.routes {
-		if !c.ready(r) {
+		if !c.routeReady(r) {
 			continue
 		}
-		n := len(open)
-		for _, e := range r.eps {
-			if e.Phase == Ready && e.state != down && !(e.Doubtful && len(e.calls) > 0) && c.coldRoom(e) {
-				open = append(open, e)
+		n := len(candidates)
+		for _, e := range r.endpoints {
+			if e.Phase == Ready && e.state != down && !(e.Doubtful && len(e.calls) > 0) &&
+				c.withinColdBudget(e) {
+				candidates = append(candidates, e)
 			}
 		}
-		if len(open) > n && !c.inTurn(r) {
-			open = open[:n]
+		if len(candidates) > n && !c.leaseAllows(r) {
+			candidates = candidates[:n]
 		}
 	}
-	if c.scratch = open; len(open) == 0 {
+	if c.scratch = candidates; len(candidates) == 0 {
 		return nil, nil
 	}
-	return c.choose(d, open)
+	return c.chooseSend(d, candidates)
 }
 
-// most bounds the calls that d may have out: under three quarters of the
-// slots, half of them while it is slow, or an endpoint is closed or has failed
-// since it last served.
-func (c *Courier) most(d *destination) int {
-	hurt := d.recent > narrowOver*d.best
-	for _, e := range d.eps {
-		hurt = hurt || e.Phase == Ready && (e.state == down || e.fails > 0)
+// maxCalls returns the upper bound on the open calls of d. It is three quarters of the slots,
+// exclusive, or half of them while d is slow, an endpoint's breaker is open or an endpoint has
+// failed since its last success.
+func (c *Courier) maxCalls(d *destination) int {
+	impaired := d.latency > narrowAbove*d.bestLatency
+	for _, e := range d.endpoints {
+		impaired = impaired || e.Phase == Ready && (e.state == down || e.failures > 0)
 	}
-	if hurt {
-		return max(1, int(hurtShare*float64(c.s.Slots)))
+	if impaired {
+		return max(1, int(impairedSlotShare*float64(c.settings.Slots)))
 	}
-	return max(1, int(math.Ceil(c.t.SlotsShare*float64(c.s.Slots)))-1)
+	return max(1, int(math.Ceil(c.tuning.SlotsShare*float64(c.settings.Slots)))-1)
 }
 
-// ready tells whether a route's wait is over and its pace allows a call.
-func (c *Courier) ready(r *route) bool {
-	c.refill(r)
+// routeReady reports whether no delay blocks the route and its pacing rate allows a call.
+func (c *Courier) routeReady(r *route) bool {
+	c.refillTokens(r)
 	switch {
-	case c.now < r.shutUntil():
-		c.soon(r.shutUntil())
-	case r.pace > 0 && r.bucket.tokens < 1:
-		r.wanting = true
-		c.soon(c.now + min(span((1-r.bucket.tokens)/r.pace), c.prompt/4))
+	case c.now < r.blockedUntil():
+		c.wakeBy(r.blockedUntil())
+	case r.pacingRate > 0 && r.bucket.tokens < 1:
+		r.waitedForToken = true
+		c.wakeBy(c.now + min(durationOf((1-r.bucket.tokens)/r.pacingRate), c.minTargetLatency/4))
 	default:
 		return true
 	}
 	return false
 }
 
-// refill earns tokens and lets the pace find what the other couriers leave:
-// it grows while requests wait and nothing is refused. In a large fleet the
-// even share of a limit says nothing of what this courier's own few requests
-// need: there is no pace then, and refusals set a gap.
-func (c *Courier) refill(r *route) {
-	dt := seconds(c.now - r.bucket.at)
+// refillTokens refills the token bucket of r and adapts the pacing rate to the capacity that the
+// other couriers leave: it grows while requests wait and none is rejected. In a large fleet the
+// even share of a limit says nothing about the needs of this courier's few requests. There is no
+// pacing rate then, and rejections set a gap between calls.
+func (c *Courier) refillTokens(r *route) {
+	dt := seconds(c.now - r.bucket.filledAt)
 	share := c.evenShare(r)
-	if dt == 0 && r.pace > 0 {
+	if dt == 0 && r.pacingRate > 0 {
 		return
 	}
-	lost := c.lost(r, share)
-	if !lost && (r.limit <= 0 || c.thin(r, shareLeast) || c.leased(r) != nil) {
-		r.pace = 0
+	noOwner := c.ownerless(r, share)
+	if !noOwner && (r.limit <= 0 || c.shareBelow(r, minPacedShare) || c.leaseOf(r) != nil) {
+		r.pacingRate = 0
 		return
 	}
-	// The more couriers share a limit, the more uneven is their traffic.
-	start := share * c.t.PaceStart * math.Sqrt(math.Max(1, float64(c.s.Fleet)/2))
-	burst := paceBurst
-	if c.now < r.carefulUntil { // woken a moment ago: its limit is an old one, or may be cut
-		start, burst = share*c.t.PaceWoken, 0
-		r.pace = math.Min(r.pace, start)
+	// The more couriers share a limit, the more uneven their traffic is.
+	start := share * c.tuning.PaceStart * math.Sqrt(math.Max(1, float64(c.settings.Fleet)/2))
+	burst := burstSeconds
+	if c.now < r.cautiousUntil { // loaded recently: the known limit is old and may have been cut
+		start, burst = share*c.tuning.PaceWoken, 0
+		r.pacingRate = math.Min(r.pacingRate, start)
 	}
-	if lost {
-		start = r.lostPace
+	if noOwner {
+		start = r.ownerlessRate
 	}
 	switch {
-	case r.pace == 0:
-		r.pace = start
-	case c.now < r.carefulUntil:
-	case r.wanting && c.now-r.fullAt > span(paceRest*seconds(c.prompt)) && r.left > paceLeft:
-		r.pace = math.Min(c.bears(r), r.pace+dt*paceGrowth*share)
-	case !r.wanting:
-		r.pace += (start - r.pace) * math.Min(1, dt/seconds(ledgerSpan))
+	case r.pacingRate == 0:
+		r.pacingRate = start
+	case c.now < r.cautiousUntil:
+	case r.waitedForToken && c.now-r.rejectedAt > durationOf(paceGrowthPause*seconds(c.minTargetLatency)) &&
+		r.limitLeft > minLeftForGrowth:
+		r.pacingRate = math.Min(c.assumedLimit(r), r.pacingRate+dt*paceGrowthPerSecond*share)
+	case !r.waitedForToken:
+		r.pacingRate += (start - r.pacingRate) * math.Min(1, dt/seconds(retryBudgetWindow))
 	}
-	r.wanting = false
-	r.bucket.fill(c.now, r.pace, math.Max(1, r.pace*burst))
+	r.waitedForToken = false
+	r.bucket.refill(c.now, r.pacingRate, math.Max(1, r.pacingRate*burst))
 }
 
-// warm drops connections that have idled out and tells whether one is left.
-func (c *Courier) warm(e *endpoint) bool {
-	for len(e.idle) > 0 && c.now-e.idle[0] >= c.s.ConnIdle-2*c.s.Tick {
-		e.idle = e.idle[1:]
+// hasIdleConn drops idle connections that have timed out and reports whether one is left.
+func (c *Courier) hasIdleConn(e *endpoint) bool {
+	for len(e.idleConns) > 0 && c.now-e.idleConns[0] >= c.settings.ConnIdle-2*c.settings.Tick {
+		e.idleConns = e.idleConns[1:]
 	}
-	if n := len(e.idle); n > 0 && c.reaps() && c.now-e.idle[n-1] >= c.reapAge*2/3 {
-		c.dropIdle(e)
+	if n := len(e.idleConns); n > 0 && c.idleConnsFail() && c.now-e.idleConns[n-1] >= c.idleFailureAge*2/3 {
+		c.closeIdleConns(e)
 	}
-	return len(e.idle) > 0
+	return len(e.idleConns) > 0
 }
 
-// reaps tells that connections are dropped unseen while they idle: calls on
-// them fail, mostly, once they are of some age. They are closed before that.
-func (c *Courier) reaps() bool {
-	n := c.reaped.sum(c.now)
-	return n >= reapSigns && n > c.lasted.sum(c.now)
+// idleConnsFail reports whether the peer closes idle connections without notice: most calls on
+// connections above some idle time fail. Such connections are closed before they reach it.
+func (c *Courier) idleConnsFail() bool {
+	n := c.idleFailures.sum(c.now)
+	return n >= minIdleFailures && n > c.idleSuccesses.sum(c.now)
 }
 
-// aged learns from a call on a connection that had been idle.
-func (c *Courier) aged(b *call, o Outcome) {
+// observeIdleReuse records the outcome of a call on a connection that had been idle.
+func (c *Courier) observeIdleReuse(b *call, o Outcome) {
 	switch {
-	case b.idled == 0:
-	case o == OK && b.idled >= c.reapAge:
-		c.lasted.add(c.now, 1)
+	case b.connIdle == 0:
+	case o == OK && b.connIdle >= c.idleFailureAge:
+		c.idleSuccesses.add(c.now, 1)
 	case o == Reset || o == TimedOut:
-		if c.reaped.sum(c.now) == 0 || b.idled < c.reapAge {
-			c.reapAge = b.idled
+		if c.idleFailures.sum(c.now) == 0 || b.connIdle < c.idleFailureAge {
+			c.idleFailureAge = b.connIdle
 		}
-		c.reaped.add(c.now, 1)
-		c.dropIdle(b.ep)
+		c.idleFailures.add(c.now, 1)
+		c.closeIdleConns(b.endpoint)
 	}
 }
 
-// cost compares endpoints for r: busy, slow, distant, without a warm
-// connection, or the one that failed its class last.
-func (c *Courier) cost(e *endpoint, r *request) float64 {
+// endpointCost returns the cost of e for r. Open calls, latency, another zone, the lack of an idle
+// connection and a recent failure of the same class raise it.
+func (c *Courier) endpointCost(e *endpoint, r *request) float64 {
 	latency := e.latency
 	if latency == 0 {
-		latency = e.route.dest.recent
+		latency = e.route.dest.latency
 	}
-	at := e.soured[r.class.no]
-	v := math.Max(latency, seconds(c.s.Tick)) * float64(1+len(e.calls))
-	v *= when(e.Zone != c.s.Zone, crossZone) * when(!c.warm(e), coldStart) * when(e.Doubtful, doubtTimes)
-	return v * when(at > 0 && c.now < at+ledgerSpan, sourTimes)
+	at := e.classFailedAt[r.class.index]
+	v := math.Max(latency, seconds(c.settings.Tick)) * float64(1+len(e.calls))
+	v *= factorIf(e.Zone != c.settings.Zone, crossZoneCost) * factorIf(!c.hasIdleConn(e), newConnCost) *
+		factorIf(e.Doubtful, doubtfulCost)
+	return v * factorIf(at > 0 && c.now < at+retryBudgetWindow, recentFailureCost)
 }
 
-// choose is the best queued request of d that may go to one of eps, and the
-// cheapest of these for it.
-func (c *Courier) choose(d *destination, eps []*endpoint) (best *request, on *endpoint) {
-	top, safest := 0.0, d.safeWaits(eps)
+// chooseSend returns the queued request of d with the highest priority that may go to one of eps,
+// and the cheapest of these endpoints for it.
+func (c *Courier) chooseSend(d *destination, eps []*endpoint) (best *request, ep *endpoint) {
+	top, preferSafe := 0.0, d.safeRequestWaiting(eps)
 	for _, r := range d.queue {
-		v := c.rank(r)
+		v := c.priority(r)
 		if best != nil && v <= top {
 			continue
 		}
-		to, low := (*endpoint)(nil), 0.0
+		cheapest, lowestCost := (*endpoint)(nil), 0.0
 		for _, e := range eps {
-			if !c.eligible(r, e) || e.Doubtful && safest && r.class.Effect != Safe {
-				continue // where it may be gone, what may be repeated at will goes first
+			if !c.eligible(r, e) || e.Doubtful && preferSafe && r.class.Effect != Safe {
+				continue // the endpoint may be gone: prefer requests that can be retried freely
 			}
-			if v := c.cost(e, r); to == nil || v < low {
-				to, low = e, v
+			if v := c.endpointCost(e, r); cheapest == nil || v < lowestCost {
+				cheapest, lowestCost = e, v
 			}
 		}
-		if to != nil {
-			best, on, top = r, to, v
+		if cheapest != nil {
+			best, ep, top = r, cheapest, v
 		}
 	}
-	return best, on
+	return best, ep
 }
 
-// eligible keeps the rules: order by key, and a keyed request that may have
-// run only within its group.
+// eligible reports whether r may be sent to e. Requests of one key keep their order, and a keyed
+// request that may have been executed goes only to endpoints that recognize the duplicate.
 func (c *Courier) eligible(r *request, e *endpoint) bool {
 	if r.key != 0 {
-		l := c.lines[r.key]
+		l := c.keyQueues[r.key]
 		if l.queue[0] != r {
 			return false
 		}
-		if c.now < l.rest && r.attempts == 0 {
-			c.soon(l.rest)
+		if c.now < l.settleUntil && r.attempts == 0 {
+			c.wakeBy(l.settleUntil)
 			return false
 		}
 	}
-	if r.ran && r.class.Effect == Keyed {
+	if r.mayHaveRun && r.class.Effect == Keyed {
 		g := r.class.Group
-		if g != GroupAll && r.ranOn == nil { // it ran in an earlier life of the courier: where, is not known
+		if g != GroupAll && r.ranEndpoint == nil { // sent by a previous process run to an unknown endpoint
 			return false
 		}
-		if g == GroupEndpoint && e != r.ranOn || g == GroupZone && e.Zone != r.ranOn.Zone {
+		if g == GroupEndpoint && e != r.ranEndpoint || g == GroupZone && e.Zone != r.ranEndpoint.Zone {
 			return false
 		}
 	}
-	return c.now < c.last(r)
+	return c.now < c.latestSend(r)
 }
 
-// last is when r can still be sent: in time for an answer and, if it may have
-// run, while the destination remembers its key.
-func (c *Courier) last(r *request) time.Duration {
-	t := r.deadline - max(span(r.dest.best/2), 2*c.s.Tick)
-	if r.ran && r.class.Effect == Keyed {
-		t = min(t, r.ranAt+r.class.Window-2*c.s.Tick)
+// latestSend returns the last moment at which r can be sent: early enough for an answer and, if it
+// may have been executed, while the destination still recognizes its key.
+func (c *Courier) latestSend(r *request) time.Duration {
+	t := r.deadline - max(durationOf(r.dest.bestLatency/2), 2*c.settings.Tick)
+	if r.mayHaveRun && r.class.Effect == Keyed {
+		t = min(t, r.ranAt+r.class.Window-2*c.settings.Tick)
 	}
 	return t
 }
 
-// send calls e with r, in this round's bundle if there is room in it.
+// send sends r to e, in this round's call to e if it has room for another request.
 func (c *Courier) send(r *request, e *endpoint) {
 	d, rt := r.dest, e.route
-	b, weight := c.round[e], bundleExtra
+	b, weight := c.roundCalls[e], bundledRequestCost
 	if b == nil || b.size >= d.kind.BundleMax {
-		b, weight = c.open(e), 1.0
+		b, weight = c.openCall(e), 1.0
 		rt.bucket.tokens--
-		c.called(rt)
-		if c.warm(e) {
-			b.idled = c.now - e.idle[len(e.idle)-1]
-			e.idle = e.idle[:len(e.idle)-1]
+		c.countLeaseCall(rt)
+		if c.hasIdleConn(e) {
+			b.connIdle = c.now - e.idleConns[len(e.idleConns)-1]
+			e.idleConns = e.idleConns[:len(e.idleConns)-1]
 		}
 	}
-	if e.state != up || e.fails > 0 { // what a sound sibling gets does not weigh on a cold one
-		rt.coldCall(c.now, weight)
+	if e.state != up || e.failures > 0 { // calls to a healthy sibling do not count against a cold one
+		rt.countColdCall(c.now, weight)
 	}
-	rt.coldSends.drop(c.now - max(c.s.WarmUp, c.s.FallTime)) // bounds what is kept
+	rt.coldCalls.dropBefore(c.now - max(c.settings.WarmUp, c.settings.FallTime)) // limits memory
 	b.size++
-	b.left++
+	b.pendingOutcomes++
 	if r.attempts == 0 {
-		d.first.add(c.now, 1)
+		d.firstAttempts.add(c.now, 1)
 	}
 	r.attempts++
 	r.call = b
 	d.queue = remove(d.queue, r)
-	t := c.timeout(r)
-	b.cut = b.cut || t < c.telling(d)
-	c.do(Send{Request: r.id, Endpoint: e.ID, Timeout: t})
+	t := c.attemptTimeout(r)
+	b.shortTimeout = b.shortTimeout || t < c.conclusiveAfter(d)
+	c.emit(Send{Request: r.id, Endpoint: e.ID, Timeout: t})
 }
 
-// timeout follows the observed latency. A time-out burns an unsafe request
-// for good, so that one waits longer, as slow is not dead, unless the slots
-// it would hold are short: a lossy path could else take them all.
-func (c *Courier) timeout(r *request) time.Duration {
-	t := math.Max(timeoutOver*r.dest.recent, timeoutAim*seconds(r.class.Aim))
-	if r.class.Effect == Unsafe && float64(c.calls) < c.t.SlotsShare*float64(c.s.Slots) {
-		t *= unsafeLonger
+// attemptTimeout follows the observed latency. An unsafe request cannot be retried after a timeout,
+// so it gets a longer one in case the endpoint is only slow. If slots are short it does not, as a
+// path that loses calls could occupy all of them.
+func (c *Courier) attemptTimeout(r *request) time.Duration {
+	t := math.Max(timeoutLatencyMultiple*r.dest.latency, timeoutTargetShare*seconds(r.class.Aim))
+	if r.class.Effect == Unsafe && float64(c.openCalls) < c.tuning.SlotsShare*float64(c.settings.Slots) {
+		t *= unsafeTimeoutFactor
 	}
-	return min(max(span(t), c.s.ConnectTimeout), r.deadline-c.now)
+	return min(max(durationOf(t), c.settings.ConnectTimeout), r.deadline-c.now)
 }
 
-func (c *Courier) ended(ev AttemptEnded) {
-	r := c.reqs[ev.Request]
+// attemptEnded records the outcome of an attempt and retries or answers its request.
+func (c *Courier) attemptEnded(ev AttemptEnded) {
+	r := c.requests[ev.Request]
 	if r == nil || r.call == nil || ev.Attempt != r.attempts-1 {
 		return
 	}
 	b := r.call
 	r.call = nil
 	if ev.Fresh || ev.Kept > 0 {
-		b.idled = ev.Kept
+		b.connIdle = ev.Kept
 	}
-	c.report(b.ep.route, ev.Report)
-	if (ev.Outcome == Full || ev.Outcome == Error) && ev.Wait > 0 { // of a bundle, any one may tell it
-		b.ep.route.told(c.now + ev.Wait + c.s.Tick)
+	c.applyReport(b.endpoint.route, ev.Report)
+	if (ev.Outcome == Full || ev.Outcome == Error) && ev.Wait > 0 { // any request of a bundle may carry it
+		b.endpoint.route.setRetryAfter(c.now + ev.Wait + c.settings.Tick)
 	}
-	c.judge(b, r, ev)
+	c.recordOutcome(b, r, ev)
 	c.closeCall(b)
-	unsure := ev.Outcome == TimedOut || ev.Outcome == Reset || ev.Outcome == Cancelled
-	if (unsure || ev.Outcome == Error) && !r.ran {
-		r.ran, r.ranAt, r.ranOn = true, b.sent+ev.Dialled, b.ep
+	uncertain := ev.Outcome == TimedOut || ev.Outcome == Reset || ev.Outcome == Cancelled
+	if (uncertain || ev.Outcome == Error) && !r.mayHaveRun {
+		r.mayHaveRun, r.ranAt, r.ranEndpoint = true, b.sentAt+ev.Dialled, b.endpoint
 	}
-	if l := c.lines[r.key]; r.key != 0 && l != nil && unsure {
-		l.rest = c.now + c.s.OrderSettle
+	if l := c.keyQueues[r.key]; r.key != 0 && l != nil && uncertain {
+		l.settleUntil = c.now + c.settings.OrderSettle
 	}
-	if ev.Done || r.over {
-		c.finish(r)
+	if ev.Done || r.answered {
+		c.finishRequest(r)
 		return
 	}
-	c.sweepAt = min(c.sweepAt, c.last(r))
-	c.settle(r)
+	c.sweepAt = min(c.sweepAt, c.latestSend(r))
+	c.retryOrAnswer(r)
 }
 
-// settle repeats a failed request if that is harmless and the ledger funds
-// it; else it is answered at once.
-func (c *Courier) settle(r *request) {
-	if c.repeatable(r) {
+// retryOrAnswer retries a failed request if that is harmless and within the retry budget. Otherwise
+// it answers the request at once.
+func (c *Courier) retryOrAnswer(r *request) {
+	if c.mayRetry(r) {
 		c.enqueue(r)
 		return
 	}
-	c.giveUp(r)
+	c.abandon(r)
 }
 
-// repeatable tells whether r may go again, and has the ledger fund it.
-func (c *Courier) repeatable(r *request) bool {
-	harmless := !r.ran || r.class.Effect != Unsafe
-	spent := c.s.MaxAttempts > 0 && r.attempts >= c.s.MaxAttempts
-	return harmless && !spent && c.now+2*c.s.Tick < r.deadline && c.fund(r.dest)
+// mayRetry reports whether r may be sent again. If so, it has drawn on the retry budget.
+func (c *Courier) mayRetry(r *request) bool {
+	harmless := !r.mayHaveRun || r.class.Effect != Unsafe
+	exhausted := c.settings.MaxAttempts > 0 && r.attempts >= c.settings.MaxAttempts
+	return harmless && !exhausted && c.now+2*c.settings.Tick < r.deadline && c.withdrawRetry(r.dest)
 }
 
-// fund withdraws a repeat from the destination's ledger.
-func (c *Courier) fund(d *destination) bool {
-	floor := math.Max(1, c.t.LedgerFloor*float64(c.s.Slots))
-	if d.repeats.sum(c.now) >= c.t.LedgerRatio*d.first.sum(c.now)+floor {
+// withdrawRetry draws one retry from the destination's budget. It returns false if that is used up.
+func (c *Courier) withdrawRetry(d *destination) bool {
+	floor := math.Max(1, c.tuning.LedgerFloor*float64(c.settings.Slots))
+	if d.retries.sum(c.now) >= c.tuning.LedgerRatio*d.firstAttempts.sum(c.now)+floor {
 		return false
 	}
-	d.repeats.add(c.now, 1)
+	d.retries.add(c.now, 1)
 	return true
 }
 
-// giveUp answers a request: refused where that is known to be harmless, with
-// the time at which it is worth coming back, else failed.
-func (c *Courier) giveUp(r *request) {
-	harmless := !r.ran || r.class.Effect == Safe ||
+// abandon gives a request its final answer: Refuse if a retry by the client is known to be
+// harmless, with a retry-after delay, otherwise Fail.
+func (c *Courier) abandon(r *request) {
+	harmless := !r.mayHaveRun || r.class.Effect == Safe ||
 		r.class.Effect == Keyed && r.class.Group == GroupAll && c.now < r.ranAt+r.class.Window
-	if harmless && c.now+c.s.Tick < r.deadline {
-		c.do(Refuse{Request: r.id, RetryAfter: c.comeBack(r.dest)})
+	if harmless && c.now+c.settings.Tick < r.deadline {
+		c.emit(Refuse{Request: r.id, RetryAfter: c.retryAfter(r.dest)})
 	} else {
-		c.do(Fail{Request: r.id})
+		c.emit(Fail{Request: r.id})
 	}
-	c.finish(r)
+	c.finishRequest(r)
 }
 
-// comeBack is when the destination is next worth a try: after its wait or
-// trial, or once the queue has drained at the pace seen.
-func (c *Courier) comeBack(d *destination) (t time.Duration) {
-	if !c.s.RetryAfter {
+// retryAfter returns the delay after which a request to d is likely to be served: when its
+// destination is no longer blocked, at the next trial, or when the queue has drained at the present
+// rate. It returns zero if clients take no such advice.
+func (c *Courier) retryAfter(d *destination) (t time.Duration) {
+	if !c.settings.RetryAfter {
 		return 0
 	}
-	for _, e := range d.eps {
-		t = max(t, e.route.shutUntil()-c.now)
+	for _, e := range d.endpoints {
+		t = max(t, e.route.blockedUntil()-c.now)
 		if e.state == down {
 			t = max(t, e.trialAt-c.now)
 		}
 	}
-	if rate := d.served.sum(c.now) / seconds(ledgerSpan); rate > 0 {
-		t = max(t, span(float64(len(d.queue))/rate))
+	if rate := d.successes.sum(c.now) / seconds(retryBudgetWindow); rate > 0 {
+		t = max(t, durationOf(float64(len(d.queue))/rate))
 	}
-	return min(max(t, c.s.Tick), c.s.MaxRetry)
+	return min(max(t, c.settings.Tick), c.settings.MaxRetry)
 }
 
-// report notes what a destination tells of its limit.
-func (c *Courier) report(r *route, values []float64) {
-	for i := range min(len(values), len(c.s.Report)) {
+// applyReport applies the rate limit values that a destination reported in an answer.
+func (c *Courier) applyReport(r *route, values []float64) {
+	for i := range min(len(values), len(c.settings.Report)) {
 		switch v := values[i]; {
-		case c.s.Report[i] == AllowanceLeft:
-			r.left = v
-		case c.s.Report[i] == LimitRate && v > 0:
-			// The pace keeps its part of a limit that is cut or restored at once.
-			// What changes less is mostly noise.
-			if r.limit > 0 && math.Max(v/r.limit, r.limit/v) > limitJump {
-				r.pace, r.lostPace = r.pace*v/r.limit, r.lostPace*v/r.limit
+		case c.settings.Report[i] == AllowanceLeft:
+			r.limitLeft = v
+		case c.settings.Report[i] == LimitRate && v > 0:
+			// If the limit is cut or restored, the pacing rate changes in proportion at once. Smaller
+			// changes are mostly noise.
+			if r.limit > 0 && math.Max(v/r.limit, r.limit/v) > limitChangeFactor {
+				r.pacingRate, r.ownerlessRate = r.pacingRate*v/r.limit, r.ownerlessRate*v/r.limit
 			}
 			r.limit = v
 		}
 	}
-	c.reported(r, len(values))
+	c.recordLimitReport(r, len(values))
 }
 
-// judge lets the first outcome of a call move window, pace and gate.
-func (c *Courier) judge(b *call, r *request, ev AttemptEnded) {
-	if b.judged || ev.Outcome == Moot {
+// recordOutcome updates window, pacing rate and circuit breaker from the first outcome of a call.
+func (c *Courier) recordOutcome(b *call, r *request, ev AttemptEnded) {
+	if b.recorded || ev.Outcome == Moot {
 		return
 	}
-	b.judged = true
-	e, d := b.ep, b.ep.route.dest
-	if ev.Outcome == TimedOut && b.cut {
-		return // the message's own deadline cut it short: that says nothing of the endpoint
+	b.recorded = true
+	e, d := b.endpoint, b.endpoint.route.dest
+	if ev.Outcome == TimedOut && b.shortTimeout {
+		return // cut short by the message's own deadline, so it says nothing about the endpoint
 	}
-	// A kind's repeats tell how long its refused calls stay away: one destination is called too seldom.
-	if g := &c.repeatGap[d.kindNo]; r.attempts > 1 && ev.Outcome == Full {
-		*g = min(span(seconds(*g)*gapGrowth), gapMost*c.prompt)
+	// The retries of a whole kind set its first gap, as a single destination is called too seldom.
+	if g := &c.retryGap[d.kindIndex]; r.attempts > 1 && ev.Outcome == Full {
+		*g = min(durationOf(seconds(*g)*retryGapFactor), maxCallGap*c.minTargetLatency)
 	} else if r.attempts > 1 && ev.Outcome == OK {
-		*g = max(span(seconds(*g)/gapGrowth), c.prompt)
+		*g = max(durationOf(seconds(*g)/retryGapFactor), c.minTargetLatency)
 	}
-	trial := e.state == down
-	c.serves(e.route, ev.Outcome)
-	c.aged(b, ev.Outcome)
+	wasTrial := e.state == down
+	c.trackReachability(e.route, ev.Outcome)
+	c.observeIdleReuse(b, ev.Outcome)
 	if ev.Outcome == Error || ev.Outcome == TimedOut || ev.Outcome == Reset {
-		e.soured[r.class.no] = c.now // this class may fail here alone: its repeats go to a sibling
+		e.classFailedAt[r.class.index] = c.now // possibly only this class fails here: retry it at a sibling
 	}
 	switch ev.Outcome {
 	case OK:
-		e.idle = append(e.idle, c.now)
-		d.served.add(c.now, float64(b.size))
-		d.peak = math.Max(d.peak, d.served.sum(c.now)/seconds(ledgerSpan))
-		c.observe(d, e, seconds(ev.Took)/(1+bundleExtra*float64(b.size-1)))
-		c.answered(e)
-		e.lastOK, e.soured[r.class.no] = c.now, 0
-		if e.route.gap /= 2; e.route.gap < c.prompt/2 {
-			e.route.gap = 0
-		}
-		e.route.waitUntil = max(e.route.waitUntil, c.now+c.jitter(e.route.gap))
+		e.idleConns = append(e.idleConns, c.now)
+		d.successes.add(c.now, float64(b.size))
+		d.peakRate = math.Max(d.peakRate, d.successes.sum(c.now)/seconds(retryBudgetWindow))
+		c.observeLatency(d, e, seconds(ev.Took)/(1+bundledRequestCost*float64(b.size-1)))
+		c.recordSuccess(e)
+		e.lastSuccessAt, e.classFailedAt[r.class.index] = c.now, 0
+		if e.route.callGap /= 2; e.route.callGap < c.minTargetLatency/2 {
+			e.route.callGap = 0
+		}
+		e.route.waitUntil = max(e.route.waitUntil, c.now+c.jitter(e.route.callGap))
 	case Full:
-		e.idle = append(e.idle, c.now)
-		c.refused(e, b, ev.Wait)
+		e.idleConns = append(e.idleConns, c.now)
+		c.recordRejection(e, b, ev.Wait)
 	case ConnectFailed:
-		// Others got through meanwhile, or it was turned away at once where
-		// tables are small: its table is full, it is not down. Hold new calls
-		// a moment.
-		weight, pause := strikesOut, time.Duration(0)
-		if ev.Took+2*c.s.Tick < c.s.ConnectTimeout {
-			if c.small[d.kindNo] = c.now + crowdMemory*ledgerSpan; c.crowded(d) {
-				weight, pause = 1, c.prompt*min(time.Duration(1+e.fails), pauseMost)
+		// If other calls succeeded meanwhile, or the connection was refused at once and connection
+		// tables are small, then the table is full and the endpoint is not down. New calls pause
+		// briefly.
+		weight, pause := breakerFailures, time.Duration(0)
+		if ev.Took+2*c.settings.Tick < c.settings.ConnectTimeout {
+			if c.smallTableUntil[d.kindIndex] = c.now +
+				smallTableWindows*retryBudgetWindow; c.closesAfterUse(d) {
+				weight, pause = 1, c.minTargetLatency*min(time.Duration(1+e.failures), maxConnectPause)
 			}
 		}
-		if e.lastOK > b.sent {
-			weight, pause = 0, span(d.recent)
-		} else if ev.Took+2*c.s.Tick < c.s.ConnectTimeout && c.now-e.lastOK <= c.prompt && e.lastOK > 0 {
-			weight = 1 // it answered a moment ago: one connection may break alone
+		if e.lastSuccessAt > b.sentAt {
+			weight, pause = 0, durationOf(d.latency)
+		} else if ev.Took+2*c.settings.Tick < c.settings.ConnectTimeout &&
+			c.now-e.lastSuccessAt <= c.minTargetLatency && e.lastSuccessAt > 0 {
+			weight = 1 // it answered recently: a single connection may break
 		}
-		if !c.crowded(d) { // it reached nobody: what counts as sent would put off the next trial
-			e.route.coldSends.undo(b.sent, 1+bundleExtra*float64(b.size-1))
+		if !c.closesAfterUse(d) { // a call that reached nobody must not delay the next trial
+			e.route.coldCalls.remove(b.sentAt, 1+bundledRequestCost*float64(b.size-1))
 		}
-		e.route.pauseUntil = max(e.route.pauseUntil, c.now+c.jitter(pause))
-		c.strike(e, weight, true, strikesOut)
+		e.route.connectPauseUntil = max(e.route.connectPauseUntil, c.now+c.jitter(pause))
+		c.recordFailure(e, weight, true, breakerFailures)
 	case TimedOut:
-		if e.lastOK > b.sent { // others got through meanwhile: it was lost on its way
+		if e.lastSuccessAt > b.sentAt { // other calls succeeded meanwhile: this one was lost
 			break
 		}
-		// It may be slow as well as lost: believed only so far, or each
-		// time-out would make the next one longer, up to the deadline.
+		// The call may be slow as well as lost. The latency is capped, as otherwise each timeout
+		// would lengthen the next one, up to the deadline.
 		took := seconds(ev.Took)
-		if d.recent > 0 {
-			took = math.Min(took, narrowOver*d.recent)
+		if d.latency > 0 {
+			took = math.Min(took, narrowAbove*d.latency)
 		}
-		weight := strikesOut
-		if b.idled > 0 && c.reaps() { // the connection may be lost alone: a new one will tell
+		weight := breakerFailures
+		if b.connIdle > 0 && c.idleConnsFail() { // perhaps only the connection is broken
 			weight = 1
 		} else {
-			c.observe(d, e, took)
+			c.observeLatency(d, e, took)
 		}
-		c.strike(e, weight, false, strikesOut)
+		c.recordFailure(e, weight, false, breakerFailures)
 	case Reset:
-		// A connection that breaks after use says little of its endpoint, nor
-		// does one among others that get through: new ones will tell.
-		if b.idled == 0 && max(0, b.sent-e.lastOK) > c.prompt {
-			c.strike(e, 1, false, strikesOut)
+		// A reused connection that breaks says little about its endpoint, and so does a new one
+		// among successes. Further connections will show.
+		if b.connIdle == 0 && max(0, b.sentAt-e.lastSuccessAt) > c.minTargetLatency {
+			c.recordFailure(e, 1, false, breakerFailures)
 		}
-	case Error: // may be one of many good answers
-		e.idle = append(e.idle, c.now)
-		c.strike(e, 1, false, errorsOut)
+	case Error: // may be one among many successes
+		e.idleConns = append(e.idleConns, c.now)
+		c.recordFailure(e, 1, false, breakerErrors)
 	}
-	if len(d.queue) == 0 && c.crowded(d) {
-		c.dropIdle(e)
+	if len(d.queue) == 0 && c.closesAfterUse(d) {
+		c.closeIdleConns(e)
 	}
-	if trial && e.state == down && ev.Outcome != Cancelled {
-		c.backOff(e)
+	if wasTrial && e.state == down && ev.Outcome != Cancelled {
+		c.scheduleTrial(e)
 	}
 }
 
-// telling is how long an answer of d must be out before that tells anything.
-func (c *Courier) telling(d *destination) time.Duration {
-	if d.recent == 0 {
-		return c.prompt / 2
+// conclusiveAfter returns the time without an answer after which a call to d is conclusive.
+func (c *Courier) conclusiveAfter(d *destination) time.Duration {
+	if d.latency == 0 {
+		return c.minTargetLatency / 2
 	}
-	return min(span(narrowOver*d.recent), c.prompt)
+	return min(durationOf(narrowAbove*d.latency), c.minTargetLatency)
 }
 
-// crowded tells that d's connections are better closed after use. One refused
-// at once tells that tables are small at this kind; in a large fleet the idle
-// connections of all fill them, though hardly one is used again.
-func (c *Courier) crowded(d *destination) bool {
-	uses := d.first.sum(c.now) / seconds(ledgerSpan) * seconds(c.s.ConnIdle) / float64(len(d.eps))
-	return c.now < c.small[d.kindNo] && 1+uses < reuses*float64(c.s.Fleet)
+// closesAfterUse reports whether d's connections should be closed after use. A connection refused
+// at once shows that connection tables are small at this kind. In a large fleet the idle
+// connections of all couriers fill such a table although hardly one of them is used again.
+func (c *Courier) closesAfterUse(d *destination) bool {
+	uses := d.firstAttempts.sum(c.now) / seconds(retryBudgetWindow) *
+		seconds(c.settings.ConnIdle) / float64(len(d.endpoints))
+	return c.now < c.smallTableUntil[d.kindIndex] && 1+uses < minReuseShare*float64(c.settings.Fleet)
 }
 
-// observe moves the smoothed latency and the delay window.
-func (c *Courier) observe(d *destination, e *endpoint, took float64) {
+// observeLatency updates the smoothed latency and the concurrency window. took is in seconds.
+func (c *Courier) observeLatency(d *destination, e *endpoint, took float64) {
 	blend := func(v *float64) {
 		if *v == 0 {
 			*v = took
 		}
-		*v += smooth * (took - *v)
+		*v += latencySmoothing * (took - *v)
 	}
 	blend(&e.latency)
-	blend(&d.recent)
-	was := d.best
-	if d.best == 0 || d.recent < d.best*bestDrift {
-		d.best = d.recent
+	blend(&d.latency)
+	previous := d.bestLatency
+	if d.bestLatency == 0 || d.latency < d.bestLatency*bestLatencyDrift {
+		d.bestLatency = d.latency
 	} else {
-		d.best *= bestDrift
+		d.bestLatency *= bestLatencyDrift
 	}
-	c.sweepAt -= max(0, 1+span(d.best-was)/2) // no request's last moment moves further
+	c.sweepAt -= max(0, 1+durationOf(d.bestLatency-previous)/2) // bounds the change of latestSend
 	switch {
-	case d.recent < widenUnder*d.best:
-		d.window = math.Min(d.window+1/d.window, float64(c.s.Slots))
-	case d.recent > narrowOver*d.best:
-		d.window = math.Max(1, d.window*narrowBy)
+	case d.latency < widenBelow*d.bestLatency:
+		d.window = math.Min(d.window+1/d.window, float64(c.settings.Slots))
+	case d.latency > narrowAbove*d.bestLatency:
+		d.window = math.Max(1, d.window*narrowFactor)
 	}
 }
 
-// answered opens the gate: the endpoint serves. If it failed before, it is
-// taken for cold.
-func (c *Courier) answered(e *endpoint) {
-	e.fails, e.route.fulls = 0, 0
+// recordSuccess closes the breaker, as the endpoint answers. If the breaker was open, the endpoint
+// is treated as cold.
+func (c *Courier) recordSuccess(e *endpoint) {
+	e.failures, e.route.rejections = 0, 0
 	if e.state != down {
 		return
 	}
-	e.backoff, e.downFor, e.outFor = 0, c.now-e.since, e.outage(c.now)
-	for _, x := range e.route.eps { // what went together mostly returns together
+	e.backoff, e.lastOutage, e.maxOutage = 0, c.now-e.stateSince, e.outageBound(c.now)
+	for _, x := range e.route.endpoints { // endpoints that failed together mostly recover together
 		x.trialAt = min(x.trialAt, c.now)
 	}
-	c.turn(e, cold, "open", "answers, slow start")
+	c.setHealth(e, cold, "open", "answers, slow start")
 }
 
-// turn moves an endpoint to another state: up or cold to down as the gate
-// closes, down to cold as it answers, cold to up when it is warm. Idle
-// connections go when it closes, so that the next call to a dead machine fails
-// to connect, which proves that it never ran.
-func (c *Courier) turn(e *endpoint, to health, word, why string) {
+// setHealth changes the health of an endpoint: up or cold to down as its breaker opens, down to cold
+// as it answers, cold to up after slow start. Idle connections are closed when the breaker opens, so
+// that the next call to a dead machine fails to connect, which proves that it was not executed.
+func (c *Courier) setHealth(e *endpoint, to health, event, reason string) {
 	if e.state == to {
 		return
 	}
-	e.enter(to, c.now)
+	e.setState(to, c.now)
 	if to == down {
-		c.dropIdle(e)
-		c.backOff(e)
+		c.closeIdleConns(e)
+		c.scheduleTrial(e)
 	}
-	if word != "" {
-		c.log(word, e, why)
+	if event != "" {
+		c.logEndpoint(event, e, reason)
 	}
 }
 
-// refused answers a full: keep a told wait, slow down, and tell a limit from
-// a shut destination, which takes nothing in several episodes.
-func (c *Courier) refused(e *endpoint, b *call, wait time.Duration) {
+// recordRejection handles a rejected call. It honours the retry-after delay, slows down, and
+// distinguishes a rate limit from an unavailable destination, which rejects several episodes in a
+// row.
+func (c *Courier) recordRejection(e *endpoint, b *call, wait time.Duration) {
 	r := e.route
-	if b.sent >= r.fullAt { // one episode: what was out together counts once
-		r.fulls++
+	if b.sentAt >= r.rejectedAt { // calls that were open together count as one episode
+		r.rejections++
 		switch {
-		case r.pace > 0:
+		case r.pacingRate > 0:
 			share := c.evenShare(r)
-			r.pace = math.Max(share*paceFloor, math.Min(r.pace, c.paceTop(r))*paceCut)
-		case c.limited(r, wait):
+			r.pacingRate = math.Max(share*minPaceShare,
+				math.Min(r.pacingRate, c.maxPacingRate(r))*rejectionPaceFactor)
+		case c.reportRejection(r, wait):
 		case r.limit > 0:
-			r.gap = min(max(2*r.gap, c.repeatGap[r.dest.kindNo]), gapMost*c.prompt)
-			r.waitUntil = max(r.waitUntil, c.now+wait+c.jitter(r.gap))
+			r.callGap = min(max(2*r.callGap, c.retryGap[r.dest.kindIndex]), maxCallGap*c.minTargetLatency)
+			r.waitUntil = max(r.waitUntil, c.now+wait+c.jitter(r.callGap))
 		default:
-			r.dest.window = math.Max(1, r.dest.window*paceCut)
+			r.dest.window = math.Max(1, r.dest.window*rejectionPaceFactor)
 		}
 	}
-	r.fullAt, r.bucket.tokens = c.now, math.Min(r.bucket.tokens, 0)
+	r.rejectedAt, r.bucket.tokens = c.now, math.Min(r.bucket.tokens, 0)
 	if wait == 0 {
-		r.waitUntil = max(r.waitUntil, c.now+c.jitter(max(span(r.dest.recent), 4*c.s.Tick)))
+		r.waitUntil = max(r.waitUntil, c.now+c.jitter(max(durationOf(r.dest.latency), 4*c.settings.Tick)))
 	}
-	for _, x := range r.eps {
+	for _, x := range r.endpoints {
 		switch {
-		case r.fulls >= shutEpisodes:
-			x.vouched, x.failedAt = true, c.now
-			c.turn(x, down, "gate", "shut, held")
-		case seconds(wait) > shutWait:
-			c.turn(x, cold, "gate", "shut, told until when")
-			x.since, x.downFor = c.now+wait, wait
+		case r.rejections >= unavailableRejections:
+			x.trialSafe, x.failingSince = true, c.now
+			c.setHealth(x, down, "gate", "shut, held")
+		case seconds(wait) > unavailableRetryAfter:
+			c.setHealth(x, cold, "gate", "shut, told until when")
+			x.stateSince, x.lastOutage = c.now+wait, wait
 		}
 	}
 }
 
-// strike counts a failure; limit of them in a row close the gate, and one fewer
-// than strikesOut after an outage or, of what is no quick error, beside a closed
-// sibling: outages mostly take a whole destination.
-func (c *Courier) strike(e *endpoint, weight int, unrun bool, limit int) {
-	if e.fails == 0 {
-		e.failedAt = c.now
+// recordFailure counts a failure with its weight. The breaker opens at threshold consecutive
+// failures. The threshold is one less than breakerFailures after an outage and also, unless the
+// failure is a quick error, if a sibling's breaker is open: outages mostly affect a whole
+// destination.
+func (c *Courier) recordFailure(e *endpoint, weight int, notRun bool, threshold int) {
+	if e.failures == 0 {
+		e.failingSince = c.now
 	}
-	e.fails += weight
-	for _, x := range e.route.eps {
-		sibling := x.state == down && x.Phase == Ready && limit == strikesOut
+	e.failures += weight
+	for _, x := range e.route.endpoints {
+		sibling := x.state == down && x.Phase == Ready && threshold == breakerFailures
 		if x == e && e.state == cold || sibling {
-			limit = strikesOut - 1
+			threshold = breakerFailures - 1
 		}
 	}
-	if e.fails >= limit || e.state == down {
-		e.vouched = unrun
-		c.turn(e, down, "gate", "failing, held")
+	if e.failures >= threshold || e.state == down {
+		e.trialSafe = notRun
+		c.setHealth(e, down, "gate", "failing, held")
 	}
 }
 
-func (c *Courier) backOff(e *endpoint) {
-	unit := float64(c.s.ConnectTimeout)
-	next := math.Max(firstTrial*unit, float64(e.backoff)*trialGrowth)
-	e.backoff = time.Duration(math.Min(next, lastTrial*unit))
+// scheduleTrial sets the time of the next trial call, with exponential backoff.
+func (c *Courier) scheduleTrial(e *endpoint) {
+	unit := float64(c.settings.ConnectTimeout)
+	next := math.Max(firstTrialDelay*unit, float64(e.backoff)*trialBackoffFactor)
+	e.backoff = time.Duration(math.Min(next, maxTrialDelay*unit))
 	e.trialAt = c.now + c.jitter(e.backoff)
 }
 
-// coldRoom keeps this courier's share of the fall budget at an endpoint that
-// is back from an outage seen here: probes and refused calls count, over any
-// window of the fall time.
-func (c *Courier) coldRoom(e *endpoint) bool {
-	if e.state == up && (e.fails == 0 || !c.crowded(e.route.dest)) {
+// withinColdBudget reports whether a call to e stays within this courier's share of the calls that
+// a recovering destination withstands. Probes and rejected calls count, and the bound holds in any
+// window of FallTime. It applies to outages that this courier has seen.
+func (c *Courier) withinColdBudget(e *endpoint) bool {
+	if e.state == up && (e.failures == 0 || !c.closesAfterUse(e.route.dest)) {
 		return true
 	}
-	if h := c.leased(e.route); h != nil && h.Pools(c.now) && e.state != down {
-		return true // its keeper has the whole fleet's budget
+	if h := c.leaseOf(e.route); h != nil && h.Pools(c.now) && e.state != down {
+		return true // the lease owner applies the budget of the whole fleet
 	}
-	share := c.s.ColdShare
+	share := c.settings.ColdShare
 	if e.state == cold {
-		gone := float64(c.now-e.since) / math.Max(1, float64(c.s.WarmUp))
-		if gone >= 1 {
-			c.turn(e, up, "", "")
+		elapsed := float64(c.now-e.stateSince) / math.Max(1, float64(c.settings.WarmUp))
+		if elapsed >= 1 {
+			c.setHealth(e, up, "", "")
 			return true
 		}
-		share += (1 - share) * gone
+		share += (1 - share) * elapsed
 	}
 	r := e.route
 	capacity := r.limit
 	if capacity <= 0 {
-		capacity = math.Max(peakOver*r.dest.peak*float64(c.s.Fleet), c.leastRate())
+		capacity = math.Max(peakHeadroom*r.dest.peakRate*float64(c.settings.Fleet), c.minAssumedRate())
 	}
-	part := math.Max(r.notUp(), 1/float64(len(r.eps)))
-	allowed := c.s.FallMultiple * share * capacity * part * seconds(c.s.FallTime)
-	saw := c.whoSaw(e, capacity, allowed) // the budget belongs to those who have seen the outage
-	budget := c.t.ColdSafety * allowed / saw
+	unhealthy := math.Max(r.unhealthyShare(), 1/float64(len(r.endpoints)))
+	allowed := c.settings.FallMultiple * share * capacity * unhealthy * seconds(c.settings.FallTime)
+	observers := c.outageObservers(e, capacity, allowed) // they share the budget
+	budget := c.tuning.ColdSafety * allowed / observers
 	if budget <= 0 {
 		return true
 	}
-	window := math.Max(1, 1/budget) * float64(c.s.FallTime)
-	if e.state != cold { // trials grow rarer with the outage, but do not end
-		window = math.Max(float64(c.s.FallTime), math.Min(window, trialPart*float64(c.now-e.failedAt)))
+	window := math.Max(1, 1/budget) * float64(c.settings.FallTime)
+	if e.state != cold { // longer outages get fewer trials, but they do not stop
+		window = math.Max(float64(c.settings.FallTime),
+			math.Min(window, maxTrialOutageShare*float64(c.now-e.failingSince)))
 	}
-	room := r.coldSends.since(c.now-time.Duration(window))+1 <= math.Max(1, budget)
-	if saw > lease.Stands(allowed) && !c.addedUp(r) { // a first call of each at once would push it over
-		room = r.spread.Room(c.now, span(saw/allowed*seconds(c.s.FallTime)), c.rng.Float64)
+	hasRoom := r.coldCalls.sumSince(c.now-time.Duration(window))+1 <= math.Max(1, budget)
+	// A simultaneous first call of every courier would push the destination over its budget.
+	if observers > lease.Stands(allowed) && !c.ownerKnowsLimit(r) {
+		hasRoom = r.coldSpread.Room(c.now,
+			durationOf(observers/allowed*seconds(c.settings.FallTime)), c.rng.Float64)
 	}
-	if !room {
-		c.soon(c.now + c.s.FallTime/16)
+	if !hasRoom {
+		c.wakeBy(c.now + c.settings.FallTime/16)
 	}
-	return room
+	return hasRoom
 }
 
-// trial asks closed endpoints, one at a time on a route: a probe where allowed,
-// else the request that is cheapest to lose.
-func (c *Courier) trial(r *route) {
-	if r.trialOut > 0 || c.now < r.shutUntil() || len(r.dest.queue) == 0 {
+// sendTrial tries endpoints whose breaker is open, one at a time on a route: with a probe if
+// allowed, otherwise with the request whose loss costs least.
+func (c *Courier) sendTrial(r *route) {
+	if r.trialsOut > 0 || c.now < r.blockedUntil() || len(r.dest.queue) == 0 {
 		return
 	}
-	for _, e := range r.eps {
+	for _, e := range r.endpoints {
 		if e.state != down || e.Phase != Ready {
 			continue
 		}
 		if c.now < e.trialAt {
-			c.soon(e.trialAt)
+			c.wakeBy(e.trialAt)
 			continue
 		}
-		if !c.coldRoom(e) {
+		if !c.withinColdBudget(e) {
 			continue
 		}
-		// Where failures prove that nothing ran, a request is as good a probe as any.
-		if c.s.Probes && !e.vouched {
-			r.trialOut++
-			r.coldCall(c.now, 1)
-			c.do(Probe{Endpoint: e.ID})
+		// If the failures prove that nothing was executed, a request serves as well as a probe.
+		if c.settings.Probes && !e.trialSafe {
+			r.trialsOut++
+			r.countColdCall(c.now, 1)
+			c.emit(Probe{Endpoint: e.ID})
 			return
 		}
-		// Calls lost in the outage may fill a narrowed window: a trial may
-		// use half of the slots all the same.
-		if c.calls >= c.s.Slots || r.dest.calls >= max(1, c.s.Slots/2) || c.trialOn(r) {
+		// Calls lost in the outage may fill a narrowed window, so a trial may use half of the slots
+		// regardless of it.
+		if c.openCalls >= c.settings.Slots || r.dest.openCalls >= max(1, c.settings.Slots/2) ||
+			c.trialCallOpen(r) {
 			return
 		}
-		if q := c.cheapest(e); q != nil && c.inTurn(r) {
+		if q := c.trialRequest(e); q != nil && c.leaseAllows(r) {
 			c.send(q, e)
-			e.trying = q.call
+			e.trialCall = q.call
 			return
 		}
 	}
 }
 
-// cheapest is the request that a trial may lose: what may be repeated goes
-// before what may not. An unsafe one goes only if the failures prove that
-// nothing ran, or a probe was answered.
-func (c *Courier) cheapest(e *endpoint) (best *request) {
+// trialRequest returns the request whose loss costs least: retryable ones first. An unsafe request
+// is used only if the failures prove that nothing was executed or a probe was answered.
+func (c *Courier) trialRequest(e *endpoint) (best *request) {
 	low := 0.0
 	for _, r := range e.route.dest.queue {
 		unsafe := r.class.Effect == Unsafe
-		late := r.deadline-c.now < c.telling(r.dest) // it would be given up before it could tell anything
-		if late || !c.eligible(r, e) || unsafe && !e.vouched {
+		tooLate := r.deadline-c.now < c.conclusiveAfter(r.dest) // it would end before its call is conclusive
+		if tooLate || !c.eligible(r, e) || unsafe && !e.trialSafe {
 			continue
 		}
-		v := c.worth(r, c.now)
+		v := c.valueAt(r, c.now)
 		if !unsafe {
 			v = -1 / (1 + v)
 		}
@@ -938,62 +955,63 @@
 	return best
 }
 
-// probed takes the answer to a probe. It proves that the endpoint runs, not
-// that it serves: one request follows.
-func (c *Courier) probed(ev ProbeEnded) {
-	e := c.eps[ev.Endpoint]
+// probeEnded handles the result of a probe. A success proves that the endpoint runs, not that it
+// serves requests: one trial request follows.
+func (c *Courier) probeEnded(ev ProbeEnded) {
+	e := c.endpoints[ev.Endpoint]
 	if e == nil {
 		return
 	}
-	e.route.trialOut = max(0, e.route.trialOut-1)
-	c.report(e.route, ev.Report)
+	e.route.trialsOut = max(0, e.route.trialsOut-1)
+	c.applyReport(e.route, ev.Report)
 	if e.state != down {
 		return
 	}
-	e.vouched = ev.Outcome == OK || ev.Outcome == ConnectFailed || ev.Outcome == Full
-	if c.backOff(e); ev.Outcome == OK {
+	e.trialSafe = ev.Outcome == OK || ev.Outcome == ConnectFailed || ev.Outcome == Full
+	if c.scheduleTrial(e); ev.Outcome == OK {
 		e.trialAt = c.now
 	}
 }
 
-// sweep answers what can no longer be served, and sheds the least worth when
-// the courier is nearly full.
+// sweep answers requests that can no longer be served and sheds the least valuable ones when the
+// courier is nearly full.
 func (c *Courier) sweep() {
-	c.forgetLines()
-	due := c.now >= c.sweepAt // nothing is before
+	c.expireKeyQueues()
+	due := c.now >= c.sweepAt // no request is due before sweepAt
 	if due {
 		c.sweepAt = c.now + time.Hour
 	}
-	for i := len(c.held) - 1; due && i >= 0; i-- {
-		r := c.held[i]
+	for i := len(c.pending) - 1; due && i >= 0; i-- {
+		r := c.pending[i]
 		last := r.deadline
 		if r.call == nil {
-			last = c.last(r)
+			last = c.latestSend(r)
 		}
 		switch {
 		case r.streaming:
 		case c.now >= last:
-			c.giveUp(r)
+			c.abandon(r)
 		default:
 			c.sweepAt = min(c.sweepAt, last)
 		}
 	}
-	if len(c.held) > 0 {
-		c.soon(c.sweepAt)
+	if len(c.pending) > 0 {
+		c.wakeBy(c.sweepAt)
 	}
-	for c.s.MaxHeld > 0 && float64(len(c.held)) > math.Max(1, heldMost*float64(c.s.MaxHeld)) {
+	for c.settings.MaxHeld > 0 &&
+		float64(len(c.pending)) > math.Max(1, maxHeldShare*float64(c.settings.MaxHeld)) {
 		least, low := (*request)(nil), 0.0
-		for _, r := range c.held {
-			if r.call != nil || r.ran && r.class.Effect == Unsafe {
+		for _, r := range c.pending {
+			if r.call != nil || r.mayHaveRun && r.class.Effect == Unsafe {
 				continue
 			}
-			if v := c.rank(r); least == nil || v < low {
+			if v := c.priority(r); least == nil || v < low {
 				least, low = r, v
 			}
 		}
 		if least == nil {
 			return
 		}
-		c.giveUp(least)
+		c.abandon(least)
 	}
 }
--- a/courier_test.go
+++ b/courier_test.go
@@ -34,17 +34,17 @@
 	}
 }
 
-// rig drives a courier on a fake clock and keeps what it has out.
-type rig struct {
-	t   *testing.T
-	c   *Courier
-	now time.Duration
-	out map[RequestID]Send
-	no  map[RequestID]int // attempts so far
-	all []Action
+// harness drives a courier on a fake clock and keeps what it has out.
+type harness struct {
+	t        *testing.T
+	c        *Courier
+	now      time.Duration
+	out      map[RequestID]Send
+	attempts map[RequestID]int // attempts so far
+	actions  []Action
 }
 
-func newRig(t *testing.T, change func(*Settings), eps ...Endpoint) *rig {
+func newRig(t *testing.T, change func(*Settings), eps ...Endpoint) *harness {
 	t.Helper()
 	s := testSettings()
 	if change != nil {
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &rig{t: t, c: c, now: time.Hour, out: map[RequestID]Send{}, no: map[RequestID]int{}}
+	g := &harness{t: t, c: c, now: time.Hour, out: map[RequestID]Send{}, attempts: map[RequestID]int{}}
 	for i := range eps {
 		eps[i].Phase = Ready
 	}
@@ -62,7 +62,7 @@
 	return g
 }
 
-func (g *rig) step(after time.Duration, events ...Event) []Action {
+func (g *harness) step(after time.Duration, events ...Event) []Action {
 	g.t.Helper()
 	g.now += after
 	for _, ev := range events {
@@ -71,10 +71,10 @@
 		}
 	}
 	acts := g.c.Handle(g.now, events)
-	for _, r := range g.c.held { // or its time would be up unseen
+	for _, r := range g.c.pending { // or its time would be up unseen
 		last := r.deadline
 		if r.call == nil {
-			last = g.c.last(r)
+			last = g.c.latestSend(r)
 		}
 		if !r.streaming && last < g.c.sweepAt {
 			g.t.Fatalf("request %d is due at %v, before the next sweep at %v", r.id, last, g.c.sweepAt)
@@ -86,16 +86,16 @@
 				g.t.Fatalf("request %d has two attempts out", s.Request)
 			}
 			g.out[s.Request] = s
-			g.no[s.Request]++
+			g.attempts[s.Request]++
 		}
 	}
-	g.all = append(g.all, acts...)
+	g.actions = append(g.actions, acts...)
 	return acts
 }
 
 // run lets time pass without news, a tick's multiple at a time, and returns
 // all actions.
-func (g *rig) run(d time.Duration) (acts []Action) {
+func (g *harness) run(d time.Duration) (acts []Action) {
 	g.t.Helper()
 	for end := g.now + d; g.now < end; {
 		acts = append(acts, g.step(20*ms)...)
@@ -103,17 +103,17 @@
 	return acts
 }
 
-func req(id RequestID, class int) Request {
+func newRequest(id RequestID, class int) Request {
 	return Request{ID: id, Destination: 1, Class: class, Deadline: 20 * time.Second}
 }
 
-func (g *rig) end(id RequestID, o Outcome) AttemptEnded {
+func (g *harness) outcome(id RequestID, o Outcome) AttemptEnded {
 	g.t.Helper()
 	s, ok := g.out[id]
 	if !ok {
 		g.t.Fatalf("request %d is not out", id)
 	}
-	return AttemptEnded{Request: id, Endpoint: s.Endpoint, Attempt: g.no[id] - 1, Outcome: o,
+	return AttemptEnded{Request: id, Endpoint: s.Endpoint, Attempt: g.attempts[id] - 1, Outcome: o,
 		Took: 100 * ms, Done: o == OK}
 }
 
@@ -157,7 +157,7 @@
 
 var ep1 = Endpoint{ID: 10, Destination: 1, Weight: 400}
 
-func TestNewNamesTheField(t *testing.T) {
+func TestNewErrorNamesSetting(t *testing.T) {
 	for _, tc := range []struct {
 		change func(*Settings)
 		want   string
@@ -176,7 +176,7 @@
 }
 
 // What one failed attempt leads to, by class.
-func TestRepeatsByEffect(t *testing.T) {
+func TestRetriesByEffect(t *testing.T) {
 	for _, tc := range []struct {
 		class   int
 		outcome Outcome
@@ -190,8 +190,8 @@
 		{unsafe, Full, true, nil}, {unsafe, ConnectFailed, true, nil}, {unsafe, Moot, true, nil},
 	} {
 		g := newRig(t, nil, ep1)
-		want(t, "first send", sends(g.step(0, req(1, tc.class))), []RequestID{1})
-		acts := g.step(100*ms, g.end(1, tc.outcome))
+		want(t, "first send", sends(g.step(0, newRequest(1, tc.class))), []RequestID{1})
+		acts := g.step(100*ms, g.outcome(1, tc.outcome))
 		want(t, fmt.Sprint(tc, " answers"), answers(acts), tc.answer)
 		acts = append(acts, g.run(4*time.Second)...)
 		want(t, fmt.Sprint(tc, " repeats"), len(sends(acts)) > 0, tc.repeats)
@@ -200,33 +200,33 @@
 
 // The ledger: repeats stay under a fifth of the first sends plus the floor;
 // the failure it cannot fund is answered at once.
-func TestLedgerBound(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	g := newRig(t, nil, ep1)
-	d := g.c.destination(1)
-	floor := int(ledgerFloor * float64(g.c.s.Slots))
-	d.first.add(g.now, 50)
+	d := g.c.destinationFor(1)
+	floor := int(retryFloorPerSlot * float64(g.c.settings.Slots))
+	d.firstAttempts.add(g.now, 50)
 	funded := 0
-	for g.c.fund(d) {
+	for g.c.withdrawRetry(d) {
 		if funded++; funded > 100 {
 			t.Fatal("no bound")
 		}
 	}
 	want(t, "repeats funded", funded, 10+floor)
-	acts := g.step(0, req(1, safe))
+	acts := g.step(0, newRequest(1, safe))
 	want(t, "first sends still go", sends(acts), []RequestID{1})
-	d.repeats.add(g.now, 1)
-	acts = g.step(50*ms, g.end(1, Moot))
+	d.retries.add(g.now, 1)
+	acts = g.step(50*ms, g.outcome(1, Moot))
 	want(t, "unfunded", answers(acts), []string{"refuse 1"})
-	g.now += ledgerSpan
+	g.now += retryBudgetWindow
 	g.step(0)
-	want(t, "funded again when the window has passed", g.c.fund(d), true)
+	want(t, "funded again when the window has passed", g.c.withdrawRetry(d), true)
 }
 
-func TestKeyedWindowLapses(t *testing.T) {
+func TestKeyedRequestNotRetriedAfterWindow(t *testing.T) {
 	g := newRig(t, nil, ep1)
-	g.step(0, req(1, keyed))
-	e := g.end(1, Reset) // closes the gate: no probes here, so a trial must repeat it
-	g.c.eps[10].fails = strikesOut - 1
+	g.step(0, newRequest(1, keyed))
+	e := g.outcome(1, Reset) // closes the gate: no probes here, so a trial must repeat it
+	g.c.endpoints[10].failures = breakerFailures - 1
 	g.step(4900*ms, e)
 	acts := g.run(time.Second)
 	want(t, "sends past the window", len(sends(acts)), 0)
@@ -234,30 +234,30 @@
 }
 
 // What has changed since a decision, while a connection was coming up.
-func TestStands(t *testing.T) {
+func TestStandsRechecksQueuedAttempt(t *testing.T) {
 	drained := List{Kind: ListDelta, Endpoints: []Endpoint{{ID: 10, Destination: 1, Phase: Draining}}}
-	told := func(g *rig) []Event {
-		e := g.end(2, Full)
+	told := func(g *harness) []Event {
+		e := g.outcome(2, Full)
 		e.Wait = 500 * ms
 		return []Event{e}
 	}
 	for _, c := range []struct {
 		what  string
 		after time.Duration
-		news  func(g *rig) []Event
+		news  func(g *harness) []Event
 		want  bool
 	}{
 		{"nothing", time.Second, nil, true},
 		{"the window lapses", 4900 * ms, nil, false}, // it has begun with the first attempt
 		{"a wait is told", 10 * ms, told, false},
 		{"a told wait is over", 510 * ms, told, true},
-		{"refused without a word", 10 * ms, func(g *rig) []Event { return []Event{g.end(2, Full)} }, true},
-		{"it drains", 10 * ms, func(*rig) []Event { return []Event{drained} }, false},
-		{"nothing is owed any more", 10 * ms, func(*rig) []Event { return []Event{Withdrawn{Request: 1}} }, false},
+		{"refused without a word", 10 * ms, func(g *harness) []Event { return []Event{g.outcome(2, Full)} }, true},
+		{"it drains", 10 * ms, func(*harness) []Event { return []Event{drained} }, false},
+		{"nothing is owed any more", 10 * ms, func(*harness) []Event { return []Event{Withdrawn{Request: 1}} }, false},
 	} {
 		g := newRig(t, func(s *Settings) { s.OrderSettle = 0 }, ep1)
-		g.step(0, req(1, keyed))
-		g.step(100*ms, g.end(1, Reset), req(2, safe))
+		g.step(0, newRequest(1, keyed))
+		g.step(100*ms, g.outcome(1, Reset), newRequest(2, safe))
 		want(t, c.what+": the repeat and another are out", len(g.out), 2)
 		if c.news != nil {
 			g.step(5*ms, c.news(g)...)
@@ -267,63 +267,63 @@
 	}
 }
 
-func TestKeyedStaysInItsZone(t *testing.T) {
+func TestKeyedRetryStaysInZone(t *testing.T) {
 	g := newRig(t, func(s *Settings) { s.Classes[keyed].Group = GroupZone }, ep1,
 		Endpoint{ID: 11, Destination: 1, Zone: 1})
-	g.step(0, req(1, keyed))
+	g.step(0, newRequest(1, keyed))
 	want(t, "same zone first", g.out[1].Endpoint, EndpointID(10))
 	g.step(0, List{Kind: ListDelta, Endpoints: []Endpoint{{ID: 10, Destination: 1, Phase: Draining}}})
-	g.step(100*ms, g.end(1, Error))
+	g.step(100*ms, g.outcome(1, Error))
 	want(t, "sends elsewhere", len(sends(g.run(4*time.Second))), 0)
 }
 
-func TestDrainStopsAtOnce(t *testing.T) {
+func TestDrainingEndpointGetsNoSends(t *testing.T) {
 	for _, phase := range []Phase{Draining, Gone} {
 		g := newRig(t, nil, ep1)
 		acts := g.step(0, List{Kind: ListDelta, Endpoints: []Endpoint{{ID: 10, Destination: 1, Phase: phase}}},
-			req(1, safe))
+			newRequest(1, safe))
 		acts = append(acts, g.run(time.Second)...)
 		want(t, "sends", len(sends(acts)), 0)
 		acts = g.step(0, List{Kind: ListDelta, Endpoints: []Endpoint{{ID: 10, Destination: 1, Phase: Ready}}})
 		want(t, "sends when it is back", sends(acts), []RequestID{1})
 	}
 	g := newRig(t, nil, ep1)
-	acts := g.step(0, List{Kind: ListFull}, req(1, safe))
+	acts := g.step(0, List{Kind: ListFull}, newRequest(1, safe))
 	want(t, "sends to what a full list lacks", len(sends(acts)), 0)
 }
 
 // A wait holds for the destination, told by whichever outcome of a bundle.
-func TestWaitIsKept(t *testing.T) {
+func TestRetryAfterDelayIsHonoured(t *testing.T) {
 	for _, teller := range []RequestID{1, 2} {
 		g := newRig(t, nil, Endpoint{ID: 10, Destination: 1, Kind: 1}, Endpoint{ID: 11, Destination: 1, Kind: 1})
-		want(t, "a bundle", len(sends(g.step(0, req(1, safe), req(2, safe)))), 2)
+		want(t, "a bundle", len(sends(g.step(0, newRequest(1, safe), newRequest(2, safe)))), 2)
 		want(t, "same call", g.out[1].Endpoint, g.out[2].Endpoint)
-		a, b := g.end(1, Full), g.end(2, Full)
+		a, b := g.outcome(1, Full), g.outcome(2, Full)
 		if teller == 1 {
 			a.Wait = 700 * ms
 		} else {
 			b.Wait = 700 * ms
 		}
-		acts := g.step(100*ms, a, b, req(3, safe))
+		acts := g.step(100*ms, a, b, newRequest(3, safe))
 		acts = append(acts, g.run(690*ms)...)
 		want(t, "sends during the wait", len(sends(acts)), 0)
 		want(t, "sends after it", len(sends(g.run(2*time.Second))) > 0, true)
 	}
 }
 
-func TestWaitOfARouteApart(t *testing.T) {
+func TestRetryAfterDelayBlocksOneRoute(t *testing.T) {
 	g := newRig(t, nil, Endpoint{ID: 10, Destination: 1, Kind: 2}, Endpoint{ID: 11, Destination: 1, Kind: 2})
-	g.step(0, req(1, safe))
+	g.step(0, newRequest(1, safe))
 	first := g.out[1].Endpoint
-	e := g.end(1, Full)
+	e := g.outcome(1, Full)
 	e.Wait = 700 * ms
 	g.step(100*ms, e)
-	want(t, "goes by the other route", g.out[1].Endpoint != first && g.no[1] == 2, true)
+	want(t, "goes by the other route", g.out[1].Endpoint != first && g.attempts[1] == 2, true)
 }
 
-func TestOrderByKey(t *testing.T) {
+func TestOneSendPerKey(t *testing.T) {
 	g := newRig(t, nil, ep1, Endpoint{ID: 20, Destination: 2})
-	a, b, c := req(1, order), req(2, order), req(3, order)
+	a, b, c := newRequest(1, order), newRequest(2, order), newRequest(3, order)
 	a.Key, b.Key, c.Key, b.Destination = 7, 7, 8, 2
 	acts := g.step(0, a, b, c)
 	want(t, "one a key", len(sends(acts)), 2)
@@ -333,12 +333,12 @@
 	// 1 is withdrawn with its attempt out: 2 goes on waiting, and then for
 	// the key to settle.
 	want(t, "withdrawn", len(sends(g.step(10*ms, Withdrawn{1}))), 0)
-	want(t, "timed out", len(sends(g.step(90*ms, g.end(1, TimedOut)))), 0)
+	want(t, "timed out", len(sends(g.step(90*ms, g.outcome(1, TimedOut)))), 0)
 	want(t, "not settled", len(sends(g.run(280*ms))), 0)
 	want(t, "settled", sends(g.run(100*ms)), []RequestID{2})
-	g.step(100*ms, g.end(2, OK), g.end(3, TimedOut))
+	g.step(100*ms, g.outcome(2, OK), g.outcome(3, TimedOut))
 	g.run(30 * time.Second)
-	want(t, "lines kept for keys at rest", len(g.c.lines), 1) // 3 was safe, and is out again
+	want(t, "lines kept for keys at rest", len(g.c.keyQueues), 1) // 3 was safe, and is out again
 }
 
 // The window starts at half the slots and stays under three quarters.
@@ -350,7 +350,7 @@
 		id := RequestID(0)
 		for range 40 {
 			id++
-			g.step(0, req(id, safe))
+			g.step(0, newRequest(id, safe))
 		}
 		want(t, fmt.Sprint(tc, " start"), len(g.out), tc.start)
 		top := 0
@@ -358,7 +358,7 @@
 			for k := RequestID(1); k <= id; k++ {
 				if _, out := g.out[k]; out {
 					id++
-					g.step(10*ms, g.end(k, OK), req(id, safe))
+					g.step(10*ms, g.outcome(k, OK), newRequest(id, safe))
 					break
 				}
 			}
@@ -368,32 +368,32 @@
 	}
 }
 
-func TestWindowNarrowsAsDelayGrows(t *testing.T) {
+func TestWindowNarrowsAsLatencyGrows(t *testing.T) {
 	g := newRig(t, nil, ep1)
 	for id := RequestID(1); id <= 40; id++ {
-		g.step(0, req(id, safe))
-		e := g.end(id, OK)
+		g.step(0, newRequest(id, safe))
+		e := g.outcome(id, OK)
 		if id > 20 {
 			e.Took = 2 * time.Second
 		}
 		g.step(10*ms, e)
 	}
-	d := g.c.destination(1)
-	if w := min(g.c.most(d), int(d.window)); w > g.c.s.Slots/2 {
+	d := g.c.destinationFor(1)
+	if w := min(g.c.maxCalls(d), int(d.window)); w > g.c.settings.Slots/2 {
 		t.Errorf("slow: window %d is over half of the slots", w)
 	}
 }
 
 // fail lets requests of a class fail until the gate closes.
-func closeGate(g *rig, o Outcome) RequestID {
+func openBreaker(g *harness, o Outcome) RequestID {
 	g.t.Helper()
 	for id := RequestID(100); id < 110; id++ {
-		g.step(20*ms, req(id, unsafe))
+		g.step(20*ms, newRequest(id, unsafe))
 		if _, out := g.out[id]; !out {
 			return id
 		}
-		g.step(20*ms, g.end(id, o))
-		if g.c.eps[10].state == down {
+		g.step(20*ms, g.outcome(id, o))
+		if g.c.endpoints[10].state == down {
 			return 0
 		}
 	}
@@ -403,10 +403,10 @@
 
 // While a destination fails, first sends are held; one probe at a time asks,
 // and no unsafe request is risked before one is answered.
-func TestGateHoldsAndProbes(t *testing.T) {
+func TestOpenBreakerProbesFirst(t *testing.T) {
 	g := newRig(t, func(s *Settings) { s.Probes = true }, ep1)
-	closeGate(g, Error)
-	acts := g.step(0, req(1, unsafe), req(2, safe))
+	openBreaker(g, Error)
+	acts := g.step(0, newRequest(1, unsafe), newRequest(2, safe))
 	acts = append(acts, g.run(10*time.Second)...)
 	want(t, "sends while closed", len(sends(acts)), 0)
 	want(t, "probes out at once", count[Probe](acts), 1)
@@ -415,7 +415,7 @@
 	want(t, "next probe", count[Probe](acts), 1)
 	acts = g.step(0, ProbeEnded{Endpoint: 10, Outcome: OK, Took: 10 * ms})
 	want(t, "the trial is the request cheapest to lose", sends(acts), []RequestID{2})
-	g.step(100*ms, g.end(2, OK))
+	g.step(100*ms, g.outcome(2, OK))
 	g.run(3 * time.Second)
 	if _, out := g.out[1]; !out {
 		t.Error("the unsafe request does not follow")
@@ -424,21 +424,21 @@
 
 // Without probes a trial risks the request cheapest to lose, never an unsafe
 // one that may be burned.
-func TestTrialSparesUnsafe(t *testing.T) {
+func TestTrialNeverUsesUnsafeRequest(t *testing.T) {
 	g := newRig(t, nil, ep1)
-	closeGate(g, Error)
-	want(t, "unsafe alone is held", len(sends(append(g.step(0, req(1, unsafe)), g.run(5*time.Second)...))), 0)
-	want(t, "safe goes", sends(append(g.step(0, req(2, safe)), g.run(3*time.Second)...)), []RequestID{2})
+	openBreaker(g, Error)
+	want(t, "unsafe alone is held", len(sends(append(g.step(0, newRequest(1, unsafe)), g.run(5*time.Second)...))), 0)
+	want(t, "safe goes", sends(append(g.step(0, newRequest(2, safe)), g.run(3*time.Second)...)), []RequestID{2})
 }
 
 // Calls lost in an outage fill the narrowed window; a trial goes all the same.
-func TestTrialPassesLostCalls(t *testing.T) {
+func TestTrialIgnoresNarrowedWindow(t *testing.T) {
 	g := newRig(t, nil, ep1)
-	g.step(0, req(1, unsafe))
-	g.step(100*ms, g.end(1, OK))
-	g.step(0, req(2, unsafe), req(3, safe))
-	g.c.destination(1).window = 1
-	g.step(300*ms, g.end(3, TimedOut)) // 2 hangs
+	g.step(0, newRequest(1, unsafe))
+	g.step(100*ms, g.outcome(1, OK))
+	g.step(0, newRequest(2, unsafe), newRequest(3, safe))
+	g.c.destinationFor(1).window = 1
+	g.step(300*ms, g.outcome(3, TimedOut)) // 2 hangs
 	acts := g.run(4 * time.Second)
 	want(t, "trial", sends(acts), []RequestID{3})
 }
@@ -447,9 +447,9 @@
 // budget in any window of the fall time, with probes and trials counted.
 func TestSlowStartBudget(t *testing.T) {
 	g := newRig(t, nil, Endpoint{ID: 10, Destination: 1, Weight: 20})
-	closeGate(g, ConnectFailed)
+	openBreaker(g, ConnectFailed)
 	for id := RequestID(200); id < 280; id++ {
-		g.step(0, req(id, safe))
+		g.step(0, newRequest(id, safe))
 	}
 	var at []time.Duration
 	back := time.Duration(0)
@@ -461,14 +461,14 @@
 					back = g.now
 				}
 				at = append(at, g.now)
-				g.step(0, g.end(id, OK))
+				g.step(0, g.outcome(id, OK))
 			}
 		}
 	}
 	if len(at) < 10 {
 		t.Fatalf("only %d sends", len(at))
 	}
-	s := g.c.s
+	s := g.c.settings
 	for i := range at {
 		n := 0
 		for _, x := range at[:i+1] {
@@ -477,7 +477,7 @@
 			}
 		}
 		share := s.ColdShare + (1-s.ColdShare)*float64(at[i]-back)/float64(s.WarmUp)
-		if most := coldSafety * s.FallMultiple * share * 20 * s.FallTime.Seconds(); float64(n) > most {
+		if most := coldBudgetFactor * s.FallMultiple * share * 20 * s.FallTime.Seconds(); float64(n) > most {
 			t.Fatalf("%d sends in the fall time, %v after the return: more than %.1f", n, at[i]-back, most)
 		}
 	}
@@ -485,11 +485,11 @@
 
 // Refusals alone: below a few episodes it is a limit, beyond them a shut
 // destination, and sends stop.
-func TestShutToldFromLimited(t *testing.T) {
+func TestRepeatedRejectionsOpenBreaker(t *testing.T) {
 	g := newRig(t, nil, ep1)
-	g.step(0, req(1, safe))
+	g.step(0, newRequest(1, safe))
 	for i := range 10 {
-		if g.c.eps[10].state == down {
+		if g.c.endpoints[10].state == down {
 			want(t, "episodes", i >= 3, true)
 			return
 		}
@@ -497,31 +497,31 @@
 		if _, out := g.out[1]; !out {
 			break
 		}
-		g.step(20*ms, g.end(1, Full))
+		g.step(20*ms, g.outcome(1, Full))
 	}
-	if g.c.eps[10].state != down {
+	if g.c.endpoints[10].state != down {
 		t.Error("a shut destination keeps getting first sends")
 	}
 }
 
 // A full connection table looks like a dead machine, but others get through.
-func TestFullConnectionTableIsNoOutage(t *testing.T) {
+func TestConnectFailureAmongSuccesses(t *testing.T) {
 	g := newRig(t, nil, ep1)
-	g.step(0, req(1, safe), req(2, safe))
-	g.step(100*ms, g.end(1, OK))
-	g.step(900*ms, g.end(2, ConnectFailed))
-	want(t, "gate closed", g.c.eps[10].state == down, false)
+	g.step(0, newRequest(1, safe), newRequest(2, safe))
+	g.step(100*ms, g.outcome(1, OK))
+	g.step(900*ms, g.outcome(2, ConnectFailed))
+	want(t, "gate closed", g.c.endpoints[10].state == down, false)
 }
 
-func TestShedsLeastWorthAtOnce(t *testing.T) {
+func TestShedsLowestValue(t *testing.T) {
 	g := newRig(t, func(s *Settings) { s.MaxHeld = 20 }, ep1)
 	g.step(0, List{Kind: ListFull}) // nowhere to go
 	for id := RequestID(1); id <= 10; id++ {
-		g.step(0, req(id, unsafe))
+		g.step(0, newRequest(id, unsafe))
 	}
 	var acts []Action
 	for id := RequestID(11); id <= 30; id++ {
-		acts = append(acts, g.step(0, req(id, safe))...)
+		acts = append(acts, g.step(0, newRequest(id, safe))...)
 	}
 	got := answers(acts)
 	want(t, "shed", len(got), 12)
@@ -533,46 +533,46 @@
 }
 
 // Every request taken gets exactly one final answer before its time is up.
-func TestOneAnswerInTime(t *testing.T) {
+func TestOneAnswerBeforeDeadline(t *testing.T) {
 	g := newRig(t, nil, ep1)
-	g.step(0, req(1, unsafe), req(2, safe))
+	g.step(0, newRequest(1, unsafe), newRequest(2, safe))
 	g.step(0, List{Kind: ListFull})
-	g.step(0, req(3, safe), req(4, unsafe))
+	g.step(0, newRequest(3, safe), newRequest(4, unsafe))
 	acts := g.run(20*time.Second + 40*ms)
 	want(t, "answers", len(answers(acts)), 4)
 }
 
-func TestOddEventsAreHarmless(t *testing.T) {
+func TestUnexpectedEventsAreIgnored(t *testing.T) {
 	g := newRig(t, nil, ep1)
-	g.step(0, req(1, safe))
-	end := g.end(1, OK)
+	g.step(0, newRequest(1, safe))
+	end := g.outcome(1, OK)
 	g.step(10*ms, end)
 	acts := g.step(0, end, Withdrawn{1}, Withdrawn{99}, Timer{12345}, ProbeEnded{Endpoint: 77}, ProbeEnded{Endpoint: 10},
 		AttemptEnded{Request: 98, Outcome: Full}, StreamStarted{Request: 97}, List{Kind: ListFailed})
 	want(t, "answers", len(answers(acts))+len(sends(acts)), 0)
-	odd := req(2, 250)
+	odd := newRequest(2, 250)
 	odd.Tenant = 9
 	g.step(0, odd, odd)
 	want(t, "a class out of range is taken for unsafe",
-		answers(g.step(10*ms, g.end(2, Error))), []string{"fail 2"})
+		answers(g.step(10*ms, g.outcome(2, Error))), []string{"fail 2"})
 }
 
-func TestSameEventsSameActions(t *testing.T) {
+func TestDeterministicActions(t *testing.T) {
 	play := func() []Action {
 		g := newRig(t, func(s *Settings) { s.Probes = true }, ep1, Endpoint{ID: 11, Destination: 1},
 			Endpoint{ID: 20, Destination: 2}, Endpoint{ID: 30, Destination: 3, Kind: 1})
 		for i := range 400 {
-			r := req(RequestID(1000+i), i%3)
+			r := newRequest(RequestID(1000+i), i%3)
 			r.Destination = DestinationID(1 + i%3)
 			evs := []Event{r}
 			for id := RequestID(1000); id < RequestID(1000+i); id++ {
 				if _, out := g.out[id]; out && (int(id)+i)%3 == 0 {
-					evs = append(evs, g.end(id, Outcome((int(id)*7+i)%5)))
+					evs = append(evs, g.outcome(id, Outcome((int(id)*7+i)%5)))
 				}
 			}
 			g.step(30*ms, evs...)
 		}
-		return g.all
+		return g.actions
 	}
 	if a, b := play(), play(); !reflect.DeepEqual(a, b) {
 		t.Error("two couriers with the same events act differently")
@@ -580,47 +580,47 @@
 }
 
 // Incident ica7659: calls lost on their way, while others get through.
-func TestLostCallIsNoSlowness(t *testing.T) {
+func TestLostCallDoesNotRaiseLatency(t *testing.T) {
 	g := newRig(t, nil, ep1)
-	g.step(0, req(1, safe))
-	g.step(100*ms, g.end(1, OK))
-	g.step(0, req(2, safe), req(3, safe))
-	g.step(100*ms, g.end(3, OK))
-	lost := g.end(2, TimedOut)
+	g.step(0, newRequest(1, safe))
+	g.step(100*ms, g.outcome(1, OK))
+	g.step(0, newRequest(2, safe), newRequest(3, safe))
+	g.step(100*ms, g.outcome(3, OK))
+	lost := g.outcome(2, TimedOut)
 	lost.Took = 3 * time.Second
-	before := g.c.destination(1).recent
+	before := g.c.destinationFor(1).latency
 	g.step(2900*ms, lost)
-	want(t, "latency", g.c.destination(1).recent, before)
-	want(t, "strikes", g.c.eps[10].fails, 0)
+	want(t, "latency", g.c.destinationFor(1).latency, before)
+	want(t, "strikes", g.c.endpoints[10].failures, 0)
 }
 
 // A run of time-outs alone lengthens the next ones within bounds, and an
 // unsafe request waits longer only while slots are free.
 func TestTimeoutIsBounded(t *testing.T) {
 	g := newRig(t, nil, ep1)
-	g.step(0, req(1, safe))
-	g.step(100*ms, g.end(1, OK))
-	g.step(0, req(2, safe))
-	lost := g.end(2, TimedOut)
+	g.step(0, newRequest(1, safe))
+	g.step(100*ms, g.outcome(1, OK))
+	g.step(0, newRequest(2, safe))
+	lost := g.outcome(2, TimedOut)
 	lost.Took = 15 * time.Second
 	g.step(15*time.Second, lost)
-	if r := g.c.destination(1).recent; r > 0.2 {
+	if r := g.c.destinationFor(1).latency; r > 0.2 {
 		t.Errorf("one time-out moved the latency to %.2f s", r)
 	}
-	r := &request{class: &g.c.classes[unsafe], dest: g.c.destination(1), deadline: g.now + time.Minute}
-	long := g.c.timeout(r)
-	g.c.calls = g.c.s.Slots
-	if short := g.c.timeout(r); short*2 > long {
+	r := &request{class: &g.c.classes[unsafe], dest: g.c.destinationFor(1), deadline: g.now + time.Minute}
+	long := g.c.attemptTimeout(r)
+	g.c.openCalls = g.c.settings.Slots
+	if short := g.c.attemptTimeout(r); short*2 > long {
 		t.Errorf("time-out %v with no slot to spare, %v with all", short, long)
 	}
 }
 
 // Incident ib28263: a fifth of the answers break off. That is no outage:
 // first sends go on, and only failures in a row close the gate.
-func TestPartialFailureKeepsTheGateOpen(t *testing.T) {
+func TestPartialFailureKeepsBreakerClosed(t *testing.T) {
 	g := newRig(t, nil, ep1, Endpoint{ID: 11, Destination: 1})
 	for id := RequestID(1); id <= 100; id++ {
-		g.step(50*ms, req(id, safe))
+		g.step(50*ms, newRequest(id, safe))
 		for k := RequestID(1); k <= id; k++ {
 			if _, out := g.out[k]; !out {
 				continue
@@ -629,9 +629,9 @@
 			if (id+k)%5 == 0 {
 				o = Reset
 			}
-			g.step(20*ms, g.end(k, o))
+			g.step(20*ms, g.outcome(k, o))
 		}
-		if g.c.eps[10].state == down || g.c.eps[11].state == down {
+		if g.c.endpoints[10].state == down || g.c.endpoints[11].state == down {
 			t.Fatalf("gate closed at request %d", id)
 		}
 	}
@@ -639,25 +639,25 @@
 
 // Quick errors that come among good answers do not take an endpoint for down, as
 // many in a row do, fewer right after an outage; a connection that breaks says more.
-func TestQuickErrorsCloseLate(t *testing.T) {
+func TestBreakerThresholdByFailureKind(t *testing.T) {
 	for _, tc := range []struct {
 		state health
 		o     Outcome
 		want  int
-	}{{up, Error, errorsOut}, {cold, Error, strikesOut - 1}, {up, Reset, 1 + strikesOut}} { // the first on a warm connection is none
+	}{{up, Error, breakerErrors}, {cold, Error, breakerFailures - 1}, {up, Reset, 1 + breakerFailures}} { // the first on a warm connection is none
 		g := newRig(t, nil, ep1)
-		g.step(20*ms, req(1, safe))
-		g.step(20*ms, g.end(1, OK))
-		g.c.eps[10].state, g.c.eps[10].since, g.c.eps[10].lastOK = tc.state, g.c.now, -time.Minute
-		g.step(20*ms, req(2, safe))
+		g.step(20*ms, newRequest(1, safe))
+		g.step(20*ms, g.outcome(1, OK))
+		g.c.endpoints[10].state, g.c.endpoints[10].stateSince, g.c.endpoints[10].lastSuccessAt = tc.state, g.c.now, -time.Minute
+		g.step(20*ms, newRequest(2, safe))
 		n := 0
-		for id := RequestID(2); g.c.eps[10].state != down && n < 20; {
+		for id := RequestID(2); g.c.endpoints[10].state != down && n < 20; {
 			if _, out := g.out[id]; !out {
 				id++
-				g.step(100*ms, req(id, safe))
+				g.step(100*ms, newRequest(id, safe))
 				continue
 			}
-			g.step(20*ms, g.end(id, tc.o))
+			g.step(20*ms, g.outcome(id, tc.o))
 			n++
 		}
 		if n != tc.want {
@@ -668,17 +668,17 @@
 
 // Whatever answers do to the best latency, and so to the last moment of each held
 // request, none comes up before the next sweep.
-func TestSweepMissesNoLastMoment(t *testing.T) {
+func TestSweepMeetsEveryLatestSend(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	g := newRig(t, nil, ep1, Endpoint{ID: 11, Destination: 1}, Endpoint{ID: 12, Destination: 2})
 	answered := 0
 	for id := RequestID(1); id <= 3000; id++ {
-		r := req(id, rng.IntN(3))
+		r := newRequest(id, rng.IntN(3))
 		r.Destination, r.Deadline = DestinationID(1+rng.IntN(2)), time.Duration(rng.IntN(3000))*ms
 		events := []Event{r}
 		for k := range g.out {
 			if rng.IntN(4) == 0 {
-				ev := g.end(k, []Outcome{OK, OK, OK, Error, TimedOut, Full}[rng.IntN(6)])
+				ev := g.outcome(k, []Outcome{OK, OK, OK, Error, TimedOut, Full}[rng.IntN(6)])
 				ev.Took = time.Duration(rng.ExpFloat64() * float64(300*ms))
 				events = append(events, ev)
 				break
@@ -691,31 +691,31 @@
 	}
 }
 
-func TestAsksForTheList(t *testing.T) {
+func TestResubscribesToList(t *testing.T) {
 	g := newRig(t, func(s *Settings) { s.AskForList, s.AskWithin = true, 10*time.Second }, ep1)
-	want(t, "asked at the start", count[Watch](g.all), 1)
+	want(t, "asked at the start", count[Watch](g.actions), 1)
 	acts := g.step(0, List{Kind: ListFailed})
 	acts = append(acts, g.run(time.Second)...)
 	want(t, "asked again at once", count[Watch](acts), 0)
 	want(t, "asked again in time", count[Watch](g.run(9*time.Second)), 1)
 }
 
-func TestStreamOutlivesItsDeadline(t *testing.T) {
+func TestStreamingRequestHasNoDeadline(t *testing.T) {
 	g := newRig(t, nil, ep1)
-	g.step(0, req(1, safe))
+	g.step(0, newRequest(1, safe))
 	g.step(time.Second, StreamStarted{Request: 1})
 	want(t, "answers", answers(g.run(25*time.Second)), []string(nil))
 }
 
 // Idle connections are dropped unseen: calls on them break off. They are
 // closed before that age, and a call on a new one goes well.
-func TestClosesIdleConnectionsBeforeTheyAreDropped(t *testing.T) {
+func TestClosesIdleConnectionsBeforePeerDoes(t *testing.T) {
 	g := newRig(t, nil, ep1)
 	id := RequestID(0)
 	call := func(gap time.Duration, o Outcome) []Action {
 		id++
-		acts := g.step(gap, req(id, safe))
-		g.step(50*ms, g.end(id, o))
+		acts := g.step(gap, newRequest(id, safe))
+		g.step(50*ms, g.outcome(id, o))
 		return acts
 	}
 	call(0, OK)
@@ -723,7 +723,7 @@
 		call(time.Second, Reset)
 		g.run(2 * time.Second) // the repeat goes
 		for k := range g.out {
-			g.step(50*ms, g.end(k, OK))
+			g.step(50*ms, g.outcome(k, OK))
 		}
 	}
 	want(t, "closed before a send after long idleness", count[CloseIdle](call(time.Second, OK)), 1)
@@ -732,45 +732,45 @@
 
 // In a large fleet a connection refused at once is a full table: no outage,
 // and this courier's own connections there close after use.
-func TestSmallTablesInALargeFleet(t *testing.T) {
+func TestFullConnectionTableInLargeFleet(t *testing.T) {
 	for _, tc := range []struct {
 		fleet  int
 		closes int
 		state  health
 	}{{100, 1, up}, {1, 0, down}} {
 		g := newRig(t, func(s *Settings) { s.Fleet = tc.fleet }, ep1)
-		g.step(0, req(1, unsafe))
-		e := g.end(1, ConnectFailed)
+		g.step(0, newRequest(1, unsafe))
+		e := g.outcome(1, ConnectFailed)
 		e.Took = 50 * ms
 		g.step(50*ms, e)
-		want(t, fmt.Sprint(tc, " state"), g.c.eps[10].state, tc.state)
+		want(t, fmt.Sprint(tc, " state"), g.c.endpoints[10].state, tc.state)
 		g.run(4 * time.Second)
-		g.step(0, g.end(1, OK))
-		want(t, fmt.Sprint(tc, " closed after use"), count[CloseIdle](g.all), tc.closes)
+		g.step(0, g.outcome(1, OK))
+		want(t, fmt.Sprint(tc, " closed after use"), count[CloseIdle](g.actions), tc.closes)
 	}
 }
 
 // A large fleet's even share of a small limit is a call in minutes: requests
 // go at once all the same, and refusals alone set a gap, which grows.
-func TestGapInALargeFleet(t *testing.T) {
+func TestCallGapInLargeFleet(t *testing.T) {
 	g := newRig(t, func(s *Settings) { s.Fleet = 200 }, Endpoint{ID: 10, Destination: 1, Weight: 3})
 	for id := RequestID(1); id <= 4; id++ {
-		want(t, "sent at once", sends(g.step(300*ms, req(id, safe))), []RequestID{id})
-		g.step(50*ms, g.end(id, OK))
+		want(t, "sent at once", sends(g.step(300*ms, newRequest(id, safe))), []RequestID{id})
+		g.step(50*ms, g.outcome(id, OK))
 	}
-	g.step(0, req(5, safe))
-	g.step(20*ms, g.end(5, Full))
+	g.step(0, newRequest(5, safe))
+	g.step(20*ms, g.outcome(5, Full))
 	want(t, "held after a refusal", len(sends(g.run(900*ms))), 0)
 	want(t, "sent in time", len(sends(g.run(2200*ms))), 1)
 }
 
 // firstCallFails is a courier of a fleet whose first call, to a destination
 // with a small limit, ended badly after a while.
-func firstCallFails(t *testing.T, fleet int, o Outcome, took time.Duration) *rig {
+func firstCallFails(t *testing.T, fleet int, o Outcome, took time.Duration) *harness {
 	t.Helper()
 	g := newRig(t, func(s *Settings) { s.Fleet = fleet }, Endpoint{ID: 10, Destination: 1, Weight: 3})
-	g.step(0, req(1, safe))
-	e := g.end(1, o)
+	g.step(0, newRequest(1, safe))
+	e := g.outcome(1, o)
 	e.Took = took
 	g.step(took, e)
 	return g
@@ -778,49 +778,49 @@
 
 // A false alarm soon passes in a large fleet: few can have seen so short an
 // outage, and the fall budget is theirs.
-func TestShortOutageLeavesRoom(t *testing.T) {
+func TestShortOutageAllowsEarlyTrial(t *testing.T) {
 	g := firstCallFails(t, 200, TimedOut, 1200*ms)
-	want(t, "state", g.c.eps[10].state, down)
+	want(t, "state", g.c.endpoints[10].state, down)
 	want(t, "asked again in seconds, not in minutes", len(sends(g.run(5*time.Second))), 1)
 }
 
 // Every request that falls due in a turn is answered in that turn.
-func TestAnswersAllThatIsDue(t *testing.T) {
+func TestAnswersAllDueRequests(t *testing.T) {
 	g := newRig(t, nil)
 	for id := RequestID(1); id <= 5; id++ {
-		g.step(0, req(id, unsafe))
+		g.step(0, newRequest(id, unsafe))
 	}
 	want(t, "answers", len(answers(g.step(20*time.Second))), 5)
 }
 
 // What becomes of repeats anywhere at a kind sets how long the next refused
 // call there stays away.
-func TestRefusedRepeatsLengthenTheGapOfTheirKind(t *testing.T) {
+func TestRejectedRetryLengthensGapOfKind(t *testing.T) {
 	eps := []Endpoint{{ID: 10, Destination: 1, Weight: 3}, {ID: 20, Destination: 2, Weight: 3}}
 	g := newRig(t, func(s *Settings) { s.Fleet = 200 }, eps...)
-	first := g.c.repeatGap[0]
-	g.step(0, req(1, safe))
-	g.step(20*ms, g.end(1, Full))
+	first := g.c.retryGap[0]
+	g.step(0, newRequest(1, safe))
+	g.step(20*ms, g.outcome(1, Full))
 	g.run(3 * time.Second)
-	g.step(20*ms, g.end(1, Full)) // a repeat
-	if g.c.repeatGap[0] <= first {
+	g.step(20*ms, g.outcome(1, Full)) // a repeat
+	if g.c.retryGap[0] <= first {
 		t.Error("a refused repeat leaves the gap as it was")
 	}
-	r := req(2, safe)
+	r := newRequest(2, safe)
 	r.Destination = 2
 	g.step(0, r)
-	g.step(20*ms, g.end(2, Full))
-	if gap := g.c.dests[2].routes[0].gap; gap != g.c.repeatGap[0] {
+	g.step(20*ms, g.outcome(2, Full))
+	if gap := g.c.destinations[2].routes[0].callGap; gap != g.c.retryGap[0] {
 		t.Errorf("gap of a sibling destination is %v", gap)
 	}
 }
 
 // One refused connection is no outage in a large fleet, but it may be one: the
 // fall budget binds from the first strike on.
-func TestFallBudgetBindsFromTheFirstStrike(t *testing.T) {
+func TestColdBudgetAppliesFromFirstFailure(t *testing.T) {
 	g := firstCallFails(t, 200, ConnectFailed, 50*ms)
-	want(t, "state", g.c.eps[10].state, up)
-	acts := g.step(10*time.Second, req(2, safe), req(3, safe))
+	want(t, "state", g.c.endpoints[10].state, up)
+	acts := g.step(10*time.Second, newRequest(2, safe), newRequest(3, safe))
 	acts = append(acts, g.run(5*time.Second)...)
 	if n := len(sends(acts)); n > 1 {
 		t.Errorf("%d sends after a strike", n)
@@ -829,17 +829,17 @@
 
 // A destination that refuses connections is asked again soon, though nothing is
 // known of what it can bear: calls that reached nobody weigh nothing.
-func TestRefusedConnectionsDoNotPutOffTrials(t *testing.T) {
+func TestRefusedConnectionsDoNotDelayTrials(t *testing.T) {
 	g := newRig(t, func(s *Settings) { s.WeightsAreLimits = false }, Endpoint{ID: 10, Destination: 1})
-	closeGate(g, ConnectFailed)
+	openBreaker(g, ConnectFailed)
 	for id := RequestID(300); id < 330; id++ {
-		g.step(0, req(id, safe))
+		g.step(0, newRequest(id, safe))
 	}
 	trials := 0
 	for range 500 {
 		for _, id := range sends(g.step(20 * ms)) {
 			trials++
-			g.step(0, g.end(id, ConnectFailed))
+			g.step(0, g.outcome(id, ConnectFailed))
 		}
 	}
 	if trials < 8 { // one in 0.7 of the connect time-out, give or take a quarter
@@ -850,58 +850,58 @@
 // Kept connections that break are no outage: the gate stays open, and what the
 // wire tells of the connection stands over the module's guess. New ones that
 // break are one.
-func TestBrokenConnections(t *testing.T) {
+func TestResetOfReusedAndNewConnections(t *testing.T) {
 	for _, tc := range []struct {
 		kept time.Duration
 		want health
 	}{{time.Second, up}, {0, down}} {
 		g := newRig(t, nil, ep1)
 		for id := RequestID(1); id <= 4; id++ {
-			g.step(20*ms, req(id, safe))
+			g.step(20*ms, newRequest(id, safe))
 			if _, out := g.out[id]; out {
-				ev := g.end(id, Reset)
+				ev := g.outcome(id, Reset)
 				ev.Kept, ev.Fresh = tc.kept, tc.kept == 0
 				g.step(20*ms, ev)
 			}
 		}
-		want(t, fmt.Sprint("state with ", tc.kept), g.c.eps[10].state, tc.want)
+		want(t, fmt.Sprint("state with ", tc.kept), g.c.endpoints[10].state, tc.want)
 	}
 }
 
 // A new connection that breaks while others get through is no outage either,
 // be it before or after.
-func TestBrokenAmongGoodOnes(t *testing.T) {
+func TestResetAmongSuccesses(t *testing.T) {
 	g := newRig(t, nil, ep1)
-	g.step(0, req(1, safe), req(2, safe))
-	g.step(20*ms, g.end(1, OK))
+	g.step(0, newRequest(1, safe), newRequest(2, safe))
+	g.step(20*ms, g.outcome(1, OK))
 	for id := RequestID(2); id <= 5; id++ {
-		ev := g.end(id, Reset)
+		ev := g.outcome(id, Reset)
 		ev.Fresh = true
-		g.step(20*ms, ev, req(id+1, safe))
-		want(t, "strikes", g.c.eps[10].fails, 0)
+		g.step(20*ms, ev, newRequest(id+1, safe))
+		want(t, "strikes", g.c.endpoints[10].failures, 0)
 	}
 }
 
 // What an endpoint that is well gets does not put off the trials of its sibling.
-func TestSoundSiblingLeavesRoomForTrials(t *testing.T) {
+func TestHealthySiblingDoesNotDelayTrials(t *testing.T) {
 	g := newRig(t, nil, Endpoint{ID: 10, Destination: 1, Weight: 20}, Endpoint{ID: 11, Destination: 1, Weight: 20})
 	serve := func(d time.Duration, sick EndpointID) (trials int) {
 		for n := g.now; g.now < n+d; {
 			id := RequestID(g.now / ms)
-			g.step(20*ms, req(id, safe))
+			g.step(20*ms, newRequest(id, safe))
 			for x, s := range g.out {
 				if s.Endpoint == sick {
 					trials++
-					g.step(0, g.end(x, TimedOut))
+					g.step(0, g.outcome(x, TimedOut))
 				} else {
-					g.step(0, g.end(x, OK))
+					g.step(0, g.outcome(x, OK))
 				}
 			}
 		}
 		return trials
 	}
 	serve(5*time.Second, 10)
-	want(t, "gate", g.c.eps[10].state, down)
+	want(t, "gate", g.c.endpoints[10].state, down)
 	if n := serve(10*time.Second, 10); n < 6 {
 		t.Errorf("%d trials in 10 s", n)
 	}
@@ -909,54 +909,54 @@
 
 // The pace follows a limit that is cut or restored at once: growing back would
 // take many seconds.
-func TestPaceFollowsTheToldLimit(t *testing.T) {
+func TestPacingRateFollowsReportedLimit(t *testing.T) {
 	g := newRig(t, nil, Endpoint{ID: 10, Destination: 1, Weight: 50})
-	g.step(0, req(1, safe))
-	ev := g.end(1, OK)
+	g.step(0, newRequest(1, safe))
+	ev := g.outcome(1, OK)
 	ev.Report = []float64{1, 50}
-	g.step(20*ms, ev, req(2, safe))
-	before := g.c.eps[10].route.pace
-	ev = g.end(2, OK)
+	g.step(20*ms, ev, newRequest(2, safe))
+	before := g.c.endpoints[10].route.pacingRate
+	ev = g.outcome(2, OK)
 	ev.Report = []float64{1, 5}
-	g.step(20*ms, ev, req(3, safe))
-	if pace := g.c.eps[10].route.pace; pace > before/9 || pace < before/11 {
+	g.step(20*ms, ev, newRequest(3, safe))
+	if pace := g.c.endpoints[10].route.pacingRate; pace > before/9 || pace < before/11 {
 		t.Errorf("pace %.2f of %.2f with a tenth of the limit", pace, before)
 	}
 }
 
 // A call that its message's own deadline cuts short says nothing of the
 // endpoint, and such a message is no trial.
-func TestDeadlineIsNoTimeout(t *testing.T) {
+func TestMessageDeadlineIsNoEndpointTimeout(t *testing.T) {
 	g := newRig(t, nil, ep1)
 	for id := RequestID(1); id <= 4; id++ {
-		r := req(id, safe)
+		r := newRequest(id, safe)
 		r.Deadline = 120 * ms
 		g.step(20*ms, r)
-		g.step(100*ms, g.end(id, TimedOut))
+		g.step(100*ms, g.outcome(id, TimedOut))
 	}
-	want(t, "state", g.c.eps[10].state, up)
+	want(t, "state", g.c.endpoints[10].state, up)
 
 	g = newRig(t, nil, ep1)
-	closeGate(g, TimedOut)
+	openBreaker(g, TimedOut)
 	g.run(20 * time.Second) // all that was held is over
-	short, long := req(300, safe), req(301, safe)
+	short, long := newRequest(300, safe), newRequest(301, safe)
 	short.Deadline = 200 * ms
 	want(t, "trials", sends(g.step(20*ms, short, long)), []RequestID{301})
 }
 
 // Where nothing is known of a destination, the quotas tell what it bears at least.
-func TestLeastRate(t *testing.T) {
+func TestMinAssumedRate(t *testing.T) {
 	g := newRig(t, func(s *Settings) { s.Tenants = []Tenant{{Quota: 30}, {Quota: 10}} },
 		Endpoint{ID: 10, Destination: 1}, Endpoint{ID: 11, Destination: 2})
-	want(t, "least rate", g.c.leastRate(), leastPart*20)
+	want(t, "least rate", g.c.minAssumedRate(), unknownCapacityShare*20)
 	g = newRig(t, nil, Endpoint{ID: 10, Destination: 1})
-	want(t, "without quotas", g.c.leastRate(), 0.5)
+	want(t, "without quotas", g.c.minAssumedRate(), 0.5)
 }
 
 // A message restored after a restart keeps the attempts of its earlier life:
 // what may have run goes again only where its effect, its window, its attempts
 // and the ledger allow.
-func TestRestored(t *testing.T) {
+func TestRestoredRequest(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		req  Request
@@ -1008,27 +1008,27 @@
 
 // Endpoints that left the list long ago are forgotten, those with a call out
 // only once it has ended.
-func TestGoneEndpointsAreForgotten(t *testing.T) {
+func TestGoneEndpointsAreRemoved(t *testing.T) {
 	g := newRig(t, nil, Endpoint{ID: 1, Destination: 7}, Endpoint{ID: 2, Destination: 7})
 	g.step(5*ms, Request{ID: 1, Destination: 7, Class: safe, Deadline: 5 * time.Minute})
 	on := g.out[1].Endpoint
 	next := Endpoint{ID: 3, Destination: 7, Phase: Ready}
 	g.step(5*ms, List{Kind: ListFull, Endpoints: []Endpoint{next}})
-	if len(g.c.eps) != 3 {
-		t.Fatalf("%d endpoints kept at first, want 3", len(g.c.eps))
+	if len(g.c.endpoints) != 3 {
+		t.Fatalf("%d endpoints kept at first, want 3", len(g.c.endpoints))
 	}
-	g.step(goneMemory*ledgerSpan, List{Kind: ListDelta})
-	if len(g.c.eps) != 2 || g.c.eps[on] == nil {
-		t.Fatalf("%d endpoints kept, want the one listed and the one with a call out", len(g.c.eps))
+	g.step(goneRetentionWindows*retryBudgetWindow, List{Kind: ListDelta})
+	if len(g.c.endpoints) != 2 || g.c.endpoints[on] == nil {
+		t.Fatalf("%d endpoints kept, want the one listed and the one with a call out", len(g.c.endpoints))
 	}
 	g.step(5*ms, AttemptEnded{Request: 1, Endpoint: on, Outcome: OK, Done: true})
 	g.step(5*ms, List{Kind: ListDelta})
-	d := g.c.dests[7]
-	if len(g.c.eps) != 1 || len(d.eps) != 1 || len(d.routes) != 1 || len(d.routes[0].eps) != 1 {
-		t.Fatalf("%d endpoints kept, want 1", len(g.c.eps))
+	d := g.c.destinations[7]
+	if len(g.c.endpoints) != 1 || len(d.endpoints) != 1 || len(d.routes) != 1 || len(d.routes[0].endpoints) != 1 {
+		t.Fatalf("%d endpoints kept, want 1", len(g.c.endpoints))
 	}
-	g.step(goneMemory*ledgerSpan, List{Kind: ListFull})
-	g.step(goneMemory*ledgerSpan, List{Kind: ListFull, Endpoints: []Endpoint{{ID: 4, Destination: 7, Phase: Ready}}})
+	g.step(goneRetentionWindows*retryBudgetWindow, List{Kind: ListFull})
+	g.step(goneRetentionWindows*retryBudgetWindow, List{Kind: ListFull, Endpoints: []Endpoint{{ID: 4, Destination: 7, Phase: Ready}}})
 	g.step(5*ms, Request{ID: 2, Destination: 7, Class: safe, Deadline: time.Minute})
 	if g.out[2].Endpoint != 4 {
 		t.Error("a destination that had lost all endpoints is not served by a new one")
@@ -1042,7 +1042,7 @@
 	g := newRig(t, nil, ep1, doubtful)
 	var events []Event
 	for id := range RequestID(3) {
-		events = append(events, req(id+1, safe))
+		events = append(events, newRequest(id+1, safe))
 	}
 	g.step(20*ms, events...)
 	want(t, "out", len(g.out), 3)
@@ -1052,14 +1052,14 @@
 		}
 	}
 	g = newRig(t, nil, doubtful)
-	g.step(20*ms, req(1, keyed), req(2, keyed), req(3, safe), req(4, safe))
-	want(t, "one at a time, and a safe one", sends(g.all), []RequestID{3})
+	g.step(20*ms, newRequest(1, keyed), newRequest(2, keyed), newRequest(3, safe), newRequest(4, safe))
+	want(t, "one at a time, and a safe one", sends(g.actions), []RequestID{3})
 	g.run(100 * ms)
 	want(t, "one at a time", len(g.out), 1)
-	g.step(20*ms, g.end(3, OK))
-	want(t, "the other safe one next", sends(g.all), []RequestID{3, 4})
-	g.step(20*ms, g.end(4, OK))
-	want(t, "then one that is keyed", len(sends(g.all)), 3)
+	g.step(20*ms, g.outcome(3, OK))
+	want(t, "the other safe one next", sends(g.actions), []RequestID{3, 4})
+	g.step(20*ms, g.outcome(4, OK))
+	want(t, "then one that is keyed", len(sends(g.actions)), 3)
 	doubtful.Phase, doubtful.Doubtful = Ready, false
 	g.step(20*ms, List{Kind: ListDelta, Endpoints: []Endpoint{doubtful}})
 	g.run(100 * ms)
@@ -1067,10 +1067,10 @@
 }
 
 // A kind that takes bundles gets none where its endpoint may be gone.
-func TestNoClumpIntoDoubt(t *testing.T) {
+func TestNoBundleToDoubtfulEndpoint(t *testing.T) {
 	for _, doubt := range []bool{false, true} {
 		g := newRig(t, nil, Endpoint{ID: 11, Destination: 1, Weight: 400, Kind: 1, Doubtful: doubt})
-		g.step(20*ms, req(1, safe), req(2, safe), req(3, safe))
+		g.step(20*ms, newRequest(1, safe), newRequest(2, safe), newRequest(3, safe))
 		if n := len(g.out); doubt && n != 1 || !doubt && n != 3 {
 			t.Errorf("doubt %v: %d are out", doubt, n)
 		}
@@ -1079,23 +1079,23 @@
 
 // A told wait longer than limits tell is a shut destination's: when it is over the
 // destination is cold, and gets what a cold one may be sent. A short one is a limit's.
-func TestLongToldWaitEndsCold(t *testing.T) {
+func TestLongRetryAfterDelayEndsCold(t *testing.T) {
 	after := func(wait time.Duration) int {
 		g := newRig(t, func(s *Settings) { s.WeightsAreLimits, s.ColdShare, s.WarmUp = false, 0.1, 100*time.Second }, Endpoint{ID: 10, Destination: 1})
 		for id := RequestID(1); id <= 40; id++ { // it serves ten a second, limit told
-			g.step(100*ms, req(id, safe))
+			g.step(100*ms, newRequest(id, safe))
 			for out := range g.out {
-				e := g.end(out, OK)
+				e := g.outcome(out, OK)
 				e.Report = []float64{0.5, 10}
 				g.step(20*ms, e)
 			}
 		}
-		g.step(20*ms, req(100, safe))
-		e := g.end(100, Full)
+		g.step(20*ms, newRequest(100, safe))
+		e := g.outcome(100, Full)
 		e.Wait = wait
 		g.step(20*ms, e)
 		for id := RequestID(101); id <= 140; id++ {
-			g.step(0, req(id, safe))
+			g.step(0, newRequest(id, safe))
 		}
 		told := len(sends(g.run(wait - 40*ms)))
 		want(t, "calls in the wait", told, 0)
@@ -1104,7 +1104,7 @@
 			acts := g.step(20 * ms)
 			sent += len(sends(acts))
 			for out := range g.out {
-				g.step(0, g.end(out, OK))
+				g.step(0, g.outcome(out, OK))
 			}
 		}
 		return sent
@@ -1129,22 +1129,22 @@
 	}
 	events := []Event{List{Kind: ListFull, Endpoints: []Endpoint{{ID: 10, Destination: 1, Phase: Ready, Doubtful: true}}}}
 	for id := range RequestID(998) {
-		events = append(events, req(id+1, keyed))
+		events = append(events, newRequest(id+1, keyed))
 	}
-	events = append(events, req(999, safe), req(1000, safe))
+	events = append(events, newRequest(999, safe), newRequest(1000, safe))
 	c.Handle(time.Hour, events)
-	d := c.dests[1]
+	d := c.destinations[1]
 	if len(d.queue) != 999 {
 		b.Fatal("one is out, the others wait")
 	}
 	for b.Loop() {
-		c.choose(d, d.eps)
+		c.chooseSend(d, d.endpoints)
 	}
 }
 
 // An endpoint that was out by hand comes back cold, whatever it was before: among its likes,
 // new to the module, or after its destination has slept.
-func TestBackFromHandIsCold(t *testing.T) {
+func TestRestartedEndpointIsCold(t *testing.T) {
 	back := Endpoint{ID: 10, Destination: 1, Phase: Ready, Weight: 20, WasOut: 5 * time.Second}
 	state := &State{Window: 4, Routes: []RouteState{{Limit: 20}}, EndpointsSeen: []EndpointState{{ID: 10, Condition: Serving}}}
 	for name, news := range map[string][]Event{
@@ -1154,12 +1154,12 @@
 	} {
 		g := newRig(t, nil)
 		g.step(0, news...)
-		most := coldSafety * g.c.s.FallMultiple * g.c.s.ColdShare * 20 * g.c.s.FallTime.Seconds()
+		most := coldBudgetFactor * g.c.settings.FallMultiple * g.c.settings.ColdShare * 20 * g.c.settings.FallTime.Seconds()
 		sent := 0
 		for id := RequestID(1); id < 60; id++ {
-			for _, out := range sends(g.step(ms, req(id, safe))) {
+			for _, out := range sends(g.step(ms, newRequest(id, safe))) {
 				sent++
-				g.step(0, g.end(out, OK))
+				g.step(0, g.outcome(out, OK))
 			}
 		}
 		if sent == 0 || float64(sent) > most {
@@ -1167,8 +1167,8 @@
 		}
 		again := back
 		again.Weight = 21 // listed again while cold: that is no other return
-		since := g.c.eps[10].since
+		since := g.c.endpoints[10].stateSince
 		g.step(time.Second, List{Kind: ListDelta, Endpoints: []Endpoint{again}})
-		want(t, name, g.c.eps[10].since, since)
+		want(t, name, g.c.endpoints[10].stateSince, since)
 	}
 }
--- a/fleet.go
+++ b/fleet.go
@@ -9,28 +9,29 @@
 	"snowjunction/internal/lease"
 )
 
-// Where many couriers share a destination's limit, one of them keeps the account of it
-// (internal/lease) and the others ask that one before they call. A courier alone keeps
-// to a pace of its own, as in small fleets.
+// If many couriers share a destination's rate limit, one of them is its lease owner (internal/lease):
+// it keeps the quota ledger, and the others request a grant from it before they call. In small
+// fleets each courier uses a pacing rate of its own.
 
 const (
-	coldPooled   = 0.9                    // of the calls that make a cold destination fall over, from the whole fleet
-	shareLeased  = 0.15                   // as shareLeast: below it, a limit is shared out by its keeper
-	unlimited    = 3                      // answers without a word of a limit, after which there is none
-	freeOver     = 0.5                    // share of the limit left, over which a refusal is not the limit's
-	failingEvery = 2 * time.Second        // a courier whose calls fail says so again
-	returnSpread = 300 * time.Millisecond // in which all call a destination that has returned
-	greetMost    = 1024
-	limitNews    = 250 * time.Millisecond // for which a told limit is news, as long as a grant is good
-	ledgersMost  = 4096                   // kept at once; those not asked for ledgerIdle go first
-	ledgerIdle   = time.Minute
-	rankUnit     = 100 // of Note.Rank: a message's worth of one
+	pooledColdFactor          = 0.9                    // of the whole fleet's cold budget
+	maxLeasedShare            = 0.15                   // like minPacedShare; below it a lease is needed
+	unlimitedAfterAnswers     = 3                      // answers without a reported limit: no limit
+	ampleLimitLeft            = 0.5                    // of the limit: with more left it rejects for other reasons
+	unreachableReportInterval = 2 * time.Second        // repeats the report of failing calls
+	returnJitter              = 300 * time.Millisecond // spreads the first calls after a recovery
+	maxAnnouncements          = 1024
+	limitFreshFor             = 250 * time.Millisecond // as long as a grant is valid
+	maxQuotaLedgers           = 4096                   // at the limit, idle ledgers are removed
+	quotaLedgerIdle           = time.Minute
+	rankPerValue              = 100 // Note.Rank of a message with value 1
 )
 
-// leased is what this courier may call of a route whose limit the fleet shares; nil:
-// it needs no leave.
-func (c *Courier) leased(r *route) *lease.Holder {
-	if !c.s.Notes || r.dest.kind.RoutesApart || !c.thin(r, shareLeased) || r.limit <= 0 && r.dest.served.sum(c.now) > unlimited {
+// leaseOf returns the lease of a route whose limit the fleet shares, or nil if calls to the route
+// need no grant.
+func (c *Courier) leaseOf(r *route) *lease.Holder {
+	if !c.settings.Notes || r.dest.kind.RoutesApart || !c.shareBelow(r, maxLeasedShare) ||
+		r.limit <= 0 && r.dest.successes.sum(c.now) > unlimitedAfterAnswers {
 		return nil
 	}
 	if r.lease == nil {
@@ -39,151 +40,154 @@
 	return r.lease
 }
 
-// thin tells that the even share of r's limit is less than so many calls, over the fleet,
-// in the shortest aim: too few to be a courier's pace. A limit that is not known yet is
-// taken for the mean destination's part of the quotas.
-func (c *Courier) thin(r *route, least float64) bool {
-	return c.evenShare(r)*seconds(c.prompt) < least*float64(c.s.Fleet)
+// shareBelow reports whether the even share of r's limit, in calls per minTargetLatency, is less than
+// least times the fleet's size: too few for a pacing rate. For an unknown limit see assumedLimit.
+func (c *Courier) shareBelow(r *route, least float64) bool {
+	return c.evenShare(r)*seconds(c.minTargetLatency) < least*float64(c.settings.Fleet)
 }
 
-// lost tells whether r's limit is the fleet's to share and no keeper of it answers. All
-// couriers may be lost at once, as where none hears another. Together they may then call
-// what they called before, so each begins with the pace at which it was served of late:
-// its part of the limit as the keeper shared it out. Their first calls are spread, as
-// each would else make one at once.
-func (c *Courier) lost(r *route, share float64) bool {
-	if h := c.leased(r); h == nil || !h.Lost(c.line) {
-		r.lostPace = 0
+// ownerless reports whether r needs a lease and no lease owner answers. All couriers may lose their
+// lease owners at once, for example if no peer message arrives. Together they may then send what
+// they sent before. So each starts with its recent success rate, which is the part of the limit
+// that the lease owner granted it. The first calls are spread by a random number of tokens, as
+// otherwise each courier would send one at once.
+func (c *Courier) ownerless(r *route, share float64) bool {
+	if h := c.leaseOf(r); h == nil || !h.Lost(c.leaseOwners) {
+		r.ownerlessRate = 0
 		return false
 	}
-	if r.lostPace == 0 {
-		known := min(ledgerSpan, max(c.now-r.dest.since, c.prompt))
-		r.lostPace = math.Max(share*paceFloor, r.dest.served.sum(c.now)/seconds(known))
-		r.pace, r.wanting = r.lostPace, false
-		r.bucket = bucket{tokens: c.rng.Float64(), at: c.now, begun: true}
+	if r.ownerlessRate == 0 {
+		observedFor := min(retryBudgetWindow, max(c.now-r.dest.countingSince, c.minTargetLatency))
+		r.ownerlessRate = math.Max(share*minPaceShare, r.dest.successes.sum(c.now)/seconds(observedFor))
+		r.pacingRate, r.waitedForToken = r.ownerlessRate, false
+		r.bucket = tokenBucket{tokens: c.rng.Float64(), filledAt: c.now, started: true}
 	}
 	return true
 }
 
-// inTurn tells whether this courier may call r now, for all that the fleet does.
-func (c *Courier) inTurn(r *route) bool {
-	h := c.leased(r)
+// leaseAllows reports whether this courier may call r now under its lease, if r needs one.
+func (c *Courier) leaseAllows(r *route) bool {
+	h := c.leaseOf(r)
 	return h == nil || h.May(c.now)
 }
 
-// addedUp tells whether r's keeper adds up what the fleet sends it: it knows a limit.
-func (c *Courier) addedUp(r *route) bool {
-	h := c.leased(r)
-	return h != nil && r.limit > 0 && !h.Lost(c.line)
+// ownerKnowsLimit reports whether a lease owner that knows a limit adds up the fleet's calls to r.
+func (c *Courier) ownerKnowsLimit(r *route) bool {
+	h := c.leaseOf(r)
+	return h != nil && r.limit > 0 && !h.Lost(c.leaseOwners)
 }
 
-// whoSaw is how many couriers are taken to have seen e's outage, where the fleet is allowed
-// so many calls to it in the fall time: the number that is likely by what was seen here or,
-// where a first call of each courier would be more than it stands, the most that it may be.
-func (c *Courier) whoSaw(e *endpoint, capacity, allowed float64) float64 {
-	out := e.downFor
+// outageObservers returns the number of couriers assumed to have seen e's outage. allowed is the
+// number of calls that the whole fleet may send to e in FallTime. The result is the likely number,
+// given the outage seen here. If a first call of every courier would exceed what the destination
+// withstands, it is the greatest possible number.
+func (c *Courier) outageObservers(e *endpoint, capacity, allowed float64) float64 {
+	outage := e.lastOutage
 	if e.state != cold {
-		out = c.now - e.failedAt
+		outage = c.now - e.failingSince
 	}
-	fleet := float64(c.s.Fleet)
-	if fleet > lease.Stands(allowed) && !c.addedUp(e.route) {
-		out = max(out, e.outage(c.now))
+	fleet := float64(c.settings.Fleet)
+	if fleet > lease.Stands(allowed) && !c.ownerKnowsLimit(e.route) {
+		outage = max(outage, e.outageBound(c.now))
 	}
-	return lease.Saw(fleet, capacity, out)
+	return lease.Saw(fleet, capacity, outage)
 }
 
-// called counts a call of this courier's own.
-func (c *Courier) called(r *route) {
-	if h := c.leased(r); h != nil {
+// countLeaseCall counts a call to r against its lease, if r needs one.
+func (c *Courier) countLeaseCall(r *route) {
+	if h := c.leaseOf(r); h != nil {
 		h.Called()
 	}
 }
 
-// limited tells whether the fleet shares the limit of a route that has refused a call,
-// and has its keeper told if the refusal was the limit's.
-func (c *Courier) limited(r *route, wait time.Duration) bool {
-	if c.leased(r) == nil {
+// reportRejection reports whether the fleet shares r's limit. If so, and if the rejection was due
+// to the limit, the lease owner will be informed.
+func (c *Courier) reportRejection(r *route, wait time.Duration) bool {
+	if c.leaseOf(r) == nil {
 		return false
 	}
-	// With much of it left, a queue or a table was full, or the endpoint drains.
-	if wait > 0 || r.reportedAt != c.now || r.left <= freeOver {
-		r.news.Refused++
+	// If much of the limit is left, a queue or table was full or the endpoint drains.
+	if wait > 0 || r.limitReportedAt != c.now || r.limitLeft <= ampleLimitLeft {
+		r.ownerReport.Refused++
 	}
 	return true
 }
 
-// reported takes what an answer has told of r's limit. What of it is left is left over by
-// the whole fleet: a lost courier's next call may go so much sooner, or what one leaves
-// that has nothing to send would be nobody's.
-func (c *Courier) reported(r *route, values int) {
-	if r.lostPace > 0 && values > 0 {
-		r.bucket.tokens += math.Max(0, r.left-freeOver)
+// recordLimitReport records a limit report of an answer with the given number of values. What is
+// left of the limit is left by the whole fleet. Without a lease owner this courier's next call may
+// go earlier by it, as otherwise the share of couriers with nothing to send would be lost.
+func (c *Courier) recordLimitReport(r *route, values int) {
+	if r.ownerlessRate > 0 && values > 0 {
+		r.bucket.tokens += math.Max(0, r.limitLeft-ampleLimitLeft)
 	}
 	if values > 0 && r.limit > 0 {
-		r.reportedAt, r.news.Limit = c.now, r.limit
+		r.limitReportedAt, r.ownerReport.Limit = c.now, r.limit
 	}
 }
 
-// serves follows whether calls reach r. Who sees it fail asks its keeper to be told of
-// its return, and who sees it answer again tells that.
-func (c *Courier) serves(r *route, o Outcome) {
-	if c.leased(r) == nil {
+// trackReachability records whether calls reach r. A courier whose calls fail asks the lease owner
+// to be informed of the recovery. One whose calls are answered again informs the lease owner.
+func (c *Courier) trackReachability(r *route, o Outcome) {
+	if c.leaseOf(r) == nil {
 		return
 	}
 	switch {
 	case o == ConnectFailed || o == TimedOut:
-		r.news.Failing = r.news.Failing || !r.failing || c.now >= r.failToldAt+failingEvery
-		r.failing = true
-	case r.failing && (o == OK || o == Full):
-		r.failing, r.news.Serves = false, true
+		r.ownerReport.Failing = r.ownerReport.Failing || !r.unreachable ||
+			c.now >= r.unreachableReportedAt+unreachableReportInterval
+		r.unreachable = true
+	case r.unreachable && (o == OK || o == Full):
+		r.unreachable, r.ownerReport.Serves = false, true
 	}
 }
 
-// returned takes a keeper's word that another courier's call has been answered: pauses of
-// this courier's own making end, a little spread, and closed endpoints are tried.
-func (c *Courier) returned(r *route) {
-	if !r.failing {
+// handleReturn handles a lease owner's message that a call of another courier was answered: pauses
+// set by this courier end after a random delay, and endpoints with an open breaker get a trial.
+func (c *Courier) handleReturn(r *route) {
+	if !r.unreachable {
 		return
 	}
-	r.failing = false
-	at := c.now + time.Duration(c.rng.Float64()*float64(returnSpread))
-	r.pauseUntil = min(r.pauseUntil, at)
-	for _, e := range r.eps {
+	r.unreachable = false
+	at := c.now + time.Duration(c.rng.Float64()*float64(returnJitter))
+	r.connectPauseUntil = min(r.connectPauseUntil, at)
+	for _, e := range r.endpoints {
 		e.trialAt = min(e.trialAt, at)
 	}
-	c.soon(at)
+	c.wakeBy(at)
 }
 
-// tell asks the keepers for leave, and tells them what they cannot see themselves.
-func (c *Courier) tell() {
-	if !c.s.Notes {
+// sendPeerMessages requests grants from the lease owners and sends them what they cannot observe.
+func (c *Courier) sendPeerMessages() {
+	if !c.settings.Notes {
 		return
 	}
-	if !c.greeted { // who has passed this courier over while it was down or cut off asks it again: else two would keep an account
-		c.greeted = true
-		for p := range min(c.s.Fleet, greetMost) {
-			if p != c.s.Number {
-				c.do(Tell{Peer: p})
+	// A courier that skipped this one while it was down or cut off has to ask it again. Otherwise
+	// two couriers would keep a quota ledger of the same destination.
+	if !c.announced {
+		c.announced = true
+		for p := range min(c.settings.Fleet, maxAnnouncements) {
+			if p != c.settings.Number {
+				c.emit(Tell{Peer: p})
 			}
 		}
 	}
 	for _, d := range c.active {
 		if len(d.routes) > 0 && d.routes[0].lease != nil {
-			c.consult(d, d.routes[0])
+			c.contactOwner(d, d.routes[0])
 		}
 	}
-	c.grant()
+	c.grantCalls()
 	for _, t := range c.outbox {
-		c.do(t)
+		c.emit(t)
 	}
 	c.outbox = nil
 }
 
-// note puts a note where it goes out with the others for that courier; those for this
-// one are heard at once.
-func (c *Courier) note(peer int, n Note) {
-	if peer == c.s.Number {
-		c.hear(peer, n)
+// queuePeerMessage queues a message so that it goes out with all others for that courier. A message
+// to this courier itself is handled at once.
+func (c *Courier) queuePeerMessage(peer int, n Note) {
+	if peer == c.settings.Number {
+		c.handlePeerMessage(peer, n)
 		return
 	}
 	for i := range c.outbox {
@@ -195,111 +199,115 @@
 	c.outbox = append(c.outbox, Tell{Peer: peer, Notes: []Note{n}})
 }
 
-// consult tells a destination's keeper what it is to know now.
-func (c *Courier) consult(d *destination, r *route) {
-	news := r.news
-	news.Destination = d.id
-	told := news.Refused > 0 || news.Failing || news.Serves ||
-		news.Limit > 0 && math.Max(news.Limit/r.toldLimit, r.toldLimit/news.Limit) > limitJump
+// contactOwner sends a destination's lease owner a grant request and pending news, if there are any.
+func (c *Courier) contactOwner(d *destination, r *route) {
+	report := r.ownerReport
+	report.Destination = d.id
+	urgent := report.Refused > 0 || report.Failing || report.Serves ||
+		report.Limit > 0 &&
+			math.Max(report.Limit/r.reportedLimit, r.reportedLimit/report.Limit) > limitChangeFactor
 	peer, ok := 0, false
 	if !r.lease.Idle() {
-		n, top := c.wishes(d)
+		n, top := c.demand(d)
 		var next time.Duration
-		peer, news.Back, ok, next = r.lease.Ask(c.now, uint32(d.id), n, c.line)
+		peer, report.Back, ok, next = r.lease.Ask(c.now, uint32(d.id), n, c.leaseOwners)
 		if next > 0 {
-			c.soon(max(next, c.now+c.s.Tick))
+			c.wakeBy(max(next, c.now+c.settings.Tick))
 		}
-		if news.Asks = ok; ok {
-			news.Calls, news.Rank = n, top
-			if peer+1 != r.toldTo && news.Limit == 0 { // it may have come up a moment ago
-				news.Limit = r.limit
+		if report.Asks = ok; ok {
+			report.Calls, report.Rank = n, top
+			if peer+1 != r.reportedTo && report.Limit == 0 { // it may have started a moment ago
+				report.Limit = r.limit
 			}
-			news.Old = news.Limit > 0 && c.now-r.reportedAt > limitNews
+			report.Old = report.Limit > 0 && c.now-r.limitReportedAt > limitFreshFor
 		}
 	}
-	if !ok && told {
-		peer, ok = c.line.Keeper(uint32(d.id), c.now)
+	if !ok && urgent {
+		peer, ok = c.leaseOwners.Keeper(uint32(d.id), c.now)
 	}
 	if !ok {
 		return
 	}
-	if news.Limit > 0 {
-		r.toldLimit, r.toldTo = news.Limit, peer+1
+	if report.Limit > 0 {
+		r.reportedLimit, r.reportedTo = report.Limit, peer+1
 	}
-	if r.news = (Note{}); news.Failing {
-		r.failToldAt = c.now
+	if r.ownerReport = (Note{}); report.Failing {
+		r.unreachableReportedAt = c.now
 	}
-	c.note(peer, news)
+	c.queuePeerMessage(peer, report)
 }
 
-// wishes is how many messages of d could go now, and what the first is worth.
-func (c *Courier) wishes(d *destination) (n, top int) {
+// demand returns how many messages of d could be sent now, and the rank of the most valuable one.
+func (c *Courier) demand(d *destination) (n, top int) {
 	for _, r := range d.queue {
-		if r.key != 0 && c.lines[r.key].queue[0] != r {
+		if r.key != 0 && c.keyQueues[r.key].queue[0] != r {
 			continue
 		}
 		n++
-		top = max(top, min(255, int(rankUnit*c.rank(r))))
+		top = max(top, min(255, int(rankPerValue*c.priority(r))))
 	}
 	return n, top
 }
 
-// heard takes what another courier tells.
-func (c *Courier) heard(ev Heard) {
-	// A keeper that has heard nobody for as long as it takes to be passed over by all was
-	// cut off: the others have gone to the next in line, each at another moment, and
-	// would come back so. Until they all had, a limit would be granted several times.
-	if c.now-c.heardAt >= lease.PassedFor && c.keepsFirst() {
-		c.greeted = false
-	}
-	c.heardAt = c.now
-	c.line.Heard(ev.Peer)
+// receiveFromPeer handles the messages of another courier.
+func (c *Courier) receiveFromPeer(ev Heard) {
+	// A lease owner that received nothing for PassedFor was cut off. The other couriers have
+	// moved to the next owner in order, each at a different moment, and would return in the same
+	// way. Until all had returned, the limit would be granted more than once.
+	if c.now-c.lastPeerAt >= lease.PassedFor && c.isPrimaryOwner() {
+		c.announced = false
+	}
+	c.lastPeerAt = c.now
+	c.leaseOwners.Heard(ev.Peer)
 	for _, n := range ev.Notes {
-		c.hear(ev.Peer, n)
+		c.handlePeerMessage(ev.Peer, n)
 	}
 }
 
-// keepsFirst tells whether this courier keeps an account that is first its own.
-func (c *Courier) keepsFirst() bool {
-	for id := range c.ledgers {
-		if c.line.First(uint32(id)) == c.s.Number {
+// isPrimaryOwner reports whether this courier keeps a quota ledger as first in the order of owners.
+func (c *Courier) isPrimaryOwner() bool {
+	for id := range c.quotaLedgers {
+		if c.leaseOwners.First(uint32(id)) == c.settings.Number {
 			return true
 		}
 	}
 	return false
 }
 
-// hear takes one note: of a keeper, or of one that asks this courier as a keeper.
-func (c *Courier) hear(peer int, n Note) {
-	d := c.dests[n.Destination]
+// handlePeerMessage handles one message from a lease owner, or to this courier as a lease owner.
+func (c *Courier) handlePeerMessage(peer int, n Note) {
+	d := c.destinations[n.Destination]
 	switch {
 	case !n.Grants:
-		c.kept(peer, n)
+		c.updateQuotaLedger(peer, n)
 	case d == nil || len(d.routes) == 0:
 	case n.Serves:
-		c.returned(d.routes[0])
+		c.handleReturn(d.routes[0])
 	case d.routes[0].lease != nil:
 		d.routes[0].lease.Granted(c.now, peer, n.Calls, n.Cold)
-		if peer == c.s.Number { // this turn's calls have gone
-			c.soon(c.now + c.s.Tick)
+		if peer == c.settings.Number { // the calls of this round have been decided
+			c.wakeBy(c.now + c.settings.Tick)
 		}
 	}
 }
 
-// kept books what a courier has told of a destination whose account this one keeps.
-func (c *Courier) kept(peer int, n Note) {
-	l := c.ledgers[n.Destination]
+// updateQuotaLedger applies a courier's message to the quota ledger that this courier keeps.
+func (c *Courier) updateQuotaLedger(peer int, n Note) {
+	l := c.quotaLedgers[n.Destination]
 	if l == nil {
-		if len(c.ledgers) >= ledgersMost {
-			maps.DeleteFunc(c.ledgers, func(_ DestinationID, l *lease.Ledger) bool { return c.now-l.Used() > ledgerIdle })
+		if len(c.quotaLedgers) >= maxQuotaLedgers {
+			maps.DeleteFunc(c.quotaLedgers, func(_ DestinationID, l *lease.Ledger) bool {
+				return c.now-l.Used() > quotaLedgerIdle
+			})
 		}
-		if len(c.ledgers) >= ledgersMost {
+		if len(c.quotaLedgers) >= maxQuotaLedgers {
 			return
 		}
 		l = lease.NewLedger(lease.Slow{
-			Share: c.s.ColdShare, Over: coldPooled * c.s.FallMultiple, Warm: c.s.WarmUp, Least: max(3, c.s.Fleet/8),
+			Share: c.settings.ColdShare, Over: pooledColdFactor * c.settings.FallMultiple,
+			Warm: c.settings.WarmUp, Least: max(3, c.settings.Fleet/8),
 		})
-		c.ledgers[n.Destination] = l
+		c.quotaLedgers[n.Destination] = l
 	}
 	if n.Old {
 		l.Known(c.now, n.Limit)
@@ -311,7 +319,7 @@
 	}
 	if n.Serves {
 		for _, p := range l.Serves(c.now) {
-			c.note(p, Note{Destination: n.Destination, Grants: true, Serves: true})
+			c.queuePeerMessage(p, Note{Destination: n.Destination, Grants: true, Serves: true})
 		}
 	}
 	if n.Refused > 0 {
@@ -319,25 +327,27 @@
 	}
 	if n.Asks {
 		l.Ask(c.now, peer, n.Calls, n.Rank, n.Back)
-		if !slices.Contains(c.wished, n.Destination) {
-			c.wished = append(c.wished, n.Destination)
+		if !slices.Contains(c.requestedLedgers, n.Destination) {
+			c.requestedLedgers = append(c.requestedLedgers, n.Destination)
 		}
 	}
 }
 
-// grant hands out what the accounts kept here allow to those that wait for it.
-func (c *Courier) grant() {
-	c.wished = slices.DeleteFunc(c.wished, func(id DestinationID) bool {
-		l := c.ledgers[id]
+// grantCalls grants the calls that the quota ledgers kept here allow to the waiting couriers.
+func (c *Courier) grantCalls() {
+	c.requestedLedgers = slices.DeleteFunc(c.requestedLedgers, func(id DestinationID) bool {
+		l := c.quotaLedgers[id]
 		if l == nil {
 			return true
 		}
 		for _, g := range l.Grants(c.now) {
-			c.note(g.Peer, Note{Destination: id, Grants: true, Calls: g.Calls, Cold: l.Cold(c.now)})
+			c.queuePeerMessage(g.Peer, Note{
+				Destination: id, Grants: true, Calls: g.Calls, Cold: l.Cold(c.now),
+			})
 		}
 		at := l.Next(c.now)
 		if at > 0 {
-			c.soon(max(at, c.now+c.s.Tick))
+			c.wakeBy(max(at, c.now+c.settings.Tick))
 		}
 		return at == 0
 	})
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -11,52 +11,52 @@
 	"snowjunction/internal/emulate/rules"
 )
 
-// member is one courier of a fleet of 80 under test, with what it has told.
-type member struct {
+// fleetMember is one courier of a fleet of 80 under test, with what it has told.
+type fleetMember struct {
 	*Courier
-	t      *testing.T
-	told   []Tell
-	sent   int
-	closed int               // times that idle connections were dropped
-	no     map[RequestID]int // attempts
-	gone   bool              // nobody listens where it calls
-	left   float64           // of the limit, as answers tell
+	t           *testing.T
+	peerSends   []Tell
+	sent        int
+	idleCloses  int               // times that idle connections were dropped
+	attempts    map[RequestID]int // attempts
+	unreachable bool              // nobody listens where it calls
+	limitLeft   float64           // of the limit, as answers tell
 }
 
-func newMember(t *testing.T, number int, notes bool) *member {
+func newMember(t *testing.T, number int, notes bool) *fleetMember {
 	c, err := New(Settings{
 		Fleet: 80, Number: number, Notes: notes, Tick: time.Millisecond, Slots: 8, MaxAttempts: 6,
 		Classes: []Class{{Effect: Safe, Aim: 1500 * time.Millisecond, Deadline: 8 * time.Second, Worth: 2, LateShare: 0.1}},
 		Tenants: []Tenant{{Quota: 600}}, Report: []ReportField{AllowanceLeft, LimitRate}, ConnectTimeout: 1500 * time.Millisecond, FallTime: 1500 * time.Millisecond,
 	})
 	require.NoError(t, err)
-	m := &member{Courier: c, t: t, no: map[RequestID]int{}, left: 0.8}
+	m := &fleetMember{Courier: c, t: t, attempts: map[RequestID]int{}, limitLeft: 0.8}
 	m.at(0, List{Kind: ListFull, Destinations: 14, Endpoints: []Endpoint{{ID: 1, Destination: 7, Phase: Ready}}})
 	return m
 }
 
 // at feeds events and answers each call at once: done, with a limit of 44 calls a second.
-func (m *member) at(now time.Duration, events ...Event) {
-	m.told = nil
+func (m *fleetMember) at(now time.Duration, events ...Event) {
+	m.peerSends = nil
 	for first := true; first || len(events) > 0; first = false {
 		actions := m.Handle(now, events)
 		events = nil
 		for _, a := range actions {
 			switch a := a.(type) {
 			case CloseIdle:
-				m.closed++
+				m.idleCloses++
 			case Tell:
-				m.told = append(m.told, a)
+				m.peerSends = append(m.peerSends, a)
 			case Send:
 				m.sent++
-				no := m.no[a.Request]
-				m.no[a.Request]++
-				if m.gone {
+				no := m.attempts[a.Request]
+				m.attempts[a.Request]++
+				if m.unreachable {
 					events = append(events, AttemptEnded{Request: a.Request, Endpoint: a.Endpoint, Attempt: no, Outcome: ConnectFailed, Took: 2 * time.Millisecond, Fresh: true})
 					continue
 				}
 				events = append(events, AttemptEnded{
-					Request: a.Request, Endpoint: a.Endpoint, Attempt: no, Took: 20 * time.Millisecond, Done: true, Report: []float64{m.left, 44},
+					Request: a.Request, Endpoint: a.Endpoint, Attempt: no, Took: 20 * time.Millisecond, Done: true, Report: []float64{m.limitLeft, 44},
 				})
 			}
 		}
@@ -64,30 +64,32 @@
 	}
 }
 
-func handed(id RequestID) Request { return Request{ID: id, Destination: 7, Deadline: 8 * time.Second} }
+func requestTo7(id RequestID) Request {
+	return Request{ID: id, Destination: 7, Deadline: 8 * time.Second}
+}
 
 // A courier of a large fleet asks a limit's keeper before it calls, calls what it is
 // granted, and calls by itself where nobody answers. Where it cannot ask it calls at once.
-func TestAsksBeforeItCalls(t *testing.T) {
+func TestRequestsGrantBeforeCall(t *testing.T) {
 	m := newMember(t, 79, true)
-	m.at(time.Second, handed(1))
-	require.Len(t, m.told, 1, "no limit is known: its keeper may know one")
-	m.at(1020*time.Millisecond, Heard{Peer: m.told[0].Peer, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}}})
+	m.at(time.Second, requestTo7(1))
+	require.Len(t, m.peerSends, 1, "no limit is known: its keeper may know one")
+	m.at(1020*time.Millisecond, Heard{Peer: m.peerSends[0].Peer, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}}})
 	assert.Equal(t, 1, m.sent)
-	require.Len(t, m.told, 1)
-	assert.Equal(t, Note{Destination: 7, Limit: 44}, m.told[0].Notes[0], "a limit that is news is told at once")
-	m.at(2*time.Second, handed(2))
+	require.Len(t, m.peerSends, 1)
+	assert.Equal(t, Note{Destination: 7, Limit: 44}, m.peerSends[0].Notes[0], "a limit that is news is told at once")
+	m.at(2*time.Second, requestTo7(2))
 	assert.Equal(t, 1, m.sent)
-	require.Len(t, m.told, 1)
-	n := m.told[0].Notes[0]
+	require.Len(t, m.peerSends, 1)
+	n := m.peerSends[0].Notes[0]
 	assert.Equal(t, Note{Destination: 7, Asks: true, Calls: 1, Rank: n.Rank}, n)
 	assert.Greater(t, n.Rank, 150)
-	keeper := m.told[0].Peer
+	keeper := m.peerSends[0].Peer
 	m.at(2020*time.Millisecond, Heard{Peer: keeper, Notes: []Note{{Destination: 7, Grants: true}}})
 	assert.Equal(t, 1, m.sent, "it waits")
 	m.at(2050*time.Millisecond, Heard{Peer: keeper, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}, {Destination: 8, Grants: true, Calls: 1}}})
 	assert.Equal(t, 2, m.sent)
-	m.at(3*time.Second, handed(3))
+	m.at(3*time.Second, requestTo7(3))
 	for now := 3 * time.Second; m.sent < 3; now += 10 * time.Millisecond {
 		require.Less(t, now, 8*time.Second, "the keepers are dead")
 		m.at(now)
@@ -95,16 +97,16 @@
 
 	alone := newMember(t, 79, false)
 	for id := RequestID(1); id < 5; id++ {
-		alone.at(time.Duration(id)*time.Second, handed(id))
+		alone.at(time.Duration(id)*time.Second, requestTo7(id))
 		assert.Equal(t, int(id), alone.sent)
-		assert.Empty(t, alone.told)
+		assert.Empty(t, alone.peerSends)
 	}
 }
 
 // Where no keeper answers any more, a courier goes on at the pace that its keeper has
 // left it: the whole fleet may be cut off from each other at once, and its calls together
 // must not pass the limit. Once a keeper answers, grants count again.
-func TestPaceWithoutKeepers(t *testing.T) {
+func TestPacingWithoutLeaseOwner(t *testing.T) {
 	m := newMember(t, 79, true)
 	id, keeper := RequestID(0), 0
 	run := func(from, to time.Duration, answers func(peer int) bool) {
@@ -113,10 +115,10 @@
 			if now%(500*time.Millisecond) == 0 { // twenty a second, far over its part
 				for range 10 {
 					id++
-					events = append(events, handed(id))
+					events = append(events, requestTo7(id))
 				}
 			}
-			for _, x := range m.told {
+			for _, x := range m.peerSends {
 				if keeper = x.Peer; len(x.Notes) > 0 && x.Notes[0].Asks && answers(keeper) {
 					events = append(events, Heard{Peer: keeper, Notes: []Note{{Destination: 7, Grants: true}}})
 				}
@@ -131,10 +133,10 @@
 	run(time.Second, 13*time.Second, always)
 	was := m.sent
 	assert.InDelta(t, 24, was, 6, "two a second")
-	m.left = 0.4
+	m.limitLeft = 0.4
 	run(13*time.Second, 19*time.Second, func(int) bool { return false })
 	assert.InDelta(t, 12, m.sent-was, 4, "nobody answers")
-	was, m.left = m.sent, 0.9
+	was, m.limitLeft = m.sent, 0.9
 	run(19*time.Second, 25*time.Second, func(int) bool { return false })
 	assert.Greater(t, m.sent-was, 18, "answers tell that others leave most of the limit")
 	was = m.sent
@@ -144,20 +146,20 @@
 
 // What a courier tells with an ask is news for a moment alone: then it may be from before
 // a cut, as from all that have not called since.
-func TestToldLimitGetsOld(t *testing.T) {
+func TestReportedLimitIsMarkedOld(t *testing.T) {
 	m := newMember(t, 79, true)
 	asked := func(at time.Duration) Note {
-		m.at(at, handed(RequestID(at)))
-		require.Len(t, m.told, 1)
-		n := m.told[0].Notes[0]
+		m.at(at, requestTo7(RequestID(at)))
+		require.Len(t, m.peerSends, 1)
+		n := m.peerSends[0].Notes[0]
 		require.True(t, n.Asks)
 		return n
 	}
 	asked(time.Second)
-	m.at(1010*time.Millisecond, Heard{Peer: m.told[0].Peer, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}}})
+	m.at(1010*time.Millisecond, Heard{Peer: m.peerSends[0].Peer, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}}})
 	n := asked(1100 * time.Millisecond)
 	assert.False(t, n.Old && n.Limit > 0)
-	m.at(1110*time.Millisecond, Heard{Peer: m.told[0].Peer, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}}})
+	m.at(1110*time.Millisecond, Heard{Peer: m.peerSends[0].Peer, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}}})
 	n = asked(3 * time.Second)
 	assert.Equal(t, 44.0, n.Limit)
 	assert.True(t, n.Old)
@@ -165,25 +167,25 @@
 
 // A limit that is told to be cut cuts the pace of one without a keeper, and a restored one
 // restores it.
-func TestPaceWithoutKeepersFollowsTheLimit(t *testing.T) {
+func TestPacingWithoutLeaseOwnerFollowsLimit(t *testing.T) {
 	m := newMember(t, 79, true)
-	m.at(time.Second, handed(1))
-	r := m.dests[7].routes[0]
-	r.pace, r.lostPace, r.limit = 2, 4, 44
-	m.report(r, []float64{0, 11})
-	assert.InDelta(t, 0.5, r.pace, 0.01)
-	assert.InDelta(t, 1, r.lostPace, 0.01)
-	m.report(r, []float64{0, 44})
-	assert.InDelta(t, 4, r.lostPace, 0.01)
+	m.at(time.Second, requestTo7(1))
+	r := m.destinations[7].routes[0]
+	r.pacingRate, r.ownerlessRate, r.limit = 2, 4, 44
+	m.applyReport(r, []float64{0, 11})
+	assert.InDelta(t, 0.5, r.pacingRate, 0.01)
+	assert.InDelta(t, 1, r.ownerlessRate, 0.01)
+	m.applyReport(r, []float64{0, 44})
+	assert.InDelta(t, 4, r.ownerlessRate, 0.01)
 }
 
 // The keeper grants what the limit allows and no more, and holds back after a refusal.
-func TestKeeperGrants(t *testing.T) {
+func TestLeaseOwnerGrantsWithinLimit(t *testing.T) {
 	m := newMember(t, 3, true)
 	granted := func(from, to time.Duration) (n int) {
 		for now := from; now < to; now += 5 * time.Millisecond {
 			m.at(now)
-			for _, x := range m.told {
+			for _, x := range m.peerSends {
 				n += x.Notes[0].Calls
 			}
 		}
@@ -198,25 +200,25 @@
 	for peer := range 60 { // what they knew before is no news
 		m.at(2*time.Second, Heard{Peer: peer + 10, Notes: []Note{{Destination: 7, Asks: true, Calls: 1, Rank: 10, Limit: 400, Old: true}}})
 	}
-	assert.InDelta(t, 40, m.ledgers[7].Rate(), 0.01)
+	assert.InDelta(t, 40, m.quotaLedgers[7].Rate(), 0.01)
 	m.at(2900*time.Millisecond, Heard{Peer: 9, Notes: []Note{{Destination: 7, Refused: 1}}})
 	assert.Zero(t, granted(2901*time.Millisecond, 2980*time.Millisecond))
 }
 
 // A partner that refused every connection for long is called again soon after its
 // return: a pause that grew with each refusal would last as long as the outage did.
-func TestReturnIsFoundSoon(t *testing.T) {
+func TestRecoveryIsDetectedSoon(t *testing.T) {
 	m := newMember(t, 79, false)
-	m.at(time.Second, handed(1), handed(2))
+	m.at(time.Second, requestTo7(1), requestTo7(2))
 	back := 12 * time.Second
-	m.gone = true
+	m.unreachable = true
 	for now := 2 * time.Second; now < back; now += 5 * time.Millisecond {
 		m.at(now)
 		if now%(500*time.Millisecond) == 0 {
-			m.at(now+time.Millisecond, handed(RequestID(now/time.Millisecond)))
+			m.at(now+time.Millisecond, requestTo7(RequestID(now/time.Millisecond)))
 		}
 	}
-	m.gone = false
+	m.unreachable = false
 	was, now := m.sent, back
 	for ; m.sent == was; now += 5 * time.Millisecond {
 		require.Less(t, now, back+5*time.Second)
@@ -227,19 +229,19 @@
 
 // Who saw a partner fail asks its keeper to be told of its return; the first whose call
 // is answered tells it, and the others call within a moment, not after their pause.
-func TestReturnIsTold(t *testing.T) {
+func TestRecoveryIsReportedToFleet(t *testing.T) {
 	m := newMember(t, 79, true)
-	m.at(time.Second, handed(1))
-	keeper := m.told[0].Peer
+	m.at(time.Second, requestTo7(1))
+	keeper := m.peerSends[0].Peer
 	grant := Heard{Peer: keeper, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}}}
 	m.at(1010*time.Millisecond, grant)
-	m.at(2*time.Second, handed(2))
-	m.gone = true
+	m.at(2*time.Second, requestTo7(2))
+	m.unreachable = true
 	m.at(2010*time.Millisecond, grant)
-	require.Len(t, m.told, 1)
-	assert.True(t, m.told[0].Notes[0].Failing)
-	assert.Equal(t, keeper, m.told[0].Peer)
-	m.gone = false
+	require.Len(t, m.peerSends, 1)
+	assert.True(t, m.peerSends[0].Notes[0].Failing)
+	assert.Equal(t, keeper, m.peerSends[0].Peer)
+	m.unreachable = false
 	was := m.sent
 	m.at(2100*time.Millisecond, grant)
 	assert.Equal(t, was, m.sent, "it pauses")
@@ -254,32 +256,32 @@
 		k.at(time.Second, Heard{Peer: peer + 10, Notes: []Note{{Destination: 7, Limit: 40, Failing: true}}})
 	}
 	k.at(5*time.Second, Heard{Peer: 15, Notes: []Note{{Destination: 7, Serves: true}}})
-	require.Len(t, k.told, 20)
-	for i, x := range k.told {
+	require.Len(t, k.peerSends, 20)
+	for i, x := range k.peerSends {
 		assert.Equal(t, Tell{Peer: i + 10, Notes: []Note{{Destination: 7, Grants: true, Serves: true}}}, x)
 	}
 	k.at(6*time.Second, Heard{Peer: 15, Notes: []Note{{Destination: 7, Serves: true}}})
-	assert.Empty(t, k.told, "once")
+	assert.Empty(t, k.peerSends, "once")
 }
 
 // A courier says that it is there when it starts, and one that was passed over is asked
 // again as soon as it does: two keepers at once would grant the limit twice.
-func TestGreeting(t *testing.T) {
-	m := &member{t: t, no: map[RequestID]int{}, Courier: newMember(t, 79, true).Courier}
-	m.at(time.Second, handed(1))
-	first := m.told[0].Peer
+func TestAnnouncement(t *testing.T) {
+	m := &fleetMember{t: t, attempts: map[RequestID]int{}, Courier: newMember(t, 79, true).Courier}
+	m.at(time.Second, requestTo7(1))
+	first := m.peerSends[0].Peer
 	now := time.Second
-	for ; len(m.told) == 0 || m.told[0].Peer == first; now += 10 * time.Millisecond {
+	for ; len(m.peerSends) == 0 || m.peerSends[0].Peer == first; now += 10 * time.Millisecond {
 		require.Less(t, now, 3*time.Second)
 		m.at(now)
 	}
 	m.at(now, Heard{Peer: first})
-	for len(m.told) == 0 {
+	for len(m.peerSends) == 0 {
 		require.Less(t, now, 3*time.Second)
 		now += 10 * time.Millisecond
 		m.at(now)
 	}
-	assert.Equal(t, first, m.told[0].Peer)
+	assert.Equal(t, first, m.peerSends[0].Peer)
 
 	// So does a keeper that was cut off from all and hears one again; another does not.
 	for number, greets := range map[int]int{first: 79, 79: 0} {
@@ -287,10 +289,10 @@
 		note := Heard{Peer: 9, Notes: []Note{{Destination: 7, Asks: true, Calls: 1, Limit: 40}}}
 		k.at(time.Second, note)
 		k.at(2500*time.Millisecond, note)
-		assert.LessOrEqual(t, len(k.told), 1, "it has been heard all along")
+		assert.LessOrEqual(t, len(k.peerSends), 1, "it has been heard all along")
 		k.at(4600*time.Millisecond, note)
 		empty := 0
-		for _, x := range k.told {
+		for _, x := range k.peerSends {
 			if len(x.Notes) == 0 {
 				empty++
 			}
@@ -310,27 +312,27 @@
 
 // Where a table of connections was full at once, it is taken by the idle ones of the whole
 // fleet: this courier's go after use, as it hardly uses one again. Before that they stay.
-func TestIdleConnectionsOfAll(t *testing.T) {
+func TestClosesAfterUseWhenTableIsFull(t *testing.T) {
 	m := newMember(t, 79, false)
-	m.at(time.Second, handed(1))
-	m.at(2*time.Second, handed(2))
-	assert.Zero(t, m.closed)
-	m.gone = true
-	m.at(10*time.Second, handed(3))
-	m.gone = false
+	m.at(time.Second, requestTo7(1))
+	m.at(2*time.Second, requestTo7(2))
+	assert.Zero(t, m.idleCloses)
+	m.unreachable = true
+	m.at(10*time.Second, requestTo7(3))
+	m.unreachable = false
 	for now := 10 * time.Second; now < 15*time.Second; now += 5 * time.Millisecond {
 		m.at(now)
 	}
-	was := m.closed
+	was := m.idleCloses
 	for i := range 3 {
-		m.at(time.Duration(16+i)*time.Second, handed(RequestID(4+i)))
-		assert.Equal(t, was+i+1, m.closed, "each goes after its use")
+		m.at(time.Duration(16+i)*time.Second, requestTo7(RequestID(4+i)))
+		assert.Equal(t, was+i+1, m.idleCloses, "each goes after its use")
 	}
 }
 
 // Each outage draws its first call anew, whatever was called before: a call that failed
 // alone, and the one after it, are no part of it.
-func TestEachOutageIsDrawn(t *testing.T) {
+func TestEachOutageDrawsItsFirstCall(t *testing.T) {
 	early := 0
 	for seed := range uint64(40) {
 		g := newRig(t, func(s *Settings) { s.Fleet, s.Seed = 30, seed }, Endpoint{ID: 10, Destination: 1, Weight: 10})
@@ -338,17 +340,17 @@
 			if id == 4 {
 				g.step(30 * time.Second)
 			}
-			g.step(time.Second, req(RequestID(id+1), order))
-			ev := g.end(RequestID(id+1), o)
-			ev.Took = g.c.s.ConnectTimeout
+			g.step(time.Second, newRequest(RequestID(id+1), order))
+			ev := g.outcome(RequestID(id+1), o)
+			ev.Took = g.c.settings.ConnectTimeout
 			g.step(100*ms, ev)
 			for again := range g.out {
-				g.step(100*ms, g.end(again, OK))
+				g.step(100*ms, g.outcome(again, OK))
 			}
 		}
-		want(t, "state", g.c.eps[10].state, down)
+		want(t, "state", g.c.endpoints[10].state, down)
 		for id := RequestID(10); id < 14; id++ {
-			g.step(0, req(id, safe))
+			g.step(0, newRequest(id, safe))
 		}
 		early += len(sends(g.run(1500 * ms)))
 	}
@@ -371,19 +373,19 @@
 		for no := range fleet {
 			g := newRig(t, func(s *Settings) { s.Fleet, s.Seed = fleet, uint64(no) }, Endpoint{ID: 10, Destination: 1, Weight: limit})
 			back = g.now + 21*time.Second
-			g.step(0, req(1, safe))
-			g.step(100*ms, g.end(1, OK))
+			g.step(0, newRequest(1, safe))
+			g.step(100*ms, g.outcome(1, OK))
 			for id := RequestID(2); g.now < back+4*time.Second; {
 				if g.now > back-begun && g.now < back-begun+200*ms { // a few wait when it returns
 					id++
-					g.step(0, req(id, safe))
+					g.step(0, newRequest(id, safe))
 				}
 				g.step(20 * ms)
 				for id := range g.out {
-					ev := g.end(id, ConnectFailed)
-					ev.Took = g.c.s.ConnectTimeout
+					ev := g.outcome(id, ConnectFailed)
+					ev.Took = g.c.settings.ConnectTimeout
 					if g.now > back {
-						ev = g.end(id, OK)
+						ev = g.outcome(id, OK)
 						all = append(all, sent{g.now, int32(no)})
 					}
 					g.step(0, ev)
--- a/footprint.go
+++ b/footprint.go
@@ -1,40 +1,45 @@
 package snowjunction
 
-import size "unsafe" // the tests have an unsafe of their own
+import size "unsafe" // renamed because the tests have a constant named unsafe
 
-// Footprint is what a courier holds. Bytes are reckoned from the sizes of what it is made
-// of, without what the allocator adds.
+// Footprint is the memory use of a Courier. Bytes are computed from the sizes of its data
+// structures, without allocator overhead.
 type Footprint struct {
 	Destinations, Endpoints, Requests int
-	BooksBytes                        int // of these
-	Accounts                          int // that it keeps for the fleet
+	BooksBytes                        int // of these three
+	Accounts                          int // quota ledgers kept as a lease owner
 	AccountBytes                      int
 }
 
-const wordsOfMapEntry = 3 // pointer, key and control bytes, at seven eighths full at most
+const mapEntryWords = 3 // pointer, key and control bytes, at seven eighths full at most
 
-// Footprint tells what this courier holds. It changes nothing.
+// Footprint returns the present memory use. It changes no state.
 func (c *Courier) Footprint() Footprint {
 	word := int(size.Sizeof(uintptr(0)))
-	f := Footprint{Destinations: len(c.dests), Endpoints: len(c.eps), Requests: len(c.reqs), Accounts: len(c.ledgers)}
-	for _, d := range c.order {
-		f.BooksBytes += int(size.Sizeof(*d)) + word*(wordsOfMapEntry+cap(d.queue)+cap(d.eps)+cap(d.routes))
+	f := Footprint{
+		Destinations: len(c.destinations), Endpoints: len(c.endpoints), Requests: len(c.requests),
+		Accounts: len(c.quotaLedgers),
+	}
+	for _, d := range c.destinationOrder {
+		f.BooksBytes += int(size.Sizeof(*d)) +
+			word*(mapEntryWords+cap(d.queue)+cap(d.endpoints)+cap(d.routes))
 		for _, r := range d.routes {
-			f.BooksBytes += int(size.Sizeof(*r)) + 2*word*cap(r.coldSends.at) + word*cap(r.eps)
+			f.BooksBytes += int(size.Sizeof(*r)) + 2*word*cap(r.coldCalls.times) + word*cap(r.endpoints)
 			if r.lease != nil {
 				f.BooksBytes += int(size.Sizeof(*r.lease))
 			}
 		}
-		for _, e := range d.eps {
-			f.BooksBytes += int(size.Sizeof(*e)) + word*(wordsOfMapEntry+cap(e.calls)+cap(e.idle)+cap(e.soured))
+		for _, e := range d.endpoints {
+			f.BooksBytes += int(size.Sizeof(*e)) +
+				word*(mapEntryWords+cap(e.calls)+cap(e.idleConns)+cap(e.classFailedAt))
 		}
 	}
-	for _, r := range c.reqs {
-		f.BooksBytes += int(size.Sizeof(*r)) + word*wordsOfMapEntry
+	for _, r := range c.requests {
+		f.BooksBytes += int(size.Sizeof(*r)) + word*mapEntryWords
 	}
-	for _, l := range c.ledgers {
-		f.AccountBytes += l.Bytes() + word*wordsOfMapEntry
+	for _, l := range c.quotaLedgers {
+		f.AccountBytes += l.Bytes() + word*mapEntryWords
 	}
-	f.BooksBytes += c.line.Bytes()
+	f.BooksBytes += c.leaseOwners.Bytes()
 	return f
 }
