--- a/sleep.go
+++ b/sleep.go
@@ -2,138 +2,141 @@
 
 import "time"
 
-// sleep hands out what is known of a destination that has nothing to do, and
-// forgets it. Lines of keys are not a destination's: their rest goes on.
-func (c *Courier) sleep(ev Sleep) {
-	d := c.dests[ev.Destination]
-	if d == nil || len(d.queue) > 0 || d.calls > 0 {
-		c.do(Asleep{Destination: ev.Destination, Busy: d != nil})
+// unload returns a snapshot of an idle destination and removes it. Key queues do not belong to a
+// destination, so their settling delays continue.
+func (c *Courier) unload(ev Sleep) {
+	d := c.destinations[ev.Destination]
+	if d == nil || len(d.queue) > 0 || d.openCalls > 0 {
+		c.emit(Asleep{Destination: ev.Destination, Busy: d != nil})
 		return
 	}
-	s := c.state(d)
-	for _, e := range d.eps {
-		delete(c.eps, e.ID)
+	s := c.snapshot(d)
+	for _, e := range d.endpoints {
+		delete(c.endpoints, e.ID)
 	}
-	delete(c.dests, ev.Destination)
-	c.order, c.active = remove(c.order, d), remove(c.active, d)
-	c.do(Asleep{Destination: ev.Destination, State: s})
+	delete(c.destinations, ev.Destination)
+	c.destinationOrder, c.active = remove(c.destinationOrder, d), remove(c.active, d)
+	c.emit(Asleep{Destination: ev.Destination, State: s})
 }
 
-// look hands out what is known of a destination, and keeps it.
-func (c *Courier) look(ev Look) {
-	seen := Seen{Destination: ev.Destination}
-	if d := c.dests[ev.Destination]; d != nil {
-		seen.State = c.state(d)
+// inspect returns a snapshot of a destination, which stays loaded.
+func (c *Courier) inspect(ev Look) {
+	result := Seen{Destination: ev.Destination}
+	if d := c.destinations[ev.Destination]; d != nil {
+		result.State = c.snapshot(d)
 	}
-	c.do(seen)
+	c.emit(result)
 }
 
-// state is what is known of a destination.
-func (c *Courier) state(d *destination) *State {
+// snapshot returns what is known about d.
+func (c *Courier) snapshot(d *destination) *State {
 	s := &State{
-		Recent: d.recent, Best: d.best, Peak: d.peak, Window: d.window,
-		First: d.first.sum(c.now), Repeats: d.repeats.sum(c.now), Served: d.served.sum(c.now),
-		RepeatGap: c.repeatGap[d.kindNo], Small: max(0, c.small[d.kindNo]-c.now),
+		Recent: d.latency, Best: d.bestLatency, Peak: d.peakRate, Window: d.window,
+		First: d.firstAttempts.sum(c.now), Repeats: d.retries.sum(c.now), Served: d.successes.sum(c.now),
+		RepeatGap: c.retryGap[d.kindIndex], Small: max(0, c.smallTableUntil[d.kindIndex]-c.now),
 	}
 	for no, r := range d.routes {
 		s.Routes = append(s.Routes, RouteState{
-			Limit: r.limit, Left: r.left, Pace: r.pace, Gap: r.gap, Wait: max(0, r.shutUntil()-c.now),
-			Fulls: r.fulls, FullAgo: c.now - r.fullAt, ColdSends: r.coldSends.since(c.now - c.coldSpan()),
+			Limit: r.limit, Left: r.limitLeft, Pace: r.pacingRate, Gap: r.callGap,
+			Wait: max(0, r.blockedUntil()-c.now), Fulls: r.rejections, FullAgo: c.now - r.rejectedAt,
+			ColdSends: r.coldCalls.sumSince(c.now - c.coldHistorySpan()),
 		})
-		for _, e := range r.eps {
+		for _, e := range r.endpoints {
 			if e.Phase == Gone {
 				continue
 			}
 			s.EndpointsSeen = append(s.EndpointsSeen, EndpointState{
-				ID: e.ID, Route: no, Latency: e.latency, Condition: Condition(e.state), For: c.now - e.since,
-				Failed: c.now - e.failedAt, DownFor: e.downFor, Backoff: e.backoff, Trial: e.trialAt - c.now,
-				Fails: e.fails, Vouched: e.vouched,
+				ID: e.ID, Route: no, Latency: e.latency, Condition: Condition(e.state),
+				For: c.now - e.stateSince, Failed: c.now - e.failingSince, DownFor: e.lastOutage,
+				Backoff: e.backoff, Trial: e.trialAt - c.now, Fails: e.failures, Vouched: e.trialSafe,
 			})
 		}
 	}
 	return s
 }
 
-// coldSpan is how long calls to endpoints that are not well are remembered.
-func (c *Courier) coldSpan() time.Duration { return max(c.s.WarmUp, c.s.FallTime) }
+// coldHistorySpan returns how long calls to unhealthy endpoints are remembered.
+func (c *Courier) coldHistorySpan() time.Duration { return max(c.settings.WarmUp, c.settings.FallTime) }
 
-// awaken takes a destination back. What was known of a route or an endpoint
-// counts for those that are listed still; the times go on from where they were.
-func (c *Courier) awaken(ev Wake) {
-	asleep := c.dests[ev.Destination] == nil
-	c.list(List{Kind: ListDelta, Endpoints: ev.Endpoints, Destinations: ev.Destinations})
-	d := c.destination(ev.Destination)
-	if !asleep {
+// load restores a destination from its snapshot. Routes and endpoints that are still listed keep
+// their state, and all durations have continued to run meanwhile.
+func (c *Courier) load(ev Wake) {
+	wasUnloaded := c.destinations[ev.Destination] == nil
+	c.applyList(List{Kind: ListDelta, Endpoints: ev.Endpoints, Destinations: ev.Destinations})
+	d := c.destinationFor(ev.Destination)
+	if !wasUnloaded {
 		return
 	}
 	s := ev.State
 	if s == nil {
 		s = &State{}
 	}
-	d.recent, d.best, d.peak = s.Recent, s.Best, s.Peak
+	d.latency, d.bestLatency, d.peakRate = s.Recent, s.Best, s.Peak
 	c.sweepAt = 0
 	if s.Window > 0 {
-		d.window = min(s.Window, float64(c.s.Slots))
+		d.window = min(s.Window, float64(c.settings.Slots))
 	}
 	if ev.Caution.Window > 0 {
 		d.window = min(d.window, ev.Caution.Window)
 	}
-	if ev.Slept < ledgerSpan {
-		d.first.add(c.now, s.First*(1-float64(ev.Slept)/float64(ledgerSpan)))
-		d.repeats.add(c.now, s.Repeats)
-		d.since = c.now - ledgerSpan
-		d.served.add(c.now, s.Served*(1-float64(ev.Slept)/float64(ledgerSpan)))
+	if ev.Slept < retryBudgetWindow {
+		d.firstAttempts.add(c.now, s.First*(1-float64(ev.Slept)/float64(retryBudgetWindow)))
+		d.retries.add(c.now, s.Repeats)
+		d.countingSince = c.now - retryBudgetWindow
+		d.successes.add(c.now, s.Served*(1-float64(ev.Slept)/float64(retryBudgetWindow)))
 	}
-	if g := &c.repeatGap[d.kindNo]; *g == c.prompt { // nothing has been learnt of the kind since
-		*g = max(*g, min(s.RepeatGap, gapMost*c.prompt))
+	if g := &c.retryGap[d.kindIndex]; *g == c.minTargetLatency { // nothing was learned about the kind since
+		*g = max(*g, min(s.RepeatGap, maxCallGap*c.minTargetLatency))
 	}
-	c.small[d.kindNo] = max(c.small[d.kindNo], c.now+s.Small-ev.Slept)
+	c.smallTableUntil[d.kindIndex] = max(c.smallTableUntil[d.kindIndex], c.now+s.Small-ev.Slept)
 	routes := map[*route]bool{}
-	for _, was := range s.EndpointsSeen {
-		e := c.eps[was.ID]
+	for _, saved := range s.EndpointsSeen {
+		e := c.endpoints[saved.ID]
 		if e == nil || e.route.dest != d {
 			continue
 		}
-		if was.Route >= 0 && was.Route < len(s.Routes) && !routes[e.route] {
+		if saved.Route >= 0 && saved.Route < len(s.Routes) && !routes[e.route] {
 			routes[e.route] = true
-			c.recall(e.route, s.Routes[was.Route], ev.Slept)
+			c.restoreRoute(e.route, s.Routes[saved.Route], ev.Slept)
 		}
-		ago := ev.Slept
-		e.latency, e.state, e.since = was.Latency, health(was.Condition), c.now-was.For-ago
-		e.failedAt, e.downFor, e.backoff = c.now-was.Failed-ago, was.DownFor, was.Backoff
-		e.trialAt, e.fails, e.vouched = c.now+max(0, was.Trial-ago), was.Fails, was.Vouched
+		age := ev.Slept
+		e.latency, e.state, e.stateSince = saved.Latency, health(saved.Condition), c.now-saved.For-age
+		e.failingSince, e.lastOutage, e.backoff = c.now-saved.Failed-age, saved.DownFor, saved.Backoff
+		e.trialAt, e.failures, e.trialSafe = c.now+max(0, saved.Trial-age), saved.Fails, saved.Vouched
 		if e.WasOut > 0 {
-			e.returns(c.now)
+			e.enterRecovery(c.now)
 		}
 	}
-	if len(d.routes) == 0 && len(s.Routes) == 1 { // its endpoints are yet to be listed: they join this route
-		d.routes = append(d.routes, &route{dest: d, left: 1})
+	if len(d.routes) == 0 && len(s.Routes) == 1 { // its endpoints will join this route when they are listed
+		d.routes = append(d.routes, &route{dest: d, limitLeft: 1})
 	}
-	// A told wait and a limit are a destination's, also where all of its
-	// endpoints have been replaced.
+	// A retry-after delay and a limit belong to the destination, even if all of its endpoints
+	// have been replaced.
 	for _, r := range d.routes {
 		if !routes[r] && len(s.Routes) == 1 {
-			c.recall(r, s.Routes[0], ev.Slept)
+			c.restoreRoute(r, s.Routes[0], ev.Slept)
 		}
-		if ev.Caution.Careful > 0 { // the first call counts, also before a limit is known
-			r.carefulUntil, r.bucket = c.now+ev.Caution.Careful, bucket{tokens: 1, at: c.now, begun: true}
+		if ev.Caution.Careful > 0 { // the first call counts even before a limit is known
+			r.cautiousUntil, r.bucket = c.now+ev.Caution.Careful,
+				tokenBucket{tokens: 1, filledAt: c.now, started: true}
 		}
 	}
-	for _, e := range d.eps {
+	for _, e := range d.endpoints {
 		if e.state == up && ev.Caution.Cold {
-			e.state, e.since, e.downFor = cold, c.now, max(e.downFor, ev.Slept)
+			e.state, e.stateSince, e.lastOutage = cold, c.now, max(e.lastOutage, ev.Slept)
 		}
 	}
 }
 
-func (c *Courier) recall(r *route, was RouteState, ago time.Duration) {
-	r.limit, r.left, r.pace, r.gap = was.Limit, was.Left, was.Pace, was.Gap
-	r.fulls, r.fullAt = was.Fulls, c.now-was.FullAgo-ago
-	r.waitUntil = max(r.waitUntil, c.now+was.Wait-ago)
-	if ago < c.coldSpan() && was.ColdSends > 0 {
-		r.coldSends.add(c.now, was.ColdSends)
-	}
-	if c.s.WeightsAreLimits && len(r.eps) > 0 && r.eps[0].Weight > 0 {
-		r.limit = r.eps[0].Weight
+// restoreRoute restores a route from a snapshot taken age ago.
+func (c *Courier) restoreRoute(r *route, saved RouteState, age time.Duration) {
+	r.limit, r.limitLeft, r.pacingRate, r.callGap = saved.Limit, saved.Left, saved.Pace, saved.Gap
+	r.rejections, r.rejectedAt = saved.Fulls, c.now-saved.FullAgo-age
+	r.waitUntil = max(r.waitUntil, c.now+saved.Wait-age)
+	if age < c.coldHistorySpan() && saved.ColdSends > 0 {
+		r.coldCalls.add(c.now, saved.ColdSends)
+	}
+	if c.settings.WeightsAreLimits && len(r.endpoints) > 0 && r.endpoints[0].Weight > 0 {
+		r.limit = r.endpoints[0].Weight
 	}
 }
--- a/sleep_test.go
+++ b/sleep_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// rested is a courier with one destination of two endpoints, of which the first
+// newLoadedCourier is a courier with one destination of two endpoints, of which the first
 // has served a call and told its limit.
-func rested(t *testing.T) *Courier {
+func newLoadedCourier(t *testing.T) *Courier {
 	t.Helper()
-	s := sleepSettings()
+	s := unloadSettings()
 	c, err := New(s)
 	if err != nil {
 		t.Fatal(err)
@@ -20,7 +20,7 @@
 	return c
 }
 
-func sleepSettings() Settings {
+func unloadSettings() Settings {
 	return Settings{
 		Seed: 1, Fleet: 1, Tick: 5 * time.Millisecond, Slots: 8, MaxAttempts: 6, RetryAfter: true, MaxRetry: 3 * time.Second,
 		ConnectTimeout: time.Second, WarmUp: 14 * time.Second, ColdShare: 0.2, FallMultiple: 2, FallTime: 1500 * time.Millisecond,
@@ -32,7 +32,7 @@
 	}
 }
 
-func asleep(t *testing.T, actions []Action) Asleep {
+func unloadResult(t *testing.T, actions []Action) Asleep {
 	t.Helper()
 	for _, a := range actions {
 		if a, ok := a.(Asleep); ok {
@@ -45,37 +45,37 @@
 
 // A destination with a call out stays; one without is handed out whole and
 // leaves nothing behind.
-func TestSleepHandsOut(t *testing.T) {
-	c := rested(t)
-	if a := asleep(t, c.Handle(10*time.Millisecond, []Event{Sleep{1}})); !a.Busy || a.State != nil {
+func TestUnloadReturnsSnapshot(t *testing.T) {
+	c := newLoadedCourier(t)
+	if a := unloadResult(t, c.Handle(10*time.Millisecond, []Event{Sleep{1}})); !a.Busy || a.State != nil {
 		t.Errorf("with a call out: %+v", a)
 	}
 	c.Handle(200*time.Millisecond, []Event{AttemptEnded{
 		Request: 1, Endpoint: 1, Outcome: OK, Took: 200 * time.Millisecond, Report: []float64{.5, 4}, Done: true,
 	}})
-	a := asleep(t, c.Handle(time.Second, []Event{Sleep{1}}))
+	a := unloadResult(t, c.Handle(time.Second, []Event{Sleep{1}}))
 	if a.Busy || a.State == nil || len(a.State.Routes) != 1 || len(a.State.EndpointsSeen) != 2 {
 		t.Fatalf("%+v", a)
 	}
 	if r := a.State.Routes[0]; r.Limit != 4 || a.State.Recent == 0 || a.State.First != 1 {
 		t.Errorf("%+v", a.State)
 	}
-	if len(c.dests)+len(c.eps)+len(c.order)+len(c.active)+len(c.reqs)+len(c.held) != 0 {
-		t.Errorf("left behind: %d %d %d %d", len(c.dests), len(c.eps), len(c.order), len(c.active))
+	if len(c.destinations)+len(c.endpoints)+len(c.destinationOrder)+len(c.active)+len(c.requests)+len(c.pending) != 0 {
+		t.Errorf("left behind: %d %d %d %d", len(c.destinations), len(c.endpoints), len(c.destinationOrder), len(c.active))
 	}
-	if a := asleep(t, c.Handle(2*time.Second, []Event{Sleep{1}})); a.Busy || a.State != nil {
+	if a := unloadResult(t, c.Handle(2*time.Second, []Event{Sleep{1}})); a.Busy || a.State != nil {
 		t.Errorf("one that is not known: %+v", a)
 	}
 }
 
 // A told wait goes on through sleep, whatever has become of the endpoints.
-func TestToldWaitOutlastsSleep(t *testing.T) {
+func TestRetryAfterDelaySurvivesUnload(t *testing.T) {
 	for name, ids := range map[string][2]EndpointID{"same": {1, 2}, "replaced": {7, 8}} {
-		c := rested(t)
+		c := newLoadedCourier(t)
 		c.Handle(100*time.Millisecond, []Event{AttemptEnded{
 			Request: 1, Endpoint: 1, Outcome: Full, Took: 100 * time.Millisecond, Wait: 5 * time.Second, Report: []float64{0, 4},
 		}, Withdrawn{1}})
-		a := asleep(t, c.Handle(200*time.Millisecond, []Event{Sleep{1}}))
+		a := unloadResult(t, c.Handle(200*time.Millisecond, []Event{Sleep{1}}))
 		if a.State == nil {
 			t.Fatalf("%s: %+v", name, a)
 		}
@@ -101,10 +101,10 @@
 }
 
 // A wait outlasts a time without any endpoint, too.
-func TestToldWaitWithoutEndpoints(t *testing.T) {
-	c := rested(t)
+func TestRetryAfterDelaySurvivesWithoutEndpoints(t *testing.T) {
+	c := newLoadedCourier(t)
 	c.Handle(100*time.Millisecond, []Event{AttemptEnded{Request: 1, Endpoint: 1, Outcome: Full, Took: time.Millisecond, Wait: 5 * time.Second}, Withdrawn{1}})
-	a := asleep(t, c.Handle(200*time.Millisecond, []Event{Sleep{1}}))
+	a := unloadResult(t, c.Handle(200*time.Millisecond, []Event{Sleep{1}}))
 	c.Handle(time.Second, []Event{Wake{Destination: 1, State: a.State, Slept: 800 * time.Millisecond},
 		Request{ID: 2, Destination: 1, Class: 1, Deadline: 8 * time.Second}})
 	if n := len(sends(c.Handle(1100*time.Millisecond, []Event{List{Kind: ListDelta, Endpoints: []Endpoint{{ID: 9, Destination: 1, Phase: Ready}}}}))); n != 0 {
@@ -114,37 +114,37 @@
 
 // What the ledger has spent is spent after a sleep too, until the window has
 // gone by.
-func TestLedgerOutlastsSleep(t *testing.T) {
-	c := rested(t)
-	c.dests[1].repeats.add(0, 5)
+func TestRetryBudgetSurvivesUnload(t *testing.T) {
+	c := newLoadedCourier(t)
+	c.destinations[1].retries.add(0, 5)
 	c.Handle(100*time.Millisecond, []Event{AttemptEnded{Request: 1, Endpoint: 1, Outcome: OK, Took: time.Millisecond, Done: true}})
-	a := asleep(t, c.Handle(200*time.Millisecond, []Event{Sleep{1}}))
+	a := unloadResult(t, c.Handle(200*time.Millisecond, []Event{Sleep{1}}))
 	if a.State.Repeats != 5 {
 		t.Fatalf("%+v", a.State)
 	}
 	c.Handle(5*time.Second, []Event{Wake{Destination: 1, State: a.State, Slept: 5 * time.Second}})
-	if got := c.dests[1].repeats.sum(c.now); got != 5 {
+	if got := c.destinations[1].retries.sum(c.now); got != 5 {
 		t.Errorf("repeats: %v", got)
 	}
-	if got := c.dests[1].first.sum(c.now); got > 0.6 {
+	if got := c.destinations[1].firstAttempts.sum(c.now); got > 0.6 {
 		t.Errorf("first sends must not count longer than they do awake: %v", got)
 	}
-	asleep(t, c.Handle(6*time.Second, []Event{Sleep{1}}))
+	unloadResult(t, c.Handle(6*time.Second, []Event{Sleep{1}}))
 	c.Handle(30*time.Second, []Event{Wake{Destination: 1, State: a.State, Slept: 24 * time.Second}})
-	if got := c.dests[1].repeats.sum(c.now); got != 0 {
+	if got := c.destinations[1].retries.sum(c.now); got != 0 {
 		t.Errorf("repeats of long ago: %v", got)
 	}
 }
 
 // An outage that was on when it fell asleep is on when it wakes: one trial goes,
 // and only where it may be lost.
-func TestOutageOutlastsSleep(t *testing.T) {
-	c := rested(t)
+func TestOutageSurvivesUnload(t *testing.T) {
+	c := newLoadedCourier(t)
 	c.Handle(2*time.Second, []Event{AttemptEnded{Request: 1, Endpoint: 1, Outcome: TimedOut, Took: 2 * time.Second}, Withdrawn{1}})
-	for _, e := range c.eps {
-		c.turn(e, down, "", "")
+	for _, e := range c.endpoints {
+		c.setHealth(e, down, "", "")
 	}
-	a := asleep(t, c.Handle(3*time.Second, []Event{Sleep{1}}))
+	a := unloadResult(t, c.Handle(3*time.Second, []Event{Sleep{1}}))
 	events := []Event{Wake{
 		Destination: 1, State: a.State, Slept: time.Minute,
 		Endpoints: []Endpoint{{ID: 1, Destination: 1, Phase: Ready}, {ID: 2, Destination: 1, Phase: Ready}},
@@ -157,12 +157,12 @@
 	}
 }
 
-// play runs a woken destination with a partner that lets so many calls through
+// deliverBacklog runs a woken destination with a partner that lets so many calls through
 // in each span and answers after a while. It returns the most calls in a span,
 // how many were refused, and when the last of n was delivered.
-func play(t *testing.T, state *State, caution Caution, n, limit int, span, latency time.Duration) (most, refused int, last time.Duration) {
+func deliverBacklog(t *testing.T, state *State, caution Caution, n, limit int, span, latency time.Duration) (most, refused int, last time.Duration) {
 	t.Helper()
-	s := sleepSettings()
+	s := unloadSettings()
 	s.Slots = 32
 	c, err := New(s)
 	if err != nil {
@@ -218,7 +218,7 @@
 
 // The clump that wakes a destination does not push it past its limit, whatever
 // is believed of that, and is delivered as fast as the limit nearly allows.
-func TestClumpThatWakes(t *testing.T) {
+func TestBacklogAfterLoadStaysWithinLimit(t *testing.T) {
 	caution := Caution{Window: 1, Cold: true, Careful: 14 * time.Second}
 	known := func(limit float64) *State {
 		return &State{Recent: .2, Best: .2, Peak: limit, Window: 8, Routes: []RouteState{{Limit: limit, Left: 1}}, EndpointsSeen: []EndpointState{{ID: 1}}}
@@ -239,7 +239,7 @@
 	} {
 		rate := float64(tc.limit) / tc.span.Seconds()
 		n := int(3 * rate)
-		most, refused, last := play(t, tc.state, tc.caution, n, tc.limit, tc.span, 200*time.Millisecond)
+		most, refused, last := deliverBacklog(t, tc.state, tc.caution, n, tc.limit, tc.span, 200*time.Millisecond)
 		if most > tc.limit || refused > 0 {
 			t.Errorf("%s: %d calls in a span, %d allowed; %d refused", tc.name, most, tc.limit, refused)
 		}
@@ -248,16 +248,16 @@
 		}
 	}
 	// Without caution the same clump does push it over: the test can fail.
-	if most, _, _ := play(t, known(12), Caution{}, 12, 4, time.Second, 200*time.Millisecond); most <= 4 {
+	if most, _, _ := deliverBacklog(t, known(12), Caution{}, 12, 4, time.Second, 200*time.Millisecond); most <= 4 {
 		t.Errorf("without caution %d calls in a span: this shows nothing", most)
 	}
 }
 
 // Look tells what Sleep would hand out, and changes nothing: the same events have the
 // same actions with it and without.
-func TestLookChangesNothing(t *testing.T) {
+func TestInspectHasNoEffect(t *testing.T) {
 	play := func(look bool) (out []Action, seen *State) {
-		c := rested(t)
+		c := newLoadedCourier(t)
 		for i := range 40 {
 			now := time.Duration(i+1) * 10 * time.Millisecond
 			var events []Event
@@ -291,17 +291,17 @@
 
 // The gap that a kind's refused repeats have taught comes back with a destination of
 // it, unless the kind has taught another since.
-func TestGapOfTheKindComesBack(t *testing.T) {
-	c := rested(t)
-	c.repeatGap[0], c.small[0] = 9*time.Second, 30*time.Second
+func TestRetryGapOfKindIsRestored(t *testing.T) {
+	c := newLoadedCourier(t)
+	c.retryGap[0], c.smallTableUntil[0] = 9*time.Second, 30*time.Second
 	c.Handle(time.Second, []Event{AttemptEnded{Request: 1, Endpoint: 1, Outcome: OK, Took: 100 * time.Millisecond, Done: true}})
-	s := asleep(t, c.Handle(2*time.Second, []Event{Sleep{1}})).State
-	want(t, "gap", s.RepeatGap, c.repeatGap[0])
-	other := rested(t)
+	s := unloadResult(t, c.Handle(2*time.Second, []Event{Sleep{1}})).State
+	want(t, "gap", s.RepeatGap, c.retryGap[0])
+	other := newLoadedCourier(t)
 	other.Handle(time.Second, []Event{Wake{Destination: 2, State: s, Slept: time.Second}})
-	want(t, "gap", other.repeatGap[0], s.RepeatGap)
-	want(t, "small tables", other.small[0], s.Small) // a second awake, a second asleep
+	want(t, "gap", other.retryGap[0], s.RepeatGap)
+	want(t, "small tables", other.smallTableUntil[0], s.Small) // a second awake, a second asleep
 	s.RepeatGap = 5 * time.Second
 	other.Handle(time.Second, []Event{Wake{Destination: 3, State: s}})
-	want(t, "what was learnt since", other.repeatGap[0] == s.RepeatGap, false)
+	want(t, "what was learnt since", other.retryGap[0] == s.RepeatGap, false)
 }
--- a/state.go
+++ b/state.go
@@ -11,50 +11,50 @@
 	"snowjunction/internal/lease"
 )
 
-// Courier decides for one relay. It is not safe for concurrent use.
+// Courier makes the decisions of one courier. It is not safe for concurrent use.
 type Courier struct {
-	s         Settings
-	t         Tuning
-	rng       *rand.Rand
-	now       time.Duration
-	sweepAt   time.Duration // no held request's time is up before
-	out       []Action
-	eps       map[EndpointID]*endpoint
-	dests     map[DestinationID]*destination
-	order     []*destination // in order of first sight
-	listed    int            // destinations that there are, here and elsewhere
-	left      []*endpoint    // gone ones, in order of their going
-	reqs      map[RequestID]*request
-	classes   []class    // and one for what is out of range
-	held      []*request // not answered yet, in order of arrival
-	lines     map[uint64]*line
-	idle      []uint64 // keys whose lines are empty
-	quotas    []bucket // of the tenants
-	calls     int      // slots in use
-	round     map[*endpoint]*call
-	timerAt   time.Duration // the timer that is set; 0: none
-	timer     uint64
-	asked     bool
-	askAt     time.Duration
-	repeatGap []time.Duration // by kind
-	small     []time.Duration // by kind: until then connection tables are taken for small
-	scratch   []*endpoint
-	offers    []offer
-	due       time.Duration  // next moment at which time alone may change something
-	active    []*destination // those with requests or calls to look after
-	reaped    slider         // failures on connections that had been idle
-	lasted    slider         // successes on such as old as the youngest that failed
-	reapAge   time.Duration  // the age of that one
-	prompt    time.Duration  // the shortest aim of the classes
-	line      *lease.Line
-	ledgers   map[DestinationID]*lease.Ledger // those that this courier keeps
-	greeted   bool                            // the fleet has been told that this courier is there
-	heardAt   time.Duration                   // another was heard last
-	wished    []DestinationID                 // those of them that calls are wished for
-	outbox    []Tell                          // notes to go
-}
-
-// New returns a courier, or an error that names the impossible setting.
+	settings           Settings
+	tuning             Tuning
+	rng                *rand.Rand
+	now                time.Duration
+	sweepAt            time.Duration // no pending request is due before
+	actions            []Action
+	endpoints          map[EndpointID]*endpoint
+	destinations       map[DestinationID]*destination
+	destinationOrder   []*destination // in order of creation
+	listedDestinations int            // number of listed destinations, loaded or not
+	goneEndpoints      []*endpoint    // removed from the list, oldest first
+	requests           map[RequestID]*request
+	classes            []class    // the configured classes and one for an index out of range
+	pending            []*request // without a final answer, oldest first
+	keyQueues          map[uint64]*keyQueue
+	emptyKeyQueues     []uint64      // keys whose queue is empty
+	tenantQuotas       []tokenBucket // by tenant
+	openCalls          int           // slots in use
+	roundCalls         map[*endpoint]*call
+	timerAt            time.Duration // expiry of the timer that is set; zero if none
+	timerToken         uint64
+	watching           bool
+	watchAt            time.Duration
+	retryGap           []time.Duration // initial call gap after a rejection, by kind
+	smallTableUntil    []time.Duration // by kind: connection tables are assumed to be small until then
+	scratch            []*endpoint
+	sendOptions        []sendOption
+	wakeAt             time.Duration  // next moment at which time alone may change a decision
+	active             []*destination // those with requests or open calls
+	idleFailures       slidingSum     // failures on connections that had been idle
+	idleSuccesses      slidingSum     // successes on connections idle for at least idleFailureAge
+	idleFailureAge     time.Duration  // shortest idle time after which a connection failed
+	minTargetLatency   time.Duration  // shortest target latency of the classes
+	leaseOwners        *lease.Line
+	quotaLedgers       map[DestinationID]*lease.Ledger // of destinations whose lease owner this is
+	announced          bool                            // this courier has announced itself to the fleet
+	lastPeerAt         time.Duration                   // last message from another courier
+	requestedLedgers   []DestinationID                 // keys of quotaLedgers with unanswered grant requests
+	outbox             []Tell                          // peer messages to be sent
+}
+
+// New returns a Courier, or an error that names an invalid setting.
 func New(s Settings) (*Courier, error) {
 	switch {
 	case len(s.Classes) == 0:
@@ -74,111 +74,111 @@
 		s.ConnectTimeout = time.Second
 	}
 	c := &Courier{
-		s: s, rng: rand.New(rand.NewPCG(s.Seed, s.Seed)),
-		eps: map[EndpointID]*endpoint{}, dests: map[DestinationID]*destination{},
-		reqs: map[RequestID]*request{}, lines: map[uint64]*line{},
-		quotas: make([]bucket, len(s.Tenants)), round: map[*endpoint]*call{},
-		small: make([]time.Duration, max(1, len(s.Kinds))), prompt: s.Classes[0].Aim,
+		settings: s, rng: rand.New(rand.NewPCG(s.Seed, s.Seed)),
+		endpoints: map[EndpointID]*endpoint{}, destinations: map[DestinationID]*destination{},
+		requests: map[RequestID]*request{}, keyQueues: map[uint64]*keyQueue{},
+		tenantQuotas: make([]tokenBucket, len(s.Tenants)), roundCalls: map[*endpoint]*call{},
+		smallTableUntil: make([]time.Duration, max(1, len(s.Kinds))), minTargetLatency: s.Classes[0].Aim,
 	}
-	if c.t = StandardTuning(); s.Tuning != nil {
-		c.t = *s.Tuning
+	if c.tuning = StandardTuning(); s.Tuning != nil {
+		c.tuning = *s.Tuning
 	}
 	for i, cl := range s.Classes {
-		c.prompt = max(min(c.prompt, cl.Aim), s.Tick)
+		c.minTargetLatency = max(min(c.minTargetLatency, cl.Aim), s.Tick)
 		c.classes = append(c.classes, class{cl, i})
 	}
 	unknown := c.classes[len(c.classes)-1]
 	unknown.Effect = Unsafe
 	c.classes = append(c.classes, unknown)
-	for range c.small {
-		c.repeatGap = append(c.repeatGap, c.prompt)
+	for range c.smallTableUntil {
+		c.retryGap = append(c.retryGap, c.minTargetLatency)
 	}
-	c.line, c.ledgers = lease.NewLine(s.Fleet, s.Number), map[DestinationID]*lease.Ledger{}
-	c.reaped.span, c.lasted.span = reapMemory*ledgerSpan, reapMemory*ledgerSpan
+	c.leaseOwners, c.quotaLedgers = lease.NewLine(s.Fleet, s.Number), map[DestinationID]*lease.Ledger{}
+	c.idleFailures.window, c.idleSuccesses.window = idleFailureWindows*retryBudgetWindow,
+		idleFailureWindows*retryBudgetWindow
 	return c, nil
 }
 
-// Handle takes what happened up to now and returns what to do.
+// Handle processes the events up to now and returns the actions to carry out.
 func (c *Courier) Handle(now time.Duration, events []Event) []Action {
-	c.now, c.out, c.due = now, nil, 0
-	clear(c.round)
+	c.now, c.actions, c.wakeAt = now, nil, 0
+	clear(c.roundCalls)
 	for _, ev := range events {
 		switch ev := ev.(type) {
 		case List:
-			c.list(ev)
+			c.applyList(ev)
 		case Sleep:
-			c.sleep(ev)
+			c.unload(ev)
 		case Wake:
-			c.awaken(ev)
+			c.load(ev)
 		case Look:
-			c.look(ev)
+			c.inspect(ev)
 		case Request:
-			c.take(ev)
+			c.acceptRequest(ev)
 		case WaitTold:
-			if e := c.eps[ev.Endpoint]; e != nil {
-				e.route.told(c.now + ev.Wait + c.s.Tick)
+			if e := c.endpoints[ev.Endpoint]; e != nil {
+				e.route.setRetryAfter(c.now + ev.Wait + c.settings.Tick)
 			}
 		case AttemptEnded:
-			c.ended(ev)
+			c.attemptEnded(ev)
 		case ProbeEnded:
-			c.probed(ev)
+			c.probeEnded(ev)
 		case Withdrawn:
-			if r := c.reqs[ev.Request]; r != nil {
-				c.finish(r)
+			if r := c.requests[ev.Request]; r != nil {
+				c.finishRequest(r)
 			}
 		case StreamStarted:
-			if r := c.reqs[ev.Request]; r != nil {
+			if r := c.requests[ev.Request]; r != nil {
 				r.streaming = true
 			}
 		case Heard:
-			c.heard(ev)
+			c.receiveFromPeer(ev)
 		case Rests:
-			if c.lines[ev.Key] == nil {
-				c.lines[ev.Key] = &line{rest: c.now + ev.For}
-				c.idle = append(c.idle, ev.Key)
+			if c.keyQueues[ev.Key] == nil {
+				c.keyQueues[ev.Key] = &keyQueue{settleUntil: c.now + ev.For}
+				c.emptyKeyQueues = append(c.emptyKeyQueues, ev.Key)
 			}
 		case Timer:
-			if ev.Token == c.timer {
+			if ev.Token == c.timerToken {
 				c.timerAt = 0
 			}
 		}
 	}
 	c.decide()
-	c.tell()
-	c.rest()
-	c.wake()
-	return c.out
+	c.sendPeerMessages()
+	c.deactivateIdle()
+	c.scheduleTimer()
+	return c.actions
 }
 
-// wake asks for a timer for the next moment at which time alone may change
-// something, unless one is set for before.
-func (c *Courier) wake() {
-	if c.due == 0 || c.timerAt > c.now && c.timerAt <= c.due {
+// scheduleTimer requests a timer for wakeAt unless an earlier one is set.
+func (c *Courier) scheduleTimer() {
+	if c.wakeAt == 0 || c.timerAt > c.now && c.timerAt <= c.wakeAt {
 		return
 	}
-	after := max(c.due-c.now, c.s.Tick)
-	c.timer++
+	after := max(c.wakeAt-c.now, c.settings.Tick)
+	c.timerToken++
 	c.timerAt = c.now + after
-	c.do(SetTimer{Token: c.timer, After: after})
+	c.emit(SetTimer{Token: c.timerToken, After: after})
 }
 
-// dropIdle closes idle connections, so that the next call opens a new one.
-func (c *Courier) dropIdle(e *endpoint) {
-	if len(e.idle) > 0 {
-		c.do(CloseIdle{Endpoint: e.ID})
-		e.idle = nil
+// closeIdleConns closes the idle connections to e, so that the next call opens a new one.
+func (c *Courier) closeIdleConns(e *endpoint) {
+	if len(e.idleConns) > 0 {
+		c.emit(CloseIdle{Endpoint: e.ID})
+		e.idleConns = nil
 	}
 }
 
-// slider sums weights over a sliding window, in buckets.
-type slider struct {
-	span    time.Duration
+// slidingSum is a sum of weights over a sliding window. It is stored in buckets.
+type slidingSum struct {
+	window  time.Duration
 	buckets [10]float64
 	head    int64 // number of the newest bucket
 }
 
-func (s *slider) advance(now time.Duration) {
-	step := s.span / time.Duration(len(s.buckets))
+func (s *slidingSum) advance(now time.Duration) {
+	step := s.window / time.Duration(len(s.buckets))
 	n := int64(now / step)
 	if n-s.head >= int64(len(s.buckets)) {
 		s.buckets, s.head = [10]float64{}, n
@@ -189,12 +189,12 @@
 	}
 }
 
-func (s *slider) add(now time.Duration, w float64) {
+func (s *slidingSum) add(now time.Duration, w float64) {
 	s.advance(now)
 	s.buckets[s.head%int64(len(s.buckets))] += w
 }
 
-func (s *slider) sum(now time.Duration) (total float64) {
+func (s *slidingSum) sum(now time.Duration) (total float64) {
 	s.advance(now)
 	for _, b := range s.buckets {
 		total += b
@@ -202,22 +202,24 @@
 	return total
 }
 
-// bucket earns tokens with time. It starts full.
-type bucket struct {
-	tokens float64
-	at     time.Duration
-	begun  bool
+// tokenBucket is a token bucket rate limiter. It starts full.
+type tokenBucket struct {
+	tokens   float64
+	filledAt time.Duration
+	started  bool
 }
 
-func (b *bucket) fill(now time.Duration, rate, most float64) {
-	b.tokens = math.Min(b.tokens+seconds(now-b.at)*rate, most)
-	if !b.begun {
-		b.tokens, b.begun = most, true
+// refill adds the tokens earned since the last call, up to capacity.
+func (b *tokenBucket) refill(now time.Duration, rate, capacity float64) {
+	b.tokens = math.Min(b.tokens+seconds(now-b.filledAt)*rate, capacity)
+	if !b.started {
+		b.tokens, b.started = capacity, true
 	}
-	b.at = now
+	b.filledAt = now
 }
 
-func (b *bucket) take() bool {
+// take removes one token. It returns false if there is none.
+func (b *tokenBucket) take() bool {
 	if b.tokens < 1 {
 		return false
 	}
@@ -225,141 +227,142 @@
 	return true
 }
 
-// trail holds weighted moments, oldest first.
-type trail struct {
-	at []time.Duration
-	w  []float64
+// callHistory is a list of call times with weights, oldest first.
+type callHistory struct {
+	times   []time.Duration
+	weights []float64
 }
 
-func (t *trail) add(now time.Duration, w float64) {
-	t.at, t.w = append(t.at, now), append(t.w, w)
+func (t *callHistory) add(now time.Duration, w float64) {
+	t.times, t.weights = append(t.times, now), append(t.weights, w)
 }
 
-// undo takes back what was added at that moment.
-func (t *trail) undo(at time.Duration, w float64) {
-	for i := len(t.at) - 1; i >= 0 && w > 0 && t.at[i] >= at; i-- {
-		if t.at[i] == at {
-			taken := math.Min(w, t.w[i])
-			t.w[i] -= taken
+// remove subtracts up to w from the weight that was added at that time.
+func (t *callHistory) remove(at time.Duration, w float64) {
+	for i := len(t.times) - 1; i >= 0 && w > 0 && t.times[i] >= at; i-- {
+		if t.times[i] == at {
+			taken := math.Min(w, t.weights[i])
+			t.weights[i] -= taken
 			w -= taken
 		}
 	}
 }
 
-// drop forgets what lies before from.
-func (t *trail) drop(from time.Duration) {
-	for len(t.at) > 0 && t.at[0] < from {
-		t.at, t.w = t.at[1:], t.w[1:]
+// dropBefore removes the entries before from.
+func (t *callHistory) dropBefore(from time.Duration) {
+	for len(t.times) > 0 && t.times[0] < from {
+		t.times, t.weights = t.times[1:], t.weights[1:]
 	}
 }
 
-// since drops what lies before from and sums the rest.
-func (t *trail) since(from time.Duration) (total float64) {
-	t.drop(from)
-	for _, w := range t.w {
+// sumSince removes the entries before from and returns the sum of the others.
+func (t *callHistory) sumSince(from time.Duration) (total float64) {
+	t.dropBefore(from)
+	for _, w := range t.weights {
 		total += w
 	}
 	return total
 }
 
-// offer is a request that might go, and where to.
-type offer struct {
-	r     *request
-	on    *endpoint
-	worth float64 // per slot
+// sendOption is a request that may be sent, with its endpoint.
+type sendOption struct {
+	request      *request
+	endpoint     *endpoint
+	valuePerSlot float64 // value per slot and second
 }
 
-// call is one call that is out, with the requests it carries.
+// call is an open call with the requests that it carries.
 type call struct {
-	ep     *endpoint
-	sent   time.Duration
-	size   int           // requests sent with it
-	left   int           // outcomes still due
-	judged bool          // its fate has been counted
-	cut    bool          // its time-out is too short to tell anything
-	idled  time.Duration // how long its connection was idle; 0: a new one
+	endpoint        *endpoint
+	sentAt          time.Duration
+	size            int           // requests sent with it
+	pendingOutcomes int           // requests of it without an outcome
+	recorded        bool          // its first outcome has been counted
+	shortTimeout    bool          // its timeout is too short to be conclusive
+	connIdle        time.Duration // idle time of its connection; zero if new
 }
 
-// class is a class of requests with its number.
+// class is a Class with its index in Settings.Classes.
 type class struct {
 	Class
-	no int
+	index int
 }
 
-// class returns the class of that number. Nothing is known of one out of
-// range: it is taken for the last, unsafe.
-func (c *Courier) class(no int) *class {
-	if no < 0 || no >= len(c.s.Classes) {
-		return &c.classes[len(c.s.Classes)]
+// classAt returns the class with index no. An index out of range yields the last class with effect
+// Unsafe, as nothing is known about the request.
+func (c *Courier) classAt(no int) *class {
+	if no < 0 || no >= len(c.settings.Classes) {
+		return &c.classes[len(c.settings.Classes)]
 	}
 	return &c.classes[no]
 }
 
-// hold files a new request in its queue and its key's line.
-func (c *Courier) hold(r *request) {
+// addRequest adds a new request to the queues of its destination and of its key.
+func (c *Courier) addRequest(r *request) {
 	if r.key != 0 {
-		l := c.lines[r.key]
+		l := c.keyQueues[r.key]
 		if l == nil {
-			l = &line{}
-			c.lines[r.key] = l
+			l = &keyQueue{}
+			c.keyQueues[r.key] = l
 		}
 		l.queue = append(l.queue, r)
 	}
-	c.reqs[r.id] = r
-	c.held = append(c.held, r)
+	c.requests[r.id] = r
+	c.pending = append(c.pending, r)
 	c.enqueue(r)
 }
 
-// open starts a call to e.
-func (c *Courier) open(e *endpoint) *call {
-	b := &call{ep: e, sent: c.now}
-	c.round[e] = b
+// openCall opens a call to e and takes a slot for it.
+func (c *Courier) openCall(e *endpoint) *call {
+	b := &call{endpoint: e, sentAt: c.now}
+	c.roundCalls[e] = b
 	e.calls = append(e.calls, b)
-	c.calls++
-	e.route.dest.calls++
+	c.openCalls++
+	e.route.dest.openCalls++
 	return b
 }
 
-// goesOn takes up a request whose attempt is out still, and tells whether it is one.
-func (c *Courier) goesOn(r *request, ev Request) bool {
-	e := c.eps[ev.OutOn]
+// resumeAttempt restores the open attempt of a request that was sent by a previous process run. It
+// returns false if there is none.
+func (c *Courier) resumeAttempt(r *request, ev Request) bool {
+	e := c.endpoints[ev.OutOn]
 	if ev.OutOn == 0 || e == nil || e.route.dest != r.dest {
 		return false
 	}
-	b := c.open(e)
-	delete(c.round, e) // nothing joins what has left
-	b.sent, b.size, b.left = c.now-ev.OutFor, 1, 1
+	b := c.openCall(e)
+	delete(c.roundCalls, e) // no request can join a call that has been sent
+	b.sentAt, b.size, b.pendingOutcomes = c.now-ev.OutFor, 1, 1
 	r.call = b
 	r.dest.queue = remove(r.dest.queue, r)
 	return true
 }
 
-// Resting calls f with the keys that rest, and for how long.
+// Resting calls f with each key in its settling delay and the rest of that delay.
 func (c *Courier) Resting(f func(key uint64, left time.Duration)) {
-	for key, l := range c.lines {
-		if l.rest > c.now {
-			f(key, l.rest-c.now)
+	for key, l := range c.keyQueues {
+		if l.settleUntil > c.now {
+			f(key, l.settleUntil-c.now)
 		}
 	}
 }
 
-// Stands tells whether an attempt that is out, but of which no byte has left yet,
-// may still leave at now. A connection may take a second and more to come up: since
-// the decision its message's window or time may have ended, or the destination have
-// told a wait or begun to drain. It changes nothing.
+// Stands reports whether an open attempt of which no byte has been sent yet may still be sent at
+// now. Setting up a connection may take more than a second: meanwhile the deduplication window or
+// the deadline of the message may have ended, or the destination may have named a retry-after delay
+// or begun to drain. Stands changes no state.
 func (c *Courier) Stands(now time.Duration, id RequestID) bool {
-	r := c.reqs[id]
-	if r == nil || r.call == nil || r.over {
+	r := c.requests[id]
+	if r == nil || r.call == nil || r.answered {
 		return false
 	}
-	e := r.call.ep
-	return e.Phase == Ready && now >= e.route.toldUntil && now < c.last(r)
+	e := r.call.endpoint
+	return e.Phase == Ready && now >= e.route.retryAfterUntil && now < c.latestSend(r)
 }
 
-// Avoided is how many listed endpoints get nothing now but a trial.
+// Avoided returns the number of listed endpoints that get trial calls only.
 func (c *Courier) Avoided() (n int) {
-	for _, d := range c.order {
-		for _, e := range d.eps {
+	for _, d := range c.destinationOrder {
+		for _, e := range d.endpoints {
 			if e.Phase == Ready && e.state == down {
 				n++
 			}
@@ -368,154 +371,154 @@
 	return n
 }
 
-// closeCall counts an outcome of a call; the last frees its slot.
+// closeCall records an outcome of a call. The last one frees its slot.
 func (c *Courier) closeCall(b *call) {
-	if b.left--; b.left == 0 {
-		b.ep.calls = remove(b.ep.calls, b)
-		c.calls--
-		b.ep.route.dest.calls--
+	if b.pendingOutcomes--; b.pendingOutcomes == 0 {
+		b.endpoint.calls = remove(b.endpoint.calls, b)
+		c.openCalls--
+		b.endpoint.route.dest.openCalls--
 	}
 }
 
-// request is one message from its arrival to its last outcome.
+// request is a message from its acceptance to its last outcome.
 type request struct {
-	id        RequestID
-	class     *class
-	dest      *destination
-	key       uint64
-	over      bool // answered
-	excess    bool // above its tenant's quota
-	aimAt     time.Duration
-	deadline  time.Duration
-	attempts  int
-	call      *call // the attempt that is out, if any
-	streaming bool  // its answer has begun: no deadline runs any longer
-	ran       bool  // an attempt may have run
-	ranAt     time.Duration
-	ranOn     *endpoint
-}
-
-// line is the requests of one key in the order taken.
-type line struct {
-	queue []*request
-	rest  time.Duration // nothing goes before this
-}
-
-// health is the state of an endpoint; turn moves it.
+	id          RequestID
+	class       *class
+	dest        *destination
+	key         uint64
+	answered    bool // has its final answer
+	overQuota   bool // above its tenant's quota
+	targetAt    time.Duration
+	deadline    time.Duration
+	attempts    int
+	call        *call // the open attempt, if any
+	streaming   bool  // its answer has begun, so its deadline no longer applies
+	mayHaveRun  bool  // an attempt may have been executed
+	ranAt       time.Duration
+	ranEndpoint *endpoint
+}
+
+// keyQueue holds the requests of one key in the order of their acceptance.
+type keyQueue struct {
+	queue       []*request
+	settleUntil time.Duration // nothing is sent before
+}
+
+// health is the health of an endpoint. setHealth changes it.
 type health int
 
 const (
-	up   health = iota // serves
-	down               // failed: held, and asked
-	cold               // back from an outage: slow start
+	up   health = iota // the breaker is closed
+	down               // the breaker is open: trial calls only
+	cold               // recovering from an outage: slow start
 )
 
 // endpoint is one address of a destination.
 type endpoint struct {
 	Endpoint
-	route    *route
-	calls    []*call
-	idle     []time.Duration // when each idle connection was last used
-	latency  float64         // smoothed, in seconds
-	lastOK   time.Duration
-	fails    int // strikes in a row
-	state    health
-	since    time.Duration // its state was entered
-	failedAt time.Duration // first strike in the row
-	downFor  time.Duration // of the last outage seen here
-	outFor   time.Duration // the longest that it may have been (outage)
-	goneAt   time.Duration // it left the list
-	vouched  bool          // while closed: a request sent as a trial is not lost
-	backoff  time.Duration
-	trialAt  time.Duration
-	trying   *call           // the last request sent as a trial
-	soured   []time.Duration // by class: its last failure, if no success followed
-}
-
-// enter changes e's state. Where all of its route was well it is the begin of an outage:
-// calls in an earlier one say nothing of it.
-func (e *endpoint) enter(to health, now time.Duration) {
-	if e.route.notUp() == 0 {
-		e.route.spread.Reset()
-	}
-	e.state, e.since = to, now
-}
-
-// outage is how long e may have been out, for all that is known here: another courier may
-// have seen it begin right after the last answer to this one.
-func (e *endpoint) outage(now time.Duration) time.Duration {
+	route         *route
+	calls         []*call
+	idleConns     []time.Duration // time of last use of each idle connection
+	latency       float64         // smoothed, in seconds
+	lastSuccessAt time.Duration
+	failures      int // consecutive failures, weighted
+	state         health
+	stateSince    time.Duration // when state was entered
+	failingSince  time.Duration // first of the consecutive failures
+	lastOutage    time.Duration // length of the last outage seen by this courier
+	maxOutage     time.Duration // its greatest possible length, see outageBound
+	goneAt        time.Duration // when it was removed from the list
+	trialSafe     bool          // while down: a trial request is not executed if it fails
+	backoff       time.Duration
+	trialAt       time.Duration
+	trialCall     *call           // the last request sent as a trial
+	classFailedAt []time.Duration // by class: the last failure without a later success
+}
+
+// setState changes e's state. If all endpoints of its route were up, a new outage begins, and calls
+// during an earlier one no longer count.
+func (e *endpoint) setState(to health, now time.Duration) {
+	if e.route.unhealthyShare() == 0 {
+		e.route.coldSpread.Reset()
+	}
+	e.state, e.stateSince = to, now
+}
+
+// outageBound returns the greatest possible length of e's outage. Another courier may have seen it
+// begin right after the last answer to this one.
+func (e *endpoint) outageBound(now time.Duration) time.Duration {
 	if e.state == cold {
-		return max(e.downFor, e.outFor)
+		return max(e.lastOutage, e.maxOutage)
 	}
-	return now - max(e.lastOK, e.route.dest.since)
+	return now - max(e.lastSuccessAt, e.route.dest.countingSince)
 }
 
-// route is what has a limit, a pace and waits of its own: all endpoints of
-// a destination together or, where routes are apart, each alone.
+// route is a set of endpoints with a common rate limit, pacing rate and delays: all endpoints of a
+// destination, or a single one if Kind.RoutesApart is set.
 type route struct {
-	dest         *destination
-	eps          []*endpoint
-	waitUntil    time.Duration
-	toldUntil    time.Duration // as waitUntil, as far as it has told it: this binds
-	pauseUntil   time.Duration // as waitUntil, after a failure to connect: nobody has told it
-	carefulUntil time.Duration // it has slept: its pace stays under the even share
-	limit        float64       // calls a second from all couriers; 0: none known
-	left         float64       // share of it last reported left
-	gap          time.Duration // least time between calls while it refuses, in large fleets
-	pace         float64       // this courier's own calls a second
-	lostPace     float64       // that with which it began as no keeper answered any more
-	bucket       bucket
-	wanting      bool // a request waited for a token
-	fullAt       time.Duration
-	fulls        int // refusals in a row, as episodes
-	trialOut     int
-	coldSends    trail         // calls to endpoints that were not well
-	spread       lease.Spread  // the same, where this courier's part is under a call in the fall time
-	lease        *lease.Holder // what this courier may call of it, where the fleet shares its limit
-	news         Note          // what its keeper is yet to be told
-	toldLimit    float64
-	toldTo       int           // the number after that of the keeper that has been told it
-	reportedAt   time.Duration // an answer told of its limit
-	failing      bool          // calls have failed to reach it, and none has been answered since
-	failToldAt   time.Duration
-}
-
-// coldCall counts a call to an endpoint that was not well.
-func (r *route) coldCall(now time.Duration, weight float64) {
-	r.coldSends.add(now, weight)
-	r.spread.Called(now)
-}
-
-// shutUntil is when the next call may go, for all that it has told or shown.
-// told notes a wait that r has told.
-func (r *route) told(until time.Duration) {
-	r.toldUntil = max(r.toldUntil, until)
-	r.waitUntil = max(r.waitUntil, r.toldUntil)
-}
-
-func (r *route) shutUntil() time.Duration { return max(r.waitUntil, r.pauseUntil) }
-
-// evenShare is one courier's part of a route's limit.
-func (c *Courier) evenShare(r *route) float64 { return c.bears(r) / float64(c.s.Fleet) }
-
-// paceTop is the pace from which a refusal cuts, at the most.
-func (c *Courier) paceTop(r *route) float64 {
-	return math.Max(r.lostPace, c.evenShare(r)*c.t.PaceStart)
-}
-
-// bears is a route's limit, in calls a second: until it is known, the mean
+	dest                  *destination
+	endpoints             []*endpoint
+	waitUntil             time.Duration
+	retryAfterUntil       time.Duration // the part of waitUntil that the destination asked for; binding
+	connectPauseUntil     time.Duration // like waitUntil, after a failure to connect
+	cautiousUntil         time.Duration // loaded recently: the pacing rate stays below the even share
+	limit                 float64       // calls per second for the whole fleet; zero if unknown
+	limitLeft             float64       // share of the limit left, as last reported
+	callGap               time.Duration // shortest time between calls while it rejects, in large fleets
+	pacingRate            float64       // this courier's own calls per second
+	ownerlessRate         float64       // initial pacingRate since no lease owner answers; zero if one does
+	bucket                tokenBucket
+	waitedForToken        bool // a request waited for a token
+	rejectedAt            time.Duration
+	rejections            int // consecutive rejections, counted in episodes
+	trialsOut             int
+	coldCalls             callHistory   // calls to endpoints that were not healthy
+	coldSpread            lease.Spread  // for shares below one call in FallTime
+	lease                 *lease.Holder // nil unless the fleet shares the limit
+	ownerReport           Note          // news for the lease owner
+	reportedLimit         float64
+	reportedTo            int           // index of the lease owner that got reportedLimit, plus one
+	limitReportedAt       time.Duration // last limit report in an answer
+	unreachable           bool          // calls have failed to reach it since the last answer
+	unreachableReportedAt time.Duration
+}
+
+// countColdCall counts a call to an endpoint that was not healthy.
+func (r *route) countColdCall(now time.Duration, weight float64) {
+	r.coldCalls.add(now, weight)
+	r.coldSpread.Called(now)
+}
+
+// setRetryAfter sets the end of a retry-after delay that the destination asked for.
+func (r *route) setRetryAfter(until time.Duration) {
+	r.retryAfterUntil = max(r.retryAfterUntil, until)
+	r.waitUntil = max(r.waitUntil, r.retryAfterUntil)
+}
+
+// blockedUntil returns when the next call may be sent.
+func (r *route) blockedUntil() time.Duration { return max(r.waitUntil, r.connectPauseUntil) }
+
+// evenShare returns one courier's even share of r's limit, in calls per second.
+func (c *Courier) evenShare(r *route) float64 { return c.assumedLimit(r) / float64(c.settings.Fleet) }
+
+// maxPacingRate returns the upper bound of the pacing rate that a rejection reduces.
+func (c *Courier) maxPacingRate(r *route) float64 {
+	return math.Max(r.ownerlessRate, c.evenShare(r)*c.tuning.PaceStart)
+}
+
+// assumedLimit returns r's limit in calls per second. While it is unknown, that is the mean
 // destination's part of the quotas.
-func (c *Courier) bears(r *route) float64 {
+func (c *Courier) assumedLimit(r *route) float64 {
 	if r.limit <= 0 {
-		return c.leastRate() / leastPart
+		return c.minAssumedRate() / unknownCapacityShare
 	}
 	return r.limit
 }
 
-// notUp is the part of a route's listed endpoints that is down or cold.
-func (r *route) notUp() float64 {
+// unhealthyShare returns the share of r's listed endpoints that is down or cold.
+func (r *route) unhealthyShare() float64 {
 	n, all := 0.0, 0.0
-	for _, e := range r.eps {
+	for _, e := range r.endpoints {
 		if e.Phase == Ready {
 			all++
 			if e.state != up {
@@ -526,43 +529,43 @@
 	return n / math.Max(1, all)
 }
 
-// destination has the queue, the ledger and the delay window.
+// destination holds the queue, retry budget and concurrency window of one destination.
 type destination struct {
-	id      DestinationID
-	kind    Kind
-	kindNo  int
-	routes  []*route
-	eps     []*endpoint
-	queue   []*request
-	first   slider        // deposits: first sends
-	repeats slider        // withdrawals
-	served  slider        // successes
-	since   time.Duration // these are counted
-	window  float64
-	calls   int
-	recent  float64 // smoothed latency, in seconds
-	best    float64 // best recent latency
-	peak    float64 // most successes a second over a window
-	listed  bool    // among those with work
-}
-
-// safeWaits tells that a request which may be repeated at will is queued and not
-// held back by its key, where one of eps is doubtful: else nobody asks.
-func (d *destination) safeWaits(eps []*endpoint) bool {
+	id            DestinationID
+	kind          Kind
+	kindIndex     int
+	routes        []*route
+	endpoints     []*endpoint
+	queue         []*request
+	firstAttempts slidingSum // deposits of the retry budget
+	retries       slidingSum // withdrawals from it
+	successes     slidingSum
+	countingSince time.Duration // start of these counts
+	window        float64
+	openCalls     int
+	latency       float64 // smoothed, in seconds
+	bestLatency   float64 // best recent latency, in seconds
+	peakRate      float64 // highest success rate over a window, per second
+	active        bool    // it is in Courier.active
+}
+
+// safeRequestWaiting reports whether a Safe request without a key is queued while one of eps is
+// doubtful. Such requests try a doubtful endpoint first.
+func (d *destination) safeRequestWaiting(eps []*endpoint) bool {
 	doubtful := func(e *endpoint) bool { return e.Doubtful }
 	safe := func(r *request) bool { return r.class.Effect == Safe && r.key == 0 }
 	return slices.ContainsFunc(eps, doubtful) && slices.ContainsFunc(d.queue, safe)
 }
 
-// when is times where the condition holds, else 1.
-func when(holds bool, times float64) float64 {
+// factorIf returns factor if holds is true, else 1.
+func factorIf(holds bool, factor float64) float64 {
 	if holds {
-		return times
+		return factor
 	}
 	return 1
 }
 
-// remove takes x out of list, keeping the order.
+// remove removes x from list and keeps the order.
 func remove[T comparable](list []T, x T) []T {
 	for i, y := range list {
 		if y == x {
@@ -572,178 +575,186 @@
 	return list
 }
 
-// leastRate is what a destination of which nothing is known is taken to bear:
-// after a restart in an outage, it would else be asked once in many seconds.
-func (c *Courier) leastRate() float64 {
+// minAssumedRate returns the calls per second that a destination about which nothing is known is
+// assumed to withstand. Without this minimum, a destination that is down when the courier restarts
+// would get a trial only once in many seconds.
+func (c *Courier) minAssumedRate() float64 {
 	total := 0.0
-	for _, t := range c.s.Tenants {
+	for _, t := range c.settings.Tenants {
 		total += t.Quota
 	}
-	part := leastPart * total / float64(max(1, c.listed, len(c.order)))
-	return math.Max(part, 1/seconds(max(c.s.FallTime, c.s.Tick)))
+	part := unknownCapacityShare * total / float64(max(1, c.listedDestinations, len(c.destinationOrder)))
+	return math.Max(part, 1/seconds(max(c.settings.FallTime, c.settings.Tick)))
 }
 
-// jitter spreads d by a quarter either way, so that couriers fall out of step.
+// jitter varies d by up to a quarter either way, so that couriers do not act in step.
 func (c *Courier) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + 0.5*c.rng.Float64()))
 }
 
-func (c *Courier) do(a Action) { c.out = append(c.out, a) }
+func (c *Courier) emit(a Action) { c.actions = append(c.actions, a) }
 
 func seconds(d time.Duration) float64 { return d.Seconds() }
 
-func span(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func durationOf(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// place puts a new endpoint on its destination's route, or on one of its own.
-func (c *Courier) place(e *endpoint) {
-	d := c.destination(e.Destination)
-	if e.Kind >= 0 && e.Kind < len(c.s.Kinds) {
-		d.kind, d.kindNo = c.s.Kinds[e.Kind], e.Kind
+// addEndpoint adds a new endpoint to its destination's route or, if each has its own, to a new one.
+func (c *Courier) addEndpoint(e *endpoint) {
+	d := c.destinationFor(e.Destination)
+	if e.Kind >= 0 && e.Kind < len(c.settings.Kinds) {
+		d.kind, d.kindIndex = c.settings.Kinds[e.Kind], e.Kind
 	}
 	if len(d.routes) == 0 || d.kind.RoutesApart {
-		d.routes = append(d.routes, &route{dest: d, left: 1})
+		d.routes = append(d.routes, &route{dest: d, limitLeft: 1})
 	}
 	e.route = d.routes[len(d.routes)-1]
-	e.route.eps = append(e.route.eps, e)
-	d.eps = append(d.eps, e)
-	e.soured, e.WasOut = make([]time.Duration, len(c.s.Classes)), 0 // update takes it
+	e.route.endpoints = append(e.route.endpoints, e)
+	d.endpoints = append(d.endpoints, e)
+	e.classFailedAt, e.WasOut = make([]time.Duration, len(c.settings.Classes)), 0 // WasOut is set by update
 }
 
-func (c *Courier) destination(id DestinationID) *destination {
-	d := c.dests[id]
+// destinationFor returns the destination with this id and creates it if necessary.
+func (c *Courier) destinationFor(id DestinationID) *destination {
+	d := c.destinations[id]
 	if d == nil {
-		d = &destination{id: id, since: c.now, kind: Kind{BundleMax: 1}, window: math.Max(1, math.Floor(startShare*float64(c.s.Slots)))}
-		d.first.span, d.repeats.span, d.served.span = ledgerSpan, ledgerSpan, ledgerSpan
-		c.dests[id] = d
-		c.order = append(c.order, d)
+		d = &destination{
+			id: id, countingSince: c.now, kind: Kind{BundleMax: 1},
+			window: math.Max(1, math.Floor(initialWindowShare*float64(c.settings.Slots))),
+		}
+		d.firstAttempts.window, d.retries.window, d.successes.window = retryBudgetWindow,
+			retryBudgetWindow, retryBudgetWindow
+		c.destinations[id] = d
+		c.destinationOrder = append(c.destinationOrder, d)
 	}
 	return d
 }
 
-// finish forgets a request; one whose attempt is out keeps its key's turn.
-func (c *Courier) finish(r *request) {
-	if !r.over {
-		r.over = true
-		c.held = remove(c.held, r)
+// finishRequest removes a request. With an attempt still open it keeps its place in its key queue.
+func (c *Courier) finishRequest(r *request) {
+	if !r.answered {
+		r.answered = true
+		c.pending = remove(c.pending, r)
 		r.dest.queue = remove(r.dest.queue, r)
 	}
 	if r.call != nil {
 		return
 	}
-	delete(c.reqs, r.id)
-	if l := c.lines[r.key]; r.key != 0 && l != nil {
+	delete(c.requests, r.id)
+	if l := c.keyQueues[r.key]; r.key != 0 && l != nil {
 		l.queue = remove(l.queue, r)
 		if len(l.queue) == 0 {
-			c.idle = append(c.idle, r.key)
+			c.emptyKeyQueues = append(c.emptyKeyQueues, r.key)
 		}
 	}
 }
 
-// trialOn tells whether a request sent as a trial is still out.
-func (c *Courier) trialOn(r *route) bool {
-	for _, e := range r.eps {
-		if e.trying != nil && e.trying.left > 0 {
+// trialCallOpen reports whether a request sent as a trial on r is still open.
+func (c *Courier) trialCallOpen(r *route) bool {
+	for _, e := range r.endpoints {
+		if e.trialCall != nil && e.trialCall.pendingOutcomes > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// forgetLines drops the lines of keys that have nothing queued and are rested.
-func (c *Courier) forgetLines() {
-	kept := c.idle[:0]
-	for _, key := range c.idle {
-		switch l := c.lines[key]; {
+// expireKeyQueues removes the key queues that are empty and whose settling delay is over.
+func (c *Courier) expireKeyQueues() {
+	kept := c.emptyKeyQueues[:0]
+	for _, key := range c.emptyKeyQueues {
+		switch l := c.keyQueues[key]; {
 		case l == nil || len(l.queue) > 0:
-		case c.now >= l.rest:
-			delete(c.lines, key)
+		case c.now >= l.settleUntil:
+			delete(c.keyQueues, key)
 		default:
 			kept = append(kept, key)
 		}
 	}
-	c.idle = kept
+	c.emptyKeyQueues = kept
 }
 
-// log writes a line for on-call staff.
-func (c *Courier) log(word string, e *endpoint, what string) {
-	c.do(Log{Text: fmt.Sprintf("%s: destination %d endpoint %d %s", word, e.Destination, e.ID, what)})
+// logEndpoint emits a log line for operators.
+func (c *Courier) logEndpoint(event string, e *endpoint, detail string) {
+	c.emit(Log{Text: fmt.Sprintf("%s: destination %d endpoint %d %s", event, e.Destination, e.ID, detail)})
 }
 
-// enqueue puts r in its destination's queue, and that among those to look after.
+// enqueue adds r to its destination's queue and marks the destination active.
 func (c *Courier) enqueue(r *request) {
 	d := r.dest
 	d.queue = append(d.queue, r)
-	if !d.listed {
-		d.listed = true
+	if !d.active {
+		d.active = true
 		c.active = append(c.active, d)
 	}
 }
 
-// rest unlists the destinations with nothing queued and nothing out.
-func (c *Courier) rest() {
+// deactivateIdle removes destinations without requests and open calls from the active ones.
+func (c *Courier) deactivateIdle() {
 	kept := c.active[:0]
 	for _, d := range c.active {
-		if d.listed = len(d.queue) > 0 || d.calls > 0; d.listed {
+		if d.active = len(d.queue) > 0 || d.openCalls > 0; d.active {
 			kept = append(kept, d)
 		}
 	}
 	c.active = kept
 }
 
-// update takes what the list says of an endpoint. One that comes back from having been out
-// by hand is cold, whatever it was before.
+// update applies a list entry. An endpoint whose exclusion by an operator has ended is cold,
+// whatever its state was.
 func (e *endpoint) update(entry Endpoint, now time.Duration) {
-	back := entry.WasOut > 0 && e.WasOut == 0
+	restarted := entry.WasOut > 0 && e.WasOut == 0
 	e.Phase, e.Weight, e.Doubtful, e.WasOut = entry.Phase, entry.Weight, entry.Doubtful, entry.WasOut
-	if back {
-		e.returns(now)
+	if restarted {
+		e.enterRecovery(now)
 	}
 }
 
-func (e *endpoint) returns(now time.Duration) {
-	e.enter(cold, now)
-	e.downFor, e.fails = e.WasOut, 0
+// enterRecovery makes e cold after its exclusion by an operator.
+func (e *endpoint) enterRecovery(now time.Duration) {
+	e.setState(cold, now)
+	e.lastOutage, e.failures = e.WasOut, 0
 }
 
-// soon asks to be woken at t, if nothing comes before.
-func (c *Courier) soon(t time.Duration) {
-	if c.due == 0 || t < c.due {
-		c.due = t
+// wakeBy makes sure that a timer expires at t at the latest.
+func (c *Courier) wakeBy(t time.Duration) {
+	if c.wakeAt == 0 || t < c.wakeAt {
+		c.wakeAt = t
 	}
 }
 
-// leave marks an endpoint as gone from the list.
-func (c *Courier) leave(e *endpoint) {
+// markGone marks an endpoint as removed from the list.
+func (c *Courier) markGone(e *endpoint) {
 	if e.Phase != Gone {
 		e.Phase, e.goneAt = Gone, c.now
-		c.left = append(c.left, e)
+		c.goneEndpoints = append(c.goneEndpoints, e)
 	}
 }
 
-// forgetGone drops endpoints that left the list long ago. Each release of the
-// targets brings new ones: a courier that runs for weeks would keep them all.
-func (c *Courier) forgetGone() {
-	for range len(c.left) {
-		e := c.left[0]
-		if c.now-e.goneAt < goneMemory*ledgerSpan {
+// removeGone removes endpoints that left the list goneRetentionWindows ago. Each release of the
+// targets brings new endpoints, so a courier that runs for weeks would otherwise keep them all.
+func (c *Courier) removeGone() {
+	for range len(c.goneEndpoints) {
+		e := c.goneEndpoints[0]
+		if c.now-e.goneAt < goneRetentionWindows*retryBudgetWindow {
 			return
 		}
-		c.left = c.left[1:]
+		c.goneEndpoints = c.goneEndpoints[1:]
 		switch {
-		case e.Phase != Gone || c.eps[e.ID] != e: // listed again, or asleep
+		case e.Phase != Gone || c.endpoints[e.ID] != e: // listed again or unloaded
 		case len(e.calls) > 0:
-			c.left = append(c.left, e)
+			c.goneEndpoints = append(c.goneEndpoints, e)
 		default:
-			c.forget(e)
+			c.removeEndpoint(e)
 		}
 	}
 }
 
-func (c *Courier) forget(e *endpoint) {
+// removeEndpoint deletes e, and its route if it was the last endpoint of it.
+func (c *Courier) removeEndpoint(e *endpoint) {
 	r := e.route
-	r.eps, r.dest.eps = remove(r.eps, e), remove(r.dest.eps, e)
-	if len(r.eps) == 0 {
+	r.endpoints, r.dest.endpoints = remove(r.endpoints, e), remove(r.dest.endpoints, e)
+	if len(r.endpoints) == 0 {
 		r.dest.routes = remove(r.dest.routes, r)
 	}
-	delete(c.eps, e.ID)
+	delete(c.endpoints, e.ID)
 }
