--- a/capacity_test.go
+++ b/capacity_test.go
@@ -8,11 +8,11 @@
 	"snowjunction/internal/gauge"
 )
 
-// The fleet of docs/CAPACITY.md.
+// The planned fleet, see docs/CAPACITY.md.
 const (
 	plannedFleet           = 3_400
 	plannedDestinations    = 1_300_000
-	plannedEventsPerSecond = 7_900_000 // a second
+	plannedEventsPerSecond = 7_900_000
 )
 
 func newPlannedMember(b *testing.B, number int) *Courier {
@@ -32,22 +32,22 @@
 	return []Endpoint{{ID: EndpointID(2*d + 1), Destination: d, Phase: Ready, Weight: 1}, {ID: EndpointID(2*d + 2), Destination: d, Phase: Ready, Weight: 1}}
 }
 
-// What an ask with its grant costs the module of the account's keeper. It keeps an even part
-// of the accounts and is asked at the rate of their events.
+// BenchmarkKeeper measures a lease owner's cost of a grant request and its grant. The courier owns an
+// even part of the leases and gets requests at the rate of their events.
 func BenchmarkKeeper(b *testing.B) {
 	const n = 20_000
 	c := newPlannedMember(b, 5)
-	var mine []DestinationID
+	var owned []DestinationID
 	for d := range DestinationID(plannedDestinations) {
 		if c.leaseOwners.First(uint32(d)) == 5 {
-			mine = append(mine, d)
+			owned = append(owned, d)
 		}
 	}
 	now, i, grants := time.Second, 0, 0
 	gauge.CPU(b, n, "ask", func() {
 		for range n {
 			now += time.Second * plannedFleet / plannedEventsPerSecond
-			note := Note{Destination: mine[i%len(mine)], Asks: true, Calls: 1, Rank: 150, Limit: 12}
+			note := Note{Destination: owned[i%len(owned)], Asks: true, Calls: 1, Rank: 150, Limit: 12}
 			for _, a := range c.Handle(now, []Event{Heard{Peer: 6 + i%3000, Notes: []Note{note}}}) {
 				if t, ok := a.(Tell); ok && len(t.Notes) > 0 {
 					grants++
@@ -57,13 +57,13 @@
 		}
 	})
 	if grants < b.N*n*9/10 {
-		b.Fatalf("%d grants of %d asks", grants, b.N*n)
+		b.Fatalf("%d grants for %d requests", grants, b.N*n)
 	}
-	b.ReportMetric(float64(len(mine)), "accounts")
+	b.ReportMetric(float64(len(owned)), "accounts")
 }
 
-// What a destination with two endpoints takes of the module while it is awake: after a call
-// to each of the two, and with one message that waits.
+// BenchmarkAwakeDestination measures the memory of a loaded destination with two endpoints, after a
+// call to each of them and with one message waiting.
 func BenchmarkAwakeDestination(b *testing.B) {
 	const n = 4096
 	gauge.Held(b, n, "destination", func() any {
@@ -91,8 +91,8 @@
 	})
 }
 
-// courierWithPending is a courier that holds so many messages, over so many destinations, none of which
-// may be called before a minute.
+// courierWithPending returns a courier with messages spread over destinations, none of which may be
+// called within a minute.
 func courierWithPending(b *testing.B, messages, destinations int) *Courier {
 	c := newPlannedMember(b, 5)
 	c.settings.Notes = false
@@ -107,19 +107,19 @@
 	}
 	c.Handle(now, nil)
 	if len(c.pending) != messages {
-		b.Fatalf("%d held of %d", len(c.pending), messages)
+		b.Fatalf("%d pending, want %d", len(c.pending), messages)
 	}
 	return c
 }
 
-// What a message that waits takes of the module, beside its destination.
+// BenchmarkHeldRequest measures the memory of a waiting message, without its destination.
 func BenchmarkHeldRequest(b *testing.B) {
 	const n = 100_000
 	gauge.Held(b, n, "event", func() any { return courierWithPending(b, n, 100) })
 }
 
-// What a turn of the module costs for each destination with messages that wait, and for each
-// message, as nothing happens.
+// BenchmarkTurn measures a call of Handle without events, per destination with waiting messages and
+// per message.
 func BenchmarkTurn(b *testing.B) {
 	for _, x := range []struct{ messages, destinations int }{{100, 100}, {1_000, 1_000}, {4_000, 4_000}, {40_000, 4_000}, {1_000, 1}, {100_000, 1}} {
 		b.Run(fmt.Sprintf("messages=%d/destinations=%d", x.messages, x.destinations), func(b *testing.B) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// What the end of one message costs the module where so many are held.
+// BenchmarkEndAmongHeld measures the end of one message while many are pending.
 func BenchmarkEndAmongHeld(b *testing.B) {
 	for _, n := range []int{1_000, 10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -152,18 +152,18 @@
 	}
 }
 
-// What an event costs the module of the courier that carries it, where it meets each
-// destination so seldom that it wakes for one message, asks, calls and sleeps again; four
-// thousand others are awake meanwhile.
+// BenchmarkCarrier measures the cost of an event at the courier that delivers it, if each destination
+// gets messages so rarely that it is loaded for one message, requests a grant, is called and unloaded
+// again. Four thousand other destinations are loaded meanwhile.
 func BenchmarkCarrier(b *testing.B) {
-	const n, awake = 20_000, 4_000
+	const n, loaded = 20_000, 4_000
 	c, now, i, sent := newPlannedMember(b, 5), time.Second, 0, 0
 	gauge.CPU(b, n, "event", func() {
 		for range n {
 			now += time.Second * plannedFleet / plannedEventsPerSecond
-			d, old := DestinationID(i*7919%plannedDestinations), DestinationID((i-awake)*7919%plannedDestinations)
+			d, old := DestinationID(i*7919%plannedDestinations), DestinationID((i-loaded)*7919%plannedDestinations)
 			var events []Event
-			if i >= awake {
+			if i >= loaded {
 				events = append(events, Sleep{Destination: old})
 			}
 			i++
@@ -192,20 +192,20 @@
 	}
 }
 
-// What one event asks for at a destination that is down, where no other event of its courier
-// goes there and its keeper grants each ask after 40 ms: to the event's end.
+// BenchmarkAsksWhileDown measures the grant requests of one event, up to its end, at a destination
+// that is down. No other event of its courier goes there and each request is granted after 40 ms.
 func BenchmarkAsksWhileDown(b *testing.B) {
 	for _, deadline := range []time.Duration{8 * time.Second, 20 * time.Second} {
 		b.Run(deadline.String(), func(b *testing.B) {
-			var asks, failing, sends, out, end float64
+			var asks, failing, sends, slotSeconds, end float64
 			for b.Loop() {
-				asks, failing, sends, out, end = 0, 0, 0, 0, 0
+				asks, failing, sends, slotSeconds, end = 0, 0, 0, 0, 0
 				c := newPlannedMember(b, 5)
 				c.settings.Slots, c.classes[0].Deadline = 64, deadline
 				c.Handle(time.Second, []Event{Wake{Destination: 7, Endpoints: twoEndpoints(7), Destinations: plannedDestinations}})
-				coming := map[time.Duration][]Event{2 * time.Second: {Request{ID: 1, Destination: 7, Deadline: deadline}}}
+				scheduled := map[time.Duration][]Event{2 * time.Second: {Request{ID: 1, Destination: 7, Deadline: deadline}}}
 				for now := 2 * time.Second; now < 3*time.Second+deadline; now += time.Millisecond {
-					events := coming[now]
+					events := scheduled[now]
 					for _, a := range c.Handle(now, events) {
 						switch a := a.(type) {
 						case Tell:
@@ -213,13 +213,13 @@
 								asks, failing = asks+boolToFloat(x.Asks), failing+boolToFloat(x.Failing)
 								if x.Asks && x.Calls > 0 {
 									at := now + 40*time.Millisecond
-									coming[at] = append(coming[at], Heard{Peer: a.Peer, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}}})
+									scheduled[at] = append(scheduled[at], Heard{Peer: a.Peer, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}}})
 								}
 							}
 						case Send:
 							at := (now + a.Timeout + time.Millisecond).Truncate(time.Millisecond)
-							coming[at] = append(coming[at], AttemptEnded{Request: a.Request, Endpoint: a.Endpoint, Attempt: int(sends), Took: a.Timeout, Outcome: TimedOut})
-							sends, out = sends+1, out+a.Timeout.Seconds()
+							scheduled[at] = append(scheduled[at], AttemptEnded{Request: a.Request, Endpoint: a.Endpoint, Attempt: int(sends), Took: a.Timeout, Outcome: TimedOut})
+							sends, slotSeconds = sends+1, slotSeconds+a.Timeout.Seconds()
 						case Fail, Refuse:
 							end = (now - 2*time.Second).Seconds()
 						}
@@ -229,7 +229,7 @@
 			b.ReportMetric(asks, "asks/event")
 			b.ReportMetric(failing, "failing/event")
 			b.ReportMetric(sends, "calls/event")
-			b.ReportMetric(out, "slot-s/event")
+			b.ReportMetric(slotSeconds, "slot-s/event")
 			b.ReportMetric(end, "s-to-its-end")
 		})
 	}
--- a/courier_test.go
+++ b/courier_test.go
@@ -11,7 +11,7 @@
 
 const (
 	ms     = time.Millisecond
-	safe   = 0 // classes of the test settings
+	safe   = 0 // class indexes of the test settings
 	keyed  = 1
 	unsafe = 2
 	order  = 3
@@ -34,17 +34,17 @@
 	}
 }
 
-// harness drives a courier on a fake clock and keeps what it has out.
+// harness drives a courier on a fake clock and records its open attempts and actions.
 type harness struct {
 	t        *testing.T
 	c        *Courier
 	now      time.Duration
 	out      map[RequestID]Send
-	attempts map[RequestID]int // attempts so far
+	attempts map[RequestID]int // number of attempts sent
 	actions  []Action
 }
 
-func newRig(t *testing.T, change func(*Settings), eps ...Endpoint) *harness {
+func newHarness(t *testing.T, change func(*Settings), eps ...Endpoint) *harness {
 	t.Helper()
 	s := testSettings()
 	if change != nil {
@@ -71,7 +71,7 @@
 		}
 	}
 	acts := g.c.Handle(g.now, events)
-	for _, r := range g.c.pending { // or its time would be up unseen
+	for _, r := range g.c.pending { // a request due before the next sweep would be missed
 		last := r.deadline
 		if r.call == nil {
 			last = g.c.latestSend(r)
@@ -93,8 +93,7 @@
 	return acts
 }
 
-// run lets time pass without news, a tick's multiple at a time, and returns
-// all actions.
+// run advances the clock in small steps without events and returns all actions.
 func (g *harness) run(d time.Duration) (acts []Action) {
 	g.t.Helper()
 	for end := g.now + d; g.now < end; {
@@ -126,7 +125,7 @@
 	return ids
 }
 
-// answers lists final answers: "refuse 3", "fail 4".
+// answers lists the final answers in the form "refuse 3" or "fail 4".
 func answers(acts []Action) (out []string) {
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -175,7 +174,7 @@
 	}
 }
 
-// What one failed attempt leads to, by class.
+// Which outcome of a failed attempt leads to a retry depends on the effect of the class.
 func TestRetriesByEffect(t *testing.T) {
 	for _, tc := range []struct {
 		class   int
@@ -189,54 +188,55 @@
 		{unsafe, Reset, false, []string{"fail 1"}}, {unsafe, Cancelled, false, []string{"fail 1"}},
 		{unsafe, Full, true, nil}, {unsafe, ConnectFailed, true, nil}, {unsafe, Moot, true, nil},
 	} {
-		g := newRig(t, nil, ep1)
+		g := newHarness(t, nil, ep1)
 		want(t, "first send", sends(g.step(0, newRequest(1, tc.class))), []RequestID{1})
 		acts := g.step(100*ms, g.outcome(1, tc.outcome))
 		want(t, fmt.Sprint(tc, " answers"), answers(acts), tc.answer)
 		acts = append(acts, g.run(4*time.Second)...)
-		want(t, fmt.Sprint(tc, " repeats"), len(sends(acts)) > 0, tc.repeats)
+		want(t, fmt.Sprint(tc, " retries"), len(sends(acts)) > 0, tc.repeats)
 	}
 }
 
-// The ledger: repeats stay under a fifth of the first sends plus the floor;
-// the failure it cannot fund is answered at once.
+// Retries stay under a fifth of the first attempts plus the floor. A failure beyond that budget is
+// answered at once.
 func TestRetryBudget(t *testing.T) {
-	g := newRig(t, nil, ep1)
+	g := newHarness(t, nil, ep1)
 	d := g.c.destinationFor(1)
 	floor := int(retryFloorPerSlot * float64(g.c.settings.Slots))
 	d.firstAttempts.add(g.now, 50)
-	funded := 0
+	granted := 0
 	for g.c.withdrawRetry(d) {
-		if funded++; funded > 100 {
-			t.Fatal("no bound")
+		if granted++; granted > 100 {
+			t.Fatal("the retry budget has no upper bound")
 		}
 	}
-	want(t, "repeats funded", funded, 10+floor)
+	want(t, "retries granted", granted, 10+floor)
 	acts := g.step(0, newRequest(1, safe))
-	want(t, "first sends still go", sends(acts), []RequestID{1})
+	want(t, "first attempts are still sent", sends(acts), []RequestID{1})
 	d.retries.add(g.now, 1)
 	acts = g.step(50*ms, g.outcome(1, Moot))
-	want(t, "unfunded", answers(acts), []string{"refuse 1"})
+	want(t, "answer without budget", answers(acts), []string{"refuse 1"})
 	g.now += retryBudgetWindow
 	g.step(0)
-	want(t, "funded again when the window has passed", g.c.withdrawRetry(d), true)
+	want(t, "retry granted after the window", g.c.withdrawRetry(d), true)
 }
 
+// A keyed request that may have been executed is not sent after the deduplication window.
 func TestKeyedRequestNotRetriedAfterWindow(t *testing.T) {
-	g := newRig(t, nil, ep1)
+	g := newHarness(t, nil, ep1)
 	g.step(0, newRequest(1, keyed))
-	e := g.outcome(1, Reset) // closes the gate: no probes here, so a trial must repeat it
+	e := g.outcome(1, Reset) // opens the breaker; without probes only a trial can retry the request
 	g.c.endpoints[10].failures = breakerFailures - 1
 	g.step(4900*ms, e)
 	acts := g.run(time.Second)
-	want(t, "sends past the window", len(sends(acts)), 0)
-	want(t, "answered when it lapses", answers(acts), []string{"fail 1"})
+	want(t, "sends after the window", len(sends(acts)), 0)
+	want(t, "answer at the end of the window", answers(acts), []string{"fail 1"})
 }
 
-// What has changed since a decision, while a connection was coming up.
+// Guards against sending a stale attempt: the state may change while a connection is set up.
 func TestStandsRechecksQueuedAttempt(t *testing.T) {
 	drained := List{Kind: ListDelta, Endpoints: []Endpoint{{ID: 10, Destination: 1, Phase: Draining}}}
-	told := func(g *harness) []Event {
+	rejectWithDelay := func(g *harness) []Event {
 		e := g.outcome(2, Full)
 		e.Wait = 500 * ms
 		return []Event{e}
@@ -247,112 +247,116 @@
 		news  func(g *harness) []Event
 		want  bool
 	}{
-		{"nothing", time.Second, nil, true},
-		{"the window lapses", 4900 * ms, nil, false}, // it has begun with the first attempt
-		{"a wait is told", 10 * ms, told, false},
-		{"a told wait is over", 510 * ms, told, true},
-		{"refused without a word", 10 * ms, func(g *harness) []Event { return []Event{g.outcome(2, Full)} }, true},
-		{"it drains", 10 * ms, func(*harness) []Event { return []Event{drained} }, false},
-		{"nothing is owed any more", 10 * ms, func(*harness) []Event { return []Event{Withdrawn{Request: 1}} }, false},
+		{"no news", time.Second, nil, true},
+		{"the window ends", 4900 * ms, nil, false}, // the window starts with the first attempt
+		{"retry-after delay named", 10 * ms, rejectWithDelay, false},
+		{"retry-after delay over", 510 * ms, rejectWithDelay, true},
+		{"rejected without a delay", 10 * ms, func(g *harness) []Event { return []Event{g.outcome(2, Full)} }, true},
+		{"endpoint drains", 10 * ms, func(*harness) []Event { return []Event{drained} }, false},
+		{"request withdrawn", 10 * ms, func(*harness) []Event { return []Event{Withdrawn{Request: 1}} }, false},
 	} {
-		g := newRig(t, func(s *Settings) { s.OrderSettle = 0 }, ep1)
+		g := newHarness(t, func(s *Settings) { s.OrderSettle = 0 }, ep1)
 		g.step(0, newRequest(1, keyed))
 		g.step(100*ms, g.outcome(1, Reset), newRequest(2, safe))
-		want(t, c.what+": the repeat and another are out", len(g.out), 2)
+		want(t, c.what+": open attempts", len(g.out), 2)
 		if c.news != nil {
 			g.step(5*ms, c.news(g)...)
 		}
 		want(t, c.what, g.c.Stands(g.now+c.after, 1), c.want)
-		want(t, c.what+", asked again", g.c.Stands(g.now+c.after, 1), c.want)
+		want(t, c.what+", second call", g.c.Stands(g.now+c.after, 1), c.want)
 	}
 }
 
+// A keyed request that may have been executed stays in its zone, even if that delays it.
 func TestKeyedRetryStaysInZone(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.Classes[keyed].Group = GroupZone }, ep1,
+	g := newHarness(t, func(s *Settings) { s.Classes[keyed].Group = GroupZone }, ep1,
 		Endpoint{ID: 11, Destination: 1, Zone: 1})
 	g.step(0, newRequest(1, keyed))
-	want(t, "same zone first", g.out[1].Endpoint, EndpointID(10))
+	want(t, "endpoint in the same zone", g.out[1].Endpoint, EndpointID(10))
 	g.step(0, List{Kind: ListDelta, Endpoints: []Endpoint{{ID: 10, Destination: 1, Phase: Draining}}})
 	g.step(100*ms, g.outcome(1, Error))
-	want(t, "sends elsewhere", len(sends(g.run(4*time.Second))), 0)
+	want(t, "sends to the other zone", len(sends(g.run(4*time.Second))), 0)
 }
 
+// An endpoint that drains or has left the list gets no new calls.
 func TestDrainingEndpointGetsNoSends(t *testing.T) {
 	for _, phase := range []Phase{Draining, Gone} {
-		g := newRig(t, nil, ep1)
+		g := newHarness(t, nil, ep1)
 		acts := g.step(0, List{Kind: ListDelta, Endpoints: []Endpoint{{ID: 10, Destination: 1, Phase: phase}}},
 			newRequest(1, safe))
 		acts = append(acts, g.run(time.Second)...)
 		want(t, "sends", len(sends(acts)), 0)
 		acts = g.step(0, List{Kind: ListDelta, Endpoints: []Endpoint{{ID: 10, Destination: 1, Phase: Ready}}})
-		want(t, "sends when it is back", sends(acts), []RequestID{1})
+		want(t, "sends after it is ready again", sends(acts), []RequestID{1})
 	}
-	g := newRig(t, nil, ep1)
+	g := newHarness(t, nil, ep1)
 	acts := g.step(0, List{Kind: ListFull}, newRequest(1, safe))
-	want(t, "sends to what a full list lacks", len(sends(acts)), 0)
+	want(t, "sends to an endpoint missing in a full list", len(sends(acts)), 0)
 }
 
-// A wait holds for the destination, told by whichever outcome of a bundle.
+// A retry-after delay holds for the destination, whichever request of a bundle reports it.
 func TestRetryAfterDelayIsHonoured(t *testing.T) {
-	for _, teller := range []RequestID{1, 2} {
-		g := newRig(t, nil, Endpoint{ID: 10, Destination: 1, Kind: 1}, Endpoint{ID: 11, Destination: 1, Kind: 1})
-		want(t, "a bundle", len(sends(g.step(0, newRequest(1, safe), newRequest(2, safe)))), 2)
+	for _, reporter := range []RequestID{1, 2} {
+		g := newHarness(t, nil, Endpoint{ID: 10, Destination: 1, Kind: 1}, Endpoint{ID: 11, Destination: 1, Kind: 1})
+		want(t, "sends in a bundle", len(sends(g.step(0, newRequest(1, safe), newRequest(2, safe)))), 2)
 		want(t, "same call", g.out[1].Endpoint, g.out[2].Endpoint)
 		a, b := g.outcome(1, Full), g.outcome(2, Full)
-		if teller == 1 {
+		if reporter == 1 {
 			a.Wait = 700 * ms
 		} else {
 			b.Wait = 700 * ms
 		}
 		acts := g.step(100*ms, a, b, newRequest(3, safe))
 		acts = append(acts, g.run(690*ms)...)
-		want(t, "sends during the wait", len(sends(acts)), 0)
-		want(t, "sends after it", len(sends(g.run(2*time.Second))) > 0, true)
+		want(t, "sends during the delay", len(sends(acts)), 0)
+		want(t, "sends after the delay", len(sends(g.run(2*time.Second))) > 0, true)
 	}
 }
 
+// With RoutesApart a retry-after delay blocks one endpoint and the request goes to another.
 func TestRetryAfterDelayBlocksOneRoute(t *testing.T) {
-	g := newRig(t, nil, Endpoint{ID: 10, Destination: 1, Kind: 2}, Endpoint{ID: 11, Destination: 1, Kind: 2})
+	g := newHarness(t, nil, Endpoint{ID: 10, Destination: 1, Kind: 2}, Endpoint{ID: 11, Destination: 1, Kind: 2})
 	g.step(0, newRequest(1, safe))
 	first := g.out[1].Endpoint
 	e := g.outcome(1, Full)
 	e.Wait = 700 * ms
 	g.step(100*ms, e)
-	want(t, "goes by the other route", g.out[1].Endpoint != first && g.attempts[1] == 2, true)
+	want(t, "sent on the other route", g.out[1].Endpoint != first && g.attempts[1] == 2, true)
 }
 
+// Requests of one key are sent one at a time and wait for the settling delay.
 func TestOneSendPerKey(t *testing.T) {
-	g := newRig(t, nil, ep1, Endpoint{ID: 20, Destination: 2})
+	g := newHarness(t, nil, ep1, Endpoint{ID: 20, Destination: 2})
 	a, b, c := newRequest(1, order), newRequest(2, order), newRequest(3, order)
 	a.Key, b.Key, c.Key, b.Destination = 7, 7, 8, 2
 	acts := g.step(0, a, b, c)
-	want(t, "one a key", len(sends(acts)), 2)
+	want(t, "one send per key", len(sends(acts)), 2)
 	if _, out := g.out[2]; out {
-		t.Fatal("2 overtook 1")
-	}
-	// 1 is withdrawn with its attempt out: 2 goes on waiting, and then for
-	// the key to settle.
-	want(t, "withdrawn", len(sends(g.step(10*ms, Withdrawn{1}))), 0)
-	want(t, "timed out", len(sends(g.step(90*ms, g.outcome(1, TimedOut)))), 0)
-	want(t, "not settled", len(sends(g.run(280*ms))), 0)
-	want(t, "settled", sends(g.run(100*ms)), []RequestID{2})
+		t.Fatal("request 2 was sent before request 1 ended")
+	}
+	// Request 1 is withdrawn with its attempt open: request 2 still waits for the end of the
+	// attempt and then for the key's settling delay.
+	want(t, "sends after withdrawal", len(sends(g.step(10*ms, Withdrawn{1}))), 0)
+	want(t, "sends after the timeout", len(sends(g.step(90*ms, g.outcome(1, TimedOut)))), 0)
+	want(t, "sends before the key has settled", len(sends(g.run(280*ms))), 0)
+	want(t, "sends after the key has settled", sends(g.run(100*ms)), []RequestID{2})
 	g.step(100*ms, g.outcome(2, OK), g.outcome(3, TimedOut))
 	g.run(30 * time.Second)
-	want(t, "lines kept for keys at rest", len(g.c.keyQueues), 1) // 3 was safe, and is out again
+	want(t, "key queues left", len(g.c.keyQueues), 1) // request 3 is Safe and has been sent again
 }
 
-// The window starts at half the slots and stays under three quarters.
+// The concurrency window starts at half of the slots and stays under three quarters of them.
 func TestWindowBounds(t *testing.T) {
 	for _, tc := range []struct{ slots, start, most int }{
 		{1, 1, 1}, {2, 1, 1}, {3, 1, 2}, {4, 2, 2}, {8, 4, 5}, {9, 4, 6}, {16, 8, 11},
 	} {
-		g := newRig(t, func(s *Settings) { s.Slots = tc.slots }, ep1)
+		g := newHarness(t, func(s *Settings) { s.Slots = tc.slots }, ep1)
 		id := RequestID(0)
 		for range 40 {
 			id++
 			g.step(0, newRequest(id, safe))
 		}
-		want(t, fmt.Sprint(tc, " start"), len(g.out), tc.start)
+		want(t, fmt.Sprint(tc, " window at start"), len(g.out), tc.start)
 		top := 0
 		for range 60 {
 			for k := RequestID(1); k <= id; k++ {
@@ -364,12 +368,13 @@
 			}
 			top = max(top, len(g.out))
 		}
-		want(t, fmt.Sprint(tc, " most"), top, tc.most)
+		want(t, fmt.Sprint(tc, " largest window"), top, tc.most)
 	}
 }
 
+// A rising latency narrows the concurrency window to at most half of the slots.
 func TestWindowNarrowsAsLatencyGrows(t *testing.T) {
-	g := newRig(t, nil, ep1)
+	g := newHarness(t, nil, ep1)
 	for id := RequestID(1); id <= 40; id++ {
 		g.step(0, newRequest(id, safe))
 		e := g.outcome(id, OK)
@@ -384,7 +389,7 @@
 	}
 }
 
-// fail lets requests of a class fail until the gate closes.
+// openBreaker sends unsafe requests that end with o until the breaker of endpoint 10 opens.
 func openBreaker(g *harness, o Outcome) RequestID {
 	g.t.Helper()
 	for id := RequestID(100); id < 110; id++ {
@@ -397,56 +402,56 @@
 			return 0
 		}
 	}
-	g.t.Fatal("the gate stays open")
+	g.t.Fatal("the breaker stays closed")
 	return 0
 }
 
-// While a destination fails, first sends are held; one probe at a time asks,
-// and no unsafe request is risked before one is answered.
+// With an open breaker no first attempts are sent. One probe is open at a time, and an unsafe request
+// is sent only after a probe was answered.
 func TestOpenBreakerProbesFirst(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.Probes = true }, ep1)
+	g := newHarness(t, func(s *Settings) { s.Probes = true }, ep1)
 	openBreaker(g, Error)
 	acts := g.step(0, newRequest(1, unsafe), newRequest(2, safe))
 	acts = append(acts, g.run(10*time.Second)...)
-	want(t, "sends while closed", len(sends(acts)), 0)
-	want(t, "probes out at once", count[Probe](acts), 1)
+	want(t, "sends while the breaker is open", len(sends(acts)), 0)
+	want(t, "open probes", count[Probe](acts), 1)
 	acts = g.step(0, ProbeEnded{Endpoint: 10, Outcome: TimedOut, Took: time.Second})
 	acts = append(acts, g.run(3*time.Second)...)
 	want(t, "next probe", count[Probe](acts), 1)
 	acts = g.step(0, ProbeEnded{Endpoint: 10, Outcome: OK, Took: 10 * ms})
-	want(t, "the trial is the request cheapest to lose", sends(acts), []RequestID{2})
+	want(t, "request of the trial", sends(acts), []RequestID{2})
 	g.step(100*ms, g.outcome(2, OK))
 	g.run(3 * time.Second)
 	if _, out := g.out[1]; !out {
-		t.Error("the unsafe request does not follow")
+		t.Error("the unsafe request is not sent after the trial")
 	}
 }
 
-// Without probes a trial risks the request cheapest to lose, never an unsafe
-// one that may be burned.
+// Without probes a trial uses the request whose loss costs least, and never an unsafe one that may
+// have been executed when its call fails.
 func TestTrialNeverUsesUnsafeRequest(t *testing.T) {
-	g := newRig(t, nil, ep1)
+	g := newHarness(t, nil, ep1)
 	openBreaker(g, Error)
-	want(t, "unsafe alone is held", len(sends(append(g.step(0, newRequest(1, unsafe)), g.run(5*time.Second)...))), 0)
-	want(t, "safe goes", sends(append(g.step(0, newRequest(2, safe)), g.run(3*time.Second)...)), []RequestID{2})
+	want(t, "sends of an unsafe request alone", len(sends(append(g.step(0, newRequest(1, unsafe)), g.run(5*time.Second)...))), 0)
+	want(t, "sends of a safe request", sends(append(g.step(0, newRequest(2, safe)), g.run(3*time.Second)...)), []RequestID{2})
 }
 
-// Calls lost in an outage fill the narrowed window; a trial goes all the same.
+// Calls lost in an outage occupy the narrowed window. A trial is sent all the same.
 func TestTrialIgnoresNarrowedWindow(t *testing.T) {
-	g := newRig(t, nil, ep1)
+	g := newHarness(t, nil, ep1)
 	g.step(0, newRequest(1, unsafe))
 	g.step(100*ms, g.outcome(1, OK))
 	g.step(0, newRequest(2, unsafe), newRequest(3, safe))
 	g.c.destinationFor(1).window = 1
-	g.step(300*ms, g.outcome(3, TimedOut)) // 2 hangs
+	g.step(300*ms, g.outcome(3, TimedOut)) // request 2 gets no answer
 	acts := g.run(4 * time.Second)
-	want(t, "trial", sends(acts), []RequestID{3})
+	want(t, "request of the trial", sends(acts), []RequestID{3})
 }
 
-// After an outage seen here this courier stays under its share of the fall
-// budget in any window of the fall time, with probes and trials counted.
+// After an outage this courier stays within its share of the cold budget in any window of FallTime,
+// probes and trials included.
 func TestSlowStartBudget(t *testing.T) {
-	g := newRig(t, nil, Endpoint{ID: 10, Destination: 1, Weight: 20})
+	g := newHarness(t, nil, Endpoint{ID: 10, Destination: 1, Weight: 20})
 	openBreaker(g, ConnectFailed)
 	for id := RequestID(200); id < 280; id++ {
 		g.step(0, newRequest(id, safe))
@@ -478,19 +483,19 @@
 		}
 		share := s.ColdShare + (1-s.ColdShare)*float64(at[i]-back)/float64(s.WarmUp)
 		if most := coldBudgetFactor * s.FallMultiple * share * 20 * s.FallTime.Seconds(); float64(n) > most {
-			t.Fatalf("%d sends in the fall time, %v after the return: more than %.1f", n, at[i]-back, most)
+			t.Fatalf("%d sends in FallTime, %v after the recovery: more than %.1f", n, at[i]-back, most)
 		}
 	}
 }
 
-// Refusals alone: below a few episodes it is a limit, beyond them a shut
-// destination, and sends stop.
+// A few rejection episodes are a rate limit. After more of them the destination counts as
+// unavailable and its breaker opens.
 func TestRepeatedRejectionsOpenBreaker(t *testing.T) {
-	g := newRig(t, nil, ep1)
+	g := newHarness(t, nil, ep1)
 	g.step(0, newRequest(1, safe))
 	for i := range 10 {
 		if g.c.endpoints[10].state == down {
-			want(t, "episodes", i >= 3, true)
+			want(t, "at least 3 episodes", i >= 3, true)
 			return
 		}
 		g.run(2 * time.Second)
@@ -500,22 +505,23 @@
 		g.step(20*ms, g.outcome(1, Full))
 	}
 	if g.c.endpoints[10].state != down {
-		t.Error("a shut destination keeps getting first sends")
+		t.Error("an unavailable destination still gets first attempts")
 	}
 }
 
-// A full connection table looks like a dead machine, but others get through.
+// A full connection table looks like a dead machine, but other calls succeed meanwhile.
 func TestConnectFailureAmongSuccesses(t *testing.T) {
-	g := newRig(t, nil, ep1)
+	g := newHarness(t, nil, ep1)
 	g.step(0, newRequest(1, safe), newRequest(2, safe))
 	g.step(100*ms, g.outcome(1, OK))
 	g.step(900*ms, g.outcome(2, ConnectFailed))
-	want(t, "gate closed", g.c.endpoints[10].state == down, false)
+	want(t, "breaker open", g.c.endpoints[10].state == down, false)
 }
 
+// A nearly full courier refuses the least valuable requests first.
 func TestShedsLowestValue(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.MaxHeld = 20 }, ep1)
-	g.step(0, List{Kind: ListFull}) // nowhere to go
+	g := newHarness(t, func(s *Settings) { s.MaxHeld = 20 }, ep1)
+	g.step(0, List{Kind: ListFull}) // no endpoint is available
 	for id := RequestID(1); id <= 10; id++ {
 		g.step(0, newRequest(id, unsafe))
 	}
@@ -532,9 +538,9 @@
 	}
 }
 
-// Every request taken gets exactly one final answer before its time is up.
+// Every accepted request gets exactly one final answer before its deadline.
 func TestOneAnswerBeforeDeadline(t *testing.T) {
-	g := newRig(t, nil, ep1)
+	g := newHarness(t, nil, ep1)
 	g.step(0, newRequest(1, unsafe), newRequest(2, safe))
 	g.step(0, List{Kind: ListFull})
 	g.step(0, newRequest(3, safe), newRequest(4, unsafe))
@@ -542,24 +548,26 @@
 	want(t, "answers", len(answers(acts)), 4)
 }
 
+// Events for unknown requests, endpoints, timers or classes do no harm.
 func TestUnexpectedEventsAreIgnored(t *testing.T) {
-	g := newRig(t, nil, ep1)
+	g := newHarness(t, nil, ep1)
 	g.step(0, newRequest(1, safe))
 	end := g.outcome(1, OK)
 	g.step(10*ms, end)
 	acts := g.step(0, end, Withdrawn{1}, Withdrawn{99}, Timer{12345}, ProbeEnded{Endpoint: 77}, ProbeEnded{Endpoint: 10},
 		AttemptEnded{Request: 98, Outcome: Full}, StreamStarted{Request: 97}, List{Kind: ListFailed})
 	want(t, "answers", len(answers(acts))+len(sends(acts)), 0)
-	odd := newRequest(2, 250)
-	odd.Tenant = 9
-	g.step(0, odd, odd)
-	want(t, "a class out of range is taken for unsafe",
+	unexpected := newRequest(2, 250)
+	unexpected.Tenant = 9
+	g.step(0, unexpected, unexpected)
+	want(t, "a class out of range counts as unsafe",
 		answers(g.step(10*ms, g.outcome(2, Error))), []string{"fail 2"})
 }
 
+// The same settings and events yield the same actions.
 func TestDeterministicActions(t *testing.T) {
-	play := func() []Action {
-		g := newRig(t, func(s *Settings) { s.Probes = true }, ep1, Endpoint{ID: 11, Destination: 1},
+	run := func() []Action {
+		g := newHarness(t, func(s *Settings) { s.Probes = true }, ep1, Endpoint{ID: 11, Destination: 1},
 			Endpoint{ID: 20, Destination: 2}, Endpoint{ID: 30, Destination: 3, Kind: 1})
 		for i := range 400 {
 			r := newRequest(RequestID(1000+i), i%3)
@@ -574,30 +582,30 @@
 		}
 		return g.actions
 	}
-	if a, b := play(), play(); !reflect.DeepEqual(a, b) {
-		t.Error("two couriers with the same events act differently")
+	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
+		t.Error("two runs with the same events return different actions")
 	}
 }
 
-// Incident ica7659: calls lost on their way, while others get through.
+// Incident ica7659: a call that was lost while others succeed must not raise the latency.
 func TestLostCallDoesNotRaiseLatency(t *testing.T) {
-	g := newRig(t, nil, ep1)
+	g := newHarness(t, nil, ep1)
 	g.step(0, newRequest(1, safe))
 	g.step(100*ms, g.outcome(1, OK))
 	g.step(0, newRequest(2, safe), newRequest(3, safe))
 	g.step(100*ms, g.outcome(3, OK))
 	lost := g.outcome(2, TimedOut)
 	lost.Took = 3 * time.Second
-	before := g.c.destinationFor(1).latency
+	latencyBefore := g.c.destinationFor(1).latency
 	g.step(2900*ms, lost)
-	want(t, "latency", g.c.destinationFor(1).latency, before)
-	want(t, "strikes", g.c.endpoints[10].failures, 0)
+	want(t, "latency", g.c.destinationFor(1).latency, latencyBefore)
+	want(t, "failures", g.c.endpoints[10].failures, 0)
 }
 
-// A run of time-outs alone lengthens the next ones within bounds, and an
-// unsafe request waits longer only while slots are free.
+// A series of timeouts lengthens the next ones only within bounds, and an unsafe request gets a
+// longer timeout only while slots are free.
 func TestTimeoutIsBounded(t *testing.T) {
-	g := newRig(t, nil, ep1)
+	g := newHarness(t, nil, ep1)
 	g.step(0, newRequest(1, safe))
 	g.step(100*ms, g.outcome(1, OK))
 	g.step(0, newRequest(2, safe))
@@ -605,20 +613,20 @@
 	lost.Took = 15 * time.Second
 	g.step(15*time.Second, lost)
 	if r := g.c.destinationFor(1).latency; r > 0.2 {
-		t.Errorf("one time-out moved the latency to %.2f s", r)
+		t.Errorf("one timeout changed the latency to %.2f s", r)
 	}
 	r := &request{class: &g.c.classes[unsafe], dest: g.c.destinationFor(1), deadline: g.now + time.Minute}
 	long := g.c.attemptTimeout(r)
 	g.c.openCalls = g.c.settings.Slots
 	if short := g.c.attemptTimeout(r); short*2 > long {
-		t.Errorf("time-out %v with no slot to spare, %v with all", short, long)
+		t.Errorf("timeout %v without a free slot, %v with all slots free", short, long)
 	}
 }
 
-// Incident ib28263: a fifth of the answers break off. That is no outage:
-// first sends go on, and only failures in a row close the gate.
+// Incident ib28263: a fifth of the answers break off. That is no outage: first attempts go on, and
+// only consecutive failures open the breaker.
 func TestPartialFailureKeepsBreakerClosed(t *testing.T) {
-	g := newRig(t, nil, ep1, Endpoint{ID: 11, Destination: 1})
+	g := newHarness(t, nil, ep1, Endpoint{ID: 11, Destination: 1})
 	for id := RequestID(1); id <= 100; id++ {
 		g.step(50*ms, newRequest(id, safe))
 		for k := RequestID(1); k <= id; k++ {
@@ -632,20 +640,20 @@
 			g.step(20*ms, g.outcome(k, o))
 		}
 		if g.c.endpoints[10].state == down || g.c.endpoints[11].state == down {
-			t.Fatalf("gate closed at request %d", id)
+			t.Fatalf("breaker opened at request %d", id)
 		}
 	}
 }
 
-// Quick errors that come among good answers do not take an endpoint for down, as
-// many in a row do, fewer right after an outage; a connection that breaks says more.
+// Quick errors among successes do not open the breaker, but many in a row do, and fewer right after
+// an outage. Broken connections open it earlier.
 func TestBreakerThresholdByFailureKind(t *testing.T) {
 	for _, tc := range []struct {
 		state health
 		o     Outcome
 		want  int
-	}{{up, Error, breakerErrors}, {cold, Error, breakerFailures - 1}, {up, Reset, 1 + breakerFailures}} { // the first on a warm connection is none
-		g := newRig(t, nil, ep1)
+	}{{up, Error, breakerErrors}, {cold, Error, breakerFailures - 1}, {up, Reset, 1 + breakerFailures}} { // the first reset is on a reused connection and does not count
+		g := newHarness(t, nil, ep1)
 		g.step(20*ms, newRequest(1, safe))
 		g.step(20*ms, g.outcome(1, OK))
 		g.c.endpoints[10].state, g.c.endpoints[10].stateSince, g.c.endpoints[10].lastSuccessAt = tc.state, g.c.now, -time.Minute
@@ -661,16 +669,16 @@
 			n++
 		}
 		if n != tc.want {
-			t.Errorf("state %d, %d: closed after %d, want %d", tc.state, tc.o, n, tc.want)
+			t.Errorf("state %d, outcome %d: breaker opened after %d failures, want %d", tc.state, tc.o, n, tc.want)
 		}
 	}
 }
 
-// Whatever answers do to the best latency, and so to the last moment of each held
-// request, none comes up before the next sweep.
+// Answers change the best latency and so the last moment at which each pending request can be sent.
+// None of these moments may come before the next sweep.
 func TestSweepMeetsEveryLatestSend(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
-	g := newRig(t, nil, ep1, Endpoint{ID: 11, Destination: 1}, Endpoint{ID: 12, Destination: 2})
+	g := newHarness(t, nil, ep1, Endpoint{ID: 11, Destination: 1}, Endpoint{ID: 12, Destination: 2})
 	answered := 0
 	for id := RequestID(1); id <= 3000; id++ {
 		r := newRequest(id, rng.IntN(3))
@@ -687,30 +695,32 @@
 		answered += len(answers(g.step(time.Duration(1+rng.IntN(20))*ms, events...)))
 	}
 	if answered < 100 {
-		t.Errorf("%d answers only", answered)
+		t.Errorf("only %d answers", answered)
 	}
 }
 
+// After a failed list request the courier subscribes again, with a delay but within AskWithin.
 func TestResubscribesToList(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.AskForList, s.AskWithin = true, 10*time.Second }, ep1)
-	want(t, "asked at the start", count[Watch](g.actions), 1)
+	g := newHarness(t, func(s *Settings) { s.AskForList, s.AskWithin = true, 10*time.Second }, ep1)
+	want(t, "subscriptions at the start", count[Watch](g.actions), 1)
 	acts := g.step(0, List{Kind: ListFailed})
 	acts = append(acts, g.run(time.Second)...)
-	want(t, "asked again at once", count[Watch](acts), 0)
-	want(t, "asked again in time", count[Watch](g.run(9*time.Second)), 1)
+	want(t, "subscriptions right after a failure", count[Watch](acts), 0)
+	want(t, "subscriptions within AskWithin", count[Watch](g.run(9*time.Second)), 1)
 }
 
+// A request whose answer is streaming is not ended by its deadline.
 func TestStreamingRequestHasNoDeadline(t *testing.T) {
-	g := newRig(t, nil, ep1)
+	g := newHarness(t, nil, ep1)
 	g.step(0, newRequest(1, safe))
 	g.step(time.Second, StreamStarted{Request: 1})
 	want(t, "answers", answers(g.run(25*time.Second)), []string(nil))
 }
 
-// Idle connections are dropped unseen: calls on them break off. They are
-// closed before that age, and a call on a new one goes well.
+// If the peer closes idle connections without notice, calls on them fail. Connections are closed
+// before they reach that age, and a call on a new one succeeds.
 func TestClosesIdleConnectionsBeforePeerDoes(t *testing.T) {
-	g := newRig(t, nil, ep1)
+	g := newHarness(t, nil, ep1)
 	id := RequestID(0)
 	call := func(gap time.Duration, o Outcome) []Action {
 		id++
@@ -721,24 +731,24 @@
 	call(0, OK)
 	for range 2 {
 		call(time.Second, Reset)
-		g.run(2 * time.Second) // the repeat goes
+		g.run(2 * time.Second) // sends the retry
 		for k := range g.out {
 			g.step(50*ms, g.outcome(k, OK))
 		}
 	}
-	want(t, "closed before a send after long idleness", count[CloseIdle](call(time.Second, OK)), 1)
-	want(t, "kept after a short one", count[CloseIdle](call(100*ms, OK)), 0)
+	want(t, "closed before a send after a long idle time", count[CloseIdle](call(time.Second, OK)), 1)
+	want(t, "closed before a send after a short idle time", count[CloseIdle](call(100*ms, OK)), 0)
 }
 
-// In a large fleet a connection refused at once is a full table: no outage,
-// and this courier's own connections there close after use.
+// In a large fleet a connection refused at once indicates a full table, not an outage. This
+// courier's own connections to that destination are then closed after use.
 func TestFullConnectionTableInLargeFleet(t *testing.T) {
 	for _, tc := range []struct {
 		fleet  int
 		closes int
 		state  health
 	}{{100, 1, up}, {1, 0, down}} {
-		g := newRig(t, func(s *Settings) { s.Fleet = tc.fleet }, ep1)
+		g := newHarness(t, func(s *Settings) { s.Fleet = tc.fleet }, ep1)
 		g.step(0, newRequest(1, unsafe))
 		e := g.outcome(1, ConnectFailed)
 		e.Took = 50 * ms
@@ -750,25 +760,25 @@
 	}
 }
 
-// A large fleet's even share of a small limit is a call in minutes: requests
-// go at once all the same, and refusals alone set a gap, which grows.
+// A large fleet's even share of a small limit is one call in minutes. Requests are sent at once all
+// the same; only rejections set a gap, which grows.
 func TestCallGapInLargeFleet(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.Fleet = 200 }, Endpoint{ID: 10, Destination: 1, Weight: 3})
+	g := newHarness(t, func(s *Settings) { s.Fleet = 200 }, Endpoint{ID: 10, Destination: 1, Weight: 3})
 	for id := RequestID(1); id <= 4; id++ {
 		want(t, "sent at once", sends(g.step(300*ms, newRequest(id, safe))), []RequestID{id})
 		g.step(50*ms, g.outcome(id, OK))
 	}
 	g.step(0, newRequest(5, safe))
 	g.step(20*ms, g.outcome(5, Full))
-	want(t, "held after a refusal", len(sends(g.run(900*ms))), 0)
-	want(t, "sent in time", len(sends(g.run(2200*ms))), 1)
+	want(t, "sends right after a rejection", len(sends(g.run(900*ms))), 0)
+	want(t, "sends after the gap", len(sends(g.run(2200*ms))), 1)
 }
 
-// firstCallFails is a courier of a fleet whose first call, to a destination
-// with a small limit, ended badly after a while.
+// firstCallFails returns a courier of a fleet whose first call, to a destination with a small limit,
+// ended with o.
 func firstCallFails(t *testing.T, fleet int, o Outcome, took time.Duration) *harness {
 	t.Helper()
-	g := newRig(t, func(s *Settings) { s.Fleet = fleet }, Endpoint{ID: 10, Destination: 1, Weight: 3})
+	g := newHarness(t, func(s *Settings) { s.Fleet = fleet }, Endpoint{ID: 10, Destination: 1, Weight: 3})
 	g.step(0, newRequest(1, safe))
 	e := g.outcome(1, o)
 	e.Took = took
@@ -776,61 +786,61 @@
 	return g
 }
 
-// A false alarm soon passes in a large fleet: few can have seen so short an
-// outage, and the fall budget is theirs.
+// In a large fleet a short outage is soon followed by a trial: few couriers can have seen it, and
+// they share the cold budget.
 func TestShortOutageAllowsEarlyTrial(t *testing.T) {
 	g := firstCallFails(t, 200, TimedOut, 1200*ms)
 	want(t, "state", g.c.endpoints[10].state, down)
-	want(t, "asked again in seconds, not in minutes", len(sends(g.run(5*time.Second))), 1)
+	want(t, "trials within seconds", len(sends(g.run(5*time.Second))), 1)
 }
 
-// Every request that falls due in a turn is answered in that turn.
+// All requests due in one call of Handle are answered in it.
 func TestAnswersAllDueRequests(t *testing.T) {
-	g := newRig(t, nil)
+	g := newHarness(t, nil)
 	for id := RequestID(1); id <= 5; id++ {
 		g.step(0, newRequest(id, unsafe))
 	}
 	want(t, "answers", len(answers(g.step(20*time.Second))), 5)
 }
 
-// What becomes of repeats anywhere at a kind sets how long the next refused
-// call there stays away.
+// The outcomes of retries at any destination of a kind set the call gap after the next rejection
+// there.
 func TestRejectedRetryLengthensGapOfKind(t *testing.T) {
 	eps := []Endpoint{{ID: 10, Destination: 1, Weight: 3}, {ID: 20, Destination: 2, Weight: 3}}
-	g := newRig(t, func(s *Settings) { s.Fleet = 200 }, eps...)
+	g := newHarness(t, func(s *Settings) { s.Fleet = 200 }, eps...)
 	first := g.c.retryGap[0]
 	g.step(0, newRequest(1, safe))
 	g.step(20*ms, g.outcome(1, Full))
 	g.run(3 * time.Second)
-	g.step(20*ms, g.outcome(1, Full)) // a repeat
+	g.step(20*ms, g.outcome(1, Full)) // rejects a retry
 	if g.c.retryGap[0] <= first {
-		t.Error("a refused repeat leaves the gap as it was")
+		t.Error("a rejected retry does not lengthen the gap")
 	}
 	r := newRequest(2, safe)
 	r.Destination = 2
 	g.step(0, r)
 	g.step(20*ms, g.outcome(2, Full))
 	if gap := g.c.destinations[2].routes[0].callGap; gap != g.c.retryGap[0] {
-		t.Errorf("gap of a sibling destination is %v", gap)
+		t.Errorf("gap of another destination of the kind is %v", gap)
 	}
 }
 
-// One refused connection is no outage in a large fleet, but it may be one: the
-// fall budget binds from the first strike on.
+// In a large fleet one refused connection may or may not be an outage: the cold budget applies from
+// the first failure on.
 func TestColdBudgetAppliesFromFirstFailure(t *testing.T) {
 	g := firstCallFails(t, 200, ConnectFailed, 50*ms)
 	want(t, "state", g.c.endpoints[10].state, up)
 	acts := g.step(10*time.Second, newRequest(2, safe), newRequest(3, safe))
 	acts = append(acts, g.run(5*time.Second)...)
 	if n := len(sends(acts)); n > 1 {
-		t.Errorf("%d sends after a strike", n)
+		t.Errorf("%d sends after a failure", n)
 	}
 }
 
-// A destination that refuses connections is asked again soon, though nothing is
-// known of what it can bear: calls that reached nobody weigh nothing.
+// A destination that refuses connections gets frequent trials even if its capacity is unknown: calls
+// that reached nobody do not use the cold budget.
 func TestRefusedConnectionsDoNotDelayTrials(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.WeightsAreLimits = false }, Endpoint{ID: 10, Destination: 1})
+	g := newHarness(t, func(s *Settings) { s.WeightsAreLimits = false }, Endpoint{ID: 10, Destination: 1})
 	openBreaker(g, ConnectFailed)
 	for id := RequestID(300); id < 330; id++ {
 		g.step(0, newRequest(id, safe))
@@ -842,20 +852,19 @@
 			g.step(0, g.outcome(id, ConnectFailed))
 		}
 	}
-	if trials < 8 { // one in 0.7 of the connect time-out, give or take a quarter
+	if trials < 8 { // one per 0.7 of the connect timeout, plus or minus a quarter
 		t.Errorf("%d trials in 10 s", trials)
 	}
 }
 
-// Kept connections that break are no outage: the gate stays open, and what the
-// wire tells of the connection stands over the module's guess. New ones that
-// break are one.
+// Reused connections that break are no outage, and what the transport reports about the connection
+// overrides the module's assumption. New connections that break are an outage.
 func TestResetOfReusedAndNewConnections(t *testing.T) {
 	for _, tc := range []struct {
 		kept time.Duration
 		want health
 	}{{time.Second, up}, {0, down}} {
-		g := newRig(t, nil, ep1)
+		g := newHarness(t, nil, ep1)
 		for id := RequestID(1); id <= 4; id++ {
 			g.step(20*ms, newRequest(id, safe))
 			if _, out := g.out[id]; out {
@@ -864,33 +873,32 @@
 				g.step(20*ms, ev)
 			}
 		}
-		want(t, fmt.Sprint("state with ", tc.kept), g.c.endpoints[10].state, tc.want)
+		want(t, fmt.Sprint("state after idle time ", tc.kept), g.c.endpoints[10].state, tc.want)
 	}
 }
 
-// A new connection that breaks while others get through is no outage either,
-// be it before or after.
+// A new connection that breaks shortly before or after successes is no outage.
 func TestResetAmongSuccesses(t *testing.T) {
-	g := newRig(t, nil, ep1)
+	g := newHarness(t, nil, ep1)
 	g.step(0, newRequest(1, safe), newRequest(2, safe))
 	g.step(20*ms, g.outcome(1, OK))
 	for id := RequestID(2); id <= 5; id++ {
 		ev := g.outcome(id, Reset)
 		ev.Fresh = true
 		g.step(20*ms, ev, newRequest(id+1, safe))
-		want(t, "strikes", g.c.endpoints[10].failures, 0)
+		want(t, "failures", g.c.endpoints[10].failures, 0)
 	}
 }
 
-// What an endpoint that is well gets does not put off the trials of its sibling.
+// Calls to a healthy endpoint do not use the budget for trials of its sibling.
 func TestHealthySiblingDoesNotDelayTrials(t *testing.T) {
-	g := newRig(t, nil, Endpoint{ID: 10, Destination: 1, Weight: 20}, Endpoint{ID: 11, Destination: 1, Weight: 20})
-	serve := func(d time.Duration, sick EndpointID) (trials int) {
+	g := newHarness(t, nil, Endpoint{ID: 10, Destination: 1, Weight: 20}, Endpoint{ID: 11, Destination: 1, Weight: 20})
+	serve := func(d time.Duration, failing EndpointID) (trials int) {
 		for n := g.now; g.now < n+d; {
 			id := RequestID(g.now / ms)
 			g.step(20*ms, newRequest(id, safe))
 			for x, s := range g.out {
-				if s.Endpoint == sick {
+				if s.Endpoint == failing {
 					trials++
 					g.step(0, g.outcome(x, TimedOut))
 				} else {
@@ -901,16 +909,15 @@
 		return trials
 	}
 	serve(5*time.Second, 10)
-	want(t, "gate", g.c.endpoints[10].state, down)
+	want(t, "state", g.c.endpoints[10].state, down)
 	if n := serve(10*time.Second, 10); n < 6 {
 		t.Errorf("%d trials in 10 s", n)
 	}
 }
 
-// The pace follows a limit that is cut or restored at once: growing back would
-// take many seconds.
+// The pacing rate follows a cut or restored limit at once, as growing back would take many seconds.
 func TestPacingRateFollowsReportedLimit(t *testing.T) {
-	g := newRig(t, nil, Endpoint{ID: 10, Destination: 1, Weight: 50})
+	g := newHarness(t, nil, Endpoint{ID: 10, Destination: 1, Weight: 50})
 	g.step(0, newRequest(1, safe))
 	ev := g.outcome(1, OK)
 	ev.Report = []float64{1, 50}
@@ -920,14 +927,14 @@
 	ev.Report = []float64{1, 5}
 	g.step(20*ms, ev, newRequest(3, safe))
 	if pace := g.c.endpoints[10].route.pacingRate; pace > before/9 || pace < before/11 {
-		t.Errorf("pace %.2f of %.2f with a tenth of the limit", pace, before)
+		t.Errorf("pacing rate %.2f with a tenth of the limit, %.2f before", pace, before)
 	}
 }
 
-// A call that its message's own deadline cuts short says nothing of the
-// endpoint, and such a message is no trial.
+// A call cut short by its message's own deadline says nothing about the endpoint, and such a message
+// is not used as a trial.
 func TestMessageDeadlineIsNoEndpointTimeout(t *testing.T) {
-	g := newRig(t, nil, ep1)
+	g := newHarness(t, nil, ep1)
 	for id := RequestID(1); id <= 4; id++ {
 		r := newRequest(id, safe)
 		r.Deadline = 120 * ms
@@ -936,41 +943,40 @@
 	}
 	want(t, "state", g.c.endpoints[10].state, up)
 
-	g = newRig(t, nil, ep1)
+	g = newHarness(t, nil, ep1)
 	openBreaker(g, TimedOut)
-	g.run(20 * time.Second) // all that was held is over
+	g.run(20 * time.Second) // until all pending requests have ended
 	short, long := newRequest(300, safe), newRequest(301, safe)
 	short.Deadline = 200 * ms
 	want(t, "trials", sends(g.step(20*ms, short, long)), []RequestID{301})
 }
 
-// Where nothing is known of a destination, the quotas tell what it bears at least.
+// Without knowledge of a destination, its least capacity is derived from the quotas.
 func TestMinAssumedRate(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.Tenants = []Tenant{{Quota: 30}, {Quota: 10}} },
+	g := newHarness(t, func(s *Settings) { s.Tenants = []Tenant{{Quota: 30}, {Quota: 10}} },
 		Endpoint{ID: 10, Destination: 1}, Endpoint{ID: 11, Destination: 2})
-	want(t, "least rate", g.c.minAssumedRate(), unknownCapacityShare*20)
-	g = newRig(t, nil, Endpoint{ID: 10, Destination: 1})
+	want(t, "with quotas", g.c.minAssumedRate(), unknownCapacityShare*20)
+	g = newHarness(t, nil, Endpoint{ID: 10, Destination: 1})
 	want(t, "without quotas", g.c.minAssumedRate(), 0.5)
 }
 
-// A message restored after a restart keeps the attempts of its earlier life:
-// what may have run goes again only where its effect, its window, its attempts
-// and the ledger allow.
+// A message restored after a restart keeps the attempts of the previous process run. If it may have
+// been executed, it is retried only if effect, window, attempts and retry budget allow it.
 func TestRestoredRequest(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		req  Request
 		send bool
 	}{
-		{"safe that ran", Request{Class: safe, Attempts: 1, Ran: true, RanFor: time.Minute}, true},
-		{"keyed inside its window", Request{Class: keyed, Attempts: 1, Ran: true, RanFor: 2 * time.Second}, true},
-		{"keyed past its window", Request{Class: keyed, Attempts: 1, Ran: true, RanFor: 6 * time.Second}, false},
-		{"keyed that never ran", Request{Class: keyed, Attempts: 1, RanFor: 6 * time.Second}, true},
-		{"unsafe that may have run", Request{Class: unsafe, Attempts: 1, Ran: true}, false},
-		{"unsafe that never ran", Request{Class: unsafe, Attempts: 1}, true},
-		{"attempts used up", Request{Class: safe, Attempts: 12}, false},
+		{"safe, was executed", Request{Class: safe, Attempts: 1, Ran: true, RanFor: time.Minute}, true},
+		{"keyed, within the window", Request{Class: keyed, Attempts: 1, Ran: true, RanFor: 2 * time.Second}, true},
+		{"keyed, after the window", Request{Class: keyed, Attempts: 1, Ran: true, RanFor: 6 * time.Second}, false},
+		{"keyed, not executed", Request{Class: keyed, Attempts: 1, RanFor: 6 * time.Second}, true},
+		{"unsafe, may have been executed", Request{Class: unsafe, Attempts: 1, Ran: true}, false},
+		{"unsafe, not executed", Request{Class: unsafe, Attempts: 1}, true},
+		{"no attempts left", Request{Class: safe, Attempts: 12}, false},
 	} {
-		g := newRig(t, nil, Endpoint{ID: 1, Destination: 7})
+		g := newHarness(t, nil, Endpoint{ID: 1, Destination: 7})
 		tc.req.ID, tc.req.Destination, tc.req.Deadline = 1, 7, 10*time.Second
 		acts := g.step(5*ms, tc.req)
 		_, sent := g.out[1]
@@ -981,16 +987,16 @@
 			t.Errorf("%s: no answer", tc.name)
 		}
 	}
-	// Where it ran is not known: a group narrower than the destination is out of reach.
+	// The endpoint of the attempt is not known, so a narrower group than the destination is excluded.
 	for _, group := range []Group{GroupZone, GroupEndpoint} {
-		g := newRig(t, func(s *Settings) { s.Classes[keyed].Group = group }, Endpoint{ID: 1, Destination: 7})
+		g := newHarness(t, func(s *Settings) { s.Classes[keyed].Group = group }, Endpoint{ID: 1, Destination: 7})
 		g.step(5*ms, Request{ID: 1, Destination: 7, Class: keyed, Deadline: 10 * time.Second, Attempts: 1, Ran: true})
 		if len(g.out) > 0 {
 			t.Errorf("group %v: sent", group)
 		}
 	}
-	// The ledger: its floor is the eight slots.
-	g := newRig(t, nil, Endpoint{ID: 1, Destination: 7})
+	// Retry budget: the floor is eight, the number of slots.
+	g := newHarness(t, nil, Endpoint{ID: 1, Destination: 7})
 	var events []Event
 	for i := range 10 {
 		events = append(events, Request{ID: RequestID(i + 1), Destination: 7, Class: safe, Deadline: 10 * time.Second, Attempts: 1})
@@ -1006,10 +1012,9 @@
 	}
 }
 
-// Endpoints that left the list long ago are forgotten, those with a call out
-// only once it has ended.
+// Endpoints that left the list long ago are removed, those with an open call only after its end.
 func TestGoneEndpointsAreRemoved(t *testing.T) {
-	g := newRig(t, nil, Endpoint{ID: 1, Destination: 7}, Endpoint{ID: 2, Destination: 7})
+	g := newHarness(t, nil, Endpoint{ID: 1, Destination: 7}, Endpoint{ID: 2, Destination: 7})
 	g.step(5*ms, Request{ID: 1, Destination: 7, Class: safe, Deadline: 5 * time.Minute})
 	on := g.out[1].Endpoint
 	next := Endpoint{ID: 3, Destination: 7, Phase: Ready}
@@ -1019,7 +1024,7 @@
 	}
 	g.step(goneRetentionWindows*retryBudgetWindow, List{Kind: ListDelta})
 	if len(g.c.endpoints) != 2 || g.c.endpoints[on] == nil {
-		t.Fatalf("%d endpoints kept, want the one listed and the one with a call out", len(g.c.endpoints))
+		t.Fatalf("%d endpoints kept, want the listed one and the one with an open call", len(g.c.endpoints))
 	}
 	g.step(5*ms, AttemptEnded{Request: 1, Endpoint: on, Outcome: OK, Done: true})
 	g.step(5*ms, List{Kind: ListDelta})
@@ -1031,58 +1036,58 @@
 	g.step(goneRetentionWindows*retryBudgetWindow, List{Kind: ListFull, Endpoints: []Endpoint{{ID: 4, Destination: 7, Phase: Ready}}})
 	g.step(5*ms, Request{ID: 2, Destination: 7, Class: safe, Deadline: time.Minute})
 	if g.out[2].Endpoint != 4 {
-		t.Error("a destination that had lost all endpoints is not served by a new one")
+		t.Error("a destination that had lost all endpoints does not use a new one")
 	}
 }
 
-// An endpoint that may be gone gets one call at a time, and nothing while a better one
-// is free; what may be repeated at will goes there first.
+// A doubtful endpoint gets one call at a time, Safe requests first, and nothing while a better
+// endpoint is free.
 func TestDoubtfulEndpoint(t *testing.T) {
 	doubtful := Endpoint{ID: 11, Destination: 1, Weight: 400, Doubtful: true}
-	g := newRig(t, nil, ep1, doubtful)
+	g := newHarness(t, nil, ep1, doubtful)
 	var events []Event
 	for id := range RequestID(3) {
 		events = append(events, newRequest(id+1, safe))
 	}
 	g.step(20*ms, events...)
-	want(t, "out", len(g.out), 3)
+	want(t, "open attempts", len(g.out), 3)
 	for id, s := range g.out {
 		if s.Endpoint != ep1.ID {
-			t.Errorf("request %d goes to the doubtful endpoint beside a free one", id)
+			t.Errorf("request %d was sent to the doubtful endpoint while another one was free", id)
 		}
 	}
-	g = newRig(t, nil, doubtful)
+	g = newHarness(t, nil, doubtful)
 	g.step(20*ms, newRequest(1, keyed), newRequest(2, keyed), newRequest(3, safe), newRequest(4, safe))
-	want(t, "one at a time, and a safe one", sends(g.actions), []RequestID{3})
+	want(t, "first request sent, a safe one", sends(g.actions), []RequestID{3})
 	g.run(100 * ms)
-	want(t, "one at a time", len(g.out), 1)
+	want(t, "open attempts at a doubtful endpoint", len(g.out), 1)
 	g.step(20*ms, g.outcome(3, OK))
-	want(t, "the other safe one next", sends(g.actions), []RequestID{3, 4})
+	want(t, "second request sent, the other safe one", sends(g.actions), []RequestID{3, 4})
 	g.step(20*ms, g.outcome(4, OK))
-	want(t, "then one that is keyed", len(sends(g.actions)), 3)
+	want(t, "requests sent, a keyed one last", len(sends(g.actions)), 3)
 	doubtful.Phase, doubtful.Doubtful = Ready, false
 	g.step(20*ms, List{Kind: ListDelta, Endpoints: []Endpoint{doubtful}})
 	g.run(100 * ms)
-	want(t, "no doubt, no bound", len(g.out), 2)
+	want(t, "open attempts when it is no longer doubtful", len(g.out), 2)
 }
 
-// A kind that takes bundles gets none where its endpoint may be gone.
+// A doubtful endpoint gets no bundles, even if its kind takes them.
 func TestNoBundleToDoubtfulEndpoint(t *testing.T) {
-	for _, doubt := range []bool{false, true} {
-		g := newRig(t, nil, Endpoint{ID: 11, Destination: 1, Weight: 400, Kind: 1, Doubtful: doubt})
+	for _, doubtful := range []bool{false, true} {
+		g := newHarness(t, nil, Endpoint{ID: 11, Destination: 1, Weight: 400, Kind: 1, Doubtful: doubtful})
 		g.step(20*ms, newRequest(1, safe), newRequest(2, safe), newRequest(3, safe))
-		if n := len(g.out); doubt && n != 1 || !doubt && n != 3 {
-			t.Errorf("doubt %v: %d are out", doubt, n)
+		if n := len(g.out); doubtful && n != 1 || !doubtful && n != 3 {
+			t.Errorf("doubtful %v: %d open attempts", doubtful, n)
 		}
 	}
 }
 
-// A told wait longer than limits tell is a shut destination's: when it is over the
-// destination is cold, and gets what a cold one may be sent. A short one is a limit's.
+// A retry-after delay longer than those of rate limits comes from an unavailable destination. After
+// the delay the destination is cold and gets a cold one's calls. After a short delay it is not.
 func TestLongRetryAfterDelayEndsCold(t *testing.T) {
 	after := func(wait time.Duration) int {
-		g := newRig(t, func(s *Settings) { s.WeightsAreLimits, s.ColdShare, s.WarmUp = false, 0.1, 100*time.Second }, Endpoint{ID: 10, Destination: 1})
-		for id := RequestID(1); id <= 40; id++ { // it serves ten a second, limit told
+		g := newHarness(t, func(s *Settings) { s.WeightsAreLimits, s.ColdShare, s.WarmUp = false, 0.1, 100*time.Second }, Endpoint{ID: 10, Destination: 1})
+		for id := RequestID(1); id <= 40; id++ { // ten answers per second, with a reported limit
 			g.step(100*ms, newRequest(id, safe))
 			for out := range g.out {
 				e := g.outcome(out, OK)
@@ -1097,10 +1102,10 @@
 		for id := RequestID(101); id <= 140; id++ {
 			g.step(0, newRequest(id, safe))
 		}
-		told := len(sends(g.run(wait - 40*ms)))
-		want(t, "calls in the wait", told, 0)
+		sentDuringDelay := len(sends(g.run(wait - 40*ms)))
+		want(t, "calls during the delay", sentDuringDelay, 0)
 		sent := 0
-		for range 100 { // two seconds, the fall time
+		for range 100 { // two seconds: FallTime
 			acts := g.step(20 * ms)
 			sent += len(sends(acts))
 			for out := range g.out {
@@ -1110,16 +1115,16 @@
 		return sent
 	}
 	long, short := after(5*time.Second), after(time.Second)
-	if budget := 5; long > budget || long == 0 { // 1.1 x twice x a tenth of 10 a second x 2 s, and a little as it warms
-		t.Errorf("%d calls to a destination that has just opened, %d at most", long, budget)
+	if budget := 5; long > budget || long == 0 { // 1.1 x 2 x 0.1 x 10 per second x 2 s, and a little more as it warms up
+		t.Errorf("%d calls to a cold destination, want 1 to %d", long, budget)
 	}
 	if short < 2*long {
-		t.Errorf("%d calls after a limit's wait, %d after a shut one's", short, long)
+		t.Errorf("%d calls after the delay of a rate limit, %d after that of an unavailable destination", short, long)
 	}
 }
 
-// What a choice costs where keyed requests wait for an endpoint in doubt, behind the
-// last of a thousand, which may be repeated at will.
+// Measures one choice of a request while keyed requests wait for a doubtful endpoint. The last of a
+// thousand queued requests is Safe and preferred.
 func BenchmarkDoubtfulQueue(b *testing.B) {
 	s := testSettings()
 	s.MaxHeld = 0
@@ -1135,24 +1140,24 @@
 	c.Handle(time.Hour, events)
 	d := c.destinations[1]
 	if len(d.queue) != 999 {
-		b.Fatal("one is out, the others wait")
+		b.Fatal("want one open request and 999 queued ones")
 	}
 	for b.Loop() {
 		c.chooseSend(d, d.endpoints)
 	}
 }
 
-// An endpoint that was out by hand comes back cold, whatever it was before: among its likes,
-// new to the module, or after its destination has slept.
+// An endpoint whose exclusion by an operator has ended is cold, whatever its state was: if it was
+// known, new, or belongs to an unloaded destination.
 func TestRestartedEndpointIsCold(t *testing.T) {
-	back := Endpoint{ID: 10, Destination: 1, Phase: Ready, Weight: 20, WasOut: 5 * time.Second}
+	restarted := Endpoint{ID: 10, Destination: 1, Phase: Ready, Weight: 20, WasOut: 5 * time.Second}
 	state := &State{Window: 4, Routes: []RouteState{{Limit: 20}}, EndpointsSeen: []EndpointState{{ID: 10, Condition: Serving}}}
 	for name, news := range map[string][]Event{
-		"known":  {List{Kind: ListDelta, Endpoints: []Endpoint{{ID: 10, Destination: 1, Phase: Ready}, back}}},
-		"new":    {List{Kind: ListDelta, Endpoints: []Endpoint{back}}},
-		"asleep": {Wake{Destination: 1, Endpoints: []Endpoint{back}, State: state}},
+		"known":  {List{Kind: ListDelta, Endpoints: []Endpoint{{ID: 10, Destination: 1, Phase: Ready}, restarted}}},
+		"new":    {List{Kind: ListDelta, Endpoints: []Endpoint{restarted}}},
+		"asleep": {Wake{Destination: 1, Endpoints: []Endpoint{restarted}, State: state}},
 	} {
-		g := newRig(t, nil)
+		g := newHarness(t, nil)
 		g.step(0, news...)
 		most := coldBudgetFactor * g.c.settings.FallMultiple * g.c.settings.ColdShare * 20 * g.c.settings.FallTime.Seconds()
 		sent := 0
@@ -1163,12 +1168,12 @@
 			}
 		}
 		if sent == 0 || float64(sent) > most {
-			t.Errorf("%s: %d sends to a cold endpoint, of %.0f", name, sent, most)
+			t.Errorf("%s: %d sends to a cold endpoint, want 1 to %.0f", name, sent, most)
 		}
-		again := back
-		again.Weight = 21 // listed again while cold: that is no other return
+		relisted := restarted
+		relisted.Weight = 21 // listed again while cold, which is not another return
 		since := g.c.endpoints[10].stateSince
-		g.step(time.Second, List{Kind: ListDelta, Endpoints: []Endpoint{again}})
+		g.step(time.Second, List{Kind: ListDelta, Endpoints: []Endpoint{relisted}})
 		want(t, name, g.c.endpoints[10].stateSince, since)
 	}
 }
--- a/fleet.go
+++ b/fleet.go
@@ -17,7 +17,7 @@
 	pooledColdFactor          = 0.9                    // of the whole fleet's cold budget
 	maxLeasedShare            = 0.15                   // like minPacedShare; below it a lease is needed
 	unlimitedAfterAnswers     = 3                      // answers without a reported limit: no limit
-	ampleLimitLeft            = 0.5                    // of the limit: with more left it rejects for other reasons
+	ampleLimitLeft            = 0.5                    // of the limit; rejections above it are unrelated
 	unreachableReportInterval = 2 * time.Second        // repeats the report of failing calls
 	returnJitter              = 300 * time.Millisecond // spreads the first calls after a recovery
 	maxAnnouncements          = 1024
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -11,16 +11,16 @@
 	"snowjunction/internal/emulate/rules"
 )
 
-// fleetMember is one courier of a fleet of 80 under test, with what it has told.
+// fleetMember is one courier of a fleet of 80 and what it has sent to its peers.
 type fleetMember struct {
 	*Courier
 	t           *testing.T
 	peerSends   []Tell
 	sent        int
-	idleCloses  int               // times that idle connections were dropped
-	attempts    map[RequestID]int // attempts
-	unreachable bool              // nobody listens where it calls
-	limitLeft   float64           // of the limit, as answers tell
+	idleCloses  int               // number of CloseIdle actions
+	attempts    map[RequestID]int // number of attempts sent
+	unreachable bool              // connections to endpoint 1 fail
+	limitLeft   float64           // share of the limit left, as answers report it
 }
 
 func newMember(t *testing.T, number int, notes bool) *fleetMember {
@@ -35,7 +35,7 @@
 	return m
 }
 
-// at feeds events and answers each call at once: done, with a limit of 44 calls a second.
+// at passes events and answers each call at once: successfully, with a limit of 44 calls per second.
 func (m *fleetMember) at(now time.Duration, events ...Event) {
 	m.peerSends = nil
 	for first := true; first || len(events) > 0; first = false {
@@ -68,16 +68,16 @@
 	return Request{ID: id, Destination: 7, Deadline: 8 * time.Second}
 }
 
-// A courier of a large fleet asks a limit's keeper before it calls, calls what it is
-// granted, and calls by itself where nobody answers. Where it cannot ask it calls at once.
+// A courier of a large fleet requests a grant from the lease owner before it calls, makes the granted
+// calls, and calls without a grant if no owner answers. Without peer messages it calls at once.
 func TestRequestsGrantBeforeCall(t *testing.T) {
 	m := newMember(t, 79, true)
 	m.at(time.Second, requestTo7(1))
-	require.Len(t, m.peerSends, 1, "no limit is known: its keeper may know one")
+	require.Len(t, m.peerSends, 1, "without a known limit the lease owner is asked, as it may know one")
 	m.at(1020*time.Millisecond, Heard{Peer: m.peerSends[0].Peer, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}}})
 	assert.Equal(t, 1, m.sent)
 	require.Len(t, m.peerSends, 1)
-	assert.Equal(t, Note{Destination: 7, Limit: 44}, m.peerSends[0].Notes[0], "a limit that is news is told at once")
+	assert.Equal(t, Note{Destination: 7, Limit: 44}, m.peerSends[0].Notes[0], "a new limit is reported at once")
 	m.at(2*time.Second, requestTo7(2))
 	assert.Equal(t, 1, m.sent)
 	require.Len(t, m.peerSends, 1)
@@ -86,12 +86,12 @@
 	assert.Greater(t, n.Rank, 150)
 	keeper := m.peerSends[0].Peer
 	m.at(2020*time.Millisecond, Heard{Peer: keeper, Notes: []Note{{Destination: 7, Grants: true}}})
-	assert.Equal(t, 1, m.sent, "it waits")
+	assert.Equal(t, 1, m.sent, "no call while the request is queued")
 	m.at(2050*time.Millisecond, Heard{Peer: keeper, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}, {Destination: 8, Grants: true, Calls: 1}}})
 	assert.Equal(t, 2, m.sent)
 	m.at(3*time.Second, requestTo7(3))
 	for now := 3 * time.Second; m.sent < 3; now += 10 * time.Millisecond {
-		require.Less(t, now, 8*time.Second, "the keepers are dead")
+		require.Less(t, now, 8*time.Second, "no call although no lease owner answers")
 		m.at(now)
 	}
 
@@ -103,16 +103,16 @@
 	}
 }
 
-// Where no keeper answers any more, a courier goes on at the pace that its keeper has
-// left it: the whole fleet may be cut off from each other at once, and its calls together
-// must not pass the limit. Once a keeper answers, grants count again.
+// If no lease owner answers any more, a courier continues at the rate that it was last granted. The
+// whole fleet may lose contact at once, and its calls together must not exceed the limit. Once an
+// owner answers, grants apply again.
 func TestPacingWithoutLeaseOwner(t *testing.T) {
 	m := newMember(t, 79, true)
 	id, keeper := RequestID(0), 0
 	run := func(from, to time.Duration, answers func(peer int) bool) {
 		for now := from; now < to; now += 10 * time.Millisecond {
 			var events []Event
-			if now%(500*time.Millisecond) == 0 { // twenty a second, far over its part
+			if now%(500*time.Millisecond) == 0 { // 20 per second, far above this courier's share
 				for range 10 {
 					id++
 					events = append(events, requestTo7(id))
@@ -132,20 +132,20 @@
 	always := func(int) bool { return true }
 	run(time.Second, 13*time.Second, always)
 	was := m.sent
-	assert.InDelta(t, 24, was, 6, "two a second")
+	assert.InDelta(t, 24, was, 6, "two calls per second")
 	m.limitLeft = 0.4
 	run(13*time.Second, 19*time.Second, func(int) bool { return false })
-	assert.InDelta(t, 12, m.sent-was, 4, "nobody answers")
+	assert.InDelta(t, 12, m.sent-was, 4, "calls while no lease owner answers")
 	was, m.limitLeft = m.sent, 0.9
 	run(19*time.Second, 25*time.Second, func(int) bool { return false })
-	assert.Greater(t, m.sent-was, 18, "answers tell that others leave most of the limit")
+	assert.Greater(t, m.sent-was, 18, "calls while answers report that most of the limit is left")
 	was = m.sent
 	run(25*time.Second, 31*time.Second, always)
-	assert.InDelta(t, 12, m.sent-was, 4, "a keeper answers")
+	assert.InDelta(t, 12, m.sent-was, 4, "calls after a lease owner answers")
 }
 
-// What a courier tells with an ask is news for a moment alone: then it may be from before
-// a cut, as from all that have not called since.
+// The limit that a courier sends with a grant request is current only briefly. Later it may date from
+// before a cut, and it is marked as old.
 func TestReportedLimitIsMarkedOld(t *testing.T) {
 	m := newMember(t, 79, true)
 	asked := func(at time.Duration) Note {
@@ -165,8 +165,7 @@
 	assert.True(t, n.Old)
 }
 
-// A limit that is told to be cut cuts the pace of one without a keeper, and a restored one
-// restores it.
+// If no lease owner answers, the pacing rate follows a cut and a restored limit.
 func TestPacingWithoutLeaseOwnerFollowsLimit(t *testing.T) {
 	m := newMember(t, 79, true)
 	m.at(time.Second, requestTo7(1))
@@ -179,7 +178,7 @@
 	assert.InDelta(t, 4, r.ownerlessRate, 0.01)
 }
 
-// The keeper grants what the limit allows and no more, and holds back after a refusal.
+// The lease owner grants what the limit allows and no more, and pauses after a rejection.
 func TestLeaseOwnerGrantsWithinLimit(t *testing.T) {
 	m := newMember(t, 3, true)
 	granted := func(from, to time.Duration) (n int) {
@@ -197,7 +196,7 @@
 	}
 	n := granted(2*time.Second, 2900*time.Millisecond)
 	assert.InDelta(t, 35, n, 4)
-	for peer := range 60 { // what they knew before is no news
+	for peer := range 60 { // an old limit must not replace a current one
 		m.at(2*time.Second, Heard{Peer: peer + 10, Notes: []Note{{Destination: 7, Asks: true, Calls: 1, Rank: 10, Limit: 400, Old: true}}})
 	}
 	assert.InDelta(t, 40, m.quotaLedgers[7].Rate(), 0.01)
@@ -205,30 +204,30 @@
 	assert.Zero(t, granted(2901*time.Millisecond, 2980*time.Millisecond))
 }
 
-// A partner that refused every connection for long is called again soon after its
-// return: a pause that grew with each refusal would last as long as the outage did.
+// A destination that refused every connection for a long time is called again soon after its
+// recovery. A pause that grew with each failure would last as long as the outage did.
 func TestRecoveryIsDetectedSoon(t *testing.T) {
 	m := newMember(t, 79, false)
 	m.at(time.Second, requestTo7(1), requestTo7(2))
-	back := 12 * time.Second
+	recoveredAt := 12 * time.Second
 	m.unreachable = true
-	for now := 2 * time.Second; now < back; now += 5 * time.Millisecond {
+	for now := 2 * time.Second; now < recoveredAt; now += 5 * time.Millisecond {
 		m.at(now)
 		if now%(500*time.Millisecond) == 0 {
 			m.at(now+time.Millisecond, requestTo7(RequestID(now/time.Millisecond)))
 		}
 	}
 	m.unreachable = false
-	was, now := m.sent, back
+	was, now := m.sent, recoveredAt
 	for ; m.sent == was; now += 5 * time.Millisecond {
-		require.Less(t, now, back+5*time.Second)
+		require.Less(t, now, recoveredAt+5*time.Second)
 		m.at(now)
 	}
-	assert.LessOrEqual(t, now-back, 3750*time.Millisecond)
+	assert.LessOrEqual(t, now-recoveredAt, 3750*time.Millisecond)
 }
 
-// Who saw a partner fail asks its keeper to be told of its return; the first whose call
-// is answered tells it, and the others call within a moment, not after their pause.
+// A courier whose calls fail asks the lease owner to be informed of the recovery. The first courier
+// whose call is answered reports it, and the others call within a moment, without their full pause.
 func TestRecoveryIsReportedToFleet(t *testing.T) {
 	m := newMember(t, 79, true)
 	m.at(time.Second, requestTo7(1))
@@ -244,7 +243,7 @@
 	m.unreachable = false
 	was := m.sent
 	m.at(2100*time.Millisecond, grant)
-	assert.Equal(t, was, m.sent, "it pauses")
+	assert.Equal(t, was, m.sent, "no call during the pause")
 	m.at(2200*time.Millisecond, Heard{Peer: keeper, Notes: []Note{{Destination: 7, Grants: true, Serves: true}}})
 	for now := 2200 * time.Millisecond; now < 2510*time.Millisecond; now += 5 * time.Millisecond {
 		m.at(now, grant)
@@ -261,11 +260,11 @@
 		assert.Equal(t, Tell{Peer: i + 10, Notes: []Note{{Destination: 7, Grants: true, Serves: true}}}, x)
 	}
 	k.at(6*time.Second, Heard{Peer: 15, Notes: []Note{{Destination: 7, Serves: true}}})
-	assert.Empty(t, k.peerSends, "once")
+	assert.Empty(t, k.peerSends, "the recovery is reported once")
 }
 
-// A courier says that it is there when it starts, and one that was passed over is asked
-// again as soon as it does: two keepers at once would grant the limit twice.
+// A courier announces itself when it starts, and if it was skipped as lease owner it is asked again
+// at once: two lease owners at the same time would grant the limit twice.
 func TestAnnouncement(t *testing.T) {
 	m := &fleetMember{t: t, attempts: map[RequestID]int{}, Courier: newMember(t, 79, true).Courier}
 	m.at(time.Second, requestTo7(1))
@@ -283,13 +282,13 @@
 	}
 	assert.Equal(t, first, m.peerSends[0].Peer)
 
-	// So does a keeper that was cut off from all and hears one again; another does not.
-	for number, greets := range map[int]int{first: 79, 79: 0} {
+	// A lease owner that was cut off from all announces itself again as well. Other couriers do not.
+	for number, announcements := range map[int]int{first: 79, 79: 0} {
 		k := newMember(t, number, true)
 		note := Heard{Peer: 9, Notes: []Note{{Destination: 7, Asks: true, Calls: 1, Limit: 40}}}
 		k.at(time.Second, note)
 		k.at(2500*time.Millisecond, note)
-		assert.LessOrEqual(t, len(k.peerSends), 1, "it has been heard all along")
+		assert.LessOrEqual(t, len(k.peerSends), 1, "no announcement while contact lasts")
 		k.at(4600*time.Millisecond, note)
 		empty := 0
 		for _, x := range k.peerSends {
@@ -297,21 +296,21 @@
 				empty++
 			}
 		}
-		assert.Equal(t, greets, empty, "courier %d", number)
+		assert.Equal(t, announcements, empty, "courier %d", number)
 	}
 
 	c, err := New(Settings{Fleet: 80, Number: 3, Notes: true, Tick: 1, Slots: 1, Classes: []Class{{Deadline: 1}}})
 	require.NoError(t, err)
-	told := map[int]bool{}
+	recipients := map[int]bool{}
 	for _, a := range c.Handle(0, nil) {
-		told[a.(Tell).Peer] = true
+		recipients[a.(Tell).Peer] = true
 	}
-	assert.Len(t, told, 79)
-	assert.False(t, told[3])
+	assert.Len(t, recipients, 79)
+	assert.False(t, recipients[3])
 }
 
-// Where a table of connections was full at once, it is taken by the idle ones of the whole
-// fleet: this courier's go after use, as it hardly uses one again. Before that they stay.
+// A full connection table is occupied by the idle connections of the whole fleet. This courier then
+// closes its own after use, as it would hardly use one again. Before that it keeps them.
 func TestClosesAfterUseWhenTableIsFull(t *testing.T) {
 	m := newMember(t, 79, false)
 	m.at(time.Second, requestTo7(1))
@@ -326,16 +325,16 @@
 	was := m.idleCloses
 	for i := range 3 {
 		m.at(time.Duration(16+i)*time.Second, requestTo7(RequestID(4+i)))
-		assert.Equal(t, was+i+1, m.idleCloses, "each goes after its use")
+		assert.Equal(t, was+i+1, m.idleCloses, "the connection is closed after use")
 	}
 }
 
-// Each outage draws its first call anew, whatever was called before: a call that failed
-// alone, and the one after it, are no part of it.
+// Each outage draws the time of its first trial anew. A call that failed alone before, and the one
+// after it, have no influence.
 func TestEachOutageDrawsItsFirstCall(t *testing.T) {
 	early := 0
 	for seed := range uint64(40) {
-		g := newRig(t, func(s *Settings) { s.Fleet, s.Seed = 30, seed }, Endpoint{ID: 10, Destination: 1, Weight: 10})
+		g := newHarness(t, func(s *Settings) { s.Fleet, s.Seed = 30, seed }, Endpoint{ID: 10, Destination: 1, Weight: 10})
 		for id, o := range []Outcome{OK, Error, OK, OK, ConnectFailed} {
 			if id == 4 {
 				g.step(30 * time.Second)
@@ -354,29 +353,29 @@
 		}
 		early += len(sends(g.run(1500 * ms)))
 	}
-	assert.Less(t, early, 20, "of forty, that would all try again at once")
+	assert.Less(t, early, 20, "of 40 outages, each with an immediate trial otherwise")
 	assert.Positive(t, early)
 }
 
-// Thirty couriers that hear nothing of each other have all seen an outage. Their calls
-// stay under what the destination stands, over any window: the first ones at its return
-// too, also of those that saw it begin late, and of those whose trials reached nobody.
+// Thirty couriers without contact have all seen an outage. Their calls together stay within what the
+// destination withstands in any window. This includes the first calls after its recovery, couriers
+// that saw the outage begin late, and those whose trials reached nobody.
 func TestFirstCallsAfterAnOutageAreSpread(t *testing.T) {
 	const fleet, limit = 30, 10.0
-	for name, begun := range map[string]time.Duration{"seen for long": 10 * time.Second, "seen late": 1500 * time.Millisecond} {
+	for name, seenFor := range map[string]time.Duration{"seen for a long time": 10 * time.Second, "seen late": 1500 * time.Millisecond} {
 		type sent struct {
 			at time.Duration
 			by int32
 		}
 		var all []sent
-		back := time.Duration(0)
+		recoveredAt := time.Duration(0)
 		for no := range fleet {
-			g := newRig(t, func(s *Settings) { s.Fleet, s.Seed = fleet, uint64(no) }, Endpoint{ID: 10, Destination: 1, Weight: limit})
-			back = g.now + 21*time.Second
+			g := newHarness(t, func(s *Settings) { s.Fleet, s.Seed = fleet, uint64(no) }, Endpoint{ID: 10, Destination: 1, Weight: limit})
+			recoveredAt = g.now + 21*time.Second
 			g.step(0, newRequest(1, safe))
 			g.step(100*ms, g.outcome(1, OK))
-			for id := RequestID(2); g.now < back+4*time.Second; {
-				if g.now > back-begun && g.now < back-begun+200*ms { // a few wait when it returns
+			for id := RequestID(2); g.now < recoveredAt+4*time.Second; {
+				if g.now > recoveredAt-seenFor && g.now < recoveredAt-seenFor+200*ms { // a few requests wait when the destination recovers
 					id++
 					g.step(0, newRequest(id, safe))
 				}
@@ -384,7 +383,7 @@
 				for id := range g.out {
 					ev := g.outcome(id, ConnectFailed)
 					ev.Took = g.c.settings.ConnectTimeout
-					if g.now > back {
+					if g.now > recoveredAt {
 						ev = g.outcome(id, OK)
 						all = append(all, sent{g.now, int32(no)})
 					}
@@ -397,10 +396,10 @@
 		ramp := rules.NewRamp(s.FallTime)
 		for _, x := range all {
 			ramp.Failed(x.by, 1)
-			share := s.ColdShare + (1-s.ColdShare)*float64(x.at-back)/float64(s.WarmUp)
+			share := s.ColdShare + (1-s.ColdShare)*float64(x.at-recoveredAt)/float64(s.WarmUp)
 			ramp.Call(x.at, x.by, 1, s.FallMultiple*share*limit*s.FallTime.Seconds())
 		}
 		assert.LessOrEqual(t, ramp.Peak(), 1.0, name)
-		assert.Greater(t, len(all), fleet/4, "%s: it is called all the same", name)
+		assert.Greater(t, len(all), fleet/4, "%s: number of calls", name)
 	}
 }
--- a/footprint_test.go
+++ b/footprint_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A footprint counts what is held, grows with it and changes nothing.
+// The size of a footprint grows with the state, and the call changes nothing.
 func TestFootprint(t *testing.T) {
 	c, err := New(Settings{
 		Seed: 1, Fleet: 40, Number: 1, Tick: 5 * time.Millisecond, Slots: 8, Notes: true,
--- a/sleep_test.go
+++ b/sleep_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// newLoadedCourier is a courier with one destination of two endpoints, of which the first
-// has served a call and told its limit.
+// newLoadedCourier returns a courier with one destination of two endpoints and one open call.
 func newLoadedCourier(t *testing.T) *Courier {
 	t.Helper()
 	s := unloadSettings()
@@ -43,12 +42,12 @@
 	return Asleep{}
 }
 
-// A destination with a call out stays; one without is handed out whole and
-// leaves nothing behind.
+// A destination with an open call stays loaded. One without is removed completely and its snapshot
+// returned.
 func TestUnloadReturnsSnapshot(t *testing.T) {
 	c := newLoadedCourier(t)
 	if a := unloadResult(t, c.Handle(10*time.Millisecond, []Event{Sleep{1}})); !a.Busy || a.State != nil {
-		t.Errorf("with a call out: %+v", a)
+		t.Errorf("with an open call: %+v", a)
 	}
 	c.Handle(200*time.Millisecond, []Event{AttemptEnded{
 		Request: 1, Endpoint: 1, Outcome: OK, Took: 200 * time.Millisecond, Report: []float64{.5, 4}, Done: true,
@@ -61,14 +60,14 @@
 		t.Errorf("%+v", a.State)
 	}
 	if len(c.destinations)+len(c.endpoints)+len(c.destinationOrder)+len(c.active)+len(c.requests)+len(c.pending) != 0 {
-		t.Errorf("left behind: %d %d %d %d", len(c.destinations), len(c.endpoints), len(c.destinationOrder), len(c.active))
+		t.Errorf("left after the unload: %d %d %d %d", len(c.destinations), len(c.endpoints), len(c.destinationOrder), len(c.active))
 	}
 	if a := unloadResult(t, c.Handle(2*time.Second, []Event{Sleep{1}})); a.Busy || a.State != nil {
-		t.Errorf("one that is not known: %+v", a)
+		t.Errorf("unknown destination: %+v", a)
 	}
 }
 
-// A told wait goes on through sleep, whatever has become of the endpoints.
+// A retry-after delay continues while the destination is unloaded, even if its endpoints change.
 func TestRetryAfterDelaySurvivesUnload(t *testing.T) {
 	for name, ids := range map[string][2]EndpointID{"same": {1, 2}, "replaced": {7, 8}} {
 		c := newLoadedCourier(t)
@@ -86,7 +85,7 @@
 		}, Request{ID: 2, Destination: 1, Class: 1, Deadline: 8 * time.Second}}
 		for ; at < 5*time.Second; at += 50 * time.Millisecond {
 			if n := sends(c.Handle(at, events)); len(n) > 0 {
-				t.Fatalf("%s: sent at %v, the wait ends at 5.1 s", name, at)
+				t.Fatalf("%s: sent at %v, the delay ends at 5.1 s", name, at)
 			}
 			events = nil
 		}
@@ -95,12 +94,12 @@
 			sent = len(sends(c.Handle(at, nil)))
 		}
 		if sent != 1 {
-			t.Errorf("%s: %d sent after the wait", name, sent)
+			t.Errorf("%s: %d sent after the delay", name, sent)
 		}
 	}
 }
 
-// A wait outlasts a time without any endpoint, too.
+// A retry-after delay also continues while the destination has no endpoints.
 func TestRetryAfterDelaySurvivesWithoutEndpoints(t *testing.T) {
 	c := newLoadedCourier(t)
 	c.Handle(100*time.Millisecond, []Event{AttemptEnded{Request: 1, Endpoint: 1, Outcome: Full, Took: time.Millisecond, Wait: 5 * time.Second}, Withdrawn{1}})
@@ -108,12 +107,11 @@
 	c.Handle(time.Second, []Event{Wake{Destination: 1, State: a.State, Slept: 800 * time.Millisecond},
 		Request{ID: 2, Destination: 1, Class: 1, Deadline: 8 * time.Second}})
 	if n := len(sends(c.Handle(1100*time.Millisecond, []Event{List{Kind: ListDelta, Endpoints: []Endpoint{{ID: 9, Destination: 1, Phase: Ready}}}}))); n != 0 {
-		t.Error("sent in a told wait to an endpoint that was listed after it")
+		t.Error("sent during the delay to an endpoint that was listed later")
 	}
 }
 
-// What the ledger has spent is spent after a sleep too, until the window has
-// gone by.
+// Retries made before an unload still count against the budget after a load, within the window.
 func TestRetryBudgetSurvivesUnload(t *testing.T) {
 	c := newLoadedCourier(t)
 	c.destinations[1].retries.add(0, 5)
@@ -124,20 +122,20 @@
 	}
 	c.Handle(5*time.Second, []Event{Wake{Destination: 1, State: a.State, Slept: 5 * time.Second}})
 	if got := c.destinations[1].retries.sum(c.now); got != 5 {
-		t.Errorf("repeats: %v", got)
+		t.Errorf("retries: %v", got)
 	}
 	if got := c.destinations[1].firstAttempts.sum(c.now); got > 0.6 {
-		t.Errorf("first sends must not count longer than they do awake: %v", got)
+		t.Errorf("first attempts count longer than in a loaded destination: %v", got)
 	}
 	unloadResult(t, c.Handle(6*time.Second, []Event{Sleep{1}}))
 	c.Handle(30*time.Second, []Event{Wake{Destination: 1, State: a.State, Slept: 24 * time.Second}})
 	if got := c.destinations[1].retries.sum(c.now); got != 0 {
-		t.Errorf("repeats of long ago: %v", got)
+		t.Errorf("retries from before the window: %v", got)
 	}
 }
 
-// An outage that was on when it fell asleep is on when it wakes: one trial goes,
-// and only where it may be lost.
+// An outage at the unload is still an outage after the load: one trial is sent, and only a request
+// that may be lost.
 func TestOutageSurvivesUnload(t *testing.T) {
 	c := newLoadedCourier(t)
 	c.Handle(2*time.Second, []Event{AttemptEnded{Request: 1, Endpoint: 1, Outcome: TimedOut, Took: 2 * time.Second}, Withdrawn{1}})
@@ -157,10 +155,10 @@
 	}
 }
 
-// deliverBacklog runs a woken destination with a partner that lets so many calls through
-// in each span and answers after a while. It returns the most calls in a span,
-// how many were refused, and when the last of n was delivered.
-func deliverBacklog(t *testing.T, state *State, caution Caution, n, limit int, span, latency time.Duration) (most, refused int, last time.Duration) {
+// deliverBacklog loads a destination with n queued requests. It accepts limit calls in each span and
+// answers after latency. The results are the highest number of calls in a span, the number of
+// rejections, and the time of the last delivery.
+func deliverBacklog(t *testing.T, state *State, caution Caution, n, limit int, span, latency time.Duration) (peak, refused int, last time.Duration) {
 	t.Helper()
 	s := unloadSettings()
 	s.Slots = 32
@@ -179,12 +177,12 @@
 		at time.Duration
 		ev AttemptEnded
 	}
-	var coming []out
+	var inFlight []out
 	attempts, spans, delivered := map[RequestID]int{}, map[int64]int{}, 0
 	for now := time.Duration(0); now < 20*time.Second && delivered < n; now += s.Tick {
-		for len(coming) > 0 && coming[0].at <= now {
-			coming[0].ev.Took = latency
-			events, coming = append(events, coming[0].ev), coming[1:]
+		for len(inFlight) > 0 && inFlight[0].at <= now {
+			inFlight[0].ev.Took = latency
+			events, inFlight = append(events, inFlight[0].ev), inFlight[1:]
 		}
 		for _, a := range c.Handle(now, events) {
 			send, ok := a.(Send)
@@ -193,7 +191,7 @@
 			}
 			in := int64(now / span)
 			spans[in]++
-			most = max(most, spans[in])
+			peak = max(peak, spans[in])
 			ev := AttemptEnded{
 				Request: send.Request, Endpoint: 1, Attempt: attempts[send.Request], Outcome: OK, Done: true,
 				Report: []float64{max(0, 1-float64(spans[in])/float64(limit)), float64(limit) / span.Seconds()},
@@ -206,18 +204,18 @@
 				last = now + latency
 			}
 			attempts[send.Request]++
-			coming = append(coming, out{now + latency, ev})
+			inFlight = append(inFlight, out{now + latency, ev})
 		}
 		events = nil
 	}
 	if delivered < n {
 		t.Errorf("%d of %d delivered in 20 s", delivered, n)
 	}
-	return most, refused, last
+	return peak, refused, last
 }
 
-// The clump that wakes a destination does not push it past its limit, whatever
-// is believed of that, and is delivered as fast as the limit nearly allows.
+// The requests waiting at a load do not push the destination over its limit, even if the limit has
+// changed since, and are delivered nearly as fast as the limit allows.
 func TestBacklogAfterLoadStaysWithinLimit(t *testing.T) {
 	caution := Caution{Window: 1, Cold: true, Careful: 14 * time.Second}
 	known := func(limit float64) *State {
@@ -230,10 +228,10 @@
 		limit   int
 		span    time.Duration
 	}{
-		{"limit as it was", known(4), caution, 4, time.Second},
+		{"limit unchanged", known(4), caution, 4, time.Second},
 		{"cut to a third", known(12), caution, 4, time.Second},
 		{"cut to a tenth", known(20), caution, 2, time.Second},
-		{"grown", known(2), caution, 6, time.Second},
+		{"limit raised", known(2), caution, 6, time.Second},
 		{"long spans", known(6), caution, 12, 2 * time.Second},
 		{"nothing known", nil, Caution{Window: 1, Careful: 14 * time.Second}, 3, time.Second},
 	} {
@@ -244,19 +242,19 @@
 			t.Errorf("%s: %d calls in a span, %d allowed; %d refused", tc.name, most, tc.limit, refused)
 		}
 		if last > 12*time.Second {
-			t.Errorf("%s: three seconds of its limit took %v", tc.name, last)
+			t.Errorf("%s: the requests of three seconds at the limit took %v", tc.name, last)
 		}
 	}
-	// Without caution the same clump does push it over: the test can fail.
+	// Without a cautious start the same requests exceed the limit, so the test can fail.
 	if most, _, _ := deliverBacklog(t, known(12), Caution{}, 12, 4, time.Second, 200*time.Millisecond); most <= 4 {
-		t.Errorf("without caution %d calls in a span: this shows nothing", most)
+		t.Errorf("without a cautious start %d calls in a span: the test cannot fail", most)
 	}
 }
 
-// Look tells what Sleep would hand out, and changes nothing: the same events have the
-// same actions with it and without.
+// Look returns what Sleep would return and changes nothing: the same events lead to the same actions
+// with and without it.
 func TestInspectHasNoEffect(t *testing.T) {
-	play := func(look bool) (out []Action, seen *State) {
+	run := func(inspect bool) (out []Action, seen *State) {
 		c := newLoadedCourier(t)
 		for i := range 40 {
 			now := time.Duration(i+1) * 10 * time.Millisecond
@@ -264,7 +262,7 @@
 			if i%4 == 0 {
 				events = append(events, Request{ID: RequestID(i + 10), Destination: 1, Class: i / 4 % 2, Deadline: 8 * time.Second})
 			}
-			if look {
+			if inspect {
 				events = append(events, Look{1}, Look{99})
 			}
 			for _, a := range c.Handle(now, events) {
@@ -272,7 +270,7 @@
 					if s.Destination == 1 {
 						seen = s.State
 					} else if s.State != nil {
-						t.Error("something is known of nobody")
+						t.Error("a snapshot of an unknown destination")
 					}
 					continue
 				}
@@ -281,16 +279,16 @@
 		}
 		return out, seen
 	}
-	with, seen := play(true)
-	without, _ := play(false)
+	with, seen := run(true)
+	without, _ := run(false)
 	want(t, "actions", with, without)
 	if seen == nil || len(seen.EndpointsSeen) != 2 || len(seen.Routes) != 1 {
 		t.Errorf("seen: %+v", seen)
 	}
 }
 
-// The gap that a kind's refused repeats have taught comes back with a destination of
-// it, unless the kind has taught another since.
+// The call gap that a kind learned from rejected retries is restored with a destination of this kind,
+// unless the kind has learned another one since.
 func TestRetryGapOfKindIsRestored(t *testing.T) {
 	c := newLoadedCourier(t)
 	c.retryGap[0], c.smallTableUntil[0] = 9*time.Second, 30*time.Second
@@ -300,8 +298,8 @@
 	other := newLoadedCourier(t)
 	other.Handle(time.Second, []Event{Wake{Destination: 2, State: s, Slept: time.Second}})
 	want(t, "gap", other.retryGap[0], s.RepeatGap)
-	want(t, "small tables", other.smallTableUntil[0], s.Small) // a second awake, a second asleep
+	want(t, "small tables", other.smallTableUntil[0], s.Small) // one second loaded, one second unloaded
 	s.RepeatGap = 5 * time.Second
 	other.Handle(time.Second, []Event{Wake{Destination: 3, State: s}})
-	want(t, "what was learnt since", other.retryGap[0] == s.RepeatGap, false)
+	want(t, "restored although a newer gap was learned", other.retryGap[0] == s.RepeatGap, false)
 }
