--- a/api.go
+++ b/api.go
@@ -181,7 +181,8 @@
 // Outcome is the result of an attempt or a probe.
 type Outcome int
 
-// The outcomes. Full, ConnectFailed and Moot prove that the request was not executed.
+// The outcomes. A rejection, a failed connection and a request that was not sent prove that the
+// request was not executed.
 const (
 	OK            Outcome = iota
 	Error                 // answered with an error
@@ -205,7 +206,7 @@
 		Destinations int
 	}
 	// Sleep unloads an idle destination: the module returns a snapshot of it and removes it.
-	// A destination with queued requests or open calls stays. The answer is Asleep.
+	// A destination with queued requests or open calls stays. One action answers the event.
 	Sleep struct{ Destination DestinationID }
 	// Wake loads a destination before its first request, with its endpoints and the snapshot
 	// that was taken when it was unloaded.
@@ -213,11 +214,11 @@
 		Destination  DestinationID
 		Endpoints    []Endpoint
 		State        *State        // nil if nothing is known about the destination
-		Slept        time.Duration // time since State was taken
+		Slept        time.Duration // time since the snapshot was taken
 		Caution      Caution
 		Destinations int // see List.Destinations
 	}
-	// Look asks for a snapshot of a destination without unloading it. The answer is Seen.
+	// Look asks for a snapshot of a destination without unloading it.
 	Look struct{ Destination DestinationID }
 	// Request is a message accepted by this courier, which has to give it a final answer.
 	Request struct {
@@ -241,7 +242,7 @@
 		OutOn  EndpointID
 		OutFor time.Duration
 	}
-	// Rests restores the settling delay of a key: no request of this key may be sent before For
+	// Rests restores the settling delay of a key: no request of this key may be sent before it
 	// has passed.
 	Rests struct {
 		Key uint64
@@ -270,7 +271,7 @@
 		Dialled  time.Duration // time until the first byte could be sent; starts Class.Window
 		Report   []float64     // values in the order of Settings.Report
 
-		// The connection of the call, if known: new, or reused after it was idle for Kept. If
+		// The connection of the call, if known: new, or reused after an idle time. If
 		// neither is set, the module's own assumption is used.
 		Fresh bool
 		Kept  time.Duration
@@ -312,7 +313,7 @@
 // that shares out the destination's rate limit to the fleet.
 type Note struct {
 	Destination DestinationID
-	Asks        bool // requests a grant of Calls calls, with Rank as the highest priority
+	Asks        bool // requests a grant of Calls calls; Rank is the highest priority
 	Grants      bool // grants Calls calls; with zero Calls the request is queued
 	Calls       int
 	Rank        int     // at most 255
@@ -322,7 +323,7 @@
 	Serves      bool    // the destination answers again; from a lease owner: to another courier
 	Cold        bool    // from a lease owner: it is recovering, grants are reduced
 	Limit       float64 // reported rate limit in calls per second; zero if not new
-	Old         bool    // with Asks: the limit was reported to the sender some time ago
+	Old         bool    // in a grant request: the limit was reported some time ago
 }
 
 // Action is an output of Courier.Handle, to be carried out at once.
@@ -360,13 +361,14 @@
 		Token uint64
 		After time.Duration
 	}
-	// Asleep answers a Sleep. If Busy is set, the destination stays loaded and State is nil.
+	// Asleep answers the request to unload a destination. If Busy is set, the destination stays
+	// loaded and there is no snapshot.
 	Asleep struct {
 		Destination DestinationID
 		State       *State
 		Busy        bool
 	}
-	// Seen answers a Look.
+	// Seen answers the request for a snapshot.
 	Seen struct {
 		Destination DestinationID
 		State       *State // nil if nothing is known about the destination
@@ -434,7 +436,7 @@
 // EndpointState is the snapshot of one endpoint.
 type EndpointState struct {
 	ID        EndpointID
-	Route     int // index in State.Routes
+	Route     int // index among the routes of the snapshot
 	Latency   float64
 	Condition Condition
 	For       time.Duration // time since Condition was entered
--- a/courier.go
+++ b/courier.go
@@ -129,7 +129,8 @@
 // calls from now on. An endpoint that is listed again keeps its state.
 func (c *Courier) applyList(ev List) {
 	if ev.Kind == ListFailed {
-		c.watching, c.watchAt = false, c.now+c.jitter(max(c.settings.AskWithin/4, c.settings.ConnectTimeout))
+		c.watching, c.watchAt = false, c.now+
+			c.jitter(max(c.settings.AskWithin/4, c.settings.ConnectTimeout))
 		return
 	}
 	if ev.Kind != ListDelta {
@@ -208,7 +209,8 @@
 	case late <= 0:
 		return value
 	case c.settings.Halving:
-		return value * math.Max(r.class.LateShare, math.Exp2(-late/math.Max(1, float64(r.class.Aim))))
+		return value * math.Max(r.class.LateShare,
+			math.Exp2(-late/math.Max(1, float64(r.class.Aim))))
 	}
 	return value * (1 - (1-r.class.LateShare)*late/math.Max(1, float64(r.deadline-r.targetAt)))
 }
@@ -269,7 +271,7 @@
 	if len(d.queue) == 0 || d.openCalls >= min(c.maxCalls(d), int(d.window)) {
 		return nil, nil
 	}
-	candidates := c.scratch[:0]
+	candidates := c.candidateBuffer[:0]
 	for _, r := range d.routes {
 		if !c.routeReady(r) {
 			continue
@@ -285,7 +287,7 @@
 			candidates = candidates[:n]
 		}
 	}
-	if c.scratch = candidates; len(candidates) == 0 {
+	if c.candidateBuffer = candidates; len(candidates) == 0 {
 		return nil, nil
 	}
 	return c.chooseSend(d, candidates)
@@ -519,7 +521,8 @@
 		b.connIdle = ev.Kept
 	}
 	c.applyReport(b.endpoint.route, ev.Report)
-	if (ev.Outcome == Full || ev.Outcome == Error) && ev.Wait > 0 { // any request of a bundle may carry it
+	// Any request of a bundle may carry the retry-after delay.
+	if (ev.Outcome == Full || ev.Outcome == Error) && ev.Wait > 0 {
 		b.endpoint.route.setRetryAfter(c.now + ev.Wait + c.settings.Tick)
 	}
 	c.recordOutcome(b, r, ev)
@@ -850,7 +853,7 @@
 
 // withinColdBudget reports whether a call to e stays within this courier's share of the calls that
 // a recovering destination withstands. Probes and rejected calls count, and the bound holds in any
-// window of FallTime. It applies to outages that this courier has seen.
+// window of the collapse time. It applies to outages that this courier has seen.
 func (c *Courier) withinColdBudget(e *endpoint) bool {
 	if e.state == up && (e.failures == 0 || !c.closesAfterUse(e.route.dest)) {
 		return true
--- a/courier_test.go
+++ b/courier_test.go
@@ -313,7 +313,7 @@
 	}
 }
 
-// With RoutesApart a retry-after delay blocks one endpoint and the request goes to another.
+// If each endpoint has its own limit, a retry-after delay blocks one endpoint and the request goes to another.
 func TestRetryAfterDelayBlocksOneRoute(t *testing.T) {
 	g := newHarness(t, nil, Endpoint{ID: 10, Destination: 1, Kind: 2}, Endpoint{ID: 11, Destination: 1, Kind: 2})
 	g.step(0, newRequest(1, safe))
@@ -448,8 +448,8 @@
 	want(t, "request of the trial", sends(acts), []RequestID{3})
 }
 
-// After an outage this courier stays within its share of the cold budget in any window of FallTime,
-// probes and trials included.
+// After an outage this courier stays within its share of the cold budget in any window of the
+// collapse time, probes and trials included.
 func TestSlowStartBudget(t *testing.T) {
 	g := newHarness(t, nil, Endpoint{ID: 10, Destination: 1, Weight: 20})
 	openBreaker(g, ConnectFailed)
@@ -483,7 +483,7 @@
 		}
 		share := s.ColdShare + (1-s.ColdShare)*float64(at[i]-back)/float64(s.WarmUp)
 		if most := coldBudgetFactor * s.FallMultiple * share * 20 * s.FallTime.Seconds(); float64(n) > most {
-			t.Fatalf("%d sends in FallTime, %v after the recovery: more than %.1f", n, at[i]-back, most)
+			t.Fatalf("%d sends in the collapse time, %v after the recovery: more than %.1f", n, at[i]-back, most)
 		}
 	}
 }
@@ -699,14 +699,14 @@
 	}
 }
 
-// After a failed list request the courier subscribes again, with a delay but within AskWithin.
+// After a failed list request the courier subscribes again, with a delay but within the configured time.
 func TestResubscribesToList(t *testing.T) {
 	g := newHarness(t, func(s *Settings) { s.AskForList, s.AskWithin = true, 10*time.Second }, ep1)
 	want(t, "subscriptions at the start", count[Watch](g.actions), 1)
 	acts := g.step(0, List{Kind: ListFailed})
 	acts = append(acts, g.run(time.Second)...)
 	want(t, "subscriptions right after a failure", count[Watch](acts), 0)
-	want(t, "subscriptions within AskWithin", count[Watch](g.run(9*time.Second)), 1)
+	want(t, "subscriptions within the configured time", count[Watch](g.run(9*time.Second)), 1)
 }
 
 // A request whose answer is streaming is not ended by its deadline.
@@ -1105,7 +1105,7 @@
 		sentDuringDelay := len(sends(g.run(wait - 40*ms)))
 		want(t, "calls during the delay", sentDuringDelay, 0)
 		sent := 0
-		for range 100 { // two seconds: FallTime
+		for range 100 { // two seconds, the collapse time
 			acts := g.step(20 * ms)
 			sent += len(sends(acts))
 			for out := range g.out {
--- a/fleet.go
+++ b/fleet.go
@@ -24,7 +24,7 @@
 	limitFreshFor             = 250 * time.Millisecond // as long as a grant is valid
 	maxQuotaLedgers           = 4096                   // at the limit, idle ledgers are removed
 	quotaLedgerIdle           = time.Minute
-	rankPerValue              = 100 // Note.Rank of a message with value 1
+	rankPerValue              = 100 // rank of a message with value 1
 )
 
 // leaseOf returns the lease of a route whose limit the fleet shares, or nil if calls to the route
@@ -78,9 +78,9 @@
 }
 
 // outageObservers returns the number of couriers assumed to have seen e's outage. allowed is the
-// number of calls that the whole fleet may send to e in FallTime. The result is the likely number,
-// given the outage seen here. If a first call of every courier would exceed what the destination
-// withstands, it is the greatest possible number.
+// number of calls that the whole fleet may send to e in the collapse time. The result is the likely
+// number, given the outage seen here. If a first call of every courier would exceed what the
+// destination withstands, it is the greatest possible number.
 func (c *Courier) outageObservers(e *endpoint, capacity, allowed float64) float64 {
 	outage := e.lastOutage
 	if e.state != cold {
--- a/sleep.go
+++ b/sleep.go
@@ -32,13 +32,15 @@
 func (c *Courier) snapshot(d *destination) *State {
 	s := &State{
 		Recent: d.latency, Best: d.bestLatency, Peak: d.peakRate, Window: d.window,
-		First: d.firstAttempts.sum(c.now), Repeats: d.retries.sum(c.now), Served: d.successes.sum(c.now),
+		First: d.firstAttempts.sum(c.now), Repeats: d.retries.sum(c.now),
+		Served:    d.successes.sum(c.now),
 		RepeatGap: c.retryGap[d.kindIndex], Small: max(0, c.smallTableUntil[d.kindIndex]-c.now),
 	}
 	for no, r := range d.routes {
 		s.Routes = append(s.Routes, RouteState{
 			Limit: r.limit, Left: r.limitLeft, Pace: r.pacingRate, Gap: r.callGap,
-			Wait: max(0, r.blockedUntil()-c.now), Fulls: r.rejections, FullAgo: c.now - r.rejectedAt,
+			Wait: max(0, r.blockedUntil()-c.now), Fulls: r.rejections,
+			FullAgo:   c.now - r.rejectedAt,
 			ColdSends: r.coldCalls.sumSince(c.now - c.coldHistorySpan()),
 		})
 		for _, e := range r.endpoints {
@@ -47,8 +49,10 @@
 			}
 			s.EndpointsSeen = append(s.EndpointsSeen, EndpointState{
 				ID: e.ID, Route: no, Latency: e.latency, Condition: Condition(e.state),
-				For: c.now - e.stateSince, Failed: c.now - e.failingSince, DownFor: e.lastOutage,
-				Backoff: e.backoff, Trial: e.trialAt - c.now, Fails: e.failures, Vouched: e.trialSafe,
+				For: c.now - e.stateSince, Failed: c.now - e.failingSince,
+				DownFor: e.lastOutage,
+				Backoff: e.backoff, Trial: e.trialAt - c.now,
+				Fails: e.failures, Vouched: e.trialSafe,
 			})
 		}
 	}
@@ -100,9 +104,12 @@
 			c.restoreRoute(e.route, s.Routes[saved.Route], ev.Slept)
 		}
 		age := ev.Slept
-		e.latency, e.state, e.stateSince = saved.Latency, health(saved.Condition), c.now-saved.For-age
-		e.failingSince, e.lastOutage, e.backoff = c.now-saved.Failed-age, saved.DownFor, saved.Backoff
-		e.trialAt, e.failures, e.trialSafe = c.now+max(0, saved.Trial-age), saved.Fails, saved.Vouched
+		e.latency, e.state, e.stateSince = saved.Latency, health(saved.Condition),
+			c.now-saved.For-age
+		e.failingSince, e.lastOutage, e.backoff = c.now-saved.Failed-age, saved.DownFor,
+			saved.Backoff
+		e.trialAt, e.failures, e.trialSafe = c.now+max(0, saved.Trial-age), saved.Fails,
+			saved.Vouched
 		if e.WasOut > 0 {
 			e.enterRecovery(c.now)
 		}
@@ -130,7 +137,8 @@
 
 // restoreRoute restores a route from a snapshot taken age ago.
 func (c *Courier) restoreRoute(r *route, saved RouteState, age time.Duration) {
-	r.limit, r.limitLeft, r.pacingRate, r.callGap = saved.Limit, saved.Left, saved.Pace, saved.Gap
+	r.limit, r.limitLeft, r.pacingRate, r.callGap = saved.Limit, saved.Left, saved.Pace,
+		saved.Gap
 	r.rejections, r.rejectedAt = saved.Fulls, c.now-saved.FullAgo-age
 	r.waitUntil = max(r.waitUntil, c.now+saved.Wait-age)
 	if age < c.coldHistorySpan() && saved.ColdSends > 0 {
--- a/sleep_test.go
+++ b/sleep_test.go
@@ -38,7 +38,7 @@
 			return a
 		}
 	}
-	t.Fatal("no answer to Sleep")
+	t.Fatal("no answer to the unload")
 	return Asleep{}
 }
 
@@ -251,8 +251,8 @@
 	}
 }
 
-// Look returns what Sleep would return and changes nothing: the same events lead to the same actions
-// with and without it.
+// Inspecting a destination returns the snapshot that an unload would and changes nothing: the same
+// events lead to the same actions with and without it.
 func TestInspectHasNoEffect(t *testing.T) {
 	run := func(inspect bool) (out []Action, seen *State) {
 		c := newLoadedCourier(t)
--- a/state.go
+++ b/state.go
@@ -38,7 +38,7 @@
 	watchAt            time.Duration
 	retryGap           []time.Duration // initial call gap after a rejection, by kind
 	smallTableUntil    []time.Duration // by kind: connection tables are assumed to be small until then
-	scratch            []*endpoint
+	candidateBuffer    []*endpoint
 	sendOptions        []sendOption
 	wakeAt             time.Duration  // next moment at which time alone may change a decision
 	active             []*destination // those with requests or open calls
@@ -78,7 +78,8 @@
 		endpoints: map[EndpointID]*endpoint{}, destinations: map[DestinationID]*destination{},
 		requests: map[RequestID]*request{}, keyQueues: map[uint64]*keyQueue{},
 		tenantQuotas: make([]tokenBucket, len(s.Tenants)), roundCalls: map[*endpoint]*call{},
-		smallTableUntil: make([]time.Duration, max(1, len(s.Kinds))), minTargetLatency: s.Classes[0].Aim,
+		smallTableUntil:  make([]time.Duration, max(1, len(s.Kinds))),
+		minTargetLatency: s.Classes[0].Aim,
 	}
 	if c.tuning = StandardTuning(); s.Tuning != nil {
 		c.tuning = *s.Tuning
@@ -349,7 +350,7 @@
 // Stands reports whether an open attempt of which no byte has been sent yet may still be sent at
 // now. Setting up a connection may take more than a second: meanwhile the deduplication window or
 // the deadline of the message may have ended, or the destination may have named a retry-after delay
-// or begun to drain. Stands changes no state.
+// or begun to drain. The call changes no state.
 func (c *Courier) Stands(now time.Duration, id RequestID) bool {
 	r := c.requests[id]
 	if r == nil || r.call == nil || r.answered {
@@ -454,7 +455,7 @@
 }
 
 // route is a set of endpoints with a common rate limit, pacing rate and delays: all endpoints of a
-// destination, or a single one if Kind.RoutesApart is set.
+// destination, or a single one if its kind has limits per endpoint.
 type route struct {
 	dest                  *destination
 	endpoints             []*endpoint
@@ -473,7 +474,7 @@
 	rejections            int // consecutive rejections, counted in episodes
 	trialsOut             int
 	coldCalls             callHistory   // calls to endpoints that were not healthy
-	coldSpread            lease.Spread  // for shares below one call in FallTime
+	coldSpread            lease.Spread  // for shares below one call in the collapse time
 	lease                 *lease.Holder // nil unless the fleet shares the limit
 	ownerReport           Note          // news for the lease owner
 	reportedLimit         float64
@@ -610,7 +611,7 @@
 	e.route = d.routes[len(d.routes)-1]
 	e.route.endpoints = append(e.route.endpoints, e)
 	d.endpoints = append(d.endpoints, e)
-	e.classFailedAt, e.WasOut = make([]time.Duration, len(c.settings.Classes)), 0 // WasOut is set by update
+	e.classFailedAt, e.WasOut = make([]time.Duration, len(c.settings.Classes)), 0 // update sets it
 }
 
 // destinationFor returns the destination with this id and creates it if necessary.
@@ -703,7 +704,8 @@
 // whatever its state was.
 func (e *endpoint) update(entry Endpoint, now time.Duration) {
 	restarted := entry.WasOut > 0 && e.WasOut == 0
-	e.Phase, e.Weight, e.Doubtful, e.WasOut = entry.Phase, entry.Weight, entry.Doubtful, entry.WasOut
+	e.Phase, e.Weight, e.Doubtful, e.WasOut = entry.Phase, entry.Weight, entry.Doubtful,
+		entry.WasOut
 	if restarted {
 		e.enterRecovery(now)
 	}
