--- a/api.go
+++ b/api.go
@@ -395,8 +395,8 @@
 func (Log) action()       {}
 func (Tell) action()      {}
 
-// State is a snapshot of what the module knows about a destination. Durations are relative to the
-// moment at which it was taken, latencies are in seconds and rates in calls per second.
+// State is a snapshot of what the module knows about a destination. Durations are relative to
+// the moment at which it was taken, latencies are in seconds and rates in calls per second.
 type State struct {
 	Recent, Best float64 // latency: smoothed, and lowest recent value
 	Peak         float64 // highest rate of successes
--- a/courier.go
+++ b/courier.go
@@ -902,7 +902,7 @@
 // sendTrial tries endpoints whose breaker is open, one at a time on a route: with a probe if
 // allowed, otherwise with the request whose loss costs least.
 func (c *Courier) sendTrial(r *route) {
-	if r.trialsOut > 0 || c.now < r.blockedUntil() || len(r.dest.queue) == 0 {
+	if r.openProbes > 0 || c.now < r.blockedUntil() || len(r.dest.queue) == 0 {
 		return
 	}
 	for _, e := range r.endpoints {
@@ -918,7 +918,7 @@
 		}
 		// If the failures prove that nothing was executed, a request serves as well as a probe.
 		if c.settings.Probes && !e.trialSafe {
-			r.trialsOut++
+			r.openProbes++
 			r.countColdCall(c.now, 1)
 			c.emit(Probe{Endpoint: e.ID})
 			return
@@ -965,7 +965,7 @@
 	if e == nil {
 		return
 	}
-	e.route.trialsOut = max(0, e.route.trialsOut-1)
+	e.route.openProbes = max(0, e.route.openProbes-1)
 	c.applyReport(e.route, ev.Report)
 	if e.state != down {
 		return
--- a/state.go
+++ b/state.go
@@ -472,7 +472,7 @@
 	waitedForToken        bool // a request waited for a token
 	rejectedAt            time.Duration
 	rejections            int // consecutive rejections, counted in episodes
-	trialsOut             int
+	openProbes            int
 	coldCalls             callHistory   // calls to endpoints that were not healthy
 	coldSpread            lease.Spread  // for shares below one call in the collapse time
 	lease                 *lease.Holder // nil unless the fleet shares the limit
