--- a/internal/core/belief.go
+++ b/internal/core/belief.go
@@ -13,124 +13,123 @@
 	"snowjunction/internal/groups"
 )
 
-// Directory has the bounds within which a front's directory and its list are believed.
+// Directory holds the bounds within which a front's directory and its list are trusted.
 type Directory struct {
 	Belief belief.Config
 	Trust  distrust.Config
 }
 
-// directory is what is held of one.
+// directory is the trust state of one front's directory.
 type directory struct {
-	book    *belief.Book
-	looking *Timer // until time may change belief
+	confidence  *belief.Book
+	reviewTimer *Timer // fires when elapsed time may change the confidence
 
-	judge   *distrust.Judge
-	judging *Timer          // until time may end a condition
-	kept    map[string]bool // left out by a list that is not believed, and listed on
-	young   map[string]bool // brought by a directory that flaps
+	plausibility   *distrust.Judge
+	conditionTimer *Timer          // fires when elapsed time may end a condition
+	retained       map[string]bool // endpoints kept although an implausible list omits them
+	unconfirmed    map[string]bool // endpoints added while the directory was flapping
 }
 
-// Begin takes the list that a front starts with, which the directory has vouched for
-// so long ago; an age under 0 is one that cannot be known.
+// Begin sets the list that a front starts with. age is the time since the directory last confirmed
+// it; a negative age means unknown.
 func (c *Core) Begin(front int, l *groups.List, s belief.Source, age time.Duration) error {
-	if d := c.dirs[front]; d != nil {
-		d.book.Begin(s, age, c.since())
+	if d := c.directories[front]; d != nil {
+		d.confidence.Begin(s, age, c.elapsed())
 	}
 	if err := c.Listed(front, l); err != nil {
 		return err
 	}
-	c.look(front)
+	c.reviewConfidence(front)
 	return nil
 }
 
-// Spoken tells that a front's directory vouches for the list held: its word wins over
-// all that calls have shown.
+// Spoken records that a front's directory confirms the current list. This overrides all evidence
+// from calls.
 func (c *Core) Spoken(front int) {
-	d := c.dirs[front]
+	d := c.directories[front]
 	if d == nil {
 		return
 	}
 	defer c.resume()
-	was, word := d.book.Source(), d.book.Word()
-	if d.book.Spoken(c.since()) {
-		c.Log.Info("belief", "of", "directory", "is", "live", "was", was.String(), "list_age", (c.since() - word).Round(time.Second), "why", "it has answered")
-		c.represent(front)
+	was, word := d.confidence.Source(), d.confidence.Word()
+	if d.confidence.Spoken(c.elapsed()) {
+		c.Log.Info("belief", "of", "directory", "is", "live", "was", was.String(), "list_age", (c.elapsed() - word).Round(time.Second), "why", "the directory answered")
+		c.republish(front)
 	}
-	c.look(front)
+	c.reviewConfidence(front)
 }
 
-// Moved tells that a front asks another agent from now on.
+// Moved records that a front has switched to another directory agent.
 func (c *Core) Moved(front int) {
-	if d := c.dirs[front]; d != nil && d.book.Moved(c.since()) {
-		c.Log.Info("belief", "of", "directory", "is", "silent", "was", "live", "why", "another agent is asked")
-		c.represent(front)
-		c.look(front)
+	if d := c.directories[front]; d != nil && d.confidence.Moved(c.elapsed()) {
+		c.Log.Info("belief", "of", "directory", "is", "silent", "was", "live", "why", "switched to another directory agent")
+		c.republish(front)
+		c.reviewConfidence(front)
 	}
 }
 
-// look has the book find what time has changed, and looks again when it may change
-// next.
-func (c *Core) look(front int) {
-	d := c.dirs[front]
-	change, again := d.book.Look(c.since())
+// reviewConfidence applies changes due to elapsed time and schedules the next review.
+func (c *Core) reviewConfidence(front int) {
+	d := c.directories[front]
+	change, again := d.confidence.Look(c.elapsed())
 	switch change {
 	case belief.Silent:
-		c.Log.Warn("belief", "of", "directory", "is", "silent", "was", "live", "why", "it has not answered for long")
-		c.represent(front)
+		c.Log.Warn("belief", "of", "directory", "is", "silent", "was", "live", "why", "the directory has not answered for too long")
+		c.republish(front)
 	case belief.Aged:
-		c.Log.Warn("belief", "of", "list", "is", "old", "was", "young", "why", "the directory has not vouched for it for long")
-		c.represent(front)
+		c.Log.Warn("belief", "of", "list", "is", "old", "was", "young", "why", "the directory has not confirmed it for too long")
+		c.republish(front)
 	}
-	d.looking.Stop()
+	d.reviewTimer.Stop()
 	if again > 0 {
-		d.looking = c.Loop.After(again, func() { c.look(front) })
+		d.reviewTimer = c.Loop.After(again, func() { c.reviewConfidence(front) })
 	}
 }
 
-// represent shows the module a front's endpoints as they are believed now.
-func (c *Core) represent(front int) {
+// republish sends the module a front's endpoints with their current confidence.
+func (c *Core) republish(front int) {
 	var news []snowjunction.Endpoint
-	for _, g := range c.routes.awake {
+	for _, g := range c.routes.loaded {
 		for _, m := range g.members {
 			if m.front == front && m.Phase != snowjunction.Gone {
-				news = append(news, c.believe(m)...)
+				news = append(news, c.updateConfidence(m)...)
 			}
 		}
 	}
 	slices.SortFunc(news, func(a, b snowjunction.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
-	c.changed(news)
+	c.queueEndpoints(news)
 }
 
-// standing is that of an endpoint of a front.
-func (c *Core) standing(front int, name string) belief.Standing {
-	if d := c.dirs[front]; d != nil {
-		return d.book.Standing(name)
+// confidenceIn returns the confidence in an endpoint of a front.
+func (c *Core) confidenceIn(front int, name string) belief.Standing {
+	if d := c.directories[front]; d != nil {
+		return d.confidence.Standing(name)
 	}
 	return belief.Told
 }
 
-// believe takes an endpoint's standing, and returns it as the module is to see it if
-// it sees another.
-func (c *Core) believe(m *listed) []snowjunction.Endpoint {
-	was := m.entry()
-	m.standing = c.standing(m.front, m.Name)
-	if is := m.entry(); is != was {
+// updateConfidence updates an endpoint's confidence and returns the module's view of it if that has
+// changed.
+func (c *Core) updateConfidence(m *loadedEndpoint) []snowjunction.Endpoint {
+	was := m.moduleView()
+	m.standing = c.confidenceIn(m.front, m.Name)
+	if is := m.moduleView(); is != was {
 		return []snowjunction.Endpoint{is}
 	}
 	return nil
 }
 
-// evidence takes what an attempt has shown of its endpoint.
-func (c *Core) evidence(a *attempt, r Result) {
+// recordEvidence updates the confidence in an endpoint from the result of an attempt.
+func (c *Core) recordEvidence(a *attempt, r Result) {
 	l := c.routes.byID[a.endpoint]
-	if l == nil || c.dirs[l.front] == nil || l.Phase != snowjunction.Ready {
+	if l == nil || c.directories[l.front] == nil || l.Phase != snowjunction.Ready {
 		return
 	}
 	e := belief.EvidenceOf(r.Outcome)
 	if r.Elsewhere {
 		e = belief.Elsewhere
 	}
-	was, is, why := c.dirs[l.front].book.Heard(l.Destination, l.Name, e, c.since())
+	was, is, why := c.directories[l.front].confidence.Heard(l.Destination, l.Name, e, c.elapsed())
 	if was == is {
 		return
 	}
@@ -139,10 +138,10 @@
 		level = slog.LevelWarn
 	}
 	c.Log.Log(context.Background(), level, "belief", "of", l.Name, "destination", l.Destination, "addr", l.Addr, "is", is.String(), "was", was.String(), "why", why)
-	c.changed(c.believe(l))
+	c.queueEndpoints(c.updateConfidence(l))
 }
 
-// Believed is what is believed of one endpoint, and why.
+// Believed is the confidence in one endpoint, with the reason.
 type Believed struct {
 	Name        string  `json:"instanceId"`
 	Addr        string  `json:"hostPort"`
@@ -150,14 +149,15 @@
 	Lifecycle   string  `json:"lifecycle"`
 	Standing    string  `json:"standing"`
 	Source      string  `json:"source"`
-	WordAgeS    float64 `json:"word_age_s"` // since the directory vouched for it
-	SinceS      float64 `json:"since_s"`    // that it has this standing
+	WordAgeS    float64 `json:"word_age_s"` // since the directory last confirmed it
+	SinceS      float64 `json:"since_s"`    // time in this standing
 	Why         string  `json:"why"`
 }
 
-// Beliefs tells of up to so many endpoints of a front, and how many there are.
+// Beliefs returns the confidence in at most most endpoints of a front, and the total number of
+// endpoints.
 func (c *Core) Beliefs(front, most int) (out []Believed, all int) {
-	d, now := c.dirs[front], c.since()
+	d, now := c.directories[front], c.elapsed()
 	if d == nil {
 		return nil, 0
 	}
@@ -166,7 +166,7 @@
 		if len(out) >= most {
 			break
 		}
-		a := d.book.Explain(e.Name)
+		a := d.confidence.Explain(e.Name)
 		x := Believed{
 			Name: e.Name, Addr: e.Addr, Destination: uint32(e.Destination), Lifecycle: "Ready", Standing: a.Standing.String(),
 			Source: a.Source.String(), WordAgeS: (now - a.Word).Seconds(), SinceS: (now - a.Since).Seconds(), Why: a.Why,
@@ -179,19 +179,19 @@
 	return out, table.Len()
 }
 
-// Table is the target group of a front. It must not be changed, and holds only until
-// the loop's next turn.
+// Table returns the target group of a front. It must not be modified and is valid only until the
+// loop's next turn.
 func (c *Core) Table(front int) *groups.Table { return c.routes.tables[front] }
 
-// Awake tells whether the module knows of a destination.
-func (c *Core) Awake(d snowjunction.DestinationID) bool { return c.routes.awake[d] != nil }
+// Awake reports whether a destination is loaded in the module.
+func (c *Core) Awake(d snowjunction.DestinationID) bool { return c.routes.loaded[d] != nil }
 
-// Word tells of a front's list where it comes from, how long ago its directory vouched
-// for it, and whether it does so now.
+// Word returns the source of a front's list, the time since the directory last confirmed it, and
+// whether the directory is live.
 func (c *Core) Word(front int) (s belief.Source, age time.Duration, live bool) {
-	d := c.dirs[front]
+	d := c.directories[front]
 	if d == nil {
 		return belief.Live, 0, true
 	}
-	return d.book.Source(), c.since() - d.book.Word(), d.book.Live()
+	return d.confidence.Source(), c.elapsed() - d.confidence.Word(), d.confidence.Live()
 }
--- a/internal/core/book.go
+++ b/internal/core/book.go
@@ -8,41 +8,40 @@
 	"snowjunction/internal/store"
 )
 
-// Counters count what the courier does. They are its alone: nothing in the
-// program depends on them.
+// Counters count the courier's work. They are for reporting only and influence no decision.
 type Counters struct {
-	In             uint64 // well-formed messages handed in
+	In             uint64 // well-formed messages received
 	Malformed      uint64 // requests answered with an error
-	Taken          uint64 // taken on
+	Taken          uint64 // accepted
 	Refused        uint64 // fixed responses
-	Hooked         uint64 // of these, by a plug-in
-	Crowded        uint64 // of the refused: too many destinations are awake or bind
-	Gone           uint64 // taken on, but the client had gone
-	Restored       uint64 // taken up from the journal at the start
-	Untried        uint64 // of these, without an attempt before
-	Tried          uint64 // of the untried, sent since
-	GivenUp        uint64 // of the untried, ended without being sent
-	Recalled       uint64 // destinations of which an earlier life has left something
-	Sent           uint64 // attempts that left
-	Unsent         uint64 // attempts that did not leave after all
-	Late           uint64 // successes after the message's end
-	Overdue        uint64 // successes after its time, which count as failed
+	Hooked         uint64 // refused by a plug-in
+	Crowded        uint64 // refused because too many destinations are loaded or have binding state
+	Gone           uint64 // accepted, but the client had disconnected
+	Restored       uint64 // recovered from the journal at start
+	Untried        uint64 // restored without an earlier attempt
+	Tried          uint64 // untried messages attempted since
+	GivenUp        uint64 // untried messages that ended without an attempt
+	Recalled       uint64 // destinations with learned state of a previous process run
+	Sent           uint64 // attempts sent
+	Unsent         uint64 // attempts not sent after all
+	Late           uint64 // successes after the message's final result
+	Overdue        uint64 // successes after the deadline, counted as failed
 	Delivered      uint64
 	Withdrawn      uint64
 	Failed         uint64
 	Returned       uint64
-	Told           uint64 // notes to the fleet
-	Noted          uint64 // notes of other couriers
-	Unread         uint64 // those that could not be read
-	Forwarded      uint64 // messages that another courier has answered
-	ForwardedBytes uint64 // of commands that have left for others
-	Moved          uint64 // messages of other couriers, of which no list is held here
-	Vain           uint64 // tries to forward a message that surely came to nothing
-	Unknown        uint64 // forwarded messages of which it is not known what became
-	Unrouted       uint64 // messages refused as no courier that may have them could be reached
+	Told           uint64 // messages sent to the fleet
+	Noted          uint64 // messages received from other couriers
+	Unread         uint64 // messages from other couriers that could not be decoded
+	Forwarded      uint64 // messages answered by another courier
+	ForwardedBytes uint64 // of commands sent to other couriers
+	Moved          uint64 // messages of other couriers whose list is not held here
+	Vain           uint64 // forwarding attempts that certainly had no effect
+	Unknown        uint64 // forwarded messages with an unknown result
+	Unrouted       uint64 // messages refused because no responsible courier was reachable
 	Results        [snowjunction.Moot + 1]uint64
 
-	serial uint32
+	lastFlow uint32
 }
 
 var outcomes = [...]string{"ok", "error", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
@@ -53,7 +52,7 @@
 	}
 }
 
-// LogValue puts the counters in one line of the log.
+// LogValue returns the counters as log attributes.
 func (n *Counters) LogValue() slog.Value {
 	attrs := []slog.Attr{
 		slog.Uint64("in", n.In), slog.Uint64("malformed", n.Malformed), slog.Uint64("taken", n.Taken),
@@ -73,39 +72,39 @@
 	return slog.GroupValue(attrs...)
 }
 
-// giveUp is the module's final answer: at once, to the client if it still
-// waits for the first one, else as an end.
-func (c *Core) giveUp(id snowjunction.RequestID, s store.State, after time.Duration) {
+// abandon carries out the module's decision to give up a flow: as the answer if the client still
+// waits for one, otherwise as the final result.
+func (c *Core) abandon(id snowjunction.RequestID, s store.State, after time.Duration) {
 	f := c.flows[id]
 	if f == nil || f.ended {
 		return
 	}
-	if s == store.Returned && !c.inWindow(f) { // not harmless, as the module thinks it is
+	if s == store.Returned && !c.inWindow(f) { // not safe to resubmit, although the module thinks so
 		s, after = store.Failed, 0
 	}
 	if f.answer == nil {
-		c.end(f, s, after)
+		c.finish(f, s, after)
 		return
 	}
 	answer := f.answer
 	f.answer = nil
-	c.drop(f)
+	c.closeFlow(f)
 	c.traceEnd(f, "refused", after)
 	if s == store.Returned {
 		c.Counters.Refused++
-		c.of(f).throttled++
+		c.tallyOf(f).throttled++
 		answer(Answer{Verdict: Fixed, After: after}, nil)
 	} else {
 		c.Counters.Failed++
-		c.of(f).faulted++
+		c.tallyOf(f).faulted++
 		answer(Answer{Verdict: Failed}, nil)
 	}
 }
 
-// end books the end of a flow that was taken on and has it told.
-func (c *Core) end(f *flow, s store.State, after time.Duration) {
+// finish records the final result of an accepted flow and reports it.
+func (c *Core) finish(f *flow, s store.State, after time.Duration) {
 	if !f.ended && f.id != 0 {
-		c.drop(f)
+		c.closeFlow(f)
 	}
 	if err := c.Journal.Ended(f.msg, s, after, c.Loop.Now()); err != nil {
 		c.Log.Error("journal", "err", err)
@@ -113,32 +112,32 @@
 	switch s {
 	case store.Delivered:
 		c.Counters.Delivered++
-		c.of(f).fulfilled++
+		c.tallyOf(f).fulfilled++
 	case store.Withdrawn, store.Deleted:
 		c.Counters.Withdrawn++
 	case store.Failed:
 		c.Counters.Failed++
-		c.of(f).faulted++
+		c.tallyOf(f).faulted++
 	case store.Returned:
 		c.Counters.Returned++
-		c.of(f).throttled++
+		c.tallyOf(f).throttled++
 	}
 	c.traceEnd(f, s.String(), after)
 	if c.Plugins != nil {
 		c.Plugins.Ended(f.msg)
 	}
-	c.tell(f)
+	c.notifyFront(f)
 }
 
-// tell lets the front know of an end; its key waits until that is settled.
-func (c *Core) tell(f *flow) {
+// notifyFront reports a final result to the front. The flow's key is blocked until that is settled.
+func (c *Core) notifyFront(f *flow) {
 	if f.class.InOrder && f.msg.Key != 0 {
-		c.unknown[f.msg.Key]++
+		c.unsettledEnds[f.msg.Key]++
 	}
 	c.Fronts[f.msg.Origin].Ended(f.msg)
 }
 
-// Settled tells that the end of m is known to whoever handed it in.
+// Settled records that the sender of m knows the final result.
 func (c *Core) Settled(m *store.Message) {
 	if m.Settled {
 		return
@@ -146,70 +145,70 @@
 	if err := c.Journal.Settle(m); err != nil {
 		c.Log.Error("journal", "err", err)
 	}
-	n, ok := c.unknown[m.Key]
+	n, ok := c.unsettledEnds[m.Key]
 	if no, known := c.classes[m.Class]; !ok || !known || !c.Settings.Classes[no].InOrder {
 		return
 	}
 	if n > 1 {
-		c.unknown[m.Key] = n - 1
+		c.unsettledEnds[m.Key] = n - 1
 		return
 	}
-	delete(c.unknown, m.Key)
-	waiting := c.owing[m.Key]
-	delete(c.owing, m.Key)
+	delete(c.unsettledEnds, m.Key)
+	waiting := c.awaitingSettlement[m.Key]
+	delete(c.awaitingSettlement, m.Key)
 	for _, f := range waiting {
 		if f.attempt != nil && f.attempt.call == nil {
-			c.leave(f.attempt)
+			c.prepare(f.attempt)
 		}
 	}
 }
 
-// drop takes a flow off what is held.
-func (c *Core) drop(f *flow) {
+// closeFlow removes a flow from the open flows.
+func (c *Core) closeFlow(f *flow) {
 	if f.ended {
 		return
 	}
 	f.ended = true
-	c.held--
-	c.tried(f, false)
-	if c.ids[f.name()] == f {
-		delete(c.ids, f.name())
+	c.openFlows--
+	c.countTried(f, false)
+	if c.flowsByRef[f.ref()] == f {
+		delete(c.flowsByRef, f.ref())
 	}
 	c.forget(f)
 }
 
-// forget removes a flow that has its end and no attempt out.
+// forget removes a flow that is over and has no attempt in progress.
 func (c *Core) forget(f *flow) {
 	if f.ended && f.attempt == nil && c.flows[f.id] == f {
 		delete(c.flows, f.id)
 		c.release(f)
-		c.bind(f)
+		c.unbindKey(f)
 	}
 }
 
-func (f *flow) name() name { return name{int(f.msg.Origin), f.msg.ID} }
+func (f *flow) ref() messageRef { return messageRef{int(f.msg.Origin), f.msg.ID} }
 
-// Deletion is what became of a wish to delete a message.
+// Deletion is the result of a request to delete a message.
 type Deletion int
 
 const (
-	NotHeld Deletion = iota // no such message is owed an end here
-	Out                     // an attempt is out: it may be delivered all the same
-	Deleted                 // its end is written; nothing of it goes any more
+	NotHeld Deletion = iota // no such message is open
+	Out                     // an attempt is in flight; the message may still be delivered
+	Deleted                 // the end is in the journal; nothing more is sent
 )
 
-// Delete ends a message of a front's that whoever handed it in no longer wants, unless
-// an attempt of it is out. An earlier attempt may have run all the same. The end is in
-// the journal before Delete returns, and the front is told of it as of any end.
+// Delete ends a message of a front at its sender's request, unless an attempt is in flight. An
+// earlier attempt may have run. The end is in the journal before Delete returns, and the front is
+// notified as of any final result.
 func (c *Core) Delete(front int, id string) Deletion {
-	f := c.ids[name{front, id}]
+	f := c.flowsByRef[messageRef{front, id}]
 	switch {
 	case f == nil || f.ended || f.answer != nil || f.id == 0:
 		return NotHeld
 	case f.attempt != nil:
 		return Out
 	}
-	c.forgo(f)
-	c.end(f, store.Deleted, 0)
+	c.withdraw(f)
+	c.finish(f, store.Deleted, 0)
 	return Deleted
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,15 +1,15 @@
-// Package core takes messages in, lets the decision module decide about them,
-// and carries its decisions out. It knows no wire: fronts hand it messages and
-// targets, and hear of ends.
+// Package core accepts messages, passes them to the decision module (package snowjunction) and
+// executes the actions that it returns. It knows no wire protocol: fronts submit messages, create
+// targets and are notified of final results.
 //
-// A flow, one message on its way, passes a chain of units, each in its file:
+// A flow is one message in progress. It passes through a chain of stages, each in its own file:
 //
-//	takein   a listener's request becomes a flow, or is refused as malformed
-//	admit    hooks, room and the module's first look; then the journal, then +OK
-//	route    target groups: which endpoints there are, for the module
-//	send     an attempt is recorded and leaves
-//	relay    its result goes back to the module
-//	book     the end is recorded and told
+//	takein   turns a listener's request into a flow, or rejects it as malformed
+//	admit    plug-ins, capacity and the module's first decision; then the journal, then +OK
+//	route    target groups: the endpoints that the module can choose from
+//	send     records an attempt and sends it
+//	relay    passes the attempt's result to the journal and the module
+//	book     records the final result and notifies the front
 //
 // All of it runs on the goroutine of a Loop.
 package core
@@ -32,7 +32,7 @@
 	"snowjunction/internal/store"
 )
 
-// Journal is where the core keeps what it has taken on.
+// Journal stores accepted messages and their progress.
 type Journal interface {
 	Room(bytes int) bool
 	Take(m *store.Message) error
@@ -44,143 +44,146 @@
 	Written() store.Written
 }
 
-// Front is a wire's own side: it brings targets and hears of ends.
+// Front is the protocol side of the courier. It creates targets and is notified of final results.
 type Front interface {
-	// Target makes the target of an endpoint that the front has listed.
+	// Target returns the target for an endpoint that the front has listed.
 	Target(e Entry) Target
-	// Ended tells the end of a message that the front has taken in. Once
-	// those who handed it in know, the front calls Settled.
+	// Ended reports the final result of a message that came through this front. The front calls
+	// Settled once the sender knows of it.
 	Ended(m *store.Message)
 }
 
-// Plugins are asked at some moments of a flow's way. None of the calls waits:
-// each returns false if no plug-in is to be asked, else done is called once,
-// perhaps at once, within the plug-ins' budgets.
+// Plugins are hooks called at fixed points of a flow. No call blocks: a call returns false if no
+// plug-in handles it; otherwise done is called exactly once, possibly before the call returns and
+// always within the plug-ins' time budgets.
 type Plugins interface {
-	// Admit tells whether a flow may be taken on, or after how long to come back.
+	// Admit decides whether a flow may be accepted, and if not, after what delay the client may
+	// retry.
 	Admit(m *store.Message, done func(pass bool, after time.Duration)) bool
-	// Shape adds to a request.
+	// Shape returns additions to a request.
 	Shape(m *store.Message, to Entry, done func(Shape)) bool
-	// Read tells what an answer means.
+	// Read interprets an answer.
 	Read(m *store.Message, to Entry, r Result, done func(Result)) bool
-	// Reads tells whether answers to a message are read by any.
+	// Reads reports whether any plug-in interprets answers to a message.
 	Reads(m *store.Message) bool
-	// Ended tells of an end.
+	// Ended notifies the plug-ins of a final result.
 	Ended(m *store.Message)
 }
 
-// Fleet is the other couriers.
+// Fleet sends to the other couriers of the fleet.
 type Fleet interface {
-	// Tell tells one of them, by its number. What cannot be sent is lost.
+	// Tell sends peer messages to the courier with the given number. Delivery is best effort.
 	Tell(peer int, notes []snowjunction.Note)
 }
 
-// Shape is what is added to a request. It has passed the guard.
+// Shape holds additions to a request. They have been validated.
 type Shape struct {
 	Headers       []HeaderField
-	Suffix, Query string // of the path
-	Body          []byte // with HasBody: in place of the message's
+	Suffix, Query string // appended to the path and the query
+	Body          []byte // replaces the message's body if HasBody is set
 	HasBody       bool
-	Whole         bool // its answer is to come whole before it counts, if it does soon
+	Whole         bool // buffer the whole answer before interpreting it, unless it takes too long
 }
 
-// HeaderField is a header of a request or an answer.
+// HeaderField is one header field of a request or an answer.
 type HeaderField struct{ Name, Value string }
 
-// Config is what a core is made of.
+// Config configures a Core.
 type Config struct {
 	Loop     *Loop
 	Log      *slog.Logger
 	Journal  Journal
 	Settings snowjunction.Settings
-	Plugins  Plugins // nil: none
+	Plugins  Plugins // nil means none
 	Fronts   []Front
-	Dormancy *dormancy.Config // nil: its defaults
-	Beyond   Beyond           // nil: mementos live in memory only
-	Learnt   Learnt           // nil: what is learnt ends with the process
-	// Directories are those of the fronts, by number, whose lists may be old or wrong;
-	// what another front lists is true.
+	Dormancy *dormancy.Config // nil means the defaults
+	Beyond   Beyond           // nil keeps snapshots in memory only
+	Learnt   Learnt           // nil means that learned state is lost when the process ends
+	// Directories holds the trust bounds by front number. The lists of fronts without an entry are
+	// always trusted.
 	Directories map[int]Directory
-	// ListedShare is which part of all destinations a front lists, over 0; nil: each lists all.
+	// ListedShare returns the share of all destinations that a front lists, greater than 0. Nil
+	// means that each front lists all.
 	ListedShare func(front int) float64
-	Fleet       Fleet           // nil: there is none, or nothing can be told to it
-	ParkMost    time.Duration   // how old a decision to send may be when it goes; 0: 50 ms
-	Exclusions  Exclusions      // nil: no endpoint can be taken out by hand
-	Heard       func(front int) // nil, or called after news of a front's list, and when its directory has vouched for it
+	Fleet       Fleet           // nil if the courier runs alone
+	ParkMost    time.Duration   // maximum age of a send decision when it is carried out; 0 means 50 ms
+	Exclusions  Exclusions      // nil means that operators cannot exclude endpoints
+	Heard       func(front int) // optional; called when a front's list changes and when its directory confirms it
 }
 
-// Core owns the courier, the flows and the target groups.
+// Core owns the decision module, the flows and the target groups.
 type Core struct {
 	Config
 	Counters Counters
 
-	courier  *snowjunction.Courier
-	start    time.Time
-	handled  time.Time // when the module was last asked
-	due      *Timer
-	events   []snowjunction.Event
-	flows    map[snowjunction.RequestID]*flow
-	ids      map[name]*flow     // by front and the id handed in, until they are over
-	fresh    []*flow            // not answered yet
-	waitTold map[uint32]bool    // destinations that have told a wait since the module was asked last
-	asking   map[uint64][]*flow // by key: flows that wait as a plug-in is asked about an earlier one
-	held     int
-	asked    int // flows that wait for plug-ins, and are not held yet
-	calls    int
-	routes   routes
-	owing    map[uint64][]*flow // by key: flows whose turn waits for the settling of an end
-	unknown  map[uint64]int     // by key: ends that are not settled
-	classes  map[string]int
-	tenants  map[string]int
-	draining bool
-	frozen   bool
-	hushed   bool                     // another process of this courier is to decide
-	going    map[uint64]handover.Call // by their messages' numbers: calls that have been taken over
-	wishes   map[string]*wish         // by endpoint: what is to last
-	outs     int                      // changes to what is out by hand that are yet to last
-	paused   bool                     // the first decisions wait for the directory's word
-	book     *dormancy.Book
-	updates  updates
-	dirs     []*directory // by front; nil: what it lists is true
-	picker   *learnt.Picker
-	learning *Timer // until something learnt may be written
-	resting  *Timer // until destinations may go to sleep
-	ran      *idempotency.Book
-	keys     map[idempotency.Key][]*flow        // held, or with an attempt out, by idempotency key
-	before   map[idempotency.Key]*store.Message // of an earlier process that are over, and may have run; until Restore
-	relayed  uint64                             // attempts whose bytes have left, or leave
-	out      *exclusions.Set
-	tallies  []tally // by class, and one for what is of none
-	idle     func()  // called once frozen and no call is out
+	courier               *snowjunction.Courier
+	start                 time.Time
+	lastHandled           time.Time // last call of the module
+	handleTimer           *Timer
+	events                []snowjunction.Event
+	flows                 map[snowjunction.RequestID]*flow
+	flowsByRef            map[messageRef]*flow // open flows by front and message id
+	awaitingAdmission     []*flow              // flows whose clients have no answer yet
+	retryAfterReceived    map[uint32]bool      // destinations that sent a retry-after delay since the module was last called
+	pluginQueues          map[uint64][]*flow   // by ordering key: flows queued while a plug-in decides about an earlier one
+	openFlows             int
+	awaitingPlugins       int // flows that wait for a plug-in; not yet in held
+	openCalls             int
+	routes                routes
+	awaitingSettlement    map[uint64][]*flow // by ordering key: flows that wait for earlier ends to be settled
+	unsettledEnds         map[uint64]int     // by ordering key: number of unsettled ends
+	classes               map[string]int
+	tenants               map[string]int
+	draining              bool
+	frozen                bool
+	suspended             bool                         // decisions stopped for a handover
+	adoptedCalls          map[uint64]handover.Call     // by message sequence number: calls taken over from another process
+	pendingExclusions     map[string]*pendingExclusion // by endpoint name
+	unwrittenExclusions   int                          // exclusion changes that are not on disk yet
+	paused                bool                         // the first decisions wait until the directory confirms its list
+	idleTracker           *dormancy.Book
+	updates               listUpdates
+	directories           []*directory // by front; nil means that its list is always trusted
+	picker                *learnt.Picker
+	learnedTimer          *Timer // fires when learned state may be written next
+	idleTimer             *Timer // fires when destinations may be unloaded next
+	attemptedKeys         *idempotency.Tracker
+	flowsByIdempotencyKey map[idempotency.Key][]*flow        // open, or with a call in flight, by idempotency key
+	endedBefore           map[idempotency.Key]*store.Message // ended messages of a previous process that may have run; cleared by Restore
+	attemptsSent          uint64                             // attempts sent to endpoints
+	exclusionSet          *exclusions.Set
+	tallies               []tally // by class; the last is for unknown classes
+	onIdle                func()  // called when the core is frozen and no call is in flight
 }
 
-// flow is one message on its way.
+// flow is one message in progress.
 type flow struct {
-	msg     *store.Message
-	id      snowjunction.RequestID
-	class   *snowjunction.Class
-	answer  AnswerFunc // nil once answered
-	attempt *attempt   // the one that is out
-	fresh   bool       // the module is yet to look at it for the first time
-	ended   bool
-	untried bool           // as a restart found it, and still
-	going   *handover.Call // another process of this courier has made its attempt
+	msg            *store.Message
+	id             snowjunction.RequestID
+	class          *snowjunction.Class
+	answer         AnswerFunc // nil once the client has its answer
+	attempt        *attempt   // the attempt in progress, if any
+	needsAdmission bool       // the module has not decided about it yet
+	ended          bool
+	untried        bool           // restored from the journal and not attempted since
+	adoptedCall    *handover.Call // an attempt in flight that was taken over from another process
 }
 
-// New returns a core. Its fronts are numbered as given.
+// New returns a core. Fronts are numbered in the order of cfg.Fronts.
 func New(cfg Config) (*Core, error) {
-	// On sockets what was sent takes a while to arrive, and the rules' clocks
-	// run at the other end: the key's rest begins there and its window here.
+	// Requests take time to arrive and the endpoint's clock decides: a key's hold starts when the
+	// request arrives there, and the endpoint's idempotency window started earlier than the
+	// courier's.
 	cfg.Settings.OrderSettle += settleSlack
-	cfg.Settings.Classes = slices.Clone(cfg.Settings.Classes) // the caller's stay as they were read
+	cfg.Settings.Classes = slices.Clone(cfg.Settings.Classes) // do not change the caller's slice
 	for i := range cfg.Settings.Classes {
 		if c := &cfg.Settings.Classes[i]; c.Effect == snowjunction.Keyed {
 			c.Window = max(c.Window-windowSlack, 0)
 		}
 	}
-	cfg.ParkMost = cmp.Or(cfg.ParkMost, parkMost)
-	// No front makes probes: the module would wait for the end of one for good, and send nothing
-	// to the endpoint meanwhile. Without them a message is the trial.
+	cfg.ParkMost = cmp.Or(cfg.ParkMost, maxDecisionAge)
+	// No front sends probes: the module would wait forever for the result of one and send nothing
+	// to the endpoint meanwhile. With probes disabled a message serves as the trial call.
 	cfg.Settings.Probes = false
 	courier, err := snowjunction.New(cfg.Settings)
 	if err != nil {
@@ -191,16 +194,16 @@
 		sleep = *cfg.Dormancy
 	}
 	c := &Core{
-		Config: cfg, book: dormancy.New(sleep), courier: courier, start: cfg.Loop.Now(),
-		flows: map[snowjunction.RequestID]*flow{}, ids: map[name]*flow{},
-		waitTold: map[uint32]bool{}, asking: map[uint64][]*flow{}, owing: map[uint64][]*flow{}, unknown: map[uint64]int{},
+		Config: cfg, idleTracker: dormancy.New(sleep), courier: courier, start: cfg.Loop.Now(),
+		flows: map[snowjunction.RequestID]*flow{}, flowsByRef: map[messageRef]*flow{},
+		retryAfterReceived: map[uint32]bool{}, pluginQueues: map[uint64][]*flow{}, awaitingSettlement: map[uint64][]*flow{}, unsettledEnds: map[uint64]int{},
 		classes: map[string]int{}, tenants: map[string]int{},
 		routes: newRoutes(len(cfg.Fronts)), picker: learnt.NewPicker(),
-		ran: idempotency.New(idempotencyKeysMost), keys: map[idempotency.Key][]*flow{}, before: map[idempotency.Key]*store.Message{}, tallies: make([]tally, len(cfg.Settings.Classes)+1),
-		dirs: make([]*directory, len(cfg.Fronts)), out: exclusions.New(cfg.Settings.WarmUp), wishes: map[string]*wish{},
+		attemptedKeys: idempotency.New(maxIdempotencyKeys), flowsByIdempotencyKey: map[idempotency.Key][]*flow{}, endedBefore: map[idempotency.Key]*store.Message{}, tallies: make([]tally, len(cfg.Settings.Classes)+1),
+		directories: make([]*directory, len(cfg.Fronts)), exclusionSet: exclusions.New(cfg.Settings.WarmUp), pendingExclusions: map[string]*pendingExclusion{},
 	}
 	for front, d := range cfg.Directories {
-		c.dirs[front] = &directory{book: belief.New(d.Belief), judge: distrust.New(d.Trust)}
+		c.directories[front] = &directory{confidence: belief.New(d.Belief), plausibility: distrust.New(d.Trust)}
 	}
 	for i, cl := range cfg.Settings.Classes {
 		c.classes[cl.Name] = i
@@ -212,23 +215,22 @@
 }
 
 const (
-	settleSlack         = 60 * time.Millisecond
-	windowSlack         = 60 * time.Millisecond
-	idempotencyKeysMost = 8192 // idempotency keys that are remembered for their windows
+	settleSlack        = 60 * time.Millisecond
+	windowSlack        = 60 * time.Millisecond
+	maxIdempotencyKeys = 8192 // keys remembered for the length of their windows
 )
 
-// feed has the module asked about ev, with all else that comes before the
-// next tick.
-func (c *Core) feed(ev snowjunction.Event) {
+// queueEvent passes ev to the module at the next tick, together with all other events until then.
+func (c *Core) queueEvent(ev snowjunction.Event) {
 	c.events = append(c.events, ev)
-	if c.due == nil && !c.frozen && !c.paused && !c.hushed {
-		c.due = c.Loop.After(c.handled.Add(c.Settings.Tick).Sub(c.Loop.Now()), c.handle)
+	if c.handleTimer == nil && !c.frozen && !c.paused && !c.suspended {
+		c.handleTimer = c.Loop.After(c.lastHandled.Add(c.Settings.Tick).Sub(c.Loop.Now()), c.handle)
 	}
 }
 
-// Pause has the module's first decisions wait until a front's directory speaks, for so
-// long at the most: what an earlier life has left would go to endpoints that may have
-// left meanwhile.
+// Pause delays the module's first decisions until a front's directory confirms its list, for at
+// most the given time. Without it, messages of a previous process run could be sent to endpoints
+// that have since left the list.
 func (c *Core) Pause(most time.Duration) {
 	c.paused = true
 	c.Loop.After(most, c.resume)
@@ -239,46 +241,46 @@
 		return
 	}
 	c.paused = false
-	if len(c.events) > 0 && c.due == nil && !c.frozen && !c.hushed {
-		c.due = c.Loop.After(0, c.handle)
+	if len(c.events) > 0 && c.handleTimer == nil && !c.frozen && !c.suspended {
+		c.handleTimer = c.Loop.After(0, c.handle)
 	}
 }
 
-// handle lets the module decide, at most once a tick, and does what it says.
+// handle calls the module, at most once per tick, and executes the actions that it returns.
 func (c *Core) handle() {
-	c.due = nil
-	if c.frozen || c.hushed {
+	c.handleTimer = nil
+	if c.frozen || c.suspended {
 		return
 	}
-	c.handled = c.Loop.Now()
-	events := c.timely(c.events)
+	c.lastHandled = c.Loop.Now()
+	events := c.refreshTimes(c.events)
 	c.events = nil
-	clear(c.waitTold)
-	for _, a := range c.courier.Handle(c.handled.Sub(c.start), events) {
-		c.do(a)
+	clear(c.retryAfterReceived)
+	for _, a := range c.courier.Handle(c.lastHandled.Sub(c.start), events) {
+		c.execute(a)
 	}
-	c.learned()
-	c.admitFresh()
+	c.flushSnapshots()
+	c.acceptAdmitted()
 }
 
-// Noted takes what a courier of the fleet, by its number, has told.
+// Noted handles messages from the courier with the given number.
 func (c *Core) Noted(peer int, notes []snowjunction.Note) {
 	c.Counters.Noted++
-	c.feed(snowjunction.Heard{Peer: peer, Notes: notes})
+	c.queueEvent(snowjunction.Heard{Peer: peer, Notes: notes})
 }
 
-func (c *Core) do(a snowjunction.Action) {
+func (c *Core) execute(a snowjunction.Action) {
 	switch a := a.(type) {
 	case snowjunction.Send:
 		c.send(a)
 	case snowjunction.Refuse:
-		c.giveUp(a.Request, store.Returned, a.RetryAfter)
+		c.abandon(a.Request, store.Returned, a.RetryAfter)
 	case snowjunction.Fail:
-		c.giveUp(a.Request, store.Failed, 0)
+		c.abandon(a.Request, store.Failed, 0)
 	case snowjunction.Cancel:
 		c.cancel(a)
 	case snowjunction.SetTimer:
-		c.Loop.After(a.After, func() { c.feed(snowjunction.Timer{Token: a.Token}) })
+		c.Loop.After(a.After, func() { c.queueEvent(snowjunction.Timer{Token: a.Token}) })
 	case snowjunction.CloseIdle:
 		if t := c.routes.byID[a.Endpoint]; t != nil && t.target != nil {
 			t.target.CloseIdle()
@@ -286,37 +288,37 @@
 	case snowjunction.Log:
 		c.Log.Info("decision", "text", a.Text)
 	case snowjunction.Asleep:
-		c.asleep(a)
+		c.unloaded(a)
 	case snowjunction.Seen:
-		c.seen(a)
+		c.receiveSnapshot(a)
 	case snowjunction.Tell:
 		if c.Fleet != nil {
 			c.Counters.Told++
 			c.Fleet.Tell(a.Peer, a.Notes)
 		}
-	case snowjunction.Watch: // the fronts watch their lists unasked
+	case snowjunction.Watch: // fronts watch their lists on their own
 	default:
-		c.Log.Error("the module asked for what this program does not do", "action", fmt.Sprintf("%T", a))
+		c.Log.Error("unknown action from the decision module", "action", fmt.Sprintf("%T", a))
 	}
 }
 
-// Drain stops the taking: what comes from now on gets a fixed response.
+// Drain stops accepting messages. New ones get a fixed response.
 func (c *Core) Drain() {
 	c.draining = true
-	c.learnAll()
+	c.saveAll()
 }
 
-// Freeze stops deciding. What is held stays in the journal; idle is called
-// once no call is out.
+// Freeze stops all decisions. Open messages stay in the journal. idle is called once no call is in
+// flight.
 func (c *Core) Freeze(idle func()) {
-	c.frozen, c.idle, c.paused = true, idle, false
-	c.due.Stop()
-	c.due = nil
-	for _, f := range c.fresh { // not seen by the module yet
+	c.frozen, c.onIdle, c.paused = true, idle, false
+	c.handleTimer.Stop()
+	c.handleTimer = nil
+	for _, f := range c.awaitingAdmission { // not yet seen by the module
 		c.refuse(f, 0)
 	}
-	c.fresh = nil
-	for _, g := range c.routes.awake {
+	c.awaitingAdmission = nil
+	for _, g := range c.routes.loaded {
 		for _, f := range g.parked {
 			c.refuse(f, 0)
 		}
@@ -325,12 +327,12 @@
 }
 
 func (c *Core) checkIdle() {
-	if c.frozen && c.calls == 0 && c.idle != nil {
-		idle := c.idle
-		c.idle = nil
+	if c.frozen && c.openCalls == 0 && c.onIdle != nil {
+		idle := c.onIdle
+		c.onIdle = nil
 		idle()
 	}
 }
 
-// Held is the number of flows that have no end yet.
-func (c *Core) Held() int { return c.held }
+// Held returns the number of flows without a final result.
+func (c *Core) Held() int { return c.openFlows }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -154,7 +154,7 @@
 }
 
 // standing is that of an endpoint of the first front.
-func (b *bench) standing(name string) belief.Standing { return b.c.standing(0, name) }
+func (b *bench) standing(name string) belief.Standing { return b.c.confidenceIn(0, name) }
 
 func (b *bench) step(d time.Duration) {
 	b.c.Loop.Turn()
@@ -322,7 +322,7 @@
 	b.add("m1", "status", 0)
 	b.listed(0, true)
 	assert.Equal(t, 1, b.left)
-	g := b.c.routes.awake[7]
+	g := b.c.routes.loaded[7]
 	assert.Nil(t, g.find(0, "s-1").target)
 	assert.NotNil(t, g.find(1, "s-1").target)
 }
@@ -332,12 +332,12 @@
 func TestGoneEndpointsAreForgotten(t *testing.T) {
 	b := newBench(t, nil)
 	b.add("m1", "status", 0)
-	g := b.c.routes.awake[7]
+	g := b.c.routes.loaded[7]
 	b.list(snowjunction.Gone, false)
 	b.list(snowjunction.Ready, false)
 	assert.EqualValues(t, 1, g.find(0, "s-1").id)
 	b.list(snowjunction.Gone, false)
-	b.step(goneKept)
+	b.step(goneRetention)
 	b.list(snowjunction.Ready, false)
 	assert.EqualValues(t, 2, g.find(0, "s-1").id)
 	assert.Len(t, b.c.routes.byID, 1)
--- a/internal/core/distrust.go
+++ b/internal/core/distrust.go
@@ -12,54 +12,54 @@
 	"snowjunction/internal/groups"
 )
 
-// Bounds of what is done against a directory's word.
+// Bounds of what is kept against a directory's list.
 const (
-	keptMost = 16384 // endpoints kept; those of destinations that are awake come first
-	sampled  = 2048  // endpoints looked at to tell whether a list has lost many
+	maxRetained = 16384 // retained endpoints; those of loaded destinations come first
+	sampleSize  = 2048  // endpoints sampled to detect that a list has lost many
 )
 
-// judge has a full list judged before it is taken. What is kept against its word is
-// put into it.
-func (c *Core) judge(front int, l *groups.List) {
-	d := c.dirs[front]
+// checkPlausibility checks a full list before it is applied, and adds the endpoints that are
+// retained against it.
+func (c *Core) checkPlausibility(front int, l *groups.List) {
+	d := c.directories[front]
 	if d == nil {
 		return
 	}
 	held := c.routes.tables[front]
-	out := omitted(held, l, sampled)
+	out := omittedEndpoints(held, l, sampleSize)
 	v := distrust.View{Held: held.Ready(), Listed: l.Entries.Ready(), Sum: l.Entries.Sum()}
 	if n := len(out); n > 0 {
-		if held.Len() > sampled && n*8 > sampled { // many of those looked at: all are
-			out = omitted(held, l, held.Len())
+		if held.Len() > sampleSize && n*8 > sampleSize { // many of the sample are missing: check all
+			out = omittedEndpoints(held, l, held.Len())
 		}
 		v.Omitted = len(out)
 	}
-	if !d.book.Live() { // after a silence its word wins: what it leaves out has left meanwhile
+	if !d.confidence.Live() { // after a directory outage its list takes precedence: the omitted endpoints have left meanwhile
 		v.Held, v.Omitted, out = 0, 0, nil
 	}
-	c.turned(front, d.judge.Full(c.since(), v))
-	if d.judge.Keeps() {
-		c.keepOmitted(front, l, out)
+	c.applyConditions(front, d.plausibility.Full(c.elapsed(), v))
+	if d.plausibility.Keeps() {
+		c.retainOmitted(front, l, out)
 	} else {
-		d.kept = nil
+		d.retained = nil
 	}
-	if d.judge.In(distrust.Flapping) {
+	if d.plausibility.In(distrust.Flapping) {
 		for e := range l.Entries.From(0) {
-			if _, was := held.Get(e.Name); !was && e.Phase == snowjunction.Ready && len(d.young) < keptMost {
-				if d.young == nil {
-					d.young = map[string]bool{}
+			if _, was := held.Get(e.Name); !was && e.Phase == snowjunction.Ready && len(d.unconfirmed) < maxRetained {
+				if d.unconfirmed == nil {
+					d.unconfirmed = map[string]bool{}
 				}
-				d.young[e.Name] = true
-				d.book.Keep(e.Destination, e.Name, "the directory flaps, and has brought it just now", c.since())
+				d.unconfirmed[e.Name] = true
+				d.confidence.Keep(e.Destination, e.Name, "the directory is flapping and has just added it", c.elapsed())
 			}
 		}
 	}
 }
 
-// omitted are the Ready endpoints held that a full list neither has nor names as
-// leaving, and whose address it has not given to another; of a long list those among
-// some, spread over it.
-func omitted(held *groups.Table, l *groups.List, most int) (out []groups.Entry) {
+// omittedEndpoints returns the held Ready endpoints that a full list neither contains nor names as
+// leaving, and whose address it has not assigned to another endpoint. It looks at about most
+// endpoints, spread evenly over the table.
+func omittedEndpoints(held *groups.Table, l *groups.List, most int) (out []groups.Entry) {
 	step := max(1, held.Len()/max(most, 1))
 	for i := 0; i < held.Len(); i += step {
 		e := held.Nth(i)
@@ -84,9 +84,9 @@
 	return out
 }
 
-// keepOmitted puts what a list leaves out back into it, with doubt.
-func (c *Core) keepOmitted(front int, l *groups.List, out []groups.Entry) {
-	d := c.dirs[front]
+// retainOmitted adds the omitted endpoints back to a list, as doubtful.
+func (c *Core) retainOmitted(front int, l *groups.List, out []groups.Entry) {
+	d := c.directories[front]
 	slices.SortStableFunc(out, func(a, b groups.Entry) int {
 		switch x, y := c.Awake(a.Destination), c.Awake(b.Destination); {
 		case x && !y:
@@ -96,38 +96,37 @@
 		}
 		return 0
 	})
-	d.kept = map[string]bool{}
-	for _, e := range out[:min(len(out), keptMost)] {
+	d.retained = map[string]bool{}
+	for _, e := range out[:min(len(out), maxRetained)] {
 		l.Entries.Set(e)
-		d.kept[e.Name] = true
-		d.book.Keep(e.Destination, e.Name, "a list that has lost most endpoints leaves it out", c.since())
+		d.retained[e.Name] = true
+		d.confidence.Keep(e.Destination, e.Name, "omitted by a list that has lost most endpoints", c.elapsed())
 	}
 }
 
-// Refused takes what a list that cannot be taken says of endpoints that drain or go,
-// and holds the rest against its directory.
+// Refused handles a list that is invalid: it applies only what the list says of draining and gone
+// endpoints, and counts the list against its directory.
 func (c *Core) Refused(front int, l *groups.List, why error) {
-	if d := c.dirs[front]; d != nil {
-		c.turned(front, d.judge.Refused(c.since(), why))
+	if d := c.directories[front]; d != nil {
+		c.applyConditions(front, d.plausibility.Refused(c.elapsed(), why))
 	}
 	c.Heed(front, l)
 }
 
-// named tells that the directory has spoken of an endpoint: whatever was held against
-// its word is over.
-func (c *Core) named(front int, name string) {
-	d := c.dirs[front]
-	if d == nil || !d.kept[name] && !d.young[name] {
+// clearRetained ends the special treatment of an endpoint that the directory has just named.
+func (c *Core) clearRetained(front int, name string) {
+	d := c.directories[front]
+	if d == nil || !d.retained[name] && !d.unconfirmed[name] {
 		return
 	}
-	delete(d.kept, name)
-	delete(d.young, name)
-	d.book.Drop(name)
+	delete(d.retained, name)
+	delete(d.unconfirmed, name)
+	d.confidence.Drop(name)
 }
 
-// turned logs conditions that were entered or left, and undoes what they have done.
-func (c *Core) turned(front int, turns []distrust.Turn) {
-	d := c.dirs[front]
+// applyConditions logs conditions that were entered or left, and reverts the effects of those left.
+func (c *Core) applyConditions(front int, turns []distrust.Turn) {
+	d := c.directories[front]
 	for _, t := range turns {
 		level, is := slog.LevelWarn, "entered"
 		if !t.Entered {
@@ -139,52 +138,52 @@
 		}
 		switch t.Condition {
 		case distrust.Collapsed:
-			c.letGo(front)
+			c.dropRetained(front)
 		case distrust.Flapping:
-			for name := range d.young {
-				d.book.Drop(name)
+			for name := range d.unconfirmed {
+				d.confidence.Drop(name)
 			}
-			d.young = nil
-			c.represent(front)
+			d.unconfirmed = nil
+			c.republish(front)
 		}
 	}
-	d.judging.Stop()
-	if at := d.judge.Next(); at > 0 {
-		d.judging = c.Loop.After(max(at-c.since(), time.Millisecond), func() { c.turned(front, d.judge.Look(c.since())) })
+	d.conditionTimer.Stop()
+	if at := d.plausibility.Next(); at > 0 {
+		d.conditionTimer = c.Loop.After(max(at-c.elapsed(), time.Millisecond), func() { c.applyConditions(front, d.plausibility.Look(c.elapsed())) })
 	}
 }
 
-// letGo takes out what was kept against the directory's word.
-func (c *Core) letGo(front int) {
-	d := c.dirs[front]
+// dropRetained removes the endpoints that were retained against the directory's list.
+func (c *Core) dropRetained(front int) {
+	d := c.directories[front]
 	var news []snowjunction.Endpoint
-	for _, name := range slices.Sorted(maps.Keys(d.kept)) {
-		d.book.Drop(name)
+	for _, name := range slices.Sorted(maps.Keys(d.retained)) {
+		d.confidence.Drop(name)
 		if e, ok := c.routes.tables[front].Get(name); ok {
 			e.Phase = snowjunction.Gone
-			news = append(news, c.list(front, e)...)
+			news = append(news, c.applyEntry(front, e)...)
 		}
 	}
-	d.kept = nil
-	c.changed(news)
+	d.retained = nil
+	c.queueEndpoints(news)
 }
 
-// Recheck is after how long a front should ask for its whole list again, though what
-// is newer could be asked for; 0: need not.
+// Recheck returns after what time a front should request its full list again instead of changes
+// only. Zero means that it need not.
 func (c *Core) Recheck(front int) time.Duration {
-	if d := c.dirs[front]; d != nil {
-		return d.judge.Recheck()
+	if d := c.directories[front]; d != nil {
+		return d.plausibility.Recheck()
 	}
 	return 0
 }
 
-// Conditions are those in which a front's directory is, and for how long.
+// Conditions returns the current conditions of a front's directory, with their duration in seconds.
 func (c *Core) Conditions(front int) map[string]float64 {
 	out := map[string]float64{}
-	if d := c.dirs[front]; d != nil {
+	if d := c.directories[front]; d != nil {
 		for _, x := range []distrust.Condition{distrust.Collapsed, distrust.Flapping, distrust.Ambiguous} {
-			if d.judge.In(x) {
-				out[x.String()] = (c.since() - d.judge.Since(x)).Seconds()
+			if d.plausibility.In(x) {
+				out[x.String()] = (c.elapsed() - d.plausibility.Since(x)).Seconds()
 			}
 		}
 	}
--- a/internal/core/exclude.go
+++ b/internal/core/exclude.go
@@ -7,49 +7,51 @@
 	"snowjunction/internal/exclusions"
 )
 
-// Exclusions keeps what is out by hand for the next life. Put does not wait; done is called
-// on whatever goroutine once text lasts, or with why it does not.
+// Exclusions stores the exclusions made by operators across restarts. Put does not block; done is
+// called on any goroutine once text is durable, or with the error.
 type Exclusions interface {
 	Put(text []byte, done func(error))
 }
 
-// What Exclude may say.
+// Errors of Exclude.
 var (
-	ErrUnknown = errors.New("no such endpoint")
-	errNoPlace = errors.New("nothing can be taken out here")
+	ErrUnknown       = errors.New("no such endpoint")
+	errNotExcludable = errors.New("endpoints cannot be excluded here")
 )
 
-// wish is what is to become of an endpoint, while that is written.
-type wish struct {
-	pending int
-	lasts   bool // it is out in what has been written
+// pendingExclusion tracks an endpoint's exclusion while changes to it are being written.
+type pendingExclusion struct {
+	pending  int
+	excluded bool // the last durable change excludes it
 }
 
-// RecallOut takes what an earlier life has left out by hand, before any list.
+// RecallOut restores the exclusions of a previous process run. It must be called before any list is
+// set.
 func (c *Core) RecallOut(s *exclusions.Set) {
-	if c.out = s; len(s.Names()) > 0 {
-		c.Log.Info("out by hand", "endpoints", s.Names())
+	if c.exclusionSet = s; len(s.Names()) > 0 {
+		c.Log.Info("endpoints excluded by an operator", "endpoints", s.Names())
 	}
 }
 
-// outOf tells whether an endpoint is out by hand, or else for how long it was if it has come
-// back a while ago. Only the first front's endpoints can be.
-func (c *Core) outOf(front int, name string) (out bool, was time.Duration) {
+// exclusionOf reports whether an operator has excluded an endpoint, or, if it was included again
+// recently, how long it had been excluded. Only endpoints of the first front can be excluded.
+func (c *Core) exclusionOf(front int, name string) (out bool, was time.Duration) {
 	if front != 0 {
 		return false, 0
 	}
-	return c.out.Out(name), c.out.Cold(name, c.Loop.Now())
+	return c.exclusionSet.Out(name), c.exclusionSet.Cold(name, c.Loop.Now())
 }
 
-// Exclude takes an endpoint of a front out by hand, or lets it serve again. It holds from
-// now on; done is called once it lasts, on the loop's goroutine, or with why it does not:
-// once nothing more is to be written of it, the endpoint is as it was written last.
+// Exclude excludes an endpoint of a front, or includes it again, on behalf of an operator. The
+// change takes effect immediately. done is called on the loop's goroutine once it is durable, or
+// with the error. When no write is pending any more, the endpoint is in the state that was last
+// written successfully.
 func (c *Core) Exclude(front int, name string, out bool, done func(error)) {
 	e, listed := c.routes.tables[front].Get(name)
-	was := c.out.Out(name)
+	was := c.exclusionSet.Out(name)
 	switch {
 	case c.Exclusions == nil || front != 0:
-		done(errNoPlace)
+		done(errNotExcludable)
 		return
 	case !listed && !was:
 		done(ErrUnknown)
@@ -57,15 +59,15 @@
 	}
 	change := func(out bool) error {
 		if out {
-			if err := c.out.Exclude(name, c.Loop.Now()); err != nil {
+			if err := c.exclusionSet.Exclude(name, c.Loop.Now()); err != nil {
 				return err
 			}
 		} else {
-			c.out.Include(name, c.Loop.Now())
+			c.exclusionSet.Include(name, c.Loop.Now())
 		}
 		if e, listed := c.routes.tables[front].Get(name); listed {
-			if g := c.routes.awake[e.Destination]; g != nil && !g.waiting {
-				c.changed(c.member(g, front, e))
+			if g := c.routes.loaded[e.Destination]; g != nil && !g.loading {
+				c.queueEndpoints(c.updateEndpoint(g, front, e))
 			}
 		}
 		return nil
@@ -74,23 +76,23 @@
 		done(err)
 		return
 	}
-	c.Log.Info("by hand", "endpoint", name, "out", out, "was", was, "destination", e.Destination)
-	c.outs++
-	w := c.wishes[name]
+	c.Log.Info("operator changed an exclusion", "endpoint", name, "out", out, "was", was, "destination", e.Destination)
+	c.unwrittenExclusions++
+	w := c.pendingExclusions[name]
 	if w == nil {
-		w = &wish{lasts: was}
-		c.wishes[name] = w
+		w = &pendingExclusion{excluded: was}
+		c.pendingExclusions[name] = w
 	}
 	w.pending++
-	c.Exclusions.Put(c.out.Encode(c.Loop.Now()), func(err error) {
+	c.Exclusions.Put(c.exclusionSet.Encode(c.Loop.Now()), func(err error) {
 		c.Loop.Post(func() {
-			c.outs--
+			c.unwrittenExclusions--
 			if w.pending--; err == nil {
-				w.lasts = out
+				w.excluded = out
 			}
 			if w.pending == 0 {
-				if delete(c.wishes, name); c.out.Out(name) != w.lasts {
-					_ = change(w.lasts)
+				if delete(c.pendingExclusions, name); c.exclusionSet.Out(name) != w.excluded {
+					_ = change(w.excluded)
 				}
 			}
 			done(err)
@@ -98,10 +100,10 @@
 	})
 }
 
-// excluded is how many endpoints of a front's list are out by hand. One that drains or has
-// failed as well counts once.
-func (c *Core) excluded(front int) (n int) {
-	for _, name := range c.out.Names() {
+// excludedCount returns the number of listed endpoints of a front that operators have excluded. One
+// that drains or has failed as well counts once.
+func (c *Core) excludedCount(front int) (n int) {
+	for _, name := range c.exclusionSet.Names() {
 		if _, listed := c.routes.tables[front].Get(name); listed && front == 0 {
 			n++
 		}
--- a/internal/core/exclude_test.go
+++ b/internal/core/exclude_test.go
@@ -64,7 +64,7 @@
 	require.NoError(t, b.exclude("s-1", false))
 	require.Len(t, b.calls, 2)
 	assert.Zero(t, b.c.Figures(0).OutOfRotation)
-	assert.Positive(t, b.c.routes.awake[7].members[0].entry().WasOut)
+	assert.Positive(t, b.c.routes.loaded[7].members[0].moduleView().WasOut)
 	assert.ErrorIs(t, b.exclude("s-9", true), ErrUnknown)
 	assert.ErrorIs(t, b.exclude("s-9", false), ErrUnknown)
 }
@@ -115,7 +115,7 @@
 		d.hold[1](c.second)
 		b.step(5 * ms)
 		assert.Equal(t, []error{c.first, c.second}, got)
-		assert.Equal(t, c.out, b.c.out.Out("s-1"))
-		assert.Empty(t, b.c.wishes)
+		assert.Equal(t, c.out, b.c.exclusionSet.Out("s-1"))
+		assert.Empty(t, b.c.pendingExclusions)
 	}
 }
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -1,22 +1,22 @@
 package core
 
-// Figures are what staff is told, under the names that their page gives: counts since the
-// process began, by class, and how things stand now.
+// Figures are the numbers on the operators' page, under its names: counts by class since the
+// process started, and current sizes.
 type Figures struct {
 	Fulfilled     map[string]uint64 `json:"fulfilled"` // delivered
-	Throttled     map[string]uint64 `json:"throttled"` // refused at the door, or handed back
+	Throttled     map[string]uint64 `json:"throttled"` // refused on submission, or returned
 	Faulted       map[string]uint64 `json:"faulted"`   // failed
-	Relayed       uint64            `json:"relayed"`   // attempts written whole to endpoints
+	Relayed       uint64            `json:"relayed"`   // attempts sent completely to endpoints
 	Open          int               `json:"open_requests"`
 	Entries       int               `json:"registry_entries"`
-	OutOfRotation int               `json:"out_of_rotation"` // listed endpoints that are avoided
+	OutOfRotation int               `json:"out_of_rotation"` // listed endpoints with an open circuit breaker or excluded by an operator
 }
 
-// tally counts one class's messages, each at the stage that owns the event.
+// tally counts the messages of one class. Each field is incremented where the event is decided.
 type tally struct{ fulfilled, throttled, faulted uint64 }
 
-// of is the tally of a flow's class.
-func (c *Core) of(f *flow) *tally {
+// tallyOf returns the tally of a flow's class.
+func (c *Core) tallyOf(f *flow) *tally {
 	no, ok := c.classes[f.msg.Class]
 	if !ok {
 		no = len(c.tallies) - 1
@@ -24,11 +24,11 @@
 	return &c.tallies[no]
 }
 
-// Figures tells what has been counted, and the endpoints of a front's list.
+// Figures returns the current numbers; the endpoints are those of the given front's list.
 func (c *Core) Figures(front int) Figures {
 	x := Figures{
 		Fulfilled: map[string]uint64{}, Throttled: map[string]uint64{}, Faulted: map[string]uint64{},
-		Open: c.held - len(c.fresh), Entries: c.routes.tables[front].Len(), OutOfRotation: c.courier.Avoided() + c.excluded(front), Relayed: c.relayed,
+		Open: c.openFlows - len(c.awaitingAdmission), Entries: c.routes.tables[front].Len(), OutOfRotation: c.courier.Avoided() + c.excludedCount(front), Relayed: c.attemptsSent,
 	}
 	for i, cl := range c.Settings.Classes {
 		t := c.tallies[i]
--- a/internal/core/footprint.go
+++ b/internal/core/footprint.go
@@ -6,25 +6,26 @@
 	"snowjunction"
 )
 
-// Footprint is what a core holds, in bytes as reckoned from the sizes of its parts.
+// Footprint is the estimated memory use of a core in bytes, computed from the sizes of its parts.
 type Footprint struct {
 	snowjunction.Footprint
-	ListBytes     int // the target groups
-	ListEntries   int // endpoints in them
-	SnapshotBytes int // of destinations that sleep
+	ListBytes     int // target groups
+	ListEntries   int // endpoints in the target groups
+	SnapshotBytes int // snapshots of unloaded destinations
 }
 
-// Carried is the state of a courier as a carrier, in bytes.
+// Carried returns the bytes that the courier needs for listed and unloaded destinations and the
+// module's books.
 func (f Footprint) Carried() int { return f.ListBytes + f.SnapshotBytes + f.BooksBytes }
 
-// LogValue puts it in a line of the log.
+// LogValue returns the footprint as log attributes.
 func (f Footprint) LogValue() slog.Value {
 	return slog.GroupValue(slog.Int("carried_bytes", f.Carried()), slog.Int("accounts", f.Accounts), slog.Int("account_bytes", f.AccountBytes))
 }
 
-// Footprint tells what is held.
+// Footprint returns the current memory use.
 func (c *Core) Footprint() Footprint {
-	f := Footprint{Footprint: c.courier.Footprint(), SnapshotBytes: c.book.Bytes()}
+	f := Footprint{Footprint: c.courier.Footprint(), SnapshotBytes: c.idleTracker.Bytes()}
 	for _, t := range c.routes.tables {
 		f.ListBytes += t.Bytes()
 		f.ListEntries += t.Len()
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -11,15 +11,15 @@
 	"snowjunction/internal/memento"
 )
 
-// Learnt keeps what the module knows of destinations for the next life. Put does not
-// wait.
+// Learnt stores learned state across restarts. Put does not block.
 type Learnt interface {
 	Put(batch []learnt.Record)
 	Counts() learnt.Counts
 }
 
-// Recall takes what an earlier life has learnt, before anything else is taken in. A
-// record from the future tells that the clock was set back: its age is not known.
+// Recall loads the state learned by a previous process run. It must be called before any message is
+// accepted. A record with a time in the future means that the clock was set back; its age is then
+// unknown.
 func (c *Core) Recall(records []learnt.Record) {
 	records = slices.Clone(records)
 	slices.SortStableFunc(records, func(a, b learnt.Record) int { return a.At.Compare(b.At) })
@@ -31,82 +31,82 @@
 		} else {
 			age = max(age, 0)
 		}
-		if c.book.Recall(snowjunction.DestinationID(r.Destination), r.Text, age, c.since()) {
+		if c.idleTracker.Recall(snowjunction.DestinationID(r.Destination), r.Text, age, c.elapsed()) {
 			c.Counters.Recalled++
 		}
 	}
 }
 
-// learn tells that something new may be known of a destination.
-func (c *Core) learn(d snowjunction.DestinationID) {
+// stateChanged records that the module may know something new about a destination.
+func (c *Core) stateChanged(d snowjunction.DestinationID) {
 	if c.Learnt != nil {
 		c.picker.Changed(uint32(d))
-		c.learnSoon()
+		c.scheduleSnapshots()
 	}
 }
 
-func (c *Core) learnSoon() {
-	if c.learning == nil && c.picker.Waiting() {
-		c.learning = c.Loop.After(learnt.Every, func() {
-			c.learning = nil
+func (c *Core) scheduleSnapshots() {
+	if c.learnedTimer == nil && c.picker.Waiting() {
+		c.learnedTimer = c.Loop.After(learnt.Every, func() {
+			c.learnedTimer = nil
 			if !c.frozen {
-				c.query(c.picker.Pick(c.written()))
+				c.requestSnapshots(c.picker.Pick(c.journalWritten()))
 			}
-			c.learnSoon()
+			c.scheduleSnapshots()
 		})
 	}
 }
 
-// written is how much the journal has written.
-func (c *Core) written() learnt.Journal {
+// journalWritten returns how much the journal has written so far.
+func (c *Core) journalWritten() learnt.Journal {
 	w := c.Journal.Written()
 	return learnt.Journal{Writes: w.Records, Bytes: w.Bytes}
 }
 
-// query asks the module what it knows of destinations.
-func (c *Core) query(picked []uint32) {
+// requestSnapshots asks the module for snapshots of destinations.
+func (c *Core) requestSnapshots(picked []uint32) {
 	for _, d := range picked {
-		if g := c.routes.awake[snowjunction.DestinationID(d)]; g == nil || g.waiting || g.leaving {
+		if g := c.routes.loaded[snowjunction.DestinationID(d)]; g == nil || g.loading || g.unloading {
 			c.picker.Answered(d, nil, time.Time{}, nil, learnt.Journal{})
 			continue
 		}
-		c.feed(snowjunction.Look{Destination: snowjunction.DestinationID(d)})
+		c.queueEvent(snowjunction.Look{Destination: snowjunction.DestinationID(d)})
 	}
 }
 
-// learnAll keeps what is known of all that are awake, at a planned stop.
-func (c *Core) learnAll() {
+// saveAll saves the state of all loaded destinations at a planned shutdown.
+func (c *Core) saveAll() {
 	if c.Learnt == nil || c.frozen {
 		return
 	}
 	var awake []uint32
-	for _, d := range slices.Sorted(maps.Keys(c.routes.awake)) {
+	for _, d := range slices.Sorted(maps.Keys(c.routes.loaded)) {
 		awake = append(awake, uint32(d))
 	}
-	c.query(c.picker.All(awake))
+	c.requestSnapshots(c.picker.All(awake))
 }
 
-// seen takes what the module knows of a destination.
-func (c *Core) seen(a snowjunction.Seen) {
+// receiveSnapshot handles a snapshot from the module.
+func (c *Core) receiveSnapshot(a snowjunction.Seen) {
 	form := func(s *snowjunction.State) []byte { return memento.Encode(nil, c.memento(s)) }
-	c.picker.Answered(uint32(a.Destination), a.State, c.Loop.Now(), form, c.written())
+	c.picker.Answered(uint32(a.Destination), a.State, c.Loop.Now(), form, c.journalWritten())
 }
 
-// sleeps keeps the memento of one that goes to sleep.
-func (c *Core) sleeps(d snowjunction.DestinationID, text []byte) {
+// saveUnloaded saves the snapshot of a destination that is being unloaded.
+func (c *Core) saveUnloaded(d snowjunction.DestinationID, text []byte) {
 	if c.Learnt != nil {
-		c.picker.Asleep(uint32(d), c.Loop.Now(), text, c.written())
+		c.picker.Asleep(uint32(d), c.Loop.Now(), text, c.journalWritten())
 	}
 }
 
-// learned hands on what the module has told in one turn.
-func (c *Core) learned() {
+// flushSnapshots stores the snapshots received in this turn.
+func (c *Core) flushSnapshots() {
 	if batch := c.picker.Flush(); len(batch) > 0 {
 		c.Learnt.Put(batch)
 	}
 }
 
-// memento puts what the module knows of a destination in the form that lasts.
+// memento converts a module snapshot to its stored form.
 func (c *Core) memento(s *snowjunction.State) *memento.Memento {
 	m := &memento.Memento{}
 	if s == nil {
@@ -123,7 +123,7 @@
 	return m
 }
 
-// Learning tells of what is kept for the next life.
+// Learning returns the counters of learned state as log attributes.
 func (c *Core) Learning() slog.Value {
 	if c.Learnt == nil {
 		return slog.GroupValue()
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// Loop runs the one goroutine that owns the courier, the flows and all state
-// of the core. Others hand it work with Post; everything else is for the
-// loop's goroutine alone.
+// Loop is an event loop. Its goroutine owns the courier, the flows and all other state of the core.
+// Other goroutines pass it work with Post; all other methods are for the loop's goroutine only.
 type Loop struct {
-	clock  func() time.Time
-	wake   chan struct{}
-	timers timers
-	serial uint64
-	ended  bool
-	work   []func() // taken from the inbox, to be run from next on
-	next   int
-	turns  Turns
+	clock     func() time.Time
+	wake      chan struct{}
+	timers    timers
+	lastTimer uint64
+	ended     bool
+	work      []func() // taken from the inbox; work[next:] is still to run
+	next      int
+	turnStats Turns
 
 	mu    sync.Mutex
 	inbox []func()
 	spare []func()
 }
 
-// Turns tell how long the loop's turns took: what comes meanwhile has to wait.
+// Turns is the number of turns and the longest duration of one. Events that arrive during a turn
+// wait for its end.
 type Turns struct {
 	Count   uint64
 	Longest time.Duration
 }
 
-// turnMost is when a turn leaves what is posted for the next, so that neither
-// timers nor other work wait for a long row of it.
-const turnMost = 2 * time.Millisecond
+// maxTurn bounds each half of a turn, posted work and timers, so that a long queue of one does not
+// delay the other.
+const maxTurn = 2 * time.Millisecond
 
-// NewLoop returns a loop that tells the time by clock.
+// NewLoop returns a loop that reads the time from clock.
 func NewLoop(clock func() time.Time) *Loop {
 	return &Loop{clock: clock, wake: make(chan struct{}, 1)}
 }
 
-// Now is the loop's time.
+// Now returns the current time of the loop's clock.
 func (l *Loop) Now() time.Time { return l.clock() }
 
-// Post hands f to the loop's goroutine. It never blocks.
+// Post queues f to run on the loop's goroutine. It never blocks.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.inbox = append(l.inbox, f)
@@ -53,31 +53,31 @@
 	}
 }
 
-// Timer is one call that After has arranged.
+// Timer is a scheduled call, see After.
 type Timer struct {
 	at     time.Time
-	serial uint64
-	index  int // in the heap; -1: not waiting
+	number uint64
+	index  int // position in the heap; -1 if not scheduled
 	run    func()
 	loop   *Loop
 }
 
-// After runs f once d has passed.
+// After runs f on the loop's goroutine after d.
 func (l *Loop) After(d time.Duration, f func()) *Timer {
-	l.serial++
-	t := &Timer{at: l.clock().Add(d), serial: l.serial, run: f, loop: l}
+	l.lastTimer++
+	t := &Timer{at: l.clock().Add(d), number: l.lastTimer, run: f, loop: l}
 	heap.Push(&l.timers, t)
 	return t
 }
 
-// Stop calls the timer off. A nil timer may be stopped.
+// Stop cancels the timer. It is safe on a nil timer.
 func (t *Timer) Stop() {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&t.loop.timers, t.index)
 	}
 }
 
-// Turn runs all that is due and returns when the next timer is, if any.
+// Turn runs everything that is due. It returns when the next timer is due, if there is one.
 func (l *Loop) Turn() (next time.Time, waiting bool) {
 	for l.turn() && !l.ended {
 	}
@@ -87,8 +87,7 @@
 	return l.timers[0].at, true
 }
 
-// turn runs what has been posted and the timers that are due, each for
-// turnMost at the longest, and tells whether there was any.
+// turn runs posted work and due timers, each for at most maxTurn, and reports whether it ran any.
 func (l *Loop) turn() (ran bool) {
 	if l.next == len(l.work) {
 		l.mu.Lock()
@@ -98,35 +97,35 @@
 	}
 	begun := l.clock()
 	now := begun
-	for l.next < len(l.work) && now.Sub(begun) < turnMost {
+	for l.next < len(l.work) && now.Sub(begun) < maxTurn {
 		f := l.work[l.next]
 		l.work[l.next] = nil
 		l.next++
 		f()
 		now, ran = l.clock(), true
 	}
-	due, limit := now, now.Add(turnMost)
+	due, limit := now, now.Add(maxTurn)
 	for len(l.timers) > 0 && !l.timers[0].at.After(due) && now.Before(limit) {
 		t := heap.Pop(&l.timers).(*Timer)
 		t.run()
 		now, ran = l.clock(), true
 	}
 	if ran {
-		l.turns.Count++
-		l.turns.Longest = max(l.turns.Longest, now.Sub(begun))
+		l.turnStats.Count++
+		l.turnStats.Longest = max(l.turnStats.Longest, now.Sub(begun))
 	}
 	return ran
 }
 
-// Turns returns how long turns took since it was last asked for.
+// Turns returns the turn statistics since the previous call.
 func (l *Loop) Turns() Turns {
-	t := l.turns
-	l.turns = Turns{}
+	t := l.turnStats
+	l.turnStats = Turns{}
 	return t
 }
 
-// Slices runs step again and again, with everything else between, until it
-// returns false: for what would take too long at once.
+// Slices calls step repeatedly, with other work in between, until it returns false. It splits work
+// that would take too long in one turn.
 func (l *Loop) Slices(step func() (more bool)) {
 	l.After(0, func() {
 		if step() {
@@ -135,7 +134,7 @@
 	})
 }
 
-// Run turns the loop until End is called.
+// Run runs the loop until End is called.
 func (l *Loop) Run() {
 	clock := time.NewTimer(time.Hour)
 	defer clock.Stop()
@@ -156,7 +155,7 @@
 	}
 }
 
-// RunUntil turns the loop until done says so.
+// RunUntil runs the loop until done returns true.
 func (l *Loop) RunUntil(done func() bool) {
 	for !done() {
 		next, waiting := l.Turn()
@@ -174,20 +173,20 @@
 	}
 }
 
-// End makes Run return after the work at hand.
+// End makes Run return after the current work.
 func (l *Loop) End() { l.ended = true }
 
-// Ended tells that Run returns.
+// Ended reports whether End was called.
 func (l *Loop) Ended() bool { return l.ended }
 
-// timers is a heap, the first due on top; of equals the one set first.
+// timers is a heap ordered by due time; timers with equal times run in the order of creation.
 type timers []*Timer
 
 func (t timers) Len() int { return len(t) }
 
 func (t timers) Less(i, j int) bool {
 	if t[i].at.Equal(t[j].at) {
-		return t[i].serial < t[j].serial
+		return t[i].number < t[j].number
 	}
 	return t[i].at.Before(t[j].at)
 }
--- a/internal/core/plugins_test.go
+++ b/internal/core/plugins_test.go
@@ -74,7 +74,7 @@
 	assert.Equal(t, []Answer{{Verdict: Taken}}, *first)
 	assert.Equal(t, []Answer{{Verdict: Taken}}, *second)
 	assert.Equal(t, []Answer{{Verdict: Fixed, After: 700 * ms}}, *third)
-	assert.Empty(t, b.c.asking)
+	assert.Empty(t, b.c.pluginQueues)
 	require.Len(t, b.calls, 2)
 	assert.Equal(t, []string{"o", "m1"}, []string{b.calls[0].m.ID, b.calls[1].m.ID})
 }
@@ -98,7 +98,7 @@
 	b.c.Drain()
 	p.admits["m1"](true, 0)
 	assert.Equal(t, []Answer{{Verdict: Fixed, After: drainAfter}}, *got)
-	assert.Empty(t, b.c.ids)
+	assert.Empty(t, b.c.flowsByRef)
 	assert.Zero(t, b.c.Held())
 }
 
@@ -130,7 +130,7 @@
 	b.add("m3", "status", 0)
 	b.step(10 * ms)
 	late := p.shapes["m3"]
-	b.step(parkMost + ms)
+	b.step(maxDecisionAge + ms)
 	late(Shape{})
 	assert.Len(t, b.calls, 2, "the decision is old")
 	late(Shape{})
@@ -235,5 +235,5 @@
 	p.admits["m0"](true, 0)
 	b.step(20 * ms)
 	assert.Equal(t, 9, b.c.Held(), "the module sheds one, as it holds over 92%")
-	assert.Zero(t, b.c.asked)
+	assert.Zero(t, b.c.awaitingPlugins)
 }
--- a/internal/core/races_test.go
+++ b/internal/core/races_test.go
@@ -347,7 +347,7 @@
 			func(Answer, *store.Message) bool { return true }))
 		b.step(5 * ms)
 		require.Len(t, b.calls, 1)
-		b.c.do(snowjunction.Fail{Request: b.c.ids[name0("m1")].id})
+		b.c.execute(snowjunction.Fail{Request: b.c.flowsByRef[name0("m1")].id})
 		require.Len(t, b.ended, 1)
 		b.calls[0].done(Result{Outcome: outcome})
 		b = b.killed(4900*ms, nil)
@@ -407,7 +407,7 @@
 			switch way.killed {
 			case "out":
 			case "ended":
-				b.c.do(snowjunction.Fail{Request: b.c.ids[name0("m1")].id})
+				b.c.execute(snowjunction.Fail{Request: b.c.flowsByRef[name0("m1")].id})
 			default:
 				b.list(snowjunction.Draining, false) // the second waits for an endpoint
 				b.calls[0].done(Result{Outcome: way.first})
@@ -453,7 +453,7 @@
 }
 
 // name0 is an id of the first front's.
-func name0(id string) name { return name{0, id} }
+func name0(id string) messageRef { return messageRef{0, id} }
 
 // An attempt is out for longer than the window of its key, its message is over, and the same
 // message is held under another id: that is told as failed, at its turn or when it is given up.
@@ -466,18 +466,18 @@
 			if i == 0 {
 				b.step(5 * ms)
 				b.list(snowjunction.Draining, false)
-				b.c.ran.Never(idempotency.Key{Destination: 7, Text: "k"}, id) // the second has come before it left
+				b.c.attemptedKeys.NotRun(idempotency.Key{Destination: 7, Text: "k"}, id) // the second has come before it left
 			}
 		}
 		require.Len(t, b.calls, 1)
-		b.c.do(snowjunction.Fail{Request: b.c.ids[name0("m1")].id})
+		b.c.execute(snowjunction.Fail{Request: b.c.flowsByRef[name0("m1")].id})
 		b.step(900 * ms)
 		require.Len(t, b.ended, 1)
 		b.now = b.now.Add(100 * ms) // its time-out is not heard of yet
 		if givenUp {
-			b.c.do(snowjunction.Refuse{Request: b.c.ids[name0("m2")].id})
+			b.c.execute(snowjunction.Refuse{Request: b.c.flowsByRef[name0("m2")].id})
 		} else {
-			b.c.send(snowjunction.Send{Request: b.c.ids[name0("m2")].id, Endpoint: 1, Timeout: time.Second})
+			b.c.send(snowjunction.Send{Request: b.c.flowsByRef[name0("m2")].id, Endpoint: 1, Timeout: time.Second})
 		}
 		require.Len(t, b.ended, 2)
 		assert.Equal(t, "m2", b.ended[1].ID)
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -9,129 +9,129 @@
 	"snowjunction/internal/store"
 )
 
-// read asks the plug-ins what an answer means, then takes it further. The safe
-// reading, where none says anything in time, is the protocol's own.
-func (c *Core) read(a *attempt, r Result) {
+// readAnswer has the plug-ins interpret an answer, then completes the attempt. If no plug-in
+// answers in time, the result of the protocol stands.
+func (c *Core) readAnswer(a *attempt, r Result) {
 	if a.flow.attempt != a || a.reading {
 		return
 	}
 	a.reading = true
-	if c.told(a, r) {
+	if c.recordRetryAfter(a, r) {
 		c.trace("told to wait", a.flow.msg)
 		if c.Plugins != nil && c.Plugins.Reads(a.flow.msg) {
-			c.feed(snowjunction.WaitTold{Endpoint: a.endpoint, Wait: r.Wait}) // the plug-ins may take their time
+			c.queueEvent(snowjunction.WaitTold{Endpoint: a.endpoint, Wait: r.Wait}) // the plug-ins may take some time
 		}
 	}
 	var to Entry
 	if l := c.routes.byID[a.endpoint]; l != nil {
 		to = l.Entry
 	}
-	if c.Plugins == nil || !c.Plugins.Read(a.flow.msg, to, r, func(r Result) { c.relay(a, r) }) {
-		c.relay(a, r)
+	if c.Plugins == nil || !c.Plugins.Read(a.flow.msg, to, r, func(r Result) { c.completeAttempt(a, r) }) {
+		c.completeAttempt(a, r)
 	}
 }
 
-// told tells whether an answer names a wait. Until the module has heard of that, nothing more
-// leaves for its destination.
-func (c *Core) told(a *attempt, r Result) bool {
+// recordRetryAfter reports whether an answer has a retry-after delay. Until the module has been
+// told of it, nothing more is sent to the destination.
+func (c *Core) recordRetryAfter(a *attempt, r Result) bool {
 	if r.Wait <= 0 || r.Outcome != snowjunction.Full && r.Outcome != snowjunction.Error {
 		return false
 	}
-	c.waitTold[a.flow.msg.Destination] = true
+	c.retryAfterReceived[a.flow.msg.Destination] = true
 	return true
 }
 
-// relay takes an attempt's result to the journal and the module.
-func (c *Core) relay(a *attempt, r Result) {
+// completeAttempt passes the result of an attempt to the journal and the module.
+func (c *Core) completeAttempt(a *attempt, r Result) {
 	f := a.flow
 	if f.attempt != a {
 		return
 	}
-	a.limit.Stop()
-	a.connect.Stop()
+	a.timeoutTimer.Stop()
+	a.connectTimer.Stop()
 	f.attempt = nil
-	c.calls--
+	c.openCalls--
 	c.Counters.result(r.Outcome)
 	ran := mayHaveRun(r.Outcome)
 	switch {
 	case r.Outcome == snowjunction.OK && f.ended:
 		c.Counters.Late++
-		c.came(a, true)
+		c.recordOutcome(a, true)
 	case r.Outcome == snowjunction.OK && c.tooLate(f):
 		c.Counters.Overdue++
-		c.end(f, store.Failed, 0)
+		c.finish(f, store.Failed, 0)
 	case r.Outcome == snowjunction.OK:
-		c.end(f, store.Delivered, 0)
+		c.finish(f, store.Delivered, 0)
 	case r.Over && !f.ended:
-		c.came(a, ran)
-		c.end(f, store.Withdrawn, 0)
+		c.recordOutcome(a, ran)
+		c.finish(f, store.Withdrawn, 0)
 	default:
-		c.came(a, ran)
-		if r.Outcome == snowjunction.Moot && !f.ended && !c.inWindow(f) { // nor does it go any more
-			c.end(f, store.Failed, 0)
+		c.recordOutcome(a, ran)
+		if r.Outcome == snowjunction.Moot && !f.ended && !c.inWindow(f) { // its window is over, so it cannot be sent any more
+			c.finish(f, store.Failed, 0)
 		}
 	}
 	if !ran && !f.msg.Ran {
-		c.ran.Never(f.idempotencyKey(), f.msg.ID)
+		c.attemptedKeys.NotRun(f.idempotencyKey(), f.msg.ID)
 	}
-	c.told(a, r) // by a plug-in, it may be
-	c.evidence(a, r)
-	c.learn(snowjunction.DestinationID(f.msg.Destination))
+	c.recordRetryAfter(a, r) // a plug-in may have added the delay
+	c.recordEvidence(a, r)
+	c.stateChanged(snowjunction.DestinationID(f.msg.Destination))
 	ev := snowjunction.AttemptEnded{
-		Request: f.id, Endpoint: a.endpoint, Attempt: a.no, Outcome: r.Outcome,
-		Took: c.Loop.Now().Sub(a.began), Wait: r.Wait, Done: f.ended, Report: r.Report,
+		Request: f.id, Endpoint: a.endpoint, Attempt: a.number, Outcome: r.Outcome,
+		Took: c.Loop.Now().Sub(a.startedAt), Wait: r.Wait, Done: f.ended, Report: r.Report,
 	}
-	if !a.left.IsZero() {
-		ev.Dialled = a.left.Sub(a.began)
+	if !a.sentAt.IsZero() {
+		ev.Dialled = a.sentAt.Sub(a.startedAt)
 	}
 	if a.call != nil {
 		ev.Kept = a.call.Kept()
 		ev.Fresh = ev.Kept == 0
 	}
 	c.traceAttempt(a, &ev)
-	c.feed(ev)
+	c.queueEvent(ev)
 	c.forget(f)
 	c.checkIdle()
 }
 
-// handInSlack is how much earlier a message's time may be over for its client than it is here:
-// the client counts from its sending, the courier from its reading.
-const handInSlack = 10 * time.Millisecond
+// submitSlack is how much earlier a message's deadline may pass for its client than for the
+// courier: the client counts from sending, the courier from reading.
+const submitSlack = 10 * time.Millisecond
 
-// tooLate tells that a message's time is over, or may be. What is delivered then is not
-// delivered for its client, which is owed its end all the same.
+// tooLate reports whether a message's deadline has passed or may have passed for its client. A
+// delivery after that counts as failed, and the client still gets a final result.
 func (c *Core) tooLate(f *flow) bool {
-	return c.Loop.Now().After(f.msg.Deadline.Add(-handInSlack))
+	return c.Loop.Now().After(f.msg.Deadline.Add(-submitSlack))
 }
 
-// trace tells at level debug of something that befalls a message. The order of such lines is that
-// in which it came about here, however late the partner sees of it.
+// trace logs an event of a message at debug level. Such lines are in the order in which the courier
+// saw the events, which may differ from the order at the destination.
 func (c *Core) trace(what string, m *store.Message) {
 	if c.Log.Enabled(context.Background(), slog.LevelDebug) {
 		c.Log.Debug(what, "id", m.ID, "dest", m.Destination)
 	}
 }
 
-// traceAttempt tells of one attempt at level debug: counted over a fleet, such lines
-// show what each courier's own counters cannot.
+// traceAttempt logs one attempt at debug level. Totals over a fleet can be computed from these
+// lines; each courier's counters alone do not give them.
 func (c *Core) traceAttempt(a *attempt, ev *snowjunction.AttemptEnded) {
 	if !c.Log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
 	m := a.flow.msg
-	c.Log.Debug("attempt", "id", m.ID, "key", m.IdempotencyKey, "dest", m.Destination, "class", m.Class, "endpoint", a.endpoint, "no", a.no,
+	c.Log.Debug("attempt", "id", m.ID, "key", m.IdempotencyKey, "dest", m.Destination, "class", m.Class, "endpoint", a.endpoint, "no", a.number,
 		"outcome", outcomes[ev.Outcome], "took_ms", ev.Took.Milliseconds(), "wait_ms", ev.Wait.Milliseconds(),
 		"kept_ms", ev.Kept.Milliseconds(), "report", ev.Report)
 }
 
-// traceEnd tells of an end, as traceAttempt of an attempt.
+// traceEnd logs a final result at debug level.
 func (c *Core) traceEnd(f *flow, how string, after time.Duration) {
 	if !c.Log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
 	m := f.msg
 	c.Log.Debug("end", "id", m.ID, "key", m.IdempotencyKey, "ran", m.Ran, "dest", m.Destination, "class", m.Class, "attempts", m.Attempts, "as", how,
-		"left_ms", m.Deadline.Sub(c.Loop.Now()).Milliseconds(), "after_ms", after.Milliseconds(), "held", c.held)
+		"left_ms", m.Deadline.Sub(c.Loop.Now()).Milliseconds(), "after_ms", after.Milliseconds(), "held", c.openFlows)
 }
 
 func mayHaveRun(o snowjunction.Outcome) bool {
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -12,103 +12,101 @@
 	"snowjunction/internal/store"
 )
 
-// Entry is one entry of a target group as a front lists it.
+// Entry is one endpoint of a target group as a front lists it.
 type Entry = groups.Entry
 
 // Target is an endpoint that can be called.
 type Target interface {
-	// Call makes one attempt. done is called once with its result, unless it
-	// is given up, and never within Call itself. May is asked at the moment when
-	// its first byte can leave: if it says no, none leaves and the result is Moot.
-	// Where that is within Call, nil may be returned in place of the result.
+	// Call makes one attempt. done is called once with its result, unless the call is given up, and
+	// never before Call returns. may is called when the first byte is about to be sent; if it
+	// returns false, nothing is sent and the outcome is Moot. If that happens within Call, Call may
+	// return nil instead of reporting a result.
 	Call(m *store.Message, shape Shape, timeout time.Duration, may func() bool, done func(Result)) Call
-	// CloseIdle ends idle connections.
+	// CloseIdle closes idle connections.
 	CloseIdle()
-	// Leave ends idle connections, and the others with their calls: the
-	// target is no longer in its group.
+	// Leave closes idle connections now, and the others when their calls end. The target is no
+	// longer in its group.
 	Leave()
 }
 
-// Call is an attempt that is out.
+// Call is an attempt in flight.
 type Call interface {
-	// Left tells whether its last byte may have left.
+	// Left reports whether the last byte of the request may have been sent.
 	Left() bool
-	// Kept is how long the call's connection had been idle before; 0: it is a
-	// new one.
+	// Kept returns how long the connection had been idle before the call; 0 for a new connection.
 	Kept() time.Duration
-	// GiveUp stops waiting. done is not called any more.
+	// GiveUp abandons the call. done is not called after that.
 	GiveUp()
 }
 
-// Result is how an attempt ended.
+// Result is the result of an attempt.
 type Result struct {
 	Outcome snowjunction.Outcome
-	Wait    time.Duration // with Full: the told wait
-	Over    bool          // nothing more is owed for the message
+	Wait    time.Duration // retry-after delay of a rejected call
+	Over    bool          // the endpoint says that the message is no longer wanted
 	Report  []float64
-	// Elsewhere: whoever answered says that it is not who was called.
+	// Elsewhere is set if the server answered that it is not the endpoint that was called.
 	Elsewhere bool
-	Answer    *Reply // as it came, if one came whole; else nil
+	Answer    *Reply // the original answer if it came completely; nil otherwise
 }
 
-// Reply is an answer as it came.
+// Reply is an answer as received.
 type Reply struct {
 	Status  int
 	Headers []HeaderField
 	Body    []byte
 }
 
-// routes is the target groups. What is listed stands in compact tables, one for
-// each front; only destinations that flows have called for are more than that.
+// routes holds the target groups. Listed endpoints are kept in compact tables, one per front; only
+// loaded destinations have further state.
 type routes struct {
-	tables []*groups.Table
-	byID   map[snowjunction.EndpointID]*listed
-	awake  map[snowjunction.DestinationID]*group
-	heard  heard
-	last   snowjunction.EndpointID
+	tables   []*groups.Table
+	byID     map[snowjunction.EndpointID]*loadedEndpoint
+	loaded   map[snowjunction.DestinationID]*group
+	delisted delisted
+	lastID   snowjunction.EndpointID
 }
 
-// group is a destination that flows have called for: the module knows of it.
+// group is a loaded destination, that is one that flows have called for and that the module knows.
 type group struct {
-	dest    snowjunction.DestinationID
-	flows   int // that the module holds
-	members []*listed
-	leaving bool    // the module has been asked to hand it out
-	waiting bool    // its memento is yet to come from beyond memory
-	parked  []*flow // until then
+	destination snowjunction.DestinationID
+	flows       int // flows that the module holds
+	members     []*loadedEndpoint
+	unloading   bool    // the module has been asked to unload it
+	loading     bool    // its snapshot is being fetched from the external store
+	parked      []*flow // flows that wait for the snapshot
 }
 
-// listed is an endpoint of an awake destination, under the number the module
-// knows.
-type listed struct {
+// loadedEndpoint is an endpoint of a loaded destination, with its number in the module.
+type loadedEndpoint struct {
 	Entry
-	front    int
-	id       snowjunction.EndpointID
-	target   Target // nil once it has left
-	goneAt   time.Time
-	standing belief.Standing
-	out      bool          // by hand
-	wasOut   time.Duration // it came back from that a while ago; 0: it did not
+	front       int
+	id          snowjunction.EndpointID
+	target      Target // nil unless the endpoint can be called
+	goneAt      time.Time
+	standing    belief.Standing
+	excluded    bool          // by an operator
+	excludedFor time.Duration // how long it had been excluded, if it was included again recently; otherwise 0
 }
 
-type name struct {
+type messageRef struct {
 	front int
-	name  string
+	id    string
 }
 
-// goneKept is how long an endpoint that left keeps its number: listed again
-// within it, it is the same to the module.
-const goneKept = time.Minute
+// goneRetention is how long an endpoint that left the list keeps its number. If it is listed again
+// within that time, the module treats it as the same endpoint.
+const goneRetention = time.Minute
 
 func newRoutes(fronts int) routes {
-	r := routes{byID: map[snowjunction.EndpointID]*listed{}, awake: map[snowjunction.DestinationID]*group{}}
+	r := routes{byID: map[snowjunction.EndpointID]*loadedEndpoint{}, loaded: map[snowjunction.DestinationID]*group{}}
 	for range fronts {
 		r.tables = append(r.tables, groups.New())
 	}
 	return r
 }
 
-// listedAnywhere tells whether any front lists endpoints of a destination.
+// listedAnywhere reports whether any front lists endpoints of a destination.
 func (r *routes) listedAnywhere(d snowjunction.DestinationID) bool {
 	for _, t := range r.tables {
 		if t.Has(d) {
@@ -125,7 +123,8 @@
 	return n
 }
 
-// destinations is about how many there are, those included that other couriers list.
+// destinations returns the approximate number of destinations of the fleet, including those that
+// only other couriers list.
 func (c *Core) destinations() int {
 	if c.ListedShare == nil {
 		return c.routes.destinations()
@@ -137,10 +136,10 @@
 	return int(n)
 }
 
-// Calling yields the destinations for which the module holds flows, or flows wait.
+// Calling yields the destinations for which flows are held by the module or wait for a snapshot.
 func (c *Core) Calling() iter.Seq[snowjunction.DestinationID] {
 	return func(yield func(snowjunction.DestinationID) bool) {
-		for d, g := range c.routes.awake {
+		for d, g := range c.routes.loaded {
 			if (g.flows > 0 || len(g.parked) > 0) && !yield(d) {
 				return
 			}
@@ -148,10 +147,9 @@
 	}
 }
 
-// Listed takes news of a front's target group: what changed, or the full list.
-// Only what concerns destinations that are awake goes further than the table.
-// An error says why the news cannot be taken: what it says of endpoints that
-// drain or go is heeded even so, and everything else stays as it was.
+// Listed applies an update of a front's target group: a set of changes or the full list. Only
+// changes to loaded destinations go further than the table. It returns an error if the update is
+// invalid; draining and gone endpoints are then still applied and everything else stays unchanged.
 func (c *Core) Listed(front int, l *groups.List) error {
 	table := c.routes.tables[front]
 	if err := table.Fits(l); err != nil {
@@ -160,54 +158,54 @@
 	}
 	var news []snowjunction.Endpoint
 	if l.Full {
-		c.judge(front, l)
-		news = c.replace(front, l)
-		c.changed(news)
-		c.heard(front)
+		c.checkPlausibility(front, l)
+		news = c.replaceList(front, l)
+		c.queueEndpoints(news)
+		c.listChanged(front)
 		return nil
 	}
 	begun := c.Loop.Now()
 	for e := range l.Entries.From(0) {
-		c.named(front, e.Name)
-		news = append(news, c.list(front, e)...)
+		c.clearRetained(front, e.Name)
+		news = append(news, c.applyEntry(front, e)...)
 	}
-	c.changed(news)
-	c.heard(front)
-	c.updates.n++
+	c.queueEndpoints(news)
+	c.listChanged(front)
+	c.updates.count++
 	c.updates.took += c.Loop.Now().Sub(begun)
 	return nil
 }
 
-// Heed takes from news that are not taken else what they say of endpoints that
-// drain or are gone: those get nothing more.
+// Heed applies only what an otherwise rejected update says of draining and gone endpoints: they get
+// no new calls.
 func (c *Core) Heed(front int, l *groups.List) {
 	var news []snowjunction.Endpoint
 	for _, n := range l.Leaving {
 		if e, ok := c.routes.tables[front].Get(n); ok && e.Phase == snowjunction.Ready {
 			e.Phase = snowjunction.Draining
-			news = append(news, c.list(front, e)...)
+			news = append(news, c.applyEntry(front, e)...)
 		}
 	}
-	c.changed(news)
-	c.heard(front)
+	c.queueEndpoints(news)
+	c.listChanged(front)
 }
 
-func (c *Core) heard(front int) {
+func (c *Core) listChanged(front int) {
 	if c.Heard != nil {
 		c.Heard(front)
 	}
 }
 
-func (c *Core) changed(news []snowjunction.Endpoint) {
+func (c *Core) queueEndpoints(news []snowjunction.Endpoint) {
 	if len(news) > 0 {
-		c.feed(snowjunction.List{
+		c.queueEvent(snowjunction.List{
 			Kind: snowjunction.ListDelta, Endpoints: news, Destinations: c.destinations(),
 		})
 	}
 }
 
-// list takes one changed entry.
-func (c *Core) list(front int, e Entry) (news []snowjunction.Endpoint) {
+// applyEntry applies one changed entry.
+func (c *Core) applyEntry(front int, e Entry) (news []snowjunction.Endpoint) {
 	table := c.routes.tables[front]
 	var old Entry
 	var was bool
@@ -218,21 +216,21 @@
 	}
 	if was && (e.Phase == snowjunction.Gone || old.Destination != e.Destination) {
 		if !table.Has(old.Destination) {
-			c.routes.heard.add(old.Destination, c.Loop.Now())
+			c.routes.delisted.add(old.Destination, c.Loop.Now())
 		}
-		if g := c.routes.awake[old.Destination]; g != nil {
-			news = c.unlist(g, front, e.Name, news)
+		if g := c.routes.loaded[old.Destination]; g != nil {
+			news = c.removeEndpoint(g, front, e.Name, news)
 		}
 	}
-	if g := c.routes.awake[e.Destination]; g != nil && !g.waiting && e.Phase != snowjunction.Gone {
-		news = append(news, c.member(g, front, e)...)
+	if g := c.routes.loaded[e.Destination]; g != nil && !g.loading && e.Phase != snowjunction.Gone {
+		news = append(news, c.updateEndpoint(g, front, e)...)
 	}
 	return news
 }
 
-// replace puts a front's full list in the place of the one held. It costs what
-// is awake; the rest of the old list is looked through in slices.
-func (c *Core) replace(front int, l *groups.List) (news []snowjunction.Endpoint) {
+// replaceList replaces a front's list by a full list. The immediate cost depends on the loaded
+// destinations only; the rest of the old list is scanned in slices.
+func (c *Core) replaceList(front int, l *groups.List) (news []snowjunction.Endpoint) {
 	old := c.routes.tables[front]
 	for _, n := range l.Leaving {
 		if e, ok := l.Entries.Get(n); ok && e.Phase == snowjunction.Gone {
@@ -241,65 +239,65 @@
 	}
 	table := l.Entries
 	c.routes.tables[front] = table
-	for _, g := range c.routes.awake {
-		if g.waiting {
+	for _, g := range c.routes.loaded {
+		if g.loading {
 			continue
 		}
 		for _, m := range g.members {
-			if e, ok := table.Get(m.Name); m.front == front && (!ok || e.Destination != g.dest) {
-				news = c.unlist(g, front, m.Name, news)
+			if e, ok := table.Get(m.Name); m.front == front && (!ok || e.Destination != g.destination) {
+				news = c.removeEndpoint(g, front, m.Name, news)
 			}
 		}
-		for e := range table.Of(g.dest) {
-			news = append(news, c.member(g, front, e)...)
+		for e := range table.Of(g.destination) {
+			news = append(news, c.updateEndpoint(g, front, e)...)
 		}
 	}
 	at := 0
 	c.Loop.Slices(func() bool {
-		for d := range old.DestinationsFrom(at, at+sliceOf) {
+		for d := range old.DestinationsFrom(at, at+sliceSize) {
 			if !c.routes.tables[front].Has(d) {
-				c.routes.heard.add(d, c.Loop.Now())
+				c.routes.delisted.add(d, c.Loop.Now())
 			}
 		}
-		at += sliceOf
+		at += sliceSize
 		return at < old.Len()
 	})
 	return news
 }
 
-// sliceOf is how many entries are looked through at once.
-const sliceOf = 2048
+// sliceSize is the number of entries scanned in one slice.
+const sliceSize = 2048
 
-// member takes what a front says of an endpoint of an awake destination. One
-// that is not Ready and that the module has not heard of need not be told.
-func (c *Core) member(g *group, front int, e Entry) []snowjunction.Endpoint {
+// updateEndpoint applies a front's entry for an endpoint of a loaded destination. An endpoint that
+// is not Ready and that the module does not know is ignored.
+func (c *Core) updateEndpoint(g *group, front int, e Entry) []snowjunction.Endpoint {
 	m := g.find(front, e.Name)
 	if m == nil {
 		if e.Phase != snowjunction.Ready {
 			return nil
 		}
-		c.routes.last++
-		m = &listed{front: front, id: c.routes.last}
+		c.routes.lastID++
+		m = &loadedEndpoint{front: front, id: c.routes.lastID}
 		g.members = append(g.members, m)
 		c.routes.byID[m.id] = m
 	}
-	out, wasOut := c.outOf(front, e.Name)
+	out, wasOut := c.exclusionOf(front, e.Name)
 	if m.target != nil && (m.Addr != e.Addr || e.Phase != snowjunction.Ready || out) {
 		m.target.Leave()
 		m.target = nil
 	}
-	was, known := m.entry(), m.Name != ""
-	m.Entry, m.standing, m.out, m.wasOut = e, c.standing(front, e.Name), out, wasOut
+	was, known := m.moduleView(), m.Name != ""
+	m.Entry, m.standing, m.excluded, m.excludedFor = e, c.confidenceIn(front, e.Name), out, wasOut
 	if m.target == nil && e.Phase == snowjunction.Ready && !out {
 		m.target = c.Fronts[front].Target(e)
 	}
-	if is := m.entry(); is != was || !known {
+	if is := m.moduleView(); is != was || !known {
 		return []snowjunction.Endpoint{is}
 	}
 	return nil
 }
 
-func (g *group) find(front int, name string) *listed {
+func (g *group) find(front int, name string) *loadedEndpoint {
 	for _, m := range g.members {
 		if m.front == front && m.Name == name {
 			return m
@@ -308,8 +306,8 @@
 	return nil
 }
 
-// unlist takes an endpoint out of an awake destination's group.
-func (c *Core) unlist(g *group, front int, name string, news []snowjunction.Endpoint) []snowjunction.Endpoint {
+// removeEndpoint marks an endpoint of a loaded destination as gone.
+func (c *Core) removeEndpoint(g *group, front int, name string, news []snowjunction.Endpoint) []snowjunction.Endpoint {
 	m := g.find(front, name)
 	if m == nil || m.Phase == snowjunction.Gone {
 		return news
@@ -319,34 +317,35 @@
 		m.target = nil
 	}
 	m.Phase, m.goneAt = snowjunction.Gone, c.Loop.Now()
-	c.Loop.After(goneKept, func() {
-		if m.Phase == snowjunction.Gone && c.Loop.Now().Sub(m.goneAt) >= goneKept {
-			c.lose(g, m)
+	c.Loop.After(goneRetention, func() {
+		if m.Phase == snowjunction.Gone && c.Loop.Now().Sub(m.goneAt) >= goneRetention {
+			c.forgetEndpoint(g, m)
 		}
 	})
-	return append(news, m.entry())
+	return append(news, m.moduleView())
 }
 
-// lose forgets an endpoint that has been gone for long.
-func (c *Core) lose(g *group, m *listed) {
+// forgetEndpoint drops an endpoint that has been gone for goneRetention.
+func (c *Core) forgetEndpoint(g *group, m *loadedEndpoint) {
 	delete(c.routes.byID, m.id)
-	g.members = slices.DeleteFunc(g.members, func(x *listed) bool { return x == m })
+	g.members = slices.DeleteFunc(g.members, func(x *loadedEndpoint) bool { return x == m })
 }
 
-// entry is an endpoint as the module is to see it: one that is refuted, or out by hand, as draining.
-func (l *listed) entry() snowjunction.Endpoint {
+// moduleView returns the endpoint as the module sees it: a refuted or excluded endpoint is shown as
+// draining.
+func (l *loadedEndpoint) moduleView() snowjunction.Endpoint {
 	e := snowjunction.Endpoint{
 		ID: l.id, Destination: l.Destination, Zone: l.Zone, Kind: l.Kind, Phase: l.Phase, Weight: l.Weight,
-		Doubtful: l.standing == belief.Doubtful, WasOut: l.wasOut,
+		Doubtful: l.standing == belief.Doubtful, WasOut: l.excludedFor,
 	}
-	if (l.out || l.standing == belief.Refuted) && e.Phase == snowjunction.Ready {
+	if (l.excluded || l.standing == belief.Refuted) && e.Phase == snowjunction.Ready {
 		e.Phase = snowjunction.Draining
 	}
 	return e
 }
 
-// target is the target of an attempt of f, or nil if it must not go there:
-// the list may have changed since the module decided.
+// target returns the target for an attempt of f, or nil if the attempt must not be sent there: the
+// list may have changed since the module's decision.
 func (c *Core) target(f *flow, id snowjunction.EndpointID) Target {
 	l := c.routes.byID[id]
 	if l == nil || l.target == nil || uint32(l.Destination) != f.msg.Destination || l.standing == belief.Refuted {
@@ -355,32 +354,32 @@
 	return l.target
 }
 
-// heard remembers destinations that no list names any more: for a while their
+// delisted remembers destinations that recently lost their last endpoint. For some minutes their
 // messages may wait for new endpoints.
-type heard struct {
-	now, before map[snowjunction.DestinationID]struct{}
-	since       time.Time
+type delisted struct {
+	current, previous map[snowjunction.DestinationID]struct{}
+	rotatedAt         time.Time
 }
 
-// How long and how many destinations are remembered, in each of two parts.
+// Retention time and maximum number of remembered destinations, for each of two generations.
 const (
-	heardFor  = 5 * time.Minute
-	heardMost = 16384
+	delistedRetention = 5 * time.Minute
+	maxDelisted       = 16384
 )
 
-func (h *heard) add(d snowjunction.DestinationID, now time.Time) {
-	if now.Sub(h.since) >= heardFor || len(h.now) >= heardMost {
-		h.before, h.now, h.since = h.now, nil, now
+func (h *delisted) add(d snowjunction.DestinationID, now time.Time) {
+	if now.Sub(h.rotatedAt) >= delistedRetention || len(h.current) >= maxDelisted {
+		h.previous, h.current, h.rotatedAt = h.current, nil, now
 	}
-	if h.now == nil {
-		h.now = map[snowjunction.DestinationID]struct{}{}
+	if h.current == nil {
+		h.current = map[snowjunction.DestinationID]struct{}{}
 	}
-	h.now[d] = struct{}{}
+	h.current[d] = struct{}{}
 }
 
-func (h *heard) has(d snowjunction.DestinationID, now time.Time) bool {
-	age := now.Sub(h.since)
-	_, late := h.now[d]
-	_, early := h.before[d]
-	return late && age < 2*heardFor || early && age < heardFor
+func (h *delisted) has(d snowjunction.DestinationID, now time.Time) bool {
+	age := now.Sub(h.rotatedAt)
+	_, late := h.current[d]
+	_, early := h.previous[d]
+	return late && age < 2*delistedRetention || early && age < delistedRetention
 }
--- a/internal/core/share_test.go
+++ b/internal/core/share_test.go
@@ -23,7 +23,7 @@
 	}
 	require.NoError(t, b.c.Listed(0, l))
 	told := func(d snowjunction.DestinationID) int {
-		b.c.wake(d)
+		b.c.load(d)
 		w, is := b.c.events[len(b.c.events)-1].(snowjunction.Wake)
 		require.True(t, is)
 		return w.Destinations
--- a/internal/core/sleep.go
+++ b/internal/core/sleep.go
@@ -9,61 +9,61 @@
 	"snowjunction/internal/memento"
 )
 
-// Beyond keeps mementos for which there is no memory, or that are to outlast the
-// process. None of its calls wait.
+// Beyond is an external store for snapshots of unloaded destinations that exceed the memory limit
+// or must outlast the process. None of its methods block.
 type Beyond interface {
 	Put(dest uint32, at time.Time, text []byte)
 	Has(dest uint32) bool
 	Len() int
-	// Take has done called on the loop's goroutine, later, unless it returns
+	// Take fetches a snapshot. done is called later on the loop's goroutine, unless Take returns
 	// false.
 	Take(dest uint32, done func(text []byte, at time.Time, ok bool)) bool
 }
 
-// beyondWithin is how long flows wait for a memento from beyond memory. After
-// it they go on without: it is knowledge, nothing more.
-const beyondWithin = 50 * time.Millisecond
+// snapshotTimeout is how long flows wait for a snapshot from the external store. After that they go
+// on without it: a snapshot is helpful but not required.
+const snapshotTimeout = 50 * time.Millisecond
 
-// wake has the module know a destination that a flow calls for.
-func (c *Core) wake(d snowjunction.DestinationID) *group {
-	g := c.routes.awake[d]
+// load returns the group of a destination and loads it into the module if necessary.
+func (c *Core) load(d snowjunction.DestinationID) *group {
+	g := c.routes.loaded[d]
 	if g != nil {
-		c.stay(g)
+		c.cancelUnload(g)
 		return g
 	}
-	g = &group{dest: d}
-	c.routes.awake[d] = g
-	if c.Beyond == nil || c.book.Keeping(d) || !c.Beyond.Has(uint32(d)) {
-		c.waken(g, c.book.Wake(d, c.since()))
+	g = &group{destination: d}
+	c.routes.loaded[d] = g
+	if c.Beyond == nil || c.idleTracker.Keeping(d) || !c.Beyond.Has(uint32(d)) {
+		c.activate(g, c.idleTracker.Wake(d, c.elapsed()))
 		return g
 	}
-	g.waiting = true
-	limit := c.Loop.After(beyondWithin, func() { c.recalled(g, nil, time.Time{}) })
+	g.loading = true
+	limit := c.Loop.After(snapshotTimeout, func() { c.snapshotLoaded(g, nil, time.Time{}) })
 	asked := c.Beyond.Take(uint32(d), func(text []byte, at time.Time, ok bool) {
 		limit.Stop()
-		c.recalled(g, text, at)
+		c.snapshotLoaded(g, text, at)
 	})
 	if !asked {
 		limit.Stop()
-		c.recalled(g, nil, time.Time{})
+		c.snapshotLoaded(g, nil, time.Time{})
 	}
 	return g
 }
 
-// recalled goes on with the flows that have waited for a memento. One that
-// cannot be read is none.
-func (c *Core) recalled(g *group, text []byte, at time.Time) {
-	if !g.waiting {
+// snapshotLoaded continues with the flows that waited for a snapshot. An unreadable snapshot is
+// ignored.
+func (c *Core) snapshotLoaded(g *group, text []byte, at time.Time) {
+	if !g.loading {
 		return
 	}
-	g.waiting = false
+	g.loading = false
 	w := dormancy.Woken{}
 	if m, err := memento.Decode(text); err == nil {
-		w = c.book.WakeWith(m, c.Loop.Now().Sub(at))
+		w = c.idleTracker.WakeWith(m, c.Loop.Now().Sub(at))
 	} else {
-		w = c.book.Wake(g.dest, c.since())
+		w = c.idleTracker.Wake(g.destination, c.elapsed())
 	}
-	c.waken(g, w)
+	c.activate(g, w)
 	parked := g.parked
 	g.parked = nil
 	for _, f := range parked {
@@ -71,15 +71,15 @@
 	}
 }
 
-// waken tells the module of a destination, with what was kept of it.
-func (c *Core) waken(g *group, w dormancy.Woken) {
+// activate tells the module of a destination, with its snapshot if there is one.
+func (c *Core) activate(g *group, w dormancy.Woken) {
 	ev := snowjunction.Wake{
-		Destination: g.dest, Slept: w.Slept, Caution: w.Caution, Destinations: c.destinations(),
+		Destination: g.destination, Slept: w.Slept, Caution: w.Caution, Destinations: c.destinations(),
 	}
 	names := map[memento.Name]snowjunction.EndpointID{}
 	for front, t := range c.routes.tables {
-		for e := range t.Of(g.dest) {
-			for _, x := range c.member(g, front, e) {
+		for e := range t.Of(g.destination) {
+			for _, x := range c.updateEndpoint(g, front, e) {
 				ev.Endpoints = append(ev.Endpoints, x)
 				names[memento.NameOf(e.Name)] = x.ID
 			}
@@ -87,103 +87,102 @@
 	}
 	if w.Memento != nil {
 		ev.State = &w.Memento.State
-		for i := range ev.State.EndpointsSeen { // an endpoint that is gone keeps the number 0, which none has
+		for i := range ev.State.EndpointsSeen { // a gone endpoint gets number 0, which no endpoint has
 			ev.State.EndpointsSeen[i].ID = names[w.Memento.Names[i]]
 		}
 	}
-	c.feed(ev)
+	c.queueEvent(ev)
 }
 
-// stay calls off the sleep of a destination that the module has not yet handed
-// out.
-func (c *Core) stay(g *group) {
-	if !g.leaving {
+// cancelUnload cancels the unloading of a destination that the module has not yet returned.
+func (c *Core) cancelUnload(g *group) {
+	if !g.unloading {
 		return
 	}
-	g.leaving = false
+	g.unloading = false
 	for i, ev := range c.events {
-		if s, ok := ev.(snowjunction.Sleep); ok && s.Destination == g.dest {
+		if s, ok := ev.(snowjunction.Sleep); ok && s.Destination == g.destination {
 			c.events = append(c.events[:i], c.events[i+1:]...)
 			return
 		}
 	}
 }
 
-// hold counts a flow that the module holds; release one that it holds no more.
+// hold counts a flow held by the module for its destination; release is the reverse.
 func (c *Core) hold(f *flow) *group {
-	g := c.wake(snowjunction.DestinationID(f.msg.Destination))
+	g := c.load(snowjunction.DestinationID(f.msg.Destination))
 	g.flows++
-	c.book.Busy(g.dest)
-	if c.book.Over() { // too many are awake: the longest idle need not wait for their time
-		c.resting.Stop()
-		c.resting = nil
-		c.rest()
+	c.idleTracker.Busy(g.destination)
+	if c.idleTracker.Over() { // too many loaded: the longest idle are unloaded before their time
+		c.idleTimer.Stop()
+		c.idleTimer = nil
+		c.unloadIdle()
 	}
 	return g
 }
 
 func (c *Core) release(f *flow) {
-	g := c.routes.awake[snowjunction.DestinationID(f.msg.Destination)]
+	g := c.routes.loaded[snowjunction.DestinationID(f.msg.Destination)]
 	if g == nil {
 		return
 	}
 	if g.flows--; g.flows == 0 {
-		c.book.Idle(g.dest, c.since())
-		c.rest()
+		c.idleTracker.Idle(g.destination, c.elapsed())
+		c.unloadIdle()
 	}
 }
 
-// since is the time on the book's clock.
-func (c *Core) since() time.Duration { return c.Loop.Now().Sub(c.start) }
+// elapsed returns the time since the core was created. The idle tracker uses this clock.
+func (c *Core) elapsed() time.Duration { return c.Loop.Now().Sub(c.start) }
 
-// rest has destinations that are due go to sleep, and looks again when the next
-// may be. While destinations are listed and silent nothing is looked at.
-func (c *Core) rest() {
-	if c.resting != nil {
+// unloadIdle unloads destinations that have been idle long enough and schedules the next check.
+// Listed destinations without flows cost no work.
+func (c *Core) unloadIdle() {
+	if c.idleTimer != nil {
 		return
 	}
-	c.book.Stale(c.since(), restMost)
-	for range restMost {
-		d, due, wait := c.book.Due(c.since())
+	c.idleTracker.Stale(c.elapsed(), maxUnloads)
+	for range maxUnloads {
+		d, due, wait := c.idleTracker.Due(c.elapsed())
 		if !due {
 			if wait >= 0 {
-				c.resting = c.Loop.After(max(wait, restLeast), func() {
-					c.resting = nil
-					c.rest()
+				c.idleTimer = c.Loop.After(max(wait, unloadInterval), func() {
+					c.idleTimer = nil
+					c.unloadIdle()
 				})
 			}
 			return
 		}
-		g := c.routes.awake[d]
-		c.book.Busy(d)
-		if g != nil && g.flows == 0 && !g.leaving && !c.frozen {
-			g.leaving = true
-			c.feed(snowjunction.Sleep{Destination: d})
+		g := c.routes.loaded[d]
+		c.idleTracker.Busy(d)
+		if g != nil && g.flows == 0 && !g.unloading && !c.frozen {
+			g.unloading = true
+			c.queueEvent(snowjunction.Sleep{Destination: d})
 		}
 	}
-	c.resting = c.Loop.After(restLeast, func() {
-		c.resting = nil
-		c.rest()
+	c.idleTimer = c.Loop.After(unloadInterval, func() {
+		c.idleTimer = nil
+		c.unloadIdle()
 	})
 }
 
 const (
-	restMost  = 32 // destinations that go to sleep at once
-	restLeast = 20 * time.Millisecond
+	maxUnloads     = 32 // destinations unloaded at once
+	unloadInterval = 20 * time.Millisecond
 )
 
-// asleep takes what the module hands out: from now on there is a memento and
-// nothing else, no target, connection or number.
-func (c *Core) asleep(a snowjunction.Asleep) {
-	g := c.routes.awake[a.Destination]
-	if g == nil || !g.leaving {
-		c.Log.Error("the module hands out what was not asked for", "destination", a.Destination)
+// unloaded handles a destination returned by the module. Only its snapshot is kept: no target,
+// connection or endpoint number.
+func (c *Core) unloaded(a snowjunction.Asleep) {
+	g := c.routes.loaded[a.Destination]
+	if g == nil || !g.unloading {
+		c.Log.Error("the module unloaded a destination without a request", "destination", a.Destination)
 		return
 	}
-	g.leaving = false
+	g.unloading = false
 	if a.Busy || a.State == nil && g.flows > 0 {
-		c.book.Idle(g.dest, c.since())
-		c.rest()
+		c.idleTracker.Idle(g.destination, c.elapsed())
+		c.unloadIdle()
 		return
 	}
 	m := c.memento(a.State)
@@ -194,41 +193,41 @@
 		}
 		delete(c.routes.byID, l.id)
 	}
-	delete(c.routes.awake, g.dest)
-	text := c.book.Keep(g.dest, m, c.since())
-	c.sleeps(g.dest, text)
+	delete(c.routes.loaded, g.destination)
+	text := c.idleTracker.Keep(g.destination, m, c.elapsed())
+	c.saveUnloaded(g.destination, text)
 	if c.Beyond != nil {
-		c.Beyond.Put(uint32(g.dest), c.Loop.Now(), text)
+		c.Beyond.Put(uint32(g.destination), c.Loop.Now(), text)
 	}
 }
 
-// Dormant tells of the target groups and the destinations that sleep.
+// Dormant returns statistics of the target groups and the unloaded destinations as log attributes.
 func (c *Core) Dormant() slog.Value {
-	n, endpoints, bytes := c.book.Counts, 0, 0
+	n, endpoints, bytes := c.idleTracker.Counts, 0, 0
 	for _, t := range c.routes.tables {
 		endpoints += t.Len()
 		bytes += t.Bytes()
 	}
 	u := c.updates
-	c.updates = updates{}
+	c.updates = listUpdates{}
 	mean, beyond := int64(0), 0
 	if c.Beyond != nil {
 		beyond = c.Beyond.Len()
 	}
-	if u.n > 0 {
-		mean = u.took.Nanoseconds() / int64(u.n)
+	if u.count > 0 {
+		mean = u.took.Nanoseconds() / int64(u.count)
 	}
 	return slog.GroupValue(
 		slog.Int("listed", endpoints), slog.Int("destinations", c.routes.destinations()), slog.Int("table_bytes", bytes),
-		slog.Int("awake", c.book.Awake()), slog.Int("mementos", c.book.Asleep()), slog.Int("memento_bytes", c.book.Bytes()),
+		slog.Int("awake", c.idleTracker.Awake()), slog.Int("mementos", c.idleTracker.Asleep()), slog.Int("memento_bytes", c.idleTracker.Bytes()),
 		slog.Uint64("slept", n.Slept), slog.Uint64("woke", n.Woke), slog.Uint64("known", n.Known),
 		slog.Int("beyond", beyond), slog.Uint64("dropped", n.Dropped), slog.Uint64("full", n.Full),
-		slog.Int("changes", u.n), slog.Int64("change_ns", mean),
+		slog.Int("changes", u.count), slog.Int64("change_ns", mean),
 	)
 }
 
-// updates are the changes of lists, but full ones, since they were last told.
-type updates struct {
-	n    int
-	took time.Duration
+// listUpdates counts the partial list updates since the last report.
+type listUpdates struct {
+	count int
+	took  time.Duration
 }
--- a/internal/core/sleep_test.go
+++ b/internal/core/sleep_test.go
@@ -29,7 +29,7 @@
 func (b *bench) doze() {
 	b.step(time.Minute)
 	b.step(10 * ms)
-	require.Empty(b.t, b.c.routes.awake)
+	require.Empty(b.t, b.c.routes.loaded)
 }
 
 func TestNothingForWhatNobodyCalls(t *testing.T) {
@@ -47,9 +47,9 @@
 	b.doze()
 	assert.Equal(t, 2, b.left)
 	assert.Empty(t, b.c.routes.byID)
-	assert.Equal(t, 1, b.c.book.Asleep())
+	assert.Equal(t, 1, b.c.idleTracker.Asleep())
 	b.deliver("m2")
-	assert.Zero(t, b.c.book.Asleep())
+	assert.Zero(t, b.c.idleTracker.Asleep())
 }
 
 // A destination that holds a flow never sleeps, however long nothing moves.
@@ -60,7 +60,7 @@
 	require.NoError(t, err)
 	b.step(9 * time.Minute)
 	b.step(time.Second)
-	assert.Len(t, b.c.routes.awake, 1)
+	assert.Len(t, b.c.routes.loaded, 1)
 }
 
 // What the list says while a destination sleeps holds when it wakes.
@@ -141,9 +141,9 @@
 	b := newBench(t, nil)
 	b.deliver("m1")
 	b.now = b.now.Add(time.Minute)
-	b.c.handled = b.now // the module is asked a tick later
+	b.c.lastHandled = b.now // the module is asked a tick later
 	b.c.Loop.Turn()
-	require.True(t, b.c.routes.awake[7].leaving)
+	require.True(t, b.c.routes.loaded[7].unloading)
 	b.add("m2", "status", 0)
 	b.step(10 * ms)
 	assert.Len(t, b.calls, 2)
@@ -211,7 +211,7 @@
 		got := b.add("m1", "status", 0)
 		b.step(20 * ms)
 		assert.Equal(t, []Answer{{Verdict: Taken}}, *got, "its next endpoint may come in time")
-		b.step(3 * heardFor)
+		b.step(3 * delistedRetention)
 		b.doze()
 		got = b.add("m2", "status", 0)
 		require.Len(t, *got, 1)
@@ -245,7 +245,7 @@
 	for round := 1; round <= 10; round++ {
 		list(round, 20000)
 		list(round, 10)
-		b.step(heardFor)
+		b.step(delistedRetention)
 	}
 	assert.Less(t, heap()-before, int64(1<<20))
 	assert.Equal(t, 10, b.c.routes.destinations())
@@ -305,7 +305,7 @@
 	x := &beyond{kept: map[uint32][]byte{7: {1}}, at: map[uint32]time.Time{}}
 	b := newBeyond(&bench{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true}, x)
 	got := b.add("m1", "status", 0)
-	b.step(beyondWithin)
+	b.step(snapshotTimeout)
 	b.step(10 * ms)
 	assert.Equal(t, []Answer{{Verdict: Taken}}, *got)
 	assert.Len(t, b.calls, 1)
@@ -338,7 +338,7 @@
 	}
 	l.Turn()
 	assert.Equal(t, []string{"0", "1", "2", "3", "timer", "4", "5"}, order)
-	assert.LessOrEqual(t, l.Turns().Longest, turnMost+ms)
+	assert.LessOrEqual(t, l.Turns().Longest, maxTurn+ms)
 	assert.Zero(t, l.Turns().Count, "since it was last asked")
 }
 
@@ -359,7 +359,7 @@
 	b.listed(0, false, Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Draining})
 	began := b.now
 	for len(b.ended) == 0 {
-		require.Len(t, b.c.routes.awake, 1)
+		require.Len(t, b.c.routes.loaded, 1)
 		b.step(100 * ms)
 		require.Less(t, b.now.Sub(began), 6*time.Second)
 	}
@@ -367,7 +367,7 @@
 	for range 10 {
 		b.step(100 * ms)
 	}
-	require.Empty(t, b.c.routes.awake)
+	require.Empty(t, b.c.routes.loaded)
 	b.listed(0, false, Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready})
 	n := len(b.calls)
 	hand("m2")
--- a/internal/core/takein.go
+++ b/internal/core/takein.go
@@ -11,52 +11,52 @@
 	"snowjunction/internal/store"
 )
 
-// Request is what a listener has read: a message to be handed in.
+// Request is a message submitted through a listener.
 type Request struct {
-	Origin         int // the number of its front
+	Origin         int // front number
 	ID             string
 	IdempotencyKey string
 	Key            uint64
 	Class, Tenant  string
 	Destination    uint32
-	Left           time.Duration // of its time
+	Left           time.Duration // time left until its deadline
 	Again          bool
-	Forwarded      bool // by another courier; the core takes it as any
+	Forwarded      bool // by another courier; the core makes no difference
 	Body           []byte
 }
 
-// Verdict is what a client is told of the message that it hands in.
+// Verdict is the answer to the client that submits a message.
 type Verdict int
 
-// The verdicts.
+// Verdicts.
 const (
-	Taken  Verdict = iota // taken on: the courier owes it an end
-	Fixed                 // a fixed response: not taken, handing it in again is harmless
-	Failed                // not taken, and of no use any more
+	Taken  Verdict = iota // accepted: the courier will report a final result
+	Fixed                 // fixed response: not accepted, safe to resubmit
+	Failed                // not accepted, and resubmitting is pointless
 )
 
-// Answer is the one answer to a Request.
+// Answer is the single answer to a Request.
 type Answer struct {
 	Verdict Verdict
-	After   time.Duration // with Fixed: when to come back; 0: no advice
+	After   time.Duration // with Fixed: retry delay; 0 means no advice
 }
 
-// AnswerFunc takes the answer to a Request, with the message if it was taken
-// on. It returns false where the client has gone.
+// AnswerFunc receives the answer to a Request, with the message if it was accepted. It returns
+// false if the client has disconnected.
 type AnswerFunc func(a Answer, taken *store.Message) bool
 
-// Bounds of what a client may hand in.
+// Limits of a request.
 const (
-	MaxBody = 64 << 10
-	maxText = 64        // bytes of an id or idempotency key
-	maxLeft = time.Hour // far over any deadline: a longer one is a mistake
+	MaxBody      = 64 << 10
+	maxTextBytes = 64        // bytes of an id or idempotency key
+	maxTimeLeft  = time.Hour // far longer than any deadline: a greater value is a client error
 )
 
-// ErrRequest wraps what is wrong with a request.
+// ErrRequest is wrapped by all errors about malformed requests.
 var ErrRequest = errors.New("invalid message")
 
-// TakeIn is the first unit of the chain. An error says what is wrong with the
-// request, which then gets no other answer. Else answer is called once, soon.
+// TakeIn is the first stage of the chain. It returns an error for a malformed request, and then
+// does not call answer. Otherwise answer is called exactly once, soon.
 func (c *Core) TakeIn(r Request, answer AnswerFunc) error {
 	class, err := c.Check(r)
 	if err != nil {
@@ -64,9 +64,9 @@
 		return err
 	}
 	c.Counters.In++
-	if f := c.ids[name{r.Origin, r.ID}]; f != nil {
-		// The client lost the connection and sends once more what is held, or
-		// another uses its id: then the first is owed its answer all the same.
+	if f := c.flowsByRef[messageRef{r.Origin, r.ID}]; f != nil {
+		// The client lost its connection and resubmits an open message, or another client uses the
+		// same id. The first request still gets its answer.
 		if first := f.answer; first != nil {
 			f.answer = func(a Answer, m *store.Message) bool {
 				there := first(a, m)
@@ -86,24 +86,25 @@
 	return nil
 }
 
-// idempotencyKey is what an endpoint knows a flow's message by.
+// idempotencyKey returns the key by which the endpoint recognizes the flow's message.
 func (f *flow) idempotencyKey() idempotency.Key {
 	return idempotency.Key{Destination: f.msg.Destination, Text: f.msg.IdempotencyKey}
 }
 
-// left has it remembered that an attempt of a flow may run from then on.
-func (c *Core) left(f *flow, at, window time.Duration) {
+// rememberAttempt remembers that an attempt of a flow may run from the given time on.
+func (c *Core) rememberAttempt(f *flow, at, window time.Duration) {
 	if f.keyed() {
-		c.ran.Left(f.idempotencyKey(), f.msg.ID, at, window+2*windowSlack) // as its client reckons it
+		c.attemptedKeys.AttemptSent(f.idempotencyKey(), f.msg.ID, at, window+2*windowSlack) // as the client counts the window
 	}
 }
 
-// keyed tells whether a flow's window is counted by its idempotency key.
+// keyed reports whether a flow has an idempotency window.
 func (f *flow) keyed() bool {
 	return f.class.Effect == snowjunction.Keyed && f.msg.IdempotencyKey != ""
 }
 
-// ranSince is when the first attempt left that may have run, or is out; the zero time: none.
+// ranSince returns the time of the first attempt that may have run or is in flight, or the zero
+// time.
 func ranSince(m *store.Message) time.Time {
 	if !m.Ran && m.Out {
 		return m.OutSince
@@ -111,13 +112,13 @@
 	return m.RanSince
 }
 
-// inWindow tells whether a flow may go for all that is held here under its idempotency key: what
-// another id of it may have done meanwhile the module does not know.
+// inWindow reports whether a flow may be sent with regard to all flows held under its idempotency
+// key. The module does not know what has been sent under another id.
 func (c *Core) inWindow(f *flow) bool {
 	if !f.keyed() {
 		return true
 	}
-	for _, o := range c.keys[f.idempotencyKey()] {
+	for _, o := range c.flowsByIdempotencyKey[f.idempotencyKey()] {
 		since := ranSince(o.msg)
 		if (o != f || o.msg.Ran) && !since.IsZero() && c.Loop.Now().Sub(since) >= f.class.Window-2*c.Settings.Tick {
 			return false
@@ -126,15 +127,15 @@
 	return true
 }
 
-// bind takes a flow that is over off its idempotency key. What else is held of that goes within
-// the window of what may have run, also in the next process.
-func (c *Core) bind(f *flow) {
+// unbindKey removes an ended flow from its idempotency key. If it may have run, the remaining flows
+// of the key stay within its window, in the next process as well.
+func (c *Core) unbindKey(f *flow) {
 	if !f.keyed() {
 		return
 	}
-	others := slices.DeleteFunc(c.keys[f.idempotencyKey()], func(o *flow) bool { return o == f })
-	if c.keys[f.idempotencyKey()] = others; len(others) == 0 {
-		delete(c.keys, f.idempotencyKey())
+	others := slices.DeleteFunc(c.flowsByIdempotencyKey[f.idempotencyKey()], func(o *flow) bool { return o == f })
+	if c.flowsByIdempotencyKey[f.idempotencyKey()] = others; len(others) == 0 {
+		delete(c.flowsByIdempotencyKey, f.idempotencyKey())
 	}
 	since := ranSince(f.msg)
 	for _, o := range others {
@@ -151,10 +152,10 @@
 	}
 }
 
-// Taking tells whether messages may be taken in: else all are refused.
+// Taking reports whether messages are accepted.
 func (c *Core) Taking() bool { return !c.draining && !c.frozen }
 
-// Check tells the class of a request, or what is wrong with it.
+// Check validates a request and returns its class.
 func (c *Core) Check(r Request) (*snowjunction.Class, error) {
 	bad := func(format string, args ...any) (*snowjunction.Class, error) {
 		return nil, fmt.Errorf("%w: %s", ErrRequest, fmt.Sprintf(format, args...))
@@ -162,16 +163,16 @@
 	no, known := c.classes[r.Class]
 	_, tenant := c.tenants[r.Tenant]
 	switch {
-	case !plain(r.ID):
-		return bad("the id must be 1 to %d letters, digits, '-', '_' or '.'", maxText)
-	case r.IdempotencyKey != "" && !plain(r.IdempotencyKey):
-		return bad("the idempotency key must be 1 to %d letters, digits, '-', '_' or '.'", maxText)
+	case !headerSafe(r.ID):
+		return bad("the id must be 1 to %d letters, digits, '-', '_' or '.'", maxTextBytes)
+	case r.IdempotencyKey != "" && !headerSafe(r.IdempotencyKey):
+		return bad("the idempotency key must be 1 to %d letters, digits, '-', '_' or '.'", maxTextBytes)
 	case !known:
 		return bad("unknown class %q", r.Class)
 	case !tenant && (r.Tenant != "" || len(c.tenants) > 0):
 		return bad("unknown tenant %q", r.Tenant)
-	case r.Left <= 0 || r.Left > maxLeft:
-		return bad("the time left must be over 0 and at most %v", maxLeft)
+	case r.Left <= 0 || r.Left > maxTimeLeft:
+		return bad("the time left must be over 0 and at most %v", maxTimeLeft)
 	case len(r.Body) > MaxBody:
 		return bad("the body must be %d bytes at most", MaxBody)
 	case c.Settings.Classes[no].Effect == snowjunction.Keyed && r.IdempotencyKey == "":
@@ -180,9 +181,9 @@
 	return &c.Settings.Classes[no], nil
 }
 
-// plain tells whether s can stand in a header as it is.
-func plain(s string) bool {
-	if s == "" || len(s) > maxText {
+// headerSafe reports whether s can be used as a header value without escaping.
+func headerSafe(s string) bool {
+	if s == "" || len(s) > maxTextBytes {
 		return false
 	}
 	for _, b := range []byte(s) {
--- a/internal/groups/groups.go
+++ b/internal/groups/groups.go
@@ -1,9 +1,9 @@
-// Package groups holds target groups: the endpoints that a front lists. It does
-// no I/O, reads no clock and starts no goroutine.
+// Package groups stores target groups: the endpoints listed by a front. It does no I/O, reads no
+// clock and starts no goroutine.
 //
-// A Table is compact: an endpoint takes about 82 bytes without a pointer in
-// them, whatever is listed, and a change costs what it holds. Nothing else in
-// the program needs to exist for a destination that no flow has called for.
+// A Table is compact: each endpoint takes about 82 bytes without pointers, and the cost of a change
+// does not depend on the table's size. No other state is needed for a destination that no flow has
+// called for.
 package groups
 
 import (
@@ -22,83 +22,83 @@
 // Entry is one endpoint as a front lists it.
 type Entry struct {
 	Name        string // unique within its front
-	Addr        string // address with a port
+	Addr        string // host:port
 	Destination snowjunction.DestinationID
 	Zone, Kind  int
 	Phase       snowjunction.Phase
 	Weight      float64
 }
 
-// Errors of lists that cannot be taken.
+// Errors of invalid lists.
 var (
 	ErrDuplicate = errors.New("named twice")
 	ErrAddress   = errors.New("two endpoints at one address")
 )
 
-// Table is the endpoints of one front.
+// Table holds the endpoints of one front.
 type Table struct {
-	chunks [][]entry
-	n      int
-	dests  int
-	ready  int    // Ready endpoints
-	sum    uint64 // of their names
-	names  index  // all
-	addrs  index  // those that are Ready
-	heads  index  // the first of each destination
-	long   map[uint32]string
-	odd    map[uint32]string
+	chunks       [][]entry
+	n            int
+	destinations int
+	ready        int    // number of Ready endpoints
+	readySum     uint64 // combined hash of the names of Ready endpoints
+	names        index  // all endpoints by name
+	addrs        index  // Ready endpoints by address
+	firstOfDest  index  // the first endpoint of each destination
+	longNames    map[uint32]string
+	otherAddrs   map[uint32]string
 }
 
-// entry is an endpoint: 56 bytes. Those of a destination form a ring, in the
-// order of their listing.
+// entry is one endpoint in 56 bytes. The endpoints of a destination form a ring in listing order.
 type entry struct {
 	weight     float64
 	dest       uint32
 	next, prev uint32
-	addr       [4]byte // IPv4; others stand in Table.odd
+	addr       [4]byte // IPv4; other addresses are in Table.otherAddrs
 	port       uint16
 	zone, kind uint16
 	phase      uint8
-	nameLen    uint8 // longName: it stands in Table.long
-	name       [nameMost]byte
+	nameLen    uint8 // longNameMark if the name is in Table.longNames
+	name       [maxInlineName]byte
 }
 
 const (
-	nameMost  = 24
-	longName  = 0xff
-	oddPort   = 0 // no IPv4 address has port 0
-	chunkSize = 512
-	numberMax = 0xffff
+	maxInlineName = 24
+	longNameMark  = 0xff
+	otherAddrPort = 0 // marks entries in Table.otherAddrs; no listed IPv4 address has port 0
+	chunkSize     = 512
+	maxNumber     = 0xffff
 )
 
-// New returns a table without endpoints.
+// New returns an empty table.
 func New() *Table { return &Table{} }
 
-// Len is the number of endpoints.
+// Len returns the number of endpoints.
 func (t *Table) Len() int { return t.n }
 
-// Ready is the number of endpoints that are Ready.
+// Ready returns the number of Ready endpoints.
 func (t *Table) Ready() int { return t.ready }
 
-// Sum tells tables with other names of Ready endpoints apart, whatever their order.
-func (t *Table) Sum() uint64 { return t.sum }
+// Sum returns an order-independent hash of the names of Ready endpoints.
+func (t *Table) Sum() uint64 { return t.readySum }
 
-// count keeps the books on Ready endpoints as one comes or goes.
-func (t *Table) count(nameHash uint64, by int) {
+// countReady updates the count and the hash when a Ready endpoint is added (by is 1) or removed (by
+// is -1).
+func (t *Table) countReady(nameHash uint64, by int) {
 	t.ready += by
-	t.sum ^= nameHash * 0x9e3779b97f4a7c15 // sums of few names must not cancel out by chance
+	t.readySum ^= nameHash * 0x9e3779b97f4a7c15 // keeps XOR sums of a few names from cancelling out
 }
 
-// Destinations is the number of destinations that have endpoints.
-func (t *Table) Destinations() int { return t.dests }
+// Destinations returns the number of destinations that have endpoints.
+func (t *Table) Destinations() int { return t.destinations }
 
-// Bytes is about what the table takes.
+// Bytes returns the approximate memory use of the table.
 func (t *Table) Bytes() int {
-	n := t.names.bytes() + t.addrs.bytes() + t.heads.bytes() + len(t.chunks)*chunkSize*int(unsafe.Sizeof(entry{}))
-	for _, s := range t.long {
+	n := t.names.bytes() + t.addrs.bytes() + t.firstOfDest.bytes() + len(t.chunks)*chunkSize*int(unsafe.Sizeof(entry{}))
+	for _, s := range t.longNames {
 		n += len(s) + 32
 	}
-	for _, s := range t.odd {
+	for _, s := range t.otherAddrs {
 		n += len(s) + 32
 	}
 	return n
@@ -108,24 +108,24 @@
 
 func (t *Table) nameOf(ref uint32) string {
 	e := t.at(ref)
-	if e.nameLen == longName {
-		return t.long[ref]
+	if e.nameLen == longNameMark {
+		return t.longNames[ref]
 	}
 	return string(e.name[:e.nameLen])
 }
 
 func (t *Table) nameHash(ref uint32) uint64 {
 	e := t.at(ref)
-	if e.nameLen == longName {
-		return xxhash.Sum64String(t.long[ref])
+	if e.nameLen == longNameMark {
+		return xxhash.Sum64String(t.longNames[ref])
 	}
 	return xxhash.Sum64(e.name[:e.nameLen])
 }
 
-func (t *Table) isNamed(ref uint32, name string) bool {
+func (t *Table) hasName(ref uint32, name string) bool {
 	e := t.at(ref)
-	if e.nameLen == longName {
-		return t.long[ref] == name
+	if e.nameLen == longNameMark {
+		return t.longNames[ref] == name
 	}
 	return string(e.name[:e.nameLen]) == name
 }
@@ -136,12 +136,12 @@
 	return xxhash.Sum64(b[:])
 }
 
-func (t *Table) headHash(ref uint32) uint64 { return destHash(t.at(ref).dest) }
+func (t *Table) destHashAt(ref uint32) uint64 { return destHash(t.at(ref).dest) }
 
 func (t *Table) addrHash(ref uint32) uint64 {
 	e := t.at(ref)
-	if e.port == oddPort {
-		return xxhash.Sum64String(t.odd[ref])
+	if e.port == otherAddrPort {
+		return xxhash.Sum64String(t.otherAddrs[ref])
 	}
 	var b [6]byte
 	copy(b[:], e.addr[:])
@@ -151,8 +151,8 @@
 
 func (t *Table) addrOf(ref uint32) string {
 	e := t.at(ref)
-	if e.port == oddPort {
-		return t.odd[ref]
+	if e.port == otherAddrPort {
+		return t.otherAddrs[ref]
 	}
 	return netip.AddrPortFrom(netip.AddrFrom4(e.addr), e.port).String()
 }
@@ -166,10 +166,10 @@
 }
 
 func (t *Table) find(name string) (uint32, bool) {
-	return t.names.find(xxhash.Sum64String(name), func(ref uint32) bool { return t.isNamed(ref, name) })
+	return t.names.find(xxhash.Sum64String(name), func(ref uint32) bool { return t.hasName(ref, name) })
 }
 
-// Get returns the endpoint of that name.
+// Get returns the endpoint with the given name.
 func (t *Table) Get(name string) (Entry, bool) {
 	ref, ok := t.find(name)
 	if !ok {
@@ -178,21 +178,21 @@
 	return t.entry(ref), true
 }
 
-func (t *Table) head(d snowjunction.DestinationID) (uint32, bool) {
-	return t.heads.find(destHash(uint32(d)), func(ref uint32) bool { return t.at(ref).dest == uint32(d) })
+func (t *Table) firstOf(d snowjunction.DestinationID) (uint32, bool) {
+	return t.firstOfDest.find(destHash(uint32(d)), func(ref uint32) bool { return t.at(ref).dest == uint32(d) })
 }
 
-// Has tells whether a destination has endpoints, in whatever phase.
+// Has reports whether a destination has endpoints, in any phase.
 func (t *Table) Has(d snowjunction.DestinationID) bool {
-	_, ok := t.head(d)
+	_, ok := t.firstOf(d)
 	return ok
 }
 
-// Of yields the endpoints of a destination in the order of their listing. The
-// table must not change meanwhile.
+// Of yields the endpoints of a destination in listing order. The table must not change during the
+// iteration.
 func (t *Table) Of(d snowjunction.DestinationID) iter.Seq[Entry] {
 	return func(yield func(Entry) bool) {
-		first, ok := t.head(d)
+		first, ok := t.firstOf(d)
 		for ref := first; ok; {
 			if !yield(t.entry(ref)) {
 				return
@@ -203,11 +203,11 @@
 	}
 }
 
-// Nth is the nth endpoint, in the order of From.
+// Nth returns the nth endpoint in the order of From.
 func (t *Table) Nth(n int) Entry { return t.entry(uint32(n)) }
 
-// From yields the endpoints from the nth on. Their order is that of the listing
-// as long as none has been removed.
+// From yields the endpoints from the nth on. They are in listing order as long as none has been
+// removed.
 func (t *Table) From(n int) iter.Seq[Entry] {
 	return func(yield func(Entry) bool) {
 		for ; n < t.n; n++ {
@@ -218,8 +218,8 @@
 	}
 }
 
-// DestinationsFrom yields the destinations of the entries from the nth to the
-// mth, one for each entry: some come more than once.
+// DestinationsFrom yields the destination of each entry from the nth up to, not including, the mth.
+// A destination can occur several times.
 func (t *Table) DestinationsFrom(n, m int) iter.Seq[snowjunction.DestinationID] {
 	return func(yield func(snowjunction.DestinationID) bool) {
 		for ; n < min(m, t.n); n++ {
@@ -230,7 +230,7 @@
 	}
 }
 
-// Set adds an endpoint, or replaces the one of that name, which it returns.
+// Set adds an endpoint or replaces the one with the same name, which it then returns.
 func (t *Table) Set(e Entry) (old Entry, replaced bool) {
 	old, replaced = t.Remove(e.Name)
 	ref := uint32(t.n)
@@ -241,32 +241,32 @@
 	x := t.at(ref)
 	*x = entry{
 		weight: e.Weight, dest: uint32(e.Destination), next: ref, prev: ref, phase: uint8(e.Phase),
-		zone: uint16(min(e.Zone, numberMax)), kind: uint16(min(e.Kind, numberMax)),
+		zone: uint16(min(e.Zone, maxNumber)), kind: uint16(min(e.Kind, maxNumber)),
 	}
-	if len(e.Name) > nameMost {
-		x.nameLen = longName
-		t.long = put(t.long, ref, e.Name)
+	if len(e.Name) > maxInlineName {
+		x.nameLen = longNameMark
+		t.longNames = put(t.longNames, ref, e.Name)
 	} else {
 		x.nameLen = uint8(copy(x.name[:], e.Name))
 	}
-	if a, err := netip.ParseAddrPort(e.Addr); err == nil && a.Addr().Is4() && a.Port() != oddPort {
+	if a, err := netip.ParseAddrPort(e.Addr); err == nil && a.Addr().Is4() && a.Port() != otherAddrPort {
 		x.addr, x.port = a.Addr().As4(), a.Port()
 	} else {
-		t.odd = put(t.odd, ref, e.Addr)
+		t.otherAddrs = put(t.otherAddrs, ref, e.Addr)
 	}
 	hash := t.nameHash(ref)
 	t.names.insert(hash, ref, t.nameHash)
 	if e.Phase == snowjunction.Ready {
-		t.count(hash, 1)
+		t.countReady(hash, 1)
 		t.addrs.insert(t.addrHash(ref), ref, t.addrHash)
 	}
-	if first, ok := t.head(e.Destination); ok {
+	if first, ok := t.firstOf(e.Destination); ok {
 		last := t.at(first).prev
 		x.next, x.prev = first, last
 		t.at(last).next, t.at(first).prev = ref, ref
 	} else {
-		t.heads.insert(destHash(x.dest), ref, t.headHash)
-		t.dests++
+		t.firstOfDest.insert(destHash(x.dest), ref, t.destHashAt)
+		t.destinations++
 	}
 	return old, replaced
 }
@@ -279,8 +279,8 @@
 	return m
 }
 
-// Remove takes an endpoint out and returns it. The last one takes its place, so
-// that a list that shrinks gives its memory back.
+// Remove deletes an endpoint and returns it. The last entry moves to its place, so that a shrinking
+// table frees memory.
 func (t *Table) Remove(name string) (Entry, bool) {
 	ref, ok := t.find(name)
 	if !ok {
@@ -289,20 +289,20 @@
 	old, x, hash := t.entry(ref), *t.at(ref), t.nameHash(ref)
 	t.names.remove(hash, ref, t.nameHash)
 	if x.phase == uint8(snowjunction.Ready) {
-		t.count(hash, -1)
+		t.countReady(hash, -1)
 		t.addrs.remove(t.addrHash(ref), ref, t.addrHash)
 	}
-	if first, _ := t.head(old.Destination); first == ref {
+	if first, _ := t.firstOf(old.Destination); first == ref {
 		if x.next == ref {
-			t.heads.remove(destHash(x.dest), ref, t.headHash)
-			t.dests--
+			t.firstOfDest.remove(destHash(x.dest), ref, t.destHashAt)
+			t.destinations--
 		} else {
-			t.heads.replace(destHash(x.dest), ref, x.next)
+			t.firstOfDest.replace(destHash(x.dest), ref, x.next)
 		}
 	}
 	t.at(x.prev).next, t.at(x.next).prev = x.next, x.prev
-	delete(t.long, ref)
-	delete(t.odd, ref)
+	delete(t.longNames, ref)
+	delete(t.otherAddrs, ref)
 	if last := uint32(t.n - 1); last != ref {
 		t.move(last, ref)
 	}
@@ -315,25 +315,25 @@
 	return old, true
 }
 
-// move puts the entry at from to the free place to.
+// move copies the entry at from to the free slot to.
 func (t *Table) move(from, to uint32) {
 	nameHash, addrHash, x := t.nameHash(from), t.addrHash(from), t.at(from)
 	t.names.replace(nameHash, from, to)
 	if x.phase == uint8(snowjunction.Ready) {
 		t.addrs.replace(addrHash, from, to)
 	}
-	t.heads.replace(destHash(x.dest), from, to) // does nothing unless it is the head
-	if s, ok := t.long[from]; ok {
-		t.long[to] = s
-		delete(t.long, from)
+	t.firstOfDest.replace(destHash(x.dest), from, to) // no effect unless it is the first of its destination
+	if s, ok := t.longNames[from]; ok {
+		t.longNames[to] = s
+		delete(t.longNames, from)
 	}
-	if s, ok := t.odd[from]; ok {
-		t.odd[to] = s
-		delete(t.odd, from)
+	if s, ok := t.otherAddrs[from]; ok {
+		t.otherAddrs[to] = s
+		delete(t.otherAddrs, from)
 	}
 	y := t.at(to)
 	*y = *x
-	if x.next == from { // alone in its ring
+	if x.next == from { // the only endpoint of its destination
 		y.next, y.prev = to, to
 		return
 	}
@@ -344,7 +344,7 @@
 func (t *Table) At(addr string) (string, bool) {
 	var h uint64
 	a, err := netip.ParseAddrPort(addr)
-	four := err == nil && a.Addr().Is4() && a.Port() != oddPort
+	four := err == nil && a.Addr().Is4() && a.Port() != otherAddrPort
 	if four {
 		b := a.Addr().As4()
 		h = xxhash.Sum64(binary.LittleEndian.AppendUint16(b[:], a.Port()))
@@ -356,7 +356,7 @@
 		if four {
 			return e.port == a.Port() && e.addr == a.Addr().As4()
 		}
-		return e.port == oddPort && t.odd[ref] == addr
+		return e.port == otherAddrPort && t.otherAddrs[ref] == addr
 	})
 	if !ok {
 		return "", false
@@ -364,21 +364,20 @@
 	return t.nameOf(ref), true
 }
 
-// List is news of a front's target group: the full list, or what has changed
-// in it, where an entry that is Gone takes one out.
+// List is an update of a front's target group: the full list, or a set of changes in which a Gone
+// entry removes an endpoint.
 type List struct {
 	Full    bool
-	Shared  bool // endpoints may stand at one address, as behind a gateway
+	Shared  bool // several endpoints may share an address, as behind a gateway
 	Entries *Table
-	Leaving []string // names of those that are Draining or Gone
+	Leaving []string // names of entries that are Draining or Gone
 }
 
-// NewList returns news without entries.
+// NewList returns an update without entries.
 func NewList(full bool) *List { return &List{Full: full, Entries: New()} }
 
-// Add adds an entry. Its errors are ErrDuplicate and ErrAddress, wrapped; the
-// news cannot be taken then. An entry that drains or is gone is noted all the
-// same.
+// Add adds an entry. It returns an error that wraps ErrDuplicate or ErrAddress if the update
+// becomes invalid. Draining and Gone entries are recorded in Leaving even then.
 func (l *List) Add(e Entry) error {
 	if e.Phase != snowjunction.Ready {
 		l.Leaving = append(l.Leaving, e.Name)
@@ -395,7 +394,7 @@
 	return nil
 }
 
-// ListOf makes news of entries.
+// ListOf returns an update with the given entries.
 func ListOf(full, shared bool, entries []Entry) (*List, error) {
 	l := NewList(full)
 	l.Shared = shared
@@ -407,8 +406,8 @@
 	return l, nil
 }
 
-// Fits tells whether changes can be applied to t: no two endpoints may stand
-// at one address afterwards. A full list that Add has taken always fits.
+// Fits checks whether a set of changes can be applied to t: no two Ready endpoints may share an
+// address afterwards. A full list without an error from Add always fits.
 func (t *Table) Fits(l *List) error {
 	if l.Full || l.Shared {
 		return nil
--- a/internal/groups/index.go
+++ b/internal/groups/index.go
@@ -1,25 +1,25 @@
 package groups
 
-// index finds entries by a hash. It keeps references only: what they refer to
-// is compared by its user. Open addressing with linear probing, split into
-// shards so that growth never moves more than one shard's entries at once.
+// index is a hash index. It stores references only; its user compares the referenced values. It
+// uses open addressing with linear probing and is split into shards, so that growing moves the
+// entries of one shard only.
 type index struct {
 	shards [shardCount]shard
 }
 
 type shard struct {
-	slots []uint32 // reference + 1; 0: free
+	slots []uint32 // reference + 1; 0 means free
 	n     int
 }
 
 const (
 	shardCount = 64
-	slotsLeast = 8
+	minSlots   = 8
 )
 
 func (x *index) shard(h uint64) *shard { return &x.shards[h>>58] }
 
-// find returns the first reference under h that same accepts.
+// find returns the first reference with hash h that same accepts.
 func (x *index) find(h uint64, same func(ref uint32) bool) (uint32, bool) {
 	s := x.shard(h)
 	if s.n == 0 {
@@ -34,11 +34,11 @@
 	return 0, false
 }
 
-// insert adds a reference; hash tells that of any reference in the index.
+// insert adds a reference. hash returns the hash of any reference in the index.
 func (x *index) insert(h uint64, ref uint32, hash func(uint32) uint64) {
 	s := x.shard(h)
 	if 4*(s.n+1) > 3*len(s.slots) {
-		s.resize(max(2*len(s.slots), slotsLeast), hash)
+		s.resize(max(2*len(s.slots), minSlots), hash)
 	}
 	s.put(h, ref)
 	s.n++
@@ -63,8 +63,8 @@
 	}
 }
 
-// remove takes a reference out and closes the gap, so that no grave is left:
-// a list that changes for weeks would fill the shard with them.
+// remove deletes a reference and closes the gap instead of leaving a tombstone. Tombstones would
+// fill the shard if a list kept changing for weeks.
 func (x *index) remove(h uint64, ref uint32, hash func(uint32) uint64) {
 	s := x.shard(h)
 	if s.n == 0 {
@@ -83,7 +83,7 @@
 		if s.slots[j] == 0 {
 			break
 		}
-		// What lies at j may fill the gap unless its own place lies between.
+		// An entry at j may move to the gap at i unless its home slot lies between them.
 		if home := hash(s.slots[j]-1) & mask; (j-home)&mask >= (j-i)&mask {
 			s.slots[i] = s.slots[j]
 			i = j
@@ -94,12 +94,12 @@
 	switch {
 	case s.n == 0:
 		s.slots = nil
-	case len(s.slots) > slotsLeast && 8*s.n < len(s.slots):
+	case len(s.slots) > minSlots && 8*s.n < len(s.slots):
 		s.resize(len(s.slots)/4, hash)
 	}
 }
 
-// replace has the index refer to another place for the same thing.
+// replace changes a reference after the referenced value has moved.
 func (x *index) replace(h uint64, from, to uint32) {
 	s := x.shard(h)
 	if s.n == 0 {
--- a/internal/idempotency/idempotency.go
+++ b/internal/idempotency/idempotency.go
@@ -1,94 +1,94 @@
-// Package idempotency remembers which idempotency keys may have run, and since when. It knows no
-// clock, no wire and no goroutine.
+// Package idempotency remembers which idempotency keys may have been executed, and since when. It
+// reads no clock, knows no protocol and starts no goroutine.
 //
-// A client that has no answer in time may hand its message in again under a new id. The
-// endpoint knows the two for one by their idempotency key, as long as its class's window
-// lasts, counted from the first attempt that may have run; so the second message's attempts
-// belong into that same window. What was sent under the first id is known here alone.
+// A client that gets no answer in time may resubmit its message under a new id. The endpoint
+// recognizes both as the same by the idempotency key, for the length of the class's window, counted
+// from the first attempt that may have run. The attempts of the second message must therefore stay
+// within the window of the first, and only this package knows what was sent under the first id.
 package idempotency
 
 import "time"
 
-// Key is what an endpoint tells messages apart by.
+// Key identifies a message to its endpoint.
 type Key struct {
 	Destination uint32
 	Text        string
 }
 
-// Book is what one courier remembers. Moments are on any one clock.
-type Book struct {
-	most  int
-	first map[Key]*note
-	order []*note // as they were noted, with those taken back
+// Tracker holds the keys of one courier. All times are on the same clock, which the caller chooses.
+type Tracker struct {
+	limit   int
+	records map[Key]*record
+	order   []*record // in the order of recording, including removed records
 }
 
-type note struct {
+type record struct {
 	key       Key
-	id        string // of the message whose attempt left first
+	id        string // of the message whose attempt was sent first
 	at, until time.Duration
-	gone      bool
+	removed   bool
 }
 
-// New returns a book of so many notes at the most; beyond, the oldest are forgotten.
-func New(most int) *Book { return &Book{most: max(1, most), first: map[Key]*note{}} }
+// New returns a tracker for at most limit records. Beyond that the oldest are dropped.
+func New(most int) *Tracker { return &Tracker{limit: max(1, most), records: map[Key]*record{}} }
 
-// Left notes that an attempt of message id leaves at that moment, with a key whose window
-// lasts so long. Of several attempts the first counts until its window is over.
-func (b *Book) Left(k Key, id string, at, window time.Duration) {
+// AttemptSent records that an attempt of message id is sent at the given time with a key that has
+// the given window. The first of several attempts counts until its window is over.
+func (b *Tracker) AttemptSent(k Key, id string, at, window time.Duration) {
 	b.expire(at)
-	if n := b.first[k]; n != nil && at < n.until {
+	if n := b.records[k]; n != nil && at < n.until {
 		return
 	}
-	n := &note{key: k, id: id, at: at, until: at + window}
-	b.forget(b.first[k])
-	b.first[k] = n
+	n := &record{key: k, id: id, at: at, until: at + window}
+	b.remove(b.records[k])
+	b.records[k] = n
 	b.order = append(b.order, n)
-	for len(b.order) > b.most {
-		b.forget(b.order[0])
+	for len(b.order) > b.limit {
+		b.remove(b.order[0])
 		b.order = b.order[1:]
 	}
 }
 
-// Never takes back what was noted of message id: its attempts have proved not to have run.
-func (b *Book) Never(k Key, id string) {
-	if n := b.first[k]; n != nil && n.id == id {
-		b.forget(n)
+// NotRun removes the record of message id: its attempts have certainly not run.
+func (b *Tracker) NotRun(k Key, id string) {
+	if n := b.records[k]; n != nil && n.id == id {
+		b.remove(n)
 	}
 }
 
-// Since is when the first attempt with that key left that may have run, if its window is
-// not over at now.
-func (b *Book) Since(k Key, now time.Duration) (at time.Duration, ok bool) {
-	n := b.first[k]
+// FirstAttempt returns when the first attempt with the key that may have run was sent, if its
+// window is not over at now.
+func (b *Tracker) FirstAttempt(k Key, now time.Duration) (at time.Duration, ok bool) {
+	n := b.records[k]
 	if n == nil || now >= n.until {
 		return 0, false
 	}
 	return n.at, true
 }
 
-// Each calls f with the notes whose windows are not over, in the order noted.
-func (b *Book) Each(now time.Duration, f func(k Key, id string, at, until time.Duration)) {
+// Each calls f with every record whose window is not over, in the order of recording.
+func (b *Tracker) Each(now time.Duration, f func(k Key, id string, at, until time.Duration)) {
 	for _, n := range b.order {
-		if !n.gone && now < n.until {
+		if !n.removed && now < n.until {
 			f(n.key, n.id, n.at, n.until)
 		}
 	}
 }
 
-// Len is the number of keys that are remembered.
-func (b *Book) Len() int { return len(b.first) }
+// Len returns the number of keys remembered.
+func (b *Tracker) Len() int { return len(b.records) }
 
-func (b *Book) forget(n *note) {
-	if n != nil && !n.gone {
-		n.gone = true
-		delete(b.first, n.key)
+func (b *Tracker) remove(n *record) {
+	if n != nil && !n.removed {
+		n.removed = true
+		delete(b.records, n.key)
 	}
 }
 
-// expire drops from the front what is over or was taken back.
-func (b *Book) expire(now time.Duration) {
-	for len(b.order) > 0 && (b.order[0].gone || now >= b.order[0].until) {
-		b.forget(b.order[0])
+// expire drops removed and outdated records from the front of the order.
+func (b *Tracker) expire(now time.Duration) {
+	for len(b.order) > 0 && (b.order[0].removed || now >= b.order[0].until) {
+		b.remove(b.order[0])
 		b.order = b.order[1:]
 	}
 }
