--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -37,7 +37,7 @@
 		key = 0
 	}
 	if key != 0 {
-		if waiting, asked := c.pluginQueues[key]; asked {
+		if waiting, busy := c.pluginQueues[key]; busy {
 			c.pluginQueues[key] = append(waiting, f)
 			return
 		}
@@ -65,7 +65,7 @@
 		}
 		delete(c.pluginQueues, key)
 	}
-	asked := c.Plugins.Admit(f.msg, func(pass bool, after time.Duration) {
+	handled := c.Plugins.Admit(f.msg, func(pass bool, after time.Duration) {
 		c.awaitingPlugins--
 		if pass {
 			c.admitChecked(f)
@@ -75,7 +75,7 @@
 		}
 		next()
 	})
-	if !asked {
+	if !handled {
 		c.awaitingPlugins--
 		c.admitChecked(f)
 		next()
@@ -90,21 +90,21 @@
 	}
 	// No list has recently named this destination: a message for it could only wait for its
 	// deadline.
-	dest := snowjunction.DestinationID(f.msg.Destination)
-	unheard := c.routes.loaded[dest] == nil && !c.routes.listedAnywhere(dest) && !c.routes.delisted.has(dest, c.Loop.Now())
-	if c.atCapacity() || unheard || !c.Journal.Room(len(f.msg.Body)+len(f.msg.ID)+len(f.msg.IdempotencyKey)) {
+	destination := snowjunction.DestinationID(f.msg.Destination)
+	unlisted := c.routes.loaded[destination] == nil && !c.routes.listedAnywhere(destination) && !c.routes.delisted.has(destination, c.Loop.Now())
+	if c.atCapacity() || unlisted || !c.Journal.Room(len(f.msg.Body)+len(f.msg.ID)+len(f.msg.IdempotencyKey)) {
 		c.refuse(f, c.Settings.MaxRetry/2)
 		return
 	}
-	if c.routes.loaded[dest] == nil {
-		if room, after := c.idleTracker.Room(c.elapsed()); !room { // all stored snapshots of other destinations are binding
+	if c.routes.loaded[destination] == nil {
+		if room, after := c.idleTracker.Room(c.elapsed()); !room { // all stored snapshots are binding
 			c.Counters.Crowded++
 			c.refuse(f, min(after, c.Settings.MaxRetry))
 			return
 		}
 	}
-	if at, ran := c.attemptedKeys.FirstAttempt(f.idempotencyKey(), c.elapsed()); ran && f.keyed() {
-		f.msg.Ran, f.msg.RanSince = true, c.start.Add(at) // sent before under another id: its window continues
+	if at, known := c.attemptedKeys.FirstAttempt(f.idempotencyKey(), c.elapsed()); known && f.keyed() {
+		f.msg.Ran, f.msg.RanSince = true, c.start.Add(at) // already sent under another id
 	}
 	f.needsAdmission = true
 	c.register(f)
@@ -135,14 +135,14 @@
 		c.awaitingAdmission = append(c.awaitingAdmission, f)
 	}
 	m := f.msg
-	ev := snowjunction.Request{
+	event := snowjunction.Request{
 		ID: f.id, Destination: snowjunction.DestinationID(m.Destination), Class: c.classes[m.Class],
 		Tenant: c.tenant(m.Tenant), Key: m.Key, Again: m.Again, Attempts: m.Attempts, Ran: m.Ran,
 	}
 	if f.adoptedCall != nil {
-		ev.OutOn = c.adopt(f)
+		event.OutOn = c.adopt(f)
 	}
-	c.queueEvent(ev)
+	c.queueEvent(event)
 }
 
 // refreshTimes recomputes the relative times of queued requests just before the module is called. A
@@ -151,21 +151,21 @@
 func (c *Core) refreshTimes(events []snowjunction.Event) []snowjunction.Event {
 	now := c.Loop.Now()
 	for i, e := range events {
-		ev, ok := e.(snowjunction.Request)
-		f := c.flows[ev.ID]
+		request, ok := e.(snowjunction.Request)
+		f := c.flows[request.ID]
 		if !ok || f == nil {
 			continue
 		}
-		ev.Deadline = f.msg.Deadline.Sub(now)
+		request.Deadline = f.msg.Deadline.Sub(now)
 		if f.msg.Ran {
-			if ev.RanFor = now.Sub(f.msg.RanSince); ev.RanFor < 0 { // the clock was set back: the time since is unknown
-				ev.RanFor = f.class.Window
+			if request.RanFor = now.Sub(f.msg.RanSince); request.RanFor < 0 { // the clock was set back: time unknown
+				request.RanFor = f.class.Window
 			}
 		}
-		if ev.OutOn != 0 && f.attempt != nil {
-			ev.OutFor = now.Sub(f.attempt.startedAt)
+		if request.OutOn != 0 && f.attempt != nil {
+			request.OutFor = now.Sub(f.attempt.startedAt)
 		}
-		events[i] = ev
+		events[i] = request
 	}
 	return events
 }
@@ -193,8 +193,8 @@
 		if class.Effect == snowjunction.Keyed && m.IdempotencyKey != "" {
 			until = since.Add(class.Window + windowSlack)
 		}
-		if rests := m.OutSince.Add(class.Deadline); class.InOrder && m.Key != 0 && !attemptsOver(m) && rests.After(until) {
-			until = rests
+		if holdEnd := m.OutSince.Add(class.Deadline); class.InOrder && m.Key != 0 && !attemptsOver(m) && holdEnd.After(until) {
+			until = holdEnd
 		}
 		return until
 	}
@@ -210,11 +210,11 @@
 func (c *Core) Remember(messages []*store.Message) {
 	slices.SortStableFunc(messages, func(a, b *store.Message) int { return a.RanSince.Compare(b.RanSince) })
 	for _, m := range messages {
-		no, known := c.classes[m.Class]
+		classIndex, known := c.classes[m.Class]
 		if !known {
 			continue
 		}
-		class := &c.Settings.Classes[no]
+		class := &c.Settings.Classes[classIndex]
 		c.rememberRun(&flow{msg: m, class: class})
 		if !attemptsOver(m) && c.Loop.Now().Sub(m.OutSince) < class.Deadline {
 			c.holdKey(class, m.Key)
@@ -223,8 +223,9 @@
 }
 
 // rememberRun remembers that a message of a previous process may have run. If that process's clock
-// was ahead of this one, the time since is unknown, so the key is kept for two windows: the client
-// may resubmit at any time within its own.
+// was ahead of this one, the time since is unknown. The run is then dated one window back, so that
+// nothing is sent with its key, and remembered for another window, in which the client may
+// resubmit.
 func (c *Core) rememberRun(f *flow) {
 	at, window := f.msg.RanSince.Sub(c.start), f.class.Window
 	if now := c.elapsed(); at > now {
@@ -246,12 +247,12 @@
 
 // countTried counts whether a flow that was restored without an attempt has been attempted, or has
 // ended without one.
-func (c *Core) countTried(f *flow, is bool) {
+func (c *Core) countTried(f *flow, attempted bool) {
 	if !f.untried {
 		return
 	}
 	f.untried = false
-	if is {
+	if attempted {
 		c.Counters.Tried++
 	} else {
 		c.Counters.GivenUp++
@@ -265,14 +266,14 @@
 // acceptance. Open messages go to the module; unsettled ends are reported again.
 func (c *Core) Restore(messages []*store.Message) {
 	for _, m := range messages {
-		no, known := c.classes[m.Class]
+		classIndex, known := c.classes[m.Class]
 		if known && m.Ran { // its window continues, whatever its state
-			c.rememberRun(&flow{msg: m, class: &c.Settings.Classes[no]})
-			if now := c.Loop.Now(); m.RanSince.After(now) { // it would count as partly used by the time the module sees it
-				m.RanSince = now.Add(-c.Settings.Classes[no].Window)
+			c.rememberRun(&flow{msg: m, class: &c.Settings.Classes[classIndex]})
+			if now := c.Loop.Now(); m.RanSince.After(now) { // it would be in the past when the module sees it
+				m.RanSince = now.Add(-c.Settings.Classes[classIndex].Window)
 			}
-			if _, goes := c.adoptedCalls[m.Seq]; !goes && !m.Settled {
-				c.holdKey(&c.Settings.Classes[no], m.Key)
+			if _, inFlight := c.adoptedCalls[m.Seq]; !inFlight && !m.Settled {
+				c.holdKey(&c.Settings.Classes[classIndex], m.Key)
 			}
 		}
 		switch {
@@ -281,7 +282,7 @@
 			c.Log.Error("journal message belongs to an unknown front", "id", m.ID)
 		case m.State == store.Open && known:
 			c.Counters.Restored++
-			f := &flow{msg: m, class: &c.Settings.Classes[no], untried: m.Attempts == 0}
+			f := &flow{msg: m, class: &c.Settings.Classes[classIndex], untried: m.Attempts == 0}
 			if first := c.endedBefore[f.idempotencyKey()]; first != nil && f.keyed() && !m.Ran {
 				c.ranUnderAnother(f, first.RanSince)
 			}
@@ -296,7 +297,7 @@
 		default:
 			f := &flow{msg: m, class: &snowjunction.Class{}}
 			if known {
-				f.class = &c.Settings.Classes[no]
+				f.class = &c.Settings.Classes[classIndex]
 			}
 			if m.State == store.Open { // its class is not in this configuration
 				c.finish(f, store.Failed, 0)
@@ -352,15 +353,15 @@
 }
 
 // refuse answers a flow that is not accepted with a fixed response.
-func (c *Core) refuse(f *flow, after time.Duration) {
+func (c *Core) refuse(f *flow, retryAfter time.Duration) {
 	c.Counters.Refused++
 	c.tallyOf(f).throttled++
-	c.traceEnd(f, "turned_away", after)
+	c.traceEnd(f, "turned_away", retryAfter)
 	if c.flowsByRef[f.ref()] == f && f.id == 0 {
 		delete(c.flowsByRef, f.ref())
 	}
 	if f.answer != nil {
-		f.answer(Answer{Verdict: Fixed, After: after}, nil)
+		f.answer(Answer{Verdict: Fixed, After: retryAfter}, nil)
 		f.answer = nil
 	}
 }
--- a/internal/core/belief.go
+++ b/internal/core/belief.go
@@ -32,11 +32,11 @@
 
 // Begin sets the list that a front starts with. age is the time since the directory last confirmed
 // it; a negative age means unknown.
-func (c *Core) Begin(front int, l *groups.List, s belief.Source, age time.Duration) error {
+func (c *Core) Begin(front int, list *groups.List, source belief.Source, age time.Duration) error {
 	if d := c.directories[front]; d != nil {
-		d.confidence.Begin(s, age, c.elapsed())
+		d.confidence.Begin(source, age, c.elapsed())
 	}
-	if err := c.Listed(front, l); err != nil {
+	if err := c.Listed(front, list); err != nil {
 		return err
 	}
 	c.reviewConfidence(front)
@@ -51,9 +51,9 @@
 		return
 	}
 	defer c.resume()
-	was, word := d.confidence.Source(), d.confidence.Word()
+	was, confirmedAt := d.confidence.Source(), d.confidence.Word()
 	if d.confidence.Spoken(c.elapsed()) {
-		c.Log.Info("belief", "of", "directory", "is", "live", "was", was.String(), "list_age", (c.elapsed() - word).Round(time.Second), "why", "the directory answered")
+		c.Log.Info("belief", "of", "directory", "is", "live", "was", was.String(), "list_age", (c.elapsed() - confirmedAt).Round(time.Second), "why", "the directory answered")
 		c.republish(front)
 	}
 	c.reviewConfidence(front)
@@ -88,16 +88,16 @@
 
 // republish sends the module a front's endpoints with their current confidence.
 func (c *Core) republish(front int) {
-	var news []snowjunction.Endpoint
+	var updates []snowjunction.Endpoint
 	for _, g := range c.routes.loaded {
 		for _, m := range g.members {
 			if m.front == front && m.Phase != snowjunction.Gone {
-				news = append(news, c.updateConfidence(m)...)
+				updates = append(updates, c.updateConfidence(m)...)
 			}
 		}
 	}
-	slices.SortFunc(news, func(a, b snowjunction.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
-	c.queueEndpoints(news)
+	slices.SortFunc(updates, func(a, b snowjunction.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
+	c.queueEndpoints(updates)
 }
 
 // confidenceIn returns the confidence in an endpoint of a front.
@@ -156,14 +156,14 @@
 
 // Beliefs returns the confidence in at most most endpoints of a front, and the total number of
 // endpoints.
-func (c *Core) Beliefs(front, most int) (out []Believed, all int) {
+func (c *Core) Beliefs(front, limit int) (out []Believed, total int) {
 	d, now := c.directories[front], c.elapsed()
 	if d == nil {
 		return nil, 0
 	}
 	table := c.routes.tables[front]
 	for e := range table.From(0) {
-		if len(out) >= most {
+		if len(out) >= limit {
 			break
 		}
 		a := d.confidence.Explain(e.Name)
--- a/internal/core/book.go
+++ b/internal/core/book.go
@@ -74,26 +74,26 @@
 
 // abandon carries out the module's decision to give up a flow: as the answer if the client still
 // waits for one, otherwise as the final result.
-func (c *Core) abandon(id snowjunction.RequestID, s store.State, after time.Duration) {
+func (c *Core) abandon(id snowjunction.RequestID, state store.State, retryAfter time.Duration) {
 	f := c.flows[id]
 	if f == nil || f.ended {
 		return
 	}
-	if s == store.Returned && !c.inWindow(f) { // not safe to resubmit, although the module thinks so
-		s, after = store.Failed, 0
+	if state == store.Returned && !c.inWindow(f) { // not safe to resubmit, although the module thinks so
+		state, retryAfter = store.Failed, 0
 	}
 	if f.answer == nil {
-		c.finish(f, s, after)
+		c.finish(f, state, retryAfter)
 		return
 	}
 	answer := f.answer
 	f.answer = nil
 	c.closeFlow(f)
-	c.traceEnd(f, "refused", after)
-	if s == store.Returned {
+	c.traceEnd(f, "refused", retryAfter)
+	if state == store.Returned {
 		c.Counters.Refused++
 		c.tallyOf(f).throttled++
-		answer(Answer{Verdict: Fixed, After: after}, nil)
+		answer(Answer{Verdict: Fixed, After: retryAfter}, nil)
 	} else {
 		c.Counters.Failed++
 		c.tallyOf(f).faulted++
@@ -102,14 +102,14 @@
 }
 
 // finish records the final result of an accepted flow and reports it.
-func (c *Core) finish(f *flow, s store.State, after time.Duration) {
+func (c *Core) finish(f *flow, state store.State, retryAfter time.Duration) {
 	if !f.ended && f.id != 0 {
 		c.closeFlow(f)
 	}
-	if err := c.Journal.Ended(f.msg, s, after, c.Loop.Now()); err != nil {
+	if err := c.Journal.Ended(f.msg, state, retryAfter, c.Loop.Now()); err != nil {
 		c.Log.Error("journal", "err", err)
 	}
-	switch s {
+	switch state {
 	case store.Delivered:
 		c.Counters.Delivered++
 		c.tallyOf(f).fulfilled++
@@ -122,7 +122,7 @@
 		c.Counters.Returned++
 		c.tallyOf(f).throttled++
 	}
-	c.traceEnd(f, s.String(), after)
+	c.traceEnd(f, state.String(), retryAfter)
 	if c.Plugins != nil {
 		c.Plugins.Ended(f.msg)
 	}
@@ -145,12 +145,12 @@
 	if err := c.Journal.Settle(m); err != nil {
 		c.Log.Error("journal", "err", err)
 	}
-	n, ok := c.unsettledEnds[m.Key]
+	unsettled, ok := c.unsettledEnds[m.Key]
 	if no, known := c.classes[m.Class]; !ok || !known || !c.Settings.Classes[no].InOrder {
 		return
 	}
-	if n > 1 {
-		c.unsettledEnds[m.Key] = n - 1
+	if unsettled > 1 {
+		c.unsettledEnds[m.Key] = unsettled - 1
 		return
 	}
 	delete(c.unsettledEnds, m.Key)
--- a/internal/core/capacity_test.go
+++ b/internal/core/capacity_test.go
@@ -12,12 +12,12 @@
 	"snowjunction/internal/store"
 )
 
-// What a message that waits takes of the whole core: flow, module and journal, with a body of
-// 256 bytes and a key of its own, at a destination whose one slot is in use.
+// BenchmarkHeldMessage measures the memory of one waiting message in the core, the module and the
+// journal. It has a body of 256 bytes and its own key, and its destination's only slot is in use.
 func BenchmarkHeldMessage(b *testing.B) {
 	const n = 20_000
 	gauge.Held(b, n, "event", func() any {
-		x := newBenchWith(&bench{t: b, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, disk: 1 << 30}, func(s *snowjunction.Settings) {
+		x := newHarnessWith(&harness{t: b, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, journalBytes: 1 << 30}, func(s *snowjunction.Settings) {
 			s.MaxHeld, s.Slots = 0, 1
 			s.Classes[0].Aim, s.Classes[0].Deadline = time.Hour, 2*time.Hour
 		})
@@ -33,18 +33,18 @@
 			}
 		}
 		if x.step(5 * ms); x.c.Held() != n {
-			b.Fatalf("%d held of %d", x.c.Held(), n)
+			b.Fatalf("%d messages held, want %d", x.c.Held(), n)
 		}
 		return x
 	})
 }
 
-// What a whole list costs the core that holds the same already, and the heap that both take
-// while it is taken.
+// BenchmarkWholeList measures the cost of a full list for a core that already holds the same list,
+// and the peak heap while it is applied.
 func BenchmarkWholeList(b *testing.B) {
 	for _, n := range []int{20_000, 200_000, 2_600_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			x := newBenchWith(&bench{t: b, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)}, nil)
+			x := newHarnessWith(&harness{t: b, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)}, nil)
 			most := uint64(0)
 			gauge.CPU(b, n, "entry", func() {
 				l := groups.NewList(true)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -106,9 +106,9 @@
 	// means that each front lists all.
 	ListedShare func(front int) float64
 	Fleet       Fleet           // nil if the courier runs alone
-	ParkMost    time.Duration   // maximum age of a send decision when it is carried out; 0 means 50 ms
+	ParkMost    time.Duration   // maximum age of a send decision on execution; 0 means 50 ms
 	Exclusions  Exclusions      // nil means that operators cannot exclude endpoints
-	Heard       func(front int) // optional; called when a front's list changes and when its directory confirms it
+	Heard       func(front int) // if not nil, called when a front's list changes or is confirmed
 }
 
 // Core owns the decision module, the flows and the target groups.
@@ -124,10 +124,10 @@
 	flows                 map[snowjunction.RequestID]*flow
 	flowsByRef            map[messageRef]*flow // open flows by front and message id
 	awaitingAdmission     []*flow              // flows whose clients have no answer yet
-	retryAfterReceived    map[uint32]bool      // destinations that sent a retry-after delay since the module was last called
-	pluginQueues          map[uint64][]*flow   // by ordering key: flows queued while a plug-in decides about an earlier one
+	retryAfterReceived    map[uint32]bool      // destinations with a retry-after delay since the last call
+	pluginQueues          map[uint64][]*flow   // by ordering key: flows behind one that waits for a plug-in
 	openFlows             int
-	awaitingPlugins       int // flows that wait for a plug-in; not yet in held
+	awaitingPlugins       int // flows that wait for a plug-in; not yet in openFlows
 	openCalls             int
 	routes                routes
 	awaitingSettlement    map[uint64][]*flow // by ordering key: flows that wait for earlier ends to be settled
@@ -136,8 +136,8 @@
 	tenants               map[string]int
 	draining              bool
 	frozen                bool
-	suspended             bool                         // decisions stopped for a handover
-	adoptedCalls          map[uint64]handover.Call     // by message sequence number: calls taken over from another process
+	suspended             bool                         // no decisions, because another process takes over
+	adoptedCalls          map[uint64]handover.Call     // by message number: calls taken over from another process
 	pendingExclusions     map[string]*pendingExclusion // by endpoint name
 	unwrittenExclusions   int                          // exclusion changes that are not on disk yet
 	paused                bool                         // the first decisions wait until the directory confirms its list
@@ -149,7 +149,7 @@
 	idleTimer             *Timer // fires when destinations may be unloaded next
 	attemptedKeys         *idempotency.Tracker
 	flowsByIdempotencyKey map[idempotency.Key][]*flow        // open, or with a call in flight, by idempotency key
-	endedBefore           map[idempotency.Key]*store.Message // ended messages of a previous process that may have run; cleared by Restore
+	endedBefore           map[idempotency.Key]*store.Message // of a previous run, that may have run; cleared by Restore
 	attemptsSent          uint64                             // attempts sent to endpoints
 	exclusionSet          *exclusions.Set
 	tallies               []tally // by class; the last is for unknown classes
@@ -171,9 +171,9 @@
 
 // New returns a core. Fronts are numbered in the order of cfg.Fronts.
 func New(cfg Config) (*Core, error) {
-	// Requests take time to arrive and the endpoint's clock decides: a key's hold starts when the
-	// request arrives there, and the endpoint's idempotency window started earlier than the
-	// courier's.
+	// Requests take time to arrive, and the endpoint applies the rules. A key's hold begins only
+	// when the earlier request has arrived there. A window begins when the first attempt leaves
+	// here, and a retry has to arrive there within it.
 	cfg.Settings.OrderSettle += settleSlack
 	cfg.Settings.Classes = slices.Clone(cfg.Settings.Classes) // do not change the caller's slice
 	for i := range cfg.Settings.Classes {
@@ -189,12 +189,12 @@
 	if err != nil {
 		return nil, err
 	}
-	sleep := dormancy.Default(cfg.Settings)
+	dormancyConfig := dormancy.Default(cfg.Settings)
 	if cfg.Dormancy != nil {
-		sleep = *cfg.Dormancy
+		dormancyConfig = *cfg.Dormancy
 	}
 	c := &Core{
-		Config: cfg, idleTracker: dormancy.New(sleep), courier: courier, start: cfg.Loop.Now(),
+		Config: cfg, idleTracker: dormancy.New(dormancyConfig), courier: courier, start: cfg.Loop.Now(),
 		flows: map[snowjunction.RequestID]*flow{}, flowsByRef: map[messageRef]*flow{},
 		retryAfterReceived: map[uint32]bool{}, pluginQueues: map[uint64][]*flow{}, awaitingSettlement: map[uint64][]*flow{}, unsettledEnds: map[uint64]int{},
 		classes: map[string]int{}, tenants: map[string]int{},
@@ -231,9 +231,9 @@
 // Pause delays the module's first decisions until a front's directory confirms its list, for at
 // most the given time. Without it, messages of a previous process run could be sent to endpoints
 // that have since left the list.
-func (c *Core) Pause(most time.Duration) {
+func (c *Core) Pause(timeout time.Duration) {
 	c.paused = true
-	c.Loop.After(most, c.resume)
+	c.Loop.After(timeout, c.resume)
 }
 
 func (c *Core) resume() {
@@ -269,36 +269,36 @@
 	c.queueEvent(snowjunction.Heard{Peer: peer, Notes: notes})
 }
 
-func (c *Core) execute(a snowjunction.Action) {
-	switch a := a.(type) {
+func (c *Core) execute(action snowjunction.Action) {
+	switch action := action.(type) {
 	case snowjunction.Send:
-		c.send(a)
+		c.send(action)
 	case snowjunction.Refuse:
-		c.abandon(a.Request, store.Returned, a.RetryAfter)
+		c.abandon(action.Request, store.Returned, action.RetryAfter)
 	case snowjunction.Fail:
-		c.abandon(a.Request, store.Failed, 0)
+		c.abandon(action.Request, store.Failed, 0)
 	case snowjunction.Cancel:
-		c.cancel(a)
+		c.cancel(action)
 	case snowjunction.SetTimer:
-		c.Loop.After(a.After, func() { c.queueEvent(snowjunction.Timer{Token: a.Token}) })
+		c.Loop.After(action.After, func() { c.queueEvent(snowjunction.Timer{Token: action.Token}) })
 	case snowjunction.CloseIdle:
-		if t := c.routes.byID[a.Endpoint]; t != nil && t.target != nil {
+		if t := c.routes.byID[action.Endpoint]; t != nil && t.target != nil {
 			t.target.CloseIdle()
 		}
 	case snowjunction.Log:
-		c.Log.Info("decision", "text", a.Text)
+		c.Log.Info("decision", "text", action.Text)
 	case snowjunction.Asleep:
-		c.unloaded(a)
+		c.unloaded(action)
 	case snowjunction.Seen:
-		c.receiveSnapshot(a)
+		c.receiveSnapshot(action)
 	case snowjunction.Tell:
 		if c.Fleet != nil {
 			c.Counters.Told++
-			c.Fleet.Tell(a.Peer, a.Notes)
+			c.Fleet.Tell(action.Peer, action.Notes)
 		}
 	case snowjunction.Watch: // fronts watch their lists on their own
 	default:
-		c.Log.Error("unknown action from the decision module", "action", fmt.Sprintf("%T", a))
+		c.Log.Error("unknown action from the decision module", "action", fmt.Sprintf("%T", action))
 	}
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -19,95 +19,95 @@
 
 const ms = time.Millisecond
 
-// bench drives a core on a clock of its own. It is the core's front, and its
-// targets keep the calls that they get.
-type bench struct {
+// harness drives a core with a manual clock. It is the core's front, and its targets record the
+// calls that they get.
+type harness struct {
 	t       testing.TB
 	c       *Core
 	now     time.Time
 	journal *store.Journal
 	ended   []*store.Message
-	settle  bool // ends are settled at once
+	settle  bool // settle ends at once
 	calls   []*testCall
-	// Connections take a while to come up: calls leave once they are opened.
-	dialling bool
-	bare     bool // nothing is listed to begin with
-	left     int  // targets that have left their groups
-	made     []Entry
-	sleep    *dormancy.Config
-	beyond   Beyond
-	learnt   Learnt
-	dirs     map[int]Directory
-	plugins  Plugins
-	dir      string                // of the journal
-	heirs    []*store.Message      // what an earlier process has left in it
-	goes     func(seq uint64) bool // which attempts go on
-	disk     int64                 // bytes that the journal may take; 0: 3e6
+	// If set, calls are sent only when the test calls connect.
+	connecting   bool
+	emptyList    bool // start without listed endpoints
+	leftTargets  int  // targets that have left their groups
+	targets      []Entry
+	dormancy     *dormancy.Config
+	beyond       Beyond
+	learnt       Learnt
+	directories  map[int]Directory
+	plugins      Plugins
+	journalDir   string                // of the journal
+	restored     []*store.Message      // messages that a previous process left in the journal
+	resumes      func(seq uint64) bool // see store.Options.Goes
+	journalBytes int64                 // size limit of the journal in bytes; 0 means 3e6
 }
 
 type testCall struct {
-	b      *bench
-	m      *store.Message
-	shape  Shape
-	done   func(Result)
-	may    func() bool
-	left   bool
-	gaveUp bool
-	kept   time.Duration
-	addr   string
-}
-
-// opened has a call's connection come up: it leaves, if it may.
-func (x *testCall) opened() bool {
-	if x.left = x.may(); x.left {
-		assert.True(x.b.t, x.m.Out, "an attempt is recorded before it leaves")
+	b         *harness
+	m         *store.Message
+	shape     Shape
+	done      func(Result)
+	mayStart  func() bool
+	sent      bool
+	abandoned bool
+	idleFor   time.Duration
+	addr      string
+}
+
+// connect simulates that the call's connection is up. The call is sent if that is still allowed.
+func (x *testCall) connect() bool {
+	if x.sent = x.mayStart(); x.sent {
+		assert.True(x.b.t, x.m.Out, "an attempt is recorded before it is sent")
 	}
-	return x.left
+	return x.sent
 }
 
-func (x *testCall) Left() bool { return x.left }
-func (x *testCall) GiveUp()    { x.gaveUp = true }
+func (x *testCall) Left() bool { return x.sent }
+func (x *testCall) GiveUp()    { x.abandoned = true }
 
-func (x *testCall) Kept() time.Duration { return x.kept }
+func (x *testCall) Kept() time.Duration { return x.idleFor }
 
 type testTarget struct {
-	b    *bench
+	b    *harness
 	addr string
 }
 
 func (x testTarget) Call(m *store.Message, shape Shape, _ time.Duration, may func() bool, done func(Result)) Call {
-	call := &testCall{b: x.b, m: m, shape: shape, may: may, done: done, addr: x.addr}
-	if !x.b.dialling && !call.opened() {
+	call := &testCall{b: x.b, m: m, shape: shape, mayStart: may, done: done, addr: x.addr}
+	if !x.b.connecting && !call.connect() {
 		return nil
 	}
 	x.b.calls = append(x.b.calls, call)
 	return call
 }
 func (x testTarget) CloseIdle() {}
-func (x testTarget) Leave()     { x.b.left++ }
+func (x testTarget) Leave()     { x.b.leftTargets++ }
 
-func (b *bench) Target(e Entry) Target {
-	b.made = append(b.made, e)
+func (b *harness) Target(e Entry) Target {
+	b.targets = append(b.targets, e)
 	return testTarget{b, e.Addr}
 }
 
-func (b *bench) Ended(m *store.Message) {
+func (b *harness) Ended(m *store.Message) {
 	b.ended = append(b.ended, m)
 	if b.settle {
 		b.c.Settled(m)
 	}
 }
 
-func newBench(t testing.TB, change func(*snowjunction.Settings)) *bench {
-	return newBenchWith(&bench{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true}, change)
+func newHarness(t testing.TB, change func(*snowjunction.Settings)) *harness {
+	return newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true}, change)
 }
 
-func newBenchWith(b *bench, change func(*snowjunction.Settings)) *bench {
+func newHarnessWith(b *harness, change func(*snowjunction.Settings)) *harness {
 	t := b.t
 	log := slog.New(slog.DiscardHandler)
 	var err error
-	if b.dir == "" {
-		b.dir = t.TempDir()
+	if b.journalDir == "" {
+		b.journalDir = t.TempDir()
 	}
 	s := snowjunction.Settings{
 		Seed: 1, Fleet: 1, Tick: 5 * ms, Slots: 8, MaxHeld: 10, MaxAttempts: 6, RetryAfter: true, MaxRetry: 3 * time.Second,
@@ -120,26 +120,26 @@
 	if change != nil {
 		change(&s)
 	}
-	b.journal, b.heirs, err = store.Load(store.Options{Dir: b.dir, Bytes: cmp.Or(b.disk, 3e6), Log: log, Goes: b.goes, Until: Until(s)})
+	b.journal, b.restored, err = store.Load(store.Options{Dir: b.journalDir, Bytes: cmp.Or(b.journalBytes, 3e6), Log: log, Goes: b.resumes, Until: Until(s)})
 	require.NoError(t, err)
 	t.Cleanup(func() { b.journal.Close() })
 	b.c, err = New(Config{
-		Loop: NewLoop(func() time.Time { return b.now }), Log: log, Journal: b.journal, Settings: s, Fronts: []Front{b, b}, Dormancy: b.sleep, Beyond: b.beyond, Plugins: b.plugins,
-		Learnt: b.learnt, Directories: b.dirs,
+		Loop: NewLoop(func() time.Time { return b.now }), Log: log, Journal: b.journal, Settings: s, Fronts: []Front{b, b}, Dormancy: b.dormancy, Beyond: b.beyond, Plugins: b.plugins,
+		Learnt: b.learnt, Directories: b.directories,
 	})
 	require.NoError(t, err)
-	if !b.bare {
+	if !b.emptyList {
 		b.list(snowjunction.Ready, true)
 	}
 	return b
 }
 
-func (b *bench) list(phase snowjunction.Phase, full bool) {
+func (b *harness) list(phase snowjunction.Phase, full bool) {
 	b.listed(0, full, Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: phase})
 	b.step(10 * ms)
 }
 
-func (b *bench) listed(front int, full bool, entries ...Entry) {
+func (b *harness) listed(front int, full bool, entries ...Entry) {
 	l, err := groups.ListOf(full, false, entries)
 	require.NoError(b.t, err)
 	require.NoError(b.t, b.c.Listed(front, l))
@@ -153,17 +153,17 @@
 	return l
 }
 
-// standing is that of an endpoint of the first front.
-func (b *bench) standing(name string) belief.Standing { return b.c.confidenceIn(0, name) }
+// standing returns the confidence in an endpoint of the first front.
+func (b *harness) standing(name string) belief.Standing { return b.c.confidenceIn(0, name) }
 
-func (b *bench) step(d time.Duration) {
+func (b *harness) step(d time.Duration) {
 	b.c.Loop.Turn()
 	b.now = b.now.Add(d)
 	b.c.Loop.Turn()
 }
 
-// add hands a message in and returns where its answer goes.
-func (b *bench) add(id, class string, key uint64) *[]Answer {
+// add submits a message and returns the slice that receives its answers.
+func (b *harness) add(id, class string, key uint64) *[]Answer {
 	got := &[]Answer{}
 	err := b.c.TakeIn(Request{ID: id, Class: class, Key: key, IdempotencyKey: id, Destination: 7, Left: 2 * time.Second},
 		func(a Answer, _ *store.Message) bool {
@@ -174,15 +174,15 @@
 	return got
 }
 
-func TestTakenThenDelivered(t *testing.T) {
-	b := newBench(t, nil)
+func TestAcceptedThenDelivered(t *testing.T) {
+	b := newHarness(t, nil)
 	got := b.add("m1", "status", 0)
-	assert.Empty(t, *got, "no answer before the module has seen it")
+	assert.Empty(t, *got, "no answer before the module's decision")
 	b.step(5 * ms)
 	assert.Equal(t, []Answer{{Verdict: Taken}}, *got)
 	require.Len(t, b.calls, 1)
 	b.calls[0].done(Result{Outcome: snowjunction.OK})
-	b.calls[0].done(Result{Outcome: snowjunction.Error}) // a second result is none
+	b.calls[0].done(Result{Outcome: snowjunction.Error}) // a second result is ignored
 	b.step(5 * ms)
 	require.Len(t, b.ended, 1)
 	assert.Equal(t, store.Delivered, b.ended[0].State)
@@ -190,8 +190,8 @@
 	assert.Empty(t, b.c.flows)
 }
 
-func TestSentTwiceByItsClient(t *testing.T) {
-	b := newBench(t, nil)
+func TestResubmittedWhileOpen(t *testing.T) {
+	b := newHarness(t, nil)
 	b.add("m1", "status", 0)
 	b.step(5 * ms)
 	again := b.add("m1", "status", 0)
@@ -200,10 +200,9 @@
 	assert.Len(t, b.calls, 1)
 }
 
-// Another client that uses an open id must not take the answer from the one
-// that used it first.
-func TestOpenIDOfAnother(t *testing.T) {
-	b := newBench(t, nil)
+// Another client with the same id as an open message must not take away the first client's answer.
+func TestOpenIDUsedByTwoClients(t *testing.T) {
+	b := newHarness(t, nil)
 	first, other := b.add("m1", "status", 0), b.add("m1", "status", 0)
 	b.step(5 * ms)
 	assert.Equal(t, []Answer{{Verdict: Taken}}, *first)
@@ -211,10 +210,10 @@
 	assert.Len(t, b.calls, 1)
 }
 
-// A destination that no list has named is a mistake. One whose targets have
-// left may have others soon.
-func TestUnheardDestination(t *testing.T) {
-	b := newBench(t, nil)
+// A message for a destination that was never listed is refused. One whose endpoints have just left
+// is accepted, as others may be listed soon.
+func TestUnlistedDestination(t *testing.T) {
+	b := newHarness(t, nil)
 	var got []Answer
 	answer := func(a Answer, _ *store.Message) bool {
 		got = append(got, a)
@@ -232,8 +231,8 @@
 	assert.Equal(t, Taken, got[1].Verdict)
 }
 
-func TestFullIsRefusedAtOnce(t *testing.T) {
-	b := newBench(t, func(s *snowjunction.Settings) { s.MaxHeld = 1 })
+func TestRefusedAtCapacity(t *testing.T) {
+	b := newHarness(t, func(s *snowjunction.Settings) { s.MaxHeld = 1 })
 	b.add("m1", "status", 0)
 	got := b.add("m2", "status", 0)
 	require.Len(t, *got, 1)
@@ -241,9 +240,9 @@
 	assert.Positive(t, (*got)[0].After)
 }
 
-// What the module gives up at its first look was never taken on.
-func TestGivenUpBeforeTaken(t *testing.T) {
-	b := newBench(t, func(s *snowjunction.Settings) { s.MaxHeld = 2 })
+// A message that the module gives up in its first decision was never accepted.
+func TestGivenUpBeforeAccepted(t *testing.T) {
+	b := newHarness(t, func(s *snowjunction.Settings) { s.MaxHeld = 2 })
 	var all []*[]Answer
 	for _, id := range []string{"m1", "m2"} {
 		all = append(all, b.add(id, "status", 0))
@@ -258,79 +257,79 @@
 	assert.Empty(t, b.ended)
 }
 
-func TestClientGone(t *testing.T) {
-	b := newBench(t, nil)
+func TestClientDisconnected(t *testing.T) {
+	b := newHarness(t, nil)
 	require.NoError(t, b.c.TakeIn(Request{ID: "m1", Class: "status", Destination: 7, Left: time.Second},
 		func(Answer, *store.Message) bool { return false }))
 	b.step(5 * ms)
-	assert.Empty(t, b.calls, "nobody waits for it")
+	assert.Empty(t, b.calls, "no client waits for it")
 	assert.Zero(t, b.c.Held())
 	b.step(5 * ms)
 	b.add("m2", "status", 0)
 	b.step(5 * ms)
-	assert.Len(t, b.calls, 1, "and its slot is free again")
+	assert.Len(t, b.calls, 1, "its slot is free again")
 }
 
-// A message ended by a notice is over once that is answered: until then the
-// next of its key must not leave, or the key's order is broken.
-func TestKeyWaitsForTheNotice(t *testing.T) {
-	b := newBench(t, nil)
+// A message is over only when its notice is confirmed. If the next message of its key were sent
+// earlier, the key's order would be broken.
+func TestKeyWaitsForNotice(t *testing.T) {
+	b := newHarness(t, nil)
 	b.settle = false
 	b.add("m1", "order", 9)
 	b.step(5 * ms)
 	b.add("m2", "order", 9)
 	b.step(5 * ms)
 	require.Len(t, b.calls, 1)
-	b.step(3 * time.Second) // the first one's time is up, with its call out
-	require.True(t, b.calls[0].gaveUp)
+	b.step(3 * time.Second) // the first message expires with its call in flight
+	require.True(t, b.calls[0].abandoned)
 	require.NotEmpty(t, b.ended)
 	require.Equal(t, "m1", b.ended[0].ID)
 	b.add("m3", "order", 9)
 	b.step(5 * ms)
 	b.step(100 * ms)
-	assert.Len(t, b.calls, 1, "not before the end is known")
+	assert.Len(t, b.calls, 1, "not sent before the end is confirmed")
 	for _, m := range b.ended {
 		b.c.Settled(m)
 	}
-	assert.Len(t, b.calls, 1, "the decision is old: a wait may have been told since")
-	for i := 0; i < 300 && len(b.calls) < 2; i++ { // its target has timed out: it gets a trial now and then
+	assert.Len(t, b.calls, 1, "the decision is too old: a retry-after delay may have arrived since")
+	for i := 0; i < 300 && len(b.calls) < 2; i++ { // its endpoint has timed out and gets only trial calls
 		b.step(5 * ms)
 	}
 	require.Len(t, b.calls, 2)
 	assert.Equal(t, "m3", b.calls[1].m.ID)
 }
 
-// A target may leave its group between the decision and the sending.
-func TestNothingNewToATargetThatLeft(t *testing.T) {
-	b := newBench(t, nil)
+// A target may leave its group between the module's decision and the sending.
+func TestNoCallToRemovedTarget(t *testing.T) {
+	b := newHarness(t, nil)
 	b.add("m1", "status", 0)
 	b.listed(0, true)
 	b.step(5 * ms)
 	assert.Empty(t, b.calls)
-	assert.Equal(t, 1, b.left)
+	assert.Equal(t, 1, b.leftTargets)
 	b.list(snowjunction.Ready, true)
 	b.step(5 * ms)
-	assert.Len(t, b.calls, 1, "back under the same name it is called again")
+	assert.Len(t, b.calls, 1, "listed again under the same name, it is called again")
 	b.list(snowjunction.Draining, false)
-	assert.Equal(t, 2, b.left)
+	assert.Equal(t, 2, b.leftTargets)
 }
 
-// One front's full list says nothing of another's targets.
+// A full list of one front does not affect another front's targets.
 func TestListsOfTwoFronts(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	b.listed(1, true, Entry{Name: "s-1", Addr: "127.0.0.1:2", Destination: 7, Phase: snowjunction.Ready})
 	b.add("m1", "status", 0)
 	b.listed(0, true)
-	assert.Equal(t, 1, b.left)
+	assert.Equal(t, 1, b.leftTargets)
 	g := b.c.routes.loaded[7]
 	assert.Nil(t, g.find(0, "s-1").target)
 	assert.NotNil(t, g.find(1, "s-1").target)
 }
 
-// An endpoint that leaves and soon comes back is the same to the module; one
-// that stays away is forgotten, as releases bring new ones for ever.
+// An endpoint that leaves and soon returns keeps its number. One that stays away is forgotten;
+// otherwise every release would add endpoints that are kept forever.
 func TestGoneEndpointsAreForgotten(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	b.add("m1", "status", 0)
 	g := b.c.routes.loaded[7]
 	b.list(snowjunction.Gone, false)
@@ -343,11 +342,10 @@
 	assert.Len(t, b.c.routes.byID, 1)
 }
 
-// A call whose bytes never left proves that it did not run.
-// A repeat's connection takes so long to come up that the window of its class has ended:
-// nothing of it leaves, and a restart finds no attempt out.
-func TestStaleDecision(t *testing.T) {
-	b := newBench(t, func(s *snowjunction.Settings) { s.Classes[0].Window = 500 * ms })
+// A retry's connection takes so long that the window of its class ends. Nothing of the retry is
+// sent, and a restart finds no attempt in flight.
+func TestRetryConnectsAfterWindow(t *testing.T) {
+	b := newHarness(t, func(s *snowjunction.Settings) { s.Classes[0].Window = 500 * ms })
 	b.add("m1", "order", 9)
 	b.step(5 * ms)
 	require.Len(t, b.calls, 1)
@@ -356,10 +354,10 @@
 	b.step(5 * ms)
 	require.Len(t, b.calls, 2)
 	repeat := b.calls[1]
-	repeat.left = false
-	assert.True(t, repeat.may(), "its window has time left")
+	repeat.sent = false
+	assert.True(t, repeat.mayStart(), "its window is still open")
 	b.now = b.now.Add(250 * ms)
-	require.False(t, repeat.may())
+	require.False(t, repeat.mayStart())
 	repeat.done(Result{Outcome: snowjunction.Moot})
 	b.step(5 * ms)
 	assert.Len(t, b.calls, 2)
@@ -369,19 +367,19 @@
 }
 
 func TestNeverConnected(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	b.add("m1", "status", 0)
 	b.step(5 * ms)
-	b.calls[0].left = false
+	b.calls[0].sent = false
 	b.step(time.Second)
-	assert.True(t, b.calls[0].gaveUp)
+	assert.True(t, b.calls[0].abandoned)
 	assert.EqualValues(t, 1, b.c.Counters.Results[snowjunction.ConnectFailed])
 	assert.False(t, b.calls[0].m.Ran)
 }
 
 func TestRestoredKeepsAttemptsAndWindow(t *testing.T) {
-	b := newBench(t, nil)
-	b.c.Restore([]*store.Message{b.ran("inside", 2*time.Second), b.ran("outside", 4950*ms)})
+	b := newHarness(t, nil)
+	b.c.Restore([]*store.Message{b.ranMessage("inside", 2*time.Second), b.ranMessage("outside", 4950*ms)})
 	b.step(5 * ms)
 	require.Len(t, b.calls, 1, "close to the end of its window, or past it, a keyed message never goes again")
 	assert.Equal(t, "inside", b.calls[0].m.ID)
@@ -390,25 +388,25 @@
 	assert.Equal(t, store.Failed, b.ended[0].State)
 }
 
-// taken is a message that an earlier process took on.
-func (b *bench) taken(id, class string) *store.Message {
+// acceptedMessage returns a message that a previous process accepted.
+func (b *harness) acceptedMessage(id, class string) *store.Message {
 	m := &store.Message{ID: id, IdempotencyKey: "k", Class: class, Destination: 7, Deadline: b.now.Add(time.Minute)}
 	require.NoError(b.t, b.journal.Take(m))
 	return m
 }
 
-// ran is such an order, with an attempt that may have run so long ago.
-func (b *bench) ran(id string, ago time.Duration) *store.Message {
-	m := b.taken(id, "order")
+// ranMessage returns an accepted order with an attempt that may have run the given time ago.
+func (b *harness) ranMessage(id string, ago time.Duration) *store.Message {
+	m := b.acceptedMessage(id, "order")
 	require.NoError(b.t, b.journal.Sent(m, b.now.Add(-ago)))
 	require.NoError(b.t, b.journal.Came(m, true, time.Time{}))
 	return m
 }
 
-// slowDisk is a journal whose records of attempts take a while.
+// slowDisk is a journal that takes some time to record an attempt.
 type slowDisk struct {
 	*store.Journal
-	b    *bench
+	b    *harness
 	take time.Duration
 }
 
@@ -418,9 +416,9 @@
 	return err
 }
 
-// The record of a repeat takes until its window is over: its bytes stay here.
-func TestSlowRecord(t *testing.T) {
-	b := newBench(t, nil)
+// Recording a retry takes until its window is over. The retry must not be sent.
+func TestSlowJournalWriteOfRetry(t *testing.T) {
+	b := newHarness(t, nil)
 	disk := &slowDisk{Journal: b.journal, b: b}
 	b.c.Journal = disk
 	b.add("m1", "order", 9)
@@ -435,18 +433,18 @@
 	assert.Equal(t, uint64(1), b.c.Counters.Sent)
 }
 
-// A clock that was set back over a restart says nothing of how much of a window is left.
+// If the clock was set back over a restart, the rest of a window is unknown, so nothing is sent.
 func TestClockSetBackOverRestart(t *testing.T) {
-	b := newBench(t, nil)
-	b.c.Restore([]*store.Message{b.ran("m1", -time.Hour)})
+	b := newHarness(t, nil)
+	b.c.Restore([]*store.Message{b.ranMessage("m1", -time.Hour)})
 	b.step(5 * ms)
 	assert.Empty(t, b.calls)
 	require.Len(t, b.ended, 1)
 	assert.Equal(t, store.Failed, b.ended[0].State)
 }
 
-// A client that had no answer hands its message in again under a new id and the same
-// idempotency key: the window goes on from the first id's attempt.
+// A client without an answer resubmits its message under a new id with the same idempotency key.
+// The window counts from the first id's attempt.
 func TestSameKeyUnderAnotherID(t *testing.T) {
 	for _, c := range []struct {
 		what    string
@@ -462,13 +460,13 @@
 		{"past the window the key is forgotten here", snowjunction.Reset, 6 * time.Second, "k", true},
 		{"another key", snowjunction.Reset, 4950 * ms, "other", true},
 	} {
-		b := newBench(t, nil)
+		b := newHarness(t, nil)
 		hand := func(id, key string, left time.Duration) {
 			require.NoError(t, b.c.TakeIn(Request{ID: id, Class: "order", IdempotencyKey: key, Destination: 7, Left: left},
 				func(Answer, *store.Message) bool { return true }))
 			b.step(5 * ms)
 		}
-		hand("m1", "k", 40*ms) // it ends with this one attempt
+		hand("m1", "k", 40*ms) // expires after this one attempt
 		require.Len(t, b.calls, 1, c.what)
 		b.step(27 * ms)
 		b.calls[0].done(Result{Outcome: c.outcome})
@@ -480,10 +478,10 @@
 	}
 }
 
-// A restart forgets no key of what it takes up.
+// The keys of restored messages are remembered.
 func TestSameKeyAfterRestart(t *testing.T) {
-	b := newBench(t, nil)
-	b.c.Restore([]*store.Message{b.ran("m1", 4940*ms)})
+	b := newHarness(t, nil)
+	b.c.Restore([]*store.Message{b.ranMessage("m1", 4940*ms)})
 	b.step(60 * ms)
 	require.Len(t, b.ended, 1)
 	require.NoError(t, b.c.TakeIn(Request{ID: "m2", Class: "order", IdempotencyKey: "k", Destination: 7, Left: time.Second},
@@ -492,15 +490,15 @@
 	assert.Empty(t, b.calls)
 }
 
-// The process is killed at each step of a message's way, and another takes up its journal:
-// what may have run goes again as its class allows, an order inside its window alone, and
-// what has ended not at all.
-func TestKilledAtEachStep(t *testing.T) {
+// The process is killed after each step of a message, and another one opens its journal. A message
+// that may have run is sent again only if its class allows that, an order only within its window. A
+// message with a final result is not sent again.
+func TestKilledAfterEachStep(t *testing.T) {
 	const way = "taken sent ran ended settled"
 	for _, step := range append(strings.Fields(way), "never") {
 		for i, later := range []time.Duration{time.Second, 6 * time.Second, 6 * time.Second} {
-			b, class := newBench(t, nil), []string{"order", "order", "status"}[i]
-			m := b.taken("m1", class)
+			b, class := newHarness(t, nil), []string{"order", "order", "status"}[i]
+			m := b.acceptedMessage("m1", class)
 			steps := map[string]func() error{
 				"taken": func() error { return nil }, "sent": func() error { return b.journal.Sent(m, b.now) },
 				"ran": func() error { return b.journal.Came(m, true, time.Time{}) }, "never": func() error { return b.journal.Came(m, false, time.Time{}) },
@@ -511,8 +509,8 @@
 			for _, s := range append(strings.Fields(done), step) {
 				require.NoError(t, steps[s]())
 			}
-			next := newBenchWith(&bench{t: t, now: b.now.Add(later), settle: true, dir: b.dir}, nil)
-			next.c.Restore(next.heirs)
+			next := newHarnessWith(&harness{t: t, now: b.now.Add(later), settle: true, journalDir: b.journalDir}, nil)
+			next.c.Restore(next.restored)
 			next.step(5 * ms)
 			may := step == "taken" || step == "never" || (later < 5*time.Second || class == "status") && (step == "sent" || step == "ran")
 			assert.Equal(t, may, len(next.calls) == 1, "%s, %s, %v later", class, step, later)
@@ -524,8 +522,8 @@
 	}
 }
 
-func TestFreezeLeavesTheRestInTheJournal(t *testing.T) {
-	b := newBench(t, nil)
+func TestFreezeKeepsOpenMessagesInJournal(t *testing.T) {
+	b := newHarness(t, nil)
 	b.add("m1", "status", 0)
 	b.step(5 * ms)
 	b.c.Drain()
@@ -533,17 +531,17 @@
 	assert.Equal(t, Fixed, (*got)[0].Verdict)
 	idle := false
 	b.c.Freeze(func() { idle = true })
-	assert.False(t, idle, "a call is out")
+	assert.False(t, idle, "a call is in flight")
 	b.calls[0].done(Result{Outcome: snowjunction.Error})
 	assert.True(t, idle)
 	b.step(time.Minute)
-	assert.Empty(t, b.ended, "nothing is decided any more")
+	assert.Empty(t, b.ended, "no decisions after Freeze")
 }
 
-// After a reset the attempt may still be running: the key rests, on this side
-// for a little longer than the other side asks.
-func TestKeyRests(t *testing.T) {
-	b := newBench(t, nil)
+// After a reset the attempt may still run, so its key is held, with some slack added to the
+// configured time because the hold starts at the endpoint.
+func TestKeyHeldAfterReset(t *testing.T) {
+	b := newHarness(t, nil)
 	b.add("m1", "order", 9)
 	b.add("m2", "order", 9)
 	b.step(5 * ms)
@@ -554,7 +552,7 @@
 	b.calls[1].done(Result{Outcome: snowjunction.OK})
 	for range 30 {
 		b.step(5 * ms)
-		assert.Len(t, b.calls, 2, "over the setting's 100 ms")
+		assert.Len(t, b.calls, 2, "held for longer than the configured 100 ms")
 	}
 	for range 4 {
 		b.step(5 * ms)
--- a/internal/core/distrust.go
+++ b/internal/core/distrust.go
@@ -20,32 +20,32 @@
 
 // checkPlausibility checks a full list before it is applied, and adds the endpoints that are
 // retained against it.
-func (c *Core) checkPlausibility(front int, l *groups.List) {
+func (c *Core) checkPlausibility(front int, list *groups.List) {
 	d := c.directories[front]
 	if d == nil {
 		return
 	}
 	held := c.routes.tables[front]
-	out := omittedEndpoints(held, l, sampleSize)
-	v := distrust.View{Held: held.Ready(), Listed: l.Entries.Ready(), Sum: l.Entries.Sum()}
-	if n := len(out); n > 0 {
+	omitted := omittedEndpoints(held, list, sampleSize)
+	view := distrust.View{Held: held.Ready(), Listed: list.Entries.Ready(), Sum: list.Entries.Sum()}
+	if n := len(omitted); n > 0 {
 		if held.Len() > sampleSize && n*8 > sampleSize { // many of the sample are missing: check all
-			out = omittedEndpoints(held, l, held.Len())
+			omitted = omittedEndpoints(held, list, held.Len())
 		}
-		v.Omitted = len(out)
+		view.Omitted = len(omitted)
 	}
 	if !d.confidence.Live() { // after a directory outage its list takes precedence: the omitted endpoints have left meanwhile
-		v.Held, v.Omitted, out = 0, 0, nil
+		view.Held, view.Omitted, omitted = 0, 0, nil
 	}
-	c.applyConditions(front, d.plausibility.Full(c.elapsed(), v))
+	c.applyConditions(front, d.plausibility.Full(c.elapsed(), view))
 	if d.plausibility.Keeps() {
-		c.retainOmitted(front, l, out)
+		c.retainOmitted(front, list, omitted)
 	} else {
 		d.retained = nil
 	}
 	if d.plausibility.In(distrust.Flapping) {
-		for e := range l.Entries.From(0) {
-			if _, was := held.Get(e.Name); !was && e.Phase == snowjunction.Ready && len(d.unconfirmed) < maxRetained {
+		for e := range list.Entries.From(0) {
+			if _, known := held.Get(e.Name); !known && e.Phase == snowjunction.Ready && len(d.unconfirmed) < maxRetained {
 				if d.unconfirmed == nil {
 					d.unconfirmed = map[string]bool{}
 				}
@@ -59,24 +59,24 @@
 // omittedEndpoints returns the held Ready endpoints that a full list neither contains nor names as
 // leaving, and whose address it has not assigned to another endpoint. It looks at about most
 // endpoints, spread evenly over the table.
-func omittedEndpoints(held *groups.Table, l *groups.List, most int) (out []groups.Entry) {
-	step := max(1, held.Len()/max(most, 1))
+func omittedEndpoints(held *groups.Table, list *groups.List, limit int) (out []groups.Entry) {
+	step := max(1, held.Len()/max(limit, 1))
 	for i := 0; i < held.Len(); i += step {
 		e := held.Nth(i)
 		if e.Phase != snowjunction.Ready {
 			continue
 		}
-		if _, ok := l.Entries.Get(e.Name); ok {
+		if _, ok := list.Entries.Get(e.Name); ok {
 			continue
 		}
-		if _, taken := l.Entries.At(e.Addr); taken {
+		if _, reassigned := list.Entries.At(e.Addr); reassigned {
 			continue
 		}
 		out = append(out, e)
 	}
-	if len(out) > 0 && len(l.Leaving) > 0 {
+	if len(out) > 0 && len(list.Leaving) > 0 {
 		leaving := map[string]bool{}
-		for _, n := range l.Leaving {
+		for _, n := range list.Leaving {
 			leaving[n] = true
 		}
 		out = slices.DeleteFunc(out, func(e groups.Entry) bool { return leaving[e.Name] })
@@ -85,9 +85,9 @@
 }
 
 // retainOmitted adds the omitted endpoints back to a list, as doubtful.
-func (c *Core) retainOmitted(front int, l *groups.List, out []groups.Entry) {
+func (c *Core) retainOmitted(front int, list *groups.List, omitted []groups.Entry) {
 	d := c.directories[front]
-	slices.SortStableFunc(out, func(a, b groups.Entry) int {
+	slices.SortStableFunc(omitted, func(a, b groups.Entry) int {
 		switch x, y := c.Awake(a.Destination), c.Awake(b.Destination); {
 		case x && !y:
 			return -1
@@ -97,8 +97,8 @@
 		return 0
 	})
 	d.retained = map[string]bool{}
-	for _, e := range out[:min(len(out), maxRetained)] {
-		l.Entries.Set(e)
+	for _, e := range omitted[:min(len(omitted), maxRetained)] {
+		list.Entries.Set(e)
 		d.retained[e.Name] = true
 		d.confidence.Keep(e.Destination, e.Name, "omitted by a list that has lost most endpoints", c.elapsed())
 	}
@@ -106,11 +106,11 @@
 
 // Refused handles a list that is invalid: it applies only what the list says of draining and gone
 // endpoints, and counts the list against its directory.
-func (c *Core) Refused(front int, l *groups.List, why error) {
+func (c *Core) Refused(front int, list *groups.List, reason error) {
 	if d := c.directories[front]; d != nil {
-		c.applyConditions(front, d.plausibility.Refused(c.elapsed(), why))
+		c.applyConditions(front, d.plausibility.Refused(c.elapsed(), reason))
 	}
-	c.Heed(front, l)
+	c.Heed(front, list)
 }
 
 // clearRetained ends the special treatment of an endpoint that the directory has just named.
@@ -125,14 +125,14 @@
 }
 
 // applyConditions logs conditions that were entered or left, and reverts the effects of those left.
-func (c *Core) applyConditions(front int, turns []distrust.Turn) {
+func (c *Core) applyConditions(front int, changes []distrust.Turn) {
 	d := c.directories[front]
-	for _, t := range turns {
-		level, is := slog.LevelWarn, "entered"
+	for _, t := range changes {
+		level, transition := slog.LevelWarn, "entered"
 		if !t.Entered {
-			level, is = slog.LevelInfo, "left"
+			level, transition = slog.LevelInfo, "left"
 		}
-		c.Log.Log(context.Background(), level, "belief", "of", "directory", "condition", t.Condition.String(), "is", is, "why", t.Why)
+		c.Log.Log(context.Background(), level, "belief", "of", "directory", "condition", t.Condition.String(), "is", transition, "why", t.Why)
 		if t.Entered {
 			continue
 		}
@@ -156,16 +156,16 @@
 // dropRetained removes the endpoints that were retained against the directory's list.
 func (c *Core) dropRetained(front int) {
 	d := c.directories[front]
-	var news []snowjunction.Endpoint
+	var updates []snowjunction.Endpoint
 	for _, name := range slices.Sorted(maps.Keys(d.retained)) {
 		d.confidence.Drop(name)
 		if e, ok := c.routes.tables[front].Get(name); ok {
 			e.Phase = snowjunction.Gone
-			news = append(news, c.applyEntry(front, e)...)
+			updates = append(updates, c.applyEntry(front, e)...)
 		}
 	}
 	d.retained = nil
-	c.queueEndpoints(news)
+	c.queueEndpoints(updates)
 }
 
 // Recheck returns after what time a front should request its full list again instead of changes
--- a/internal/core/exclude.go
+++ b/internal/core/exclude.go
@@ -78,21 +78,21 @@
 	}
 	c.Log.Info("operator changed an exclusion", "endpoint", name, "out", out, "was", was, "destination", e.Destination)
 	c.unwrittenExclusions++
-	w := c.pendingExclusions[name]
-	if w == nil {
-		w = &pendingExclusion{excluded: was}
-		c.pendingExclusions[name] = w
+	pending := c.pendingExclusions[name]
+	if pending == nil {
+		pending = &pendingExclusion{excluded: was}
+		c.pendingExclusions[name] = pending
 	}
-	w.pending++
+	pending.pending++
 	c.Exclusions.Put(c.exclusionSet.Encode(c.Loop.Now()), func(err error) {
 		c.Loop.Post(func() {
 			c.unwrittenExclusions--
-			if w.pending--; err == nil {
-				w.excluded = out
+			if pending.pending--; err == nil {
+				pending.excluded = out
 			}
-			if w.pending == 0 {
-				if delete(c.pendingExclusions, name); c.exclusionSet.Out(name) != w.excluded {
-					_ = change(w.excluded)
+			if pending.pending == 0 {
+				if delete(c.pendingExclusions, name); c.exclusionSet.Out(name) != pending.excluded {
+					_ = change(pending.excluded)
 				}
 			}
 			done(err)
--- a/internal/core/exclude_test.go
+++ b/internal/core/exclude_test.go
@@ -12,11 +12,11 @@
 	"snowjunction/internal/exclusions"
 )
 
-// disk keeps what is out, or cannot.
+// disk is an Exclusions that keeps the text in memory, or fails.
 type disk struct {
 	text []byte
 	fail error
-	hold []func(error) // where not nil, who waits
+	hold []func(error) // if not nil, calls of Put wait here
 }
 
 func (d *disk) Put(text []byte, done func(error)) {
@@ -30,17 +30,17 @@
 	done(d.fail)
 }
 
-func (b *bench) exclude(name string, out bool) error {
+func (b *harness) exclude(name string, out bool) error {
 	err := errors.New("no answer")
 	b.c.Exclude(0, name, out, func(e error) { err = e })
 	b.step(5 * ms)
 	return err
 }
 
-// An endpoint that is out by hand gets nothing, whatever lists say, and comes back cold. A
-// call that is out when it goes is finished.
-func TestOutByHand(t *testing.T) {
-	b := newBench(t, func(s *snowjunction.Settings) { s.WarmUp = 14 * time.Second })
+// An excluded endpoint gets nothing, whatever the lists say, and starts cold when it is included
+// again. A call in flight at its exclusion is completed.
+func TestExclude(t *testing.T) {
+	b := newHarness(t, func(s *snowjunction.Settings) { s.WarmUp = 14 * time.Second })
 	d := &disk{}
 	b.c.Exclusions = d
 	b.add("m1", "status", 0)
@@ -48,7 +48,7 @@
 	require.Len(t, b.calls, 1)
 	require.NoError(t, b.exclude("s-1", true))
 	require.NoError(t, b.exclude("s-1", true))
-	assert.Equal(t, 1, b.left, "its idle connections end")
+	assert.Equal(t, 1, b.leftTargets, "its idle connections are closed")
 	b.calls[0].done(Result{Outcome: snowjunction.OK})
 	b.add("m2", "status", 0)
 	b.step(50 * ms)
@@ -69,9 +69,9 @@
 	assert.ErrorIs(t, b.exclude("s-9", false), ErrUnknown)
 }
 
-// What does not last is not so: the endpoint serves on, and the answer says why.
-func TestOutByHandUnwritten(t *testing.T) {
-	b := newBench(t, nil)
+// An exclusion that cannot be written is undone, and the caller gets the error.
+func TestExcludeWriteFails(t *testing.T) {
+	b := newHarness(t, nil)
 	full := errors.New("disk full")
 	b.c.Exclusions = &disk{fail: full}
 	assert.ErrorIs(t, b.exclude("s-1", true), full)
@@ -80,14 +80,14 @@
 	assert.Len(t, b.calls, 1)
 }
 
-// The next life starts with what this one left out, before its first decision.
-func TestOutByHandOutlasts(t *testing.T) {
-	b := newBench(t, nil)
+// Exclusions are restored before the first decision of the next process.
+func TestExclusionsAreRestored(t *testing.T) {
+	b := newHarness(t, nil)
 	d := &disk{}
 	b.c.Exclusions = d
 	require.NoError(t, b.exclude("s-1", true))
-	next := &bench{t: t, now: b.now.Add(time.Second), settle: true}
-	next = newBenchWith(next, nil)
+	next := &harness{t: t, now: b.now.Add(time.Second), settle: true}
+	next = newHarnessWith(next, nil)
 	s := exclusions.New(time.Second)
 	require.Zero(t, s.Decode(d.text))
 	next.c.RecallOut(s)
@@ -97,14 +97,14 @@
 	assert.Empty(t, next.calls)
 }
 
-// Of two calls under way at once, what the last write that held says stands.
-func TestOutByHandTwice(t *testing.T) {
+// If two changes are pending at once, the last one that was written successfully counts.
+func TestConcurrentExclusionWrites(t *testing.T) {
 	full := errors.New("disk full")
 	for _, c := range []struct {
 		first, second error
 		out           bool
 	}{{full, nil, true}, {nil, full, true}, {full, full, false}, {nil, nil, true}} {
-		b := newBench(t, nil)
+		b := newHarness(t, nil)
 		d := &disk{hold: []func(error){}}
 		b.c.Exclusions = d
 		var got []error
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -17,11 +17,11 @@
 
 // tallyOf returns the tally of a flow's class.
 func (c *Core) tallyOf(f *flow) *tally {
-	no, ok := c.classes[f.msg.Class]
+	classIndex, ok := c.classes[f.msg.Class]
 	if !ok {
-		no = len(c.tallies) - 1
+		classIndex = len(c.tallies) - 1
 	}
-	return &c.tallies[no]
+	return &c.tallies[classIndex]
 }
 
 // Figures returns the current numbers; the endpoints are those of the given front's list.
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -61,7 +61,7 @@
 			c.refuse(f, drainAfter)
 		}
 	}
-	rests := map[uint64]time.Time{}
+	heldKeys := map[uint64]time.Time{}
 	var calls []handover.Call
 	var handed []Handing
 	for _, id := range slices.Sorted(maps.Keys(c.flows)) {
@@ -70,19 +70,19 @@
 		if a == nil || a.call == nil {
 			continue
 		}
-		h, can := a.call.(Handing)
+		h, ok := a.call.(Handing)
 		l := c.routes.byID[a.endpoint]
 		switch {
 		case f.ended: // only its ordering key still depends on the call
 			if a.call.GiveUp(); f.class.InOrder && f.msg.Key != 0 {
-				rests[f.msg.Key] = now.Add(c.Settings.OrderSettle)
+				heldKeys[f.msg.Key] = now.Add(c.Settings.OrderSettle)
 			}
 			continue
 		case !a.call.Left():
 			a.call.GiveUp()
 			c.recordOutcome(a, false)
 			continue
-		case !can || a.reading || l == nil:
+		case !ok || a.reading || l == nil:
 			continue // the journal says that it may have run
 		}
 		if x, ok := h.Hand(); ok {
@@ -105,12 +105,12 @@
 			})
 		})
 		c.courier.Resting(func(key uint64, left time.Duration) {
-			if until := c.Loop.Now().Add(left); until.After(rests[key]) {
-				rests[key] = until
+			if until := c.Loop.Now().Add(left); until.After(heldKeys[key]) {
+				heldKeys[key] = until
 			}
 		})
-		for _, key := range slices.Sorted(maps.Keys(rests)) {
-			e.Rests = append(e.Rests, handover.Rest{Key: key, Until: rests[key]})
+		for _, key := range slices.Sorted(maps.Keys(heldKeys)) {
+			e.Rests = append(e.Rests, handover.Rest{Key: key, Until: heldKeys[key]})
 		}
 	}
 }
@@ -181,16 +181,16 @@
 // adopt continues an attempt that was taken over, and returns the module's number of its endpoint.
 // An endpoint that has left the list meanwhile is entered as draining and gets nothing new.
 func (c *Core) adopt(f *flow) snowjunction.EndpointID {
-	x := *f.adoptedCall
+	call := *f.adoptedCall
 	f.adoptedCall = nil
-	front, dest := x.Endpoint.Front, snowjunction.DestinationID(f.msg.Destination)
+	front, dest := call.Endpoint.Front, snowjunction.DestinationID(f.msg.Destination)
 	g := c.routes.loaded[dest]
-	l := g.find(front, x.Endpoint.Name)
+	l := g.find(front, call.Endpoint.Name)
 	if l == nil {
 		c.routes.lastID++
 		l = &loadedEndpoint{front: front, id: c.routes.lastID, standing: belief.Told, Entry: Entry{
-			Name: x.Endpoint.Name, Addr: x.Endpoint.Addr, Destination: dest, Zone: x.Endpoint.Zone, Kind: x.Endpoint.Kind,
-			Phase: snowjunction.Draining, Weight: x.Endpoint.Weight,
+			Name: call.Endpoint.Name, Addr: call.Endpoint.Addr, Destination: dest, Zone: call.Endpoint.Zone, Kind: call.Endpoint.Kind,
+			Phase: snowjunction.Draining, Weight: call.Endpoint.Weight,
 		}}
 		g.members = append(g.members, l)
 		c.routes.byID[l.id] = l
@@ -202,11 +202,11 @@
 		t.Leave()
 	}
 	a := &attempt{
-		flow: f, endpoint: l.id, number: f.msg.Attempts - 1, startedAt: x.Began, timeout: x.Until.Sub(x.Began), recorded: true, sentAt: f.msg.OutSince,
+		flow: f, endpoint: l.id, number: f.msg.Attempts - 1, startedAt: call.Began, timeout: call.Until.Sub(call.Began), recorded: true, sentAt: f.msg.OutSince,
 	}
 	f.attempt = a
 	c.openCalls++
-	a.timeoutTimer = c.Loop.After(x.Until.Sub(c.Loop.Now()), func() { c.expire(a, snowjunction.TimedOut) })
-	a.call = t.(Adopting).Adopt(f.msg, x, func(r Result) { c.readAnswer(a, r) })
+	a.timeoutTimer = c.Loop.After(call.Until.Sub(c.Loop.Now()), func() { c.expire(a, snowjunction.TimedOut) })
+	a.call = t.(Adopting).Adopt(f.msg, call, func(r Result) { c.readAnswer(a, r) })
 	return l.id
 }
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -12,22 +12,22 @@
 	"snowjunction/internal/store"
 )
 
-func (x *testCall) Hand() (handover.Call, bool) { return handover.Call{}, x.left }
+func (x *testCall) Hand() (handover.Call, bool) { return handover.Call{}, x.sent }
 func (x *testCall) Rest() []byte                { return []byte("HTTP/1.1 2") }
 
 func (x testTarget) Adopt(m *store.Message, from handover.Call, done func(Result)) Call {
-	c := &testCall{m: m, left: true, done: done, kept: from.Kept}
+	c := &testCall{m: m, sent: true, done: done, idleFor: from.Kept}
 	x.b.calls = append(x.b.calls, c)
 	return c
 }
 
-// handed has b hand over, and returns the bench that goes on.
-func (b *bench) handed() (*bench, *handover.Estate) {
+// handOver hands the state over and returns a harness for the next process.
+func (b *harness) handOver() (*harness, *handover.Estate) {
 	b.c.Hush()
 	e := &handover.Estate{}
 	b.c.Hand()(e)
 	require.NoError(b.t, b.journal.Close())
-	next := &bench{t: b.t, dir: b.dir, now: b.now.Add(10 * ms), settle: true, goes: func(seq uint64) bool {
+	next := &harness{t: b.t, journalDir: b.journalDir, now: b.now.Add(10 * ms), settle: true, resumes: func(seq uint64) bool {
 		for _, x := range e.Calls {
 			if x.Seq == seq {
 				return true
@@ -35,30 +35,30 @@
 		}
 		return false
 	}}
-	return newBenchWith(next, nil), e
+	return newHarnessWith(next, nil), e
 }
 
-func (b *bench) goOn(e *handover.Estate) {
+func (b *harness) resume(e *handover.Estate) {
 	b.c.TakeOver(e)
-	b.c.Restore(b.heirs)
+	b.c.Restore(b.restored)
 	b.step(10 * ms)
 }
 
-// A call that is out goes on: its message is not sent again, its key waits for it, and its end
-// is booked by the next owner alone.
-func TestCallGoesOn(t *testing.T) {
+// A call in flight continues in the next process: its message is not sent again, its key waits for
+// it, and only the next process records its final result.
+func TestCallContinuesAfterHandover(t *testing.T) {
 	for outcome, again := range map[snowjunction.Outcome]bool{snowjunction.OK: false, snowjunction.Reset: true} {
-		b := newBench(t, nil)
+		b := newHarness(t, nil)
 		b.add("o1", "order", 9)
 		b.step(5 * ms)
 		b.add("o2", "order", 9)
 		b.step(5 * ms)
 		require.Len(t, b.calls, 1)
-		b.calls[0].left = true
-		next, e := b.handed()
+		b.calls[0].sent = true
+		next, e := b.handOver()
 		require.Len(t, e.Calls, 1)
 		assert.Equal(t, "HTTP/1.1 2", string(e.Calls[0].Bytes))
-		next.goOn(e)
+		next.resume(e)
 		require.Len(t, next.calls, 1, "adopted, and nothing else of that key")
 		assert.Empty(t, next.c.Forgone())
 		next.calls[0].done(Result{Outcome: outcome})
@@ -77,41 +77,42 @@
 	}
 }
 
-// What has been told and not been looked at when everything is handed over binds the next
-// owner: a wait, a key that rests after a call given up, an idempotency key that may have run.
-func TestToldIsHandedOver(t *testing.T) {
-	b := newBench(t, nil)
+// Results that the module has not seen at the handover still apply in the next process: a
+// retry-after delay, the hold of a key after an abandoned call, an idempotency key that may have
+// run.
+func TestRetryAfterIsHandedOver(t *testing.T) {
+	b := newHarness(t, nil)
 	b.add("m1", "status", 0)
 	b.step(5 * ms)
 	require.Len(t, b.calls, 1)
 	b.c.Hush()
 	b.calls[0].done(Result{Outcome: snowjunction.Full, Wait: time.Second})
-	next, e := b.handed()
-	next.goOn(e)
+	next, e := b.handOver()
+	next.resume(e)
 	next.add("m2", "status", 0)
 	next.step(900 * ms)
-	assert.Empty(t, next.calls, "inside the wait")
+	assert.Empty(t, next.calls, "within the retry-after delay")
 	next.step(200 * ms)
 	next.step(50 * ms)
 	assert.NotEmpty(t, next.calls)
 }
 
 func TestKeysAreHandedOver(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	require.NoError(t, b.c.TakeIn(Request{ID: "o1", Class: "order", Key: 9, IdempotencyKey: "k", Destination: 7, Left: 50 * ms},
 		func(Answer, *store.Message) bool { return true }))
 	b.step(5 * ms)
 	require.Len(t, b.calls, 1)
-	b.calls[0].left = true
-	b.step(60 * ms) // it is given up, and its call is out still
-	next, e := b.handed()
+	b.calls[0].sent = true
+	b.step(60 * ms) // expired, with its call still in flight
+	next, e := b.handOver()
 	assert.Empty(t, e.Calls)
 	require.Len(t, e.Keys, 1)
 	require.Len(t, e.Rests, 1)
-	next.goOn(e)
+	next.resume(e)
 	next.add("o2", "order", 9)
 	next.step(20 * ms)
-	assert.Empty(t, next.calls, "the key rests")
+	assert.Empty(t, next.calls, "the key is held")
 	next.step(200 * ms)
 	require.Len(t, next.calls, 1)
 	next.calls[0].done(Result{Outcome: snowjunction.OK})
@@ -119,5 +120,5 @@
 	require.NoError(t, next.c.TakeIn(Request{ID: "o3", Class: "order", IdempotencyKey: "k", Destination: 7, Left: time.Second},
 		func(Answer, *store.Message) bool { return true }))
 	next.step(100 * ms)
-	assert.Len(t, next.calls, 1, "the first one's window is over")
+	assert.Len(t, next.calls, 1, "the first message's window is over")
 }
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -128,10 +128,10 @@
 	if c.Learnt == nil {
 		return slog.GroupValue()
 	}
-	n, w := c.Learnt.Counts(), c.Journal.Written()
+	counts, written := c.Learnt.Counts(), c.Journal.Written()
 	return slog.GroupValue(
-		slog.Uint64("recalled", c.Counters.Recalled), slog.Uint64("writes", n.Writes), slog.Uint64("bytes", n.Bytes),
-		slog.Uint64("records", n.Records), slog.Uint64("same", c.picker.Same), slog.Uint64("dropped", n.Dropped),
-		slog.Uint64("failed", n.Failed), slog.Uint64("journal_writes", w.Records), slog.Uint64("journal_bytes", w.Bytes),
+		slog.Uint64("recalled", c.Counters.Recalled), slog.Uint64("writes", counts.Writes), slog.Uint64("bytes", counts.Bytes),
+		slog.Uint64("records", counts.Records), slog.Uint64("same", c.picker.Same), slog.Uint64("dropped", counts.Dropped),
+		slog.Uint64("failed", counts.Failed), slog.Uint64("journal_writes", written.Records), slog.Uint64("journal_bytes", written.Bytes),
 	)
 }
--- a/internal/core/learn_test.go
+++ b/internal/core/learn_test.go
@@ -15,7 +15,7 @@
 	"snowjunction/internal/memento"
 )
 
-// shelf is a Learnt that keeps what it is given, in memory.
+// shelf is a Learnt that stores the records in memory.
 type shelf struct {
 	n       learnt.Counts
 	records map[uint32]learnt.Record
@@ -34,8 +34,8 @@
 
 func (s *shelf) Counts() learnt.Counts { return s.n }
 
-// serve has every call that is out come back with an outcome.
-func (b *bench) serve(o snowjunction.Outcome) {
+// completeCalls ends every call in flight with an outcome.
+func (b *harness) completeCalls(o snowjunction.Outcome) {
 	calls := b.calls
 	b.calls = nil
 	for _, x := range calls {
@@ -43,25 +43,25 @@
 	}
 }
 
-// What is learnt is kept within its share of the journal's writes, however much
-// changes, and an outage is among it soon after it is known.
-func TestLearntWithinBudget(t *testing.T) {
+// Learned state takes no more than its share of the journal's writes, however much changes, and an
+// outage is written soon after it was detected.
+func TestLearnedStateWithinWriteBudget(t *testing.T) {
 	kept := &shelf{}
-	b := newBenchWith(&bench{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, learnt: kept}, nil)
+	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, learnt: kept}, nil)
 	for i := range 400 {
 		b.add(fmt.Sprint("m", i), "status", 0)
 		b.step(20 * ms)
-		b.serve(snowjunction.OK)
+		b.completeCalls(snowjunction.OK)
 		b.step(30 * ms)
 		w := b.journal.Written()
 		require.LessOrEqual(t, float64(kept.n.Writes), 0.02*float64(w.Records))
 		require.LessOrEqual(t, float64(kept.n.Bytes), 0.1*float64(w.Bytes))
 	}
 	assert.NotZero(t, kept.n.Writes)
-	assert.Greater(t, b.c.picker.Same, uint64(5), "what hardly changes is not written again and again")
+	assert.Greater(t, b.c.picker.Same, uint64(5), "a nearly unchanged state is not written again")
 	b.add("lost", "status", 0)
 	b.step(20 * ms)
-	b.serve(snowjunction.TimedOut)
+	b.completeCalls(snowjunction.TimedOut)
 	b.step(learnt.Every)
 	b.step(20 * ms)
 	m, err := memento.Decode(kept.records[7].Text)
@@ -70,8 +70,8 @@
 	assert.Equal(t, memento.NameOf("s-1"), m.Names[0])
 	assert.Equal(t, snowjunction.Held, m.State.EndpointsSeen[0].Condition)
 
-	// The next life knows of it.
-	next := newBenchWith(&bench{t: t, now: b.now.Add(time.Second), settle: true}, nil)
+	// The next process run uses the record.
+	next := newHarnessWith(&harness{t: t, now: b.now.Add(time.Second), settle: true}, nil)
 	next.c.Recall([]learnt.Record{kept.records[7]})
 	assert.Equal(t, uint64(1), next.c.Counters.Recalled)
 	for i := range 4 {
@@ -79,16 +79,16 @@
 	}
 	next.step(20 * ms)
 	next.step(20 * ms)
-	assert.LessOrEqual(t, len(next.calls), 1, "a trial at the most, no clump")
+	assert.LessOrEqual(t, len(next.calls), 1, "at most one trial call, no burst")
 }
 
-// A planned stop keeps what is known, whatever the budget says.
-func TestPlannedStopKeepsAll(t *testing.T) {
+// A planned shutdown saves all state, regardless of the write budget.
+func TestShutdownSavesAllState(t *testing.T) {
 	kept := &shelf{}
-	b := newBenchWith(&bench{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, learnt: kept}, nil)
+	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, learnt: kept}, nil)
 	b.add("m1", "status", 0)
 	b.step(20 * ms)
-	b.serve(snowjunction.OK)
+	b.completeCalls(snowjunction.OK)
 	b.step(20 * ms)
 	require.Empty(t, kept.records)
 	b.c.Drain()
@@ -97,12 +97,13 @@
 	assert.Equal(t, uint64(1), kept.n.Writes)
 }
 
-// What the module is shown follows what is believed: doubt, then proof, then the
-// directory's word; a refuted endpoint gets nothing, also of what was decided before.
-func TestBeliefOnTheWay(t *testing.T) {
+// The module's view follows the confidence in an endpoint: doubtful, then confirmed or refuted by
+// calls, then overridden by the directory. A refuted endpoint gets nothing, not even for earlier
+// decisions.
+func TestConfidenceInEndpoints(t *testing.T) {
 	cfg := belief.Default()
 	cfg.RefuteAfter, cfg.RefuteFails = 0, 1
-	b := newBenchWith(&bench{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, dirs: map[int]Directory{0: {Belief: cfg}}}, nil)
+	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, directories: map[int]Directory{0: {Belief: cfg}}}, nil)
 	l := full(Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready},
 		Entry{Name: "s-2", Addr: "127.0.0.1:2", Destination: 7, Phase: snowjunction.Ready})
 	require.NoError(t, b.c.Begin(0, l, belief.Cached, time.Hour))
@@ -126,7 +127,7 @@
 		for _, x := range b.calls {
 			assert.Equal(t, "127.0.0.1:1", x.addr)
 		}
-		b.serve(snowjunction.OK)
+		b.completeCalls(snowjunction.OK)
 	}
 	b.c.Spoken(0)
 	assert.Equal(t, belief.Told, b.standing("s-2"))
@@ -136,9 +137,9 @@
 	assert.Equal(t, "the directory lists it", told[0].Why)
 }
 
-// An endpoint that says it is not who was called gets nothing more.
-func TestElsewhere(t *testing.T) {
-	b := newBenchWith(&bench{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, dirs: map[int]Directory{0: {Belief: belief.Default()}}}, nil)
+// An endpoint that answers that it is another one gets nothing more.
+func TestEndpointIsAnother(t *testing.T) {
+	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, directories: map[int]Directory{0: {Belief: belief.Default()}}}, nil)
 	require.NoError(t, b.c.Begin(0, full(Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready}), belief.Known, 0))
 	b.add("m1", "status", 0)
 	b.step(20 * ms)
@@ -153,14 +154,14 @@
 	b.c.Spoken(0)
 	b.step(100 * ms)
 	b.step(100 * ms)
-	assert.NotEmpty(t, b.calls, "the directory's word wins")
+	assert.NotEmpty(t, b.calls, "the directory overrides the evidence of calls")
 }
 
-// The first decisions wait for the directory's word, which takes over before anything
-// goes to an endpoint that has left; or for a while, if it says nothing.
-func TestFirstDecisionsWait(t *testing.T) {
+// The first decisions wait until the directory confirms its list, so that nothing is sent to an
+// endpoint that has left. If it does not answer, they wait for the given time.
+func TestPauseUntilDirectoryConfirms(t *testing.T) {
 	for _, speaks := range []bool{true, false} {
-		b := newBenchWith(&bench{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, dirs: map[int]Directory{0: {Belief: belief.Default()}}}, nil)
+		b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, directories: map[int]Directory{0: {Belief: belief.Default()}}}, nil)
 		require.NoError(t, b.c.Begin(0, full(Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready}), belief.Cached, time.Minute))
 		b.step(10 * ms)
 		b.c.Pause(80 * ms)
@@ -183,14 +184,14 @@
 	}
 }
 
-// A list kept from long ago and a list of another agent lose most of their endpoints
-// to the directory's word at once, also where collapsed lists are kept; only one that
-// the directory itself has vouched for is held against it.
-func TestTakeoverIsNoCollapse(t *testing.T) {
+// An old cached list and the list of another agent are replaced at once by the directory's list,
+// even if that has lost most endpoints and collapsed lists are retained. Only a list that the same
+// directory has confirmed is retained against it.
+func TestReplacedListIsNoCollapse(t *testing.T) {
 	trust := distrust.Default()
 	trust.Keep = true
-	b := newBenchWith(&bench{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true,
-		dirs: map[int]Directory{0: {Belief: belief.Default(), Trust: trust}}}, nil)
+	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true,
+		directories: map[int]Directory{0: {Belief: belief.Default(), Trust: trust}}}, nil)
 	list := func(from, n int) (out []Entry) {
 		for i := from; i < from+n; i++ {
 			out = append(out, Entry{Name: fmt.Sprint("e", i), Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Destination: 7, Phase: snowjunction.Ready})
@@ -200,18 +201,18 @@
 	require.NoError(t, b.c.Begin(0, full(list(0, 10)...), belief.Cached, 7*24*time.Hour))
 	b.listed(0, true, list(9, 4)...)
 	b.c.Spoken(0)
-	assert.Equal(t, 4, b.c.Table(0).Len(), "nine have left in a week")
+	assert.Equal(t, 4, b.c.Table(0).Len(), "nine endpoints left within a week")
 	b.c.Moved(0)
 	b.listed(0, true, list(20, 5)...)
 	b.c.Spoken(0)
-	assert.Equal(t, 5, b.c.Table(0).Len(), "another agent's word")
+	assert.Equal(t, 5, b.c.Table(0).Len(), "the list of another agent")
 	b.listed(0, true, list(20, 1)...)
 	b.c.Spoken(0)
-	assert.Equal(t, 5, b.c.Table(0).Len(), "the same agent's next list")
+	assert.Equal(t, 5, b.c.Table(0).Len(), "the next list of the same agent")
 	assert.Contains(t, b.c.Conditions(0), "collapsed")
 	assert.Equal(t, belief.Doubtful, b.standing("e24"))
 	gone := list(24, 1)
 	gone[0].Phase = snowjunction.Gone
 	b.listed(0, false, gone...)
-	assert.Equal(t, 4, b.c.Table(0).Len(), "what it names as gone is not kept")
+	assert.Equal(t, 4, b.c.Table(0).Len(), "an endpoint named as gone is not retained")
 }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -95,9 +95,9 @@
 		l.mu.Unlock()
 		l.next = 0
 	}
-	begun := l.clock()
-	now := begun
-	for l.next < len(l.work) && now.Sub(begun) < maxTurn {
+	started := l.clock()
+	now := started
+	for l.next < len(l.work) && now.Sub(started) < maxTurn {
 		f := l.work[l.next]
 		l.work[l.next] = nil
 		l.next++
@@ -112,7 +112,7 @@
 	}
 	if ran {
 		l.turnStats.Count++
-		l.turnStats.Longest = max(l.turnStats.Longest, now.Sub(begun))
+		l.turnStats.Longest = max(l.turnStats.Longest, now.Sub(started))
 	}
 	return ran
 }
--- a/internal/core/plugins_test.go
+++ b/internal/core/plugins_test.go
@@ -12,13 +12,13 @@
 	"snowjunction/internal/store"
 )
 
-// plugins are asked about messages whose ids are named, and answer when the test
-// says so.
+// plugins is a Plugins that handles the hooks and message ids in asks. The test calls the done
+// functions.
 type plugins struct {
 	admits map[string]func(bool, time.Duration)
 	shapes map[string]func(Shape)
 	reads  map[string]func(Result)
-	asks   map[string]bool // hook and id: asked about
+	asks   map[string]bool // by hook and id
 	ended  []string
 }
 
@@ -49,24 +49,24 @@
 func (p *plugins) Reads(m *store.Message) bool { return p.asks["read "+m.ID] }
 func (p *plugins) Ended(m *store.Message)      { p.ended = append(p.ended, m.ID) }
 
-func newPluginBench(t *testing.T, asks ...string) (*bench, *plugins) {
+func newPluginHarness(t *testing.T, asks ...string) (*harness, *plugins) {
 	p := &plugins{admits: map[string]func(bool, time.Duration){}, shapes: map[string]func(Shape){}, reads: map[string]func(Result){}, asks: map[string]bool{}}
 	for _, a := range asks {
 		p.asks[a] = true
 	}
-	return newBenchWith(&bench{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, plugins: p}, nil), p
+	return newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, plugins: p}, nil), p
 }
 
-// A message that no plug-in is asked about must not overtake an earlier one of
-// its key that waits for one.
-func TestOrderWhilePluginsAreAsked(t *testing.T) {
-	b, p := newPluginBench(t, "admit m1", "admit m3")
+// A message that no plug-in handles must not overtake an earlier one of its key that waits for a
+// plug-in.
+func TestKeyOrderWhileWaitingForPlugins(t *testing.T) {
+	b, p := newPluginHarness(t, "admit m1", "admit m3")
 	first, second, third := b.add("m1", "order", 9), b.add("m2", "order", 9), b.add("m3", "order", 9)
 	other := b.add("o", "order", 8)
 	b.step(20 * ms)
 	assert.Empty(t, *second)
-	assert.Len(t, *other, 1, "another key does not wait")
-	assert.Nil(t, p.admits["m3"], "one at a time")
+	assert.Len(t, *other, 1, "other keys do not wait")
+	assert.Nil(t, p.admits["m3"], "one message of a key at a time")
 	p.admits["m1"](true, 0)
 	require.NotNil(t, p.admits["m3"])
 	p.admits["m3"](false, 700*ms)
@@ -79,9 +79,9 @@
 	assert.Equal(t, []string{"o", "m1"}, []string{b.calls[0].m.ID, b.calls[1].m.ID})
 }
 
-// The same message handed in again while a plug-in is asked is one message.
-func TestSentTwiceWhileAsked(t *testing.T) {
-	b, p := newPluginBench(t, "admit m1")
+// A message resubmitted while a plug-in decides is still one message.
+func TestResubmittedWhileWaitingForPlugin(t *testing.T) {
+	b, p := newPluginHarness(t, "admit m1")
 	first := b.add("m1", "status", 0)
 	again := b.add("m1", "status", 0)
 	p.admits["m1"](true, 0)
@@ -91,9 +91,9 @@
 	assert.Len(t, b.calls, 1)
 }
 
-// A courier that stops while a plug-in is asked refuses the flow, once.
-func TestStopsWhileAsked(t *testing.T) {
-	b, p := newPluginBench(t, "admit m1")
+// If the courier shuts down while a plug-in decides, the flow is refused once.
+func TestDrainWhileWaitingForPlugin(t *testing.T) {
+	b, p := newPluginHarness(t, "admit m1")
 	got := b.add("m1", "status", 0)
 	b.c.Drain()
 	p.admits["m1"](true, 0)
@@ -102,10 +102,10 @@
 	assert.Zero(t, b.c.Held())
 }
 
-// While a request is shaped its target may drain and its time may pass: it is
-// looked at again after that.
-func TestShaping(t *testing.T) {
-	b, p := newPluginBench(t, "shape m1", "shape m2", "shape m3")
+// While a plug-in shapes a request, the target may start to drain and the decision may become too
+// old. Both are checked again afterwards.
+func TestChecksAfterShaping(t *testing.T) {
+	b, p := newPluginHarness(t, "shape m1", "shape m2", "shape m3")
 	b.add("m1", "status", 0)
 	b.step(5 * ms)
 	assert.Empty(t, b.calls)
@@ -118,7 +118,7 @@
 	b.step(10 * ms)
 	b.listed(0, false, Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Draining})
 	p.shapes["m2"](Shape{})
-	assert.Len(t, b.calls, 1, "it drains")
+	assert.Len(t, b.calls, 1, "the endpoint drains")
 	b.listed(0, false, Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready})
 	p.asks = map[string]bool{"shape m3": true}
 	for i := 0; i < 100 && len(b.calls) < 2; i++ {
@@ -132,16 +132,15 @@
 	late := p.shapes["m3"]
 	b.step(maxDecisionAge + ms)
 	late(Shape{})
-	assert.Len(t, b.calls, 2, "the decision is old")
+	assert.Len(t, b.calls, 2, "the decision is too old")
 	late(Shape{})
 	assert.Len(t, b.calls, 2)
 }
 
-// A success that a plug-in reads as a failure is one that may have run: a safe
-// message goes again after the wait, and a timer that ends meanwhile says
-// nothing more.
-func TestReading(t *testing.T) {
-	b, p := newPluginBench(t, "read m1")
+// A success that a plug-in reads as a failure may have run. A message of a safe class is then sent
+// again after the delay, and a second result is ignored.
+func TestPluginReadsSuccessAsError(t *testing.T) {
+	b, p := newPluginHarness(t, "read m1")
 	got := b.add("m1", "status", 0)
 	b.step(5 * ms)
 	require.Len(t, b.calls, 1)
@@ -167,29 +166,29 @@
 	assert.Equal(t, store.Delivered, b.ended[0].State)
 }
 
-// A wait that an answer tells stands from its reading on, not only once the plug-ins have said
-// what they make of the answer: neither an attempt whose connection comes up meanwhile goes, nor a
-// message that is handed in.
-func TestToldWaitWhileAnAnswerIsRead(t *testing.T) {
+// A retry-after delay applies as soon as the answer is read, even while plug-ins still interpret
+// the answer. Neither an attempt whose connection is being established nor a new message is sent
+// meanwhile.
+func TestRetryAfterWhilePluginsRead(t *testing.T) {
 	for name, asks := range map[string][]string{"plug-ins read": {"read m1"}, "none reads": nil} {
 		t.Run(name, func(t *testing.T) {
-			b, p := newPluginBench(t, asks...)
-			b.dialling = true
+			b, p := newPluginHarness(t, asks...)
+			b.connecting = true
 			b.add("m1", "status", 0)
 			b.add("m2", "status", 0)
 			b.step(10 * ms)
 			require.Len(t, b.calls, 2)
-			require.True(t, b.calls[0].opened())
+			require.True(t, b.calls[0].connect())
 			refused := Result{Outcome: snowjunction.Full, Wait: 500 * ms}
 			b.calls[0].done(refused)
-			assert.False(t, b.calls[1].opened(), "before the module is asked")
+			assert.False(t, b.calls[1].connect(), "before the module's next decision")
 			b.calls[1].done(Result{Outcome: snowjunction.Moot})
 			began := b.now
 			b.add("m3", "status", 0)
 			for range 6 {
 				b.step(10 * ms)
 			}
-			assert.Len(t, b.calls, 2, "a wait was told")
+			assert.Len(t, b.calls, 2, "a retry-after delay applies")
 			if read := p.reads["m1"]; read != nil {
 				read(refused)
 			}
@@ -198,20 +197,20 @@
 			}
 			require.Greater(t, len(b.calls), 2, "they go after it")
 			assert.GreaterOrEqual(t, b.now.Sub(began), refused.Wait)
-			assert.True(t, b.calls[2].opened())
+			assert.True(t, b.calls[2].connect())
 		})
 	}
 }
 
-// A plug-in that never says anything of an answer: its budget ends that, not the
-// attempt's own time, which is over once the answer is there.
-func TestReadingOutlastsTheAttempt(t *testing.T) {
-	b, p := newPluginBench(t, "read m1")
+// A plug-in that never interprets an answer is bounded by its own time budget. The attempt's
+// timeout does not apply any more once the answer has arrived.
+func TestPluginReadOutlastsAttemptTimeout(t *testing.T) {
+	b, p := newPluginHarness(t, "read m1")
 	b.add("m1", "status", 0)
 	b.step(5 * ms)
 	b.calls[0].done(Result{Outcome: snowjunction.OK})
 	b.step(1500 * ms)
-	assert.False(t, b.calls[0].gaveUp)
+	assert.False(t, b.calls[0].abandoned)
 	p.reads["m1"](Result{Outcome: snowjunction.OK})
 	b.step(5 * ms)
 	assert.Len(t, b.calls, 1)
@@ -219,9 +218,9 @@
 	assert.EqualValues(t, 1, b.c.Counters.Results[snowjunction.OK])
 }
 
-// Flows that wait for a plug-in are held like others: they do not pile up.
+// Flows that wait for a plug-in count as held, so that their number is bounded.
 func TestWaitingForPluginsIsBounded(t *testing.T) {
-	b, p := newPluginBench(t, "admit m0")
+	b, p := newPluginHarness(t, "admit m0")
 	b.add("m0", "order", 9)
 	var rest []*[]Answer
 	for i := 1; i <= 20; i++ {
@@ -231,9 +230,9 @@
 	for _, got := range rest {
 		refused += len(*got)
 	}
-	assert.Equal(t, 11, refused, "ten may be held in all")
+	assert.Equal(t, 11, refused, "at most ten may be held")
 	p.admits["m0"](true, 0)
 	b.step(20 * ms)
-	assert.Equal(t, 9, b.c.Held(), "the module sheds one, as it holds over 92%")
+	assert.Equal(t, 9, b.c.Held(), "the module sheds one above 92% of its limit")
 	assert.Zero(t, b.c.awaitingPlugins)
 }
--- a/internal/core/probe_test.go
+++ b/internal/core/probe_test.go
@@ -12,12 +12,12 @@
 	"snowjunction/internal/store"
 )
 
-// Where the settings allow probes, which no front makes, an endpoint that was down is tried by a
-// message all the same.
-func TestDownComesBackWhereProbesAreAllowed(t *testing.T) {
+// If the settings allow probes, which no front can send, an endpoint that was down must still be
+// tried by a message. Otherwise it would never be used again.
+func TestEndpointRecoversWithProbesEnabled(t *testing.T) {
 	for _, probes := range []bool{false, true} {
 		t.Run(fmt.Sprint(probes), func(t *testing.T) {
-			b := newBench(t, func(s *snowjunction.Settings) { s.Probes = probes })
+			b := newHarness(t, func(s *snowjunction.Settings) { s.Probes = probes })
 			handed, done := 0, 0
 			turn := func(up bool) {
 				b.add(fmt.Sprint("m", handed), "status", 0)
--- a/internal/core/races_test.go
+++ b/internal/core/races_test.go
@@ -14,22 +14,22 @@
 	"snowjunction/internal/store"
 )
 
-// What an earlier life has left waits for the directory's word before the module hears of
-// it. Its window and its time go on meanwhile: they end when they end.
-func TestTimesGoOnInThePause(t *testing.T) {
+// Messages of a previous process wait until the directory confirms its list. Their windows and
+// deadlines must not be extended by that wait.
+func TestPauseDoesNotExtendTimes(t *testing.T) {
 	for name, left := range map[string]struct {
 		class    string
-		deadline time.Duration // from the restart
-		window   time.Duration // of the attempt that may have run
+		deadline time.Duration // after the restart
+		window   time.Duration // rest of the window of the attempt that may have run
 		sent     bool
 	}{
-		"window is over":   {class: "order", deadline: 20 * time.Second, window: 40 * ms},
-		"window goes on":   {class: "order", deadline: 20 * time.Second, window: time.Second, sent: true},
-		"its time is over": {class: "status", deadline: 40 * ms, window: time.Second},
-		"its time goes on": {class: "status", deadline: time.Second, window: time.Second, sent: true},
+		"window ends during the pause":     {class: "order", deadline: 20 * time.Second, window: 40 * ms},
+		"window still open":                {class: "order", deadline: 20 * time.Second, window: time.Second, sent: true},
+		"deadline passes during the pause": {class: "status", deadline: 40 * ms, window: time.Second},
+		"deadline not passed":              {class: "status", deadline: time.Second, window: time.Second, sent: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, nil)
+			b := newHarness(t, nil)
 			m := &store.Message{
 				ID: "m1", IdempotencyKey: "k1", Class: left.class, Destination: 7, Deadline: b.now.Add(left.deadline), Attempts: 1,
 				Ran: true, RanSince: b.now.Add(left.window + windowSlack - 5*time.Second),
@@ -49,23 +49,23 @@
 	}
 }
 
-// An answer that comes when its message's time is over delivers nothing to the client, which
-// is told of the end.
-func TestAnswerAfterItsTime(t *testing.T) {
+// A success after the message's deadline counts as failed for the client, which still gets a final
+// result.
+func TestAnswerAfterDeadline(t *testing.T) {
 	for name, when := range map[string]struct {
 		after time.Duration
 		state store.State
 	}{
-		"in time": {time.Second, store.Delivered},
-		"over":    {2*time.Second + ms, store.Failed},
-		"over for the client, which counts first": {2*time.Second - ms, store.Failed},
+		"before the deadline": {time.Second, store.Delivered},
+		"after the deadline":  {2*time.Second + ms, store.Failed},
+		"after the deadline for the client, which counts from sending": {2*time.Second - ms, store.Failed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, nil)
+			b := newHarness(t, nil)
 			b.add("m1", "order", 5)
 			b.step(5 * ms)
 			require.Len(t, b.calls, 1)
-			b.now = b.now.Add(when.after - 5*ms) // before the loop's timers have run
+			b.now = b.now.Add(when.after - 5*ms) // before the loop's timers run
 			b.calls[0].done(Result{Outcome: snowjunction.OK})
 			require.Len(t, b.ended, 1)
 			assert.Equal(t, when.state, b.ended[0].State)
@@ -75,36 +75,36 @@
 	}
 }
 
-// A message may have run and is over; the courier is killed, and its client hands it in again
-// under another id. The window is still that of the first.
-func TestWindowOutlastsTheProcess(t *testing.T) {
+// A message that may have run is over, the courier is killed, and the client resubmits under
+// another id. The window of the first attempt still applies.
+func TestWindowOutlastsProcess(t *testing.T) {
 	for name, at := range map[string]struct {
 		settled   bool
-		compacted bool          // the journal, before each of two kills
-		after     time.Duration // of the first sending
+		compacted bool          // compact the journal before each of two kills
+		after     time.Duration // after the first attempt was sent
 		sent      bool
 	}{
-		"window over, journal compacted":    {settled: true, compacted: true, after: 4945 * ms},
-		"window goes on, journal compacted": {settled: true, compacted: true, after: 3 * time.Second, sent: true},
-		"window over":                       {settled: true, after: 4945 * ms},
-		"window over, end not yet told":     {after: 4945 * ms},
-		"window goes on":                    {settled: true, after: 3 * time.Second, sent: true},
+		"window over, journal compacted": {settled: true, compacted: true, after: 4945 * ms},
+		"window open, journal compacted": {settled: true, compacted: true, after: 3 * time.Second, sent: true},
+		"window over":                    {settled: true, after: 4945 * ms},
+		"window over, end not settled":   {after: 4945 * ms},
+		"window open":                    {settled: true, after: 3 * time.Second, sent: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, nil)
+			b := newHarness(t, nil)
 			b.settle = at.settled
 			b.add("m1", "order", 5)
 			b.step(5 * ms)
 			require.Len(t, b.calls, 1)
 			sent := b.now
-			b.step(2 * time.Second) // its time is over
+			b.step(2 * time.Second) // its deadline passes
 			require.Len(t, b.ended, 1)
 			if at.compacted {
 				b.compact()
-				b = b.killed(100*ms, nil)
+				b = b.restarted(100*ms, nil)
 				b.compact()
 			}
-			next := b.killed(sent.Add(at.after-10*ms).Sub(b.now), nil)
+			next := b.restarted(sent.Add(at.after-10*ms).Sub(b.now), nil)
 			err := next.c.TakeIn(Request{ID: "m2", Class: "order", Key: 6, IdempotencyKey: "m1", Destination: 7, Left: 10 * time.Second},
 				func(Answer, *store.Message) bool { return true })
 			require.NoError(t, err)
@@ -115,10 +115,10 @@
 	}
 }
 
-// How many of those that a restart finds untried are tried, and how many are given up so, is
-// counted.
+// The restored messages without an earlier attempt are counted: how many are attempted later and
+// how many end without an attempt.
 func TestUntriedAreCounted(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	message := func(id string, left time.Duration, attempts int) *store.Message {
 		m := &store.Message{ID: id, Class: "status", Destination: 7, Deadline: b.now.Add(left), Attempts: attempts}
 		require.NoError(t, b.journal.Take(m))
@@ -131,10 +131,10 @@
 	assert.Equal(t, [4]uint64{3, 2, 1, 1}, [4]uint64{n.Restored, n.Untried, n.Tried, n.GivenUp})
 }
 
-// A process dies with an attempt out, and its heir gives that message up: what comes next of the
-// key waits all the same until the attempt cannot be running any more.
-func TestKeyRestsAfterAKill(t *testing.T) {
-	b := newBench(t, func(s *snowjunction.Settings) {
+// A process dies with an attempt in flight, and the next process gives that message up. The next
+// message of the key must still wait until the attempt cannot be running any more.
+func TestKeyHeldAfterKill(t *testing.T) {
+	b := newHarness(t, func(s *snowjunction.Settings) {
 		s.OrderSettle = 700 * ms
 		s.Classes[0].Effect = snowjunction.Unsafe
 	})
@@ -145,12 +145,12 @@
 		left = append(left, m)
 	}
 	require.NoError(t, b.journal.Sent(left[0], b.now))
-	next := newBenchWith(&bench{t: t, now: b.now.Add(10 * ms), settle: true, dir: b.dir}, func(s *snowjunction.Settings) {
+	next := newHarnessWith(&harness{t: t, now: b.now.Add(10 * ms), settle: true, journalDir: b.journalDir}, func(s *snowjunction.Settings) {
 		s.OrderSettle = 700 * ms
 		s.Classes[0].Effect = snowjunction.Unsafe
 	})
 	next.c.Remember(next.journal.Ran())
-	next.c.Restore(next.heirs)
+	next.c.Restore(next.restored)
 	next.step(5 * ms)
 	next.step(700 * ms)
 	require.Len(t, next.ended, 1)
@@ -161,20 +161,20 @@
 	assert.Len(t, next.calls, 1)
 }
 
-// killed is a bench that finds what b has left, so much later.
-func (b *bench) killed(after time.Duration, change func(*snowjunction.Settings)) *bench {
-	next := newBenchWith(&bench{t: b.t, now: b.now.Add(after), settle: true, dir: b.dir}, change)
+// restarted returns a harness for a new process that opens the same journal after the given time.
+func (b *harness) restarted(after time.Duration, change func(*snowjunction.Settings)) *harness {
+	next := newHarnessWith(&harness{t: b.t, now: b.now.Add(after), settle: true, journalDir: b.journalDir}, change)
 	next.c.Remember(next.journal.Ran())
-	next.c.Restore(next.heirs)
+	next.c.Restore(next.restored)
 	next.step(5 * ms)
 	next.step(5 * ms)
 	return next
 }
 
-// newDialling is a bench whose one call has waited 900 ms for its connection.
-func newDialling(t *testing.T, change func(*snowjunction.Settings)) *bench {
-	b := newBench(t, change)
-	b.dialling = true
+// newConnecting returns a harness with one call that has waited 900 ms for its connection.
+func newConnecting(t *testing.T, change func(*snowjunction.Settings)) *harness {
+	b := newHarness(t, change)
+	b.connecting = true
 	require.NoError(t, b.c.TakeIn(Request{ID: "m1", Class: "order", IdempotencyKey: "k1", Destination: 7, Left: 20 * time.Second},
 		func(Answer, *store.Message) bool { return true }))
 	b.step(5 * ms)
@@ -183,101 +183,100 @@
 	return b
 }
 
-// A connection takes most of a window to come up. Until it is up the attempt has not run,
-// whatever its class; then its window is counted from its bytes, over a kill and in a row of
-// repeats.
-func TestKilledWhileDialling(t *testing.T) {
+// A connection takes most of a window to come up. Until then the attempt has not run, whatever its
+// class. After that the window counts from the first byte sent, also over a kill.
+func TestKilledWhileConnecting(t *testing.T) {
 	for name, at := range map[string]struct {
 		effect snowjunction.Effect
 		opened bool
-		after  time.Duration // of the opening, or of what would have been it
+		after  time.Duration // after the connection came up, or would have
 		sent   bool
 	}{
-		"dialling":                           {effect: snowjunction.Unsafe, after: 600 * ms, sent: true},
-		"dialling, past the window":          {effect: snowjunction.Keyed, after: 5 * time.Second, sent: true},
-		"it left":                            {effect: snowjunction.Unsafe, opened: true, after: 600 * ms},
-		"it left, inside the window":         {effect: snowjunction.Keyed, opened: true, after: 900 * ms, sent: true},
-		"it left, close to the window's end": {effect: snowjunction.Keyed, opened: true, after: 930 * ms},
+		"connecting":                           {effect: snowjunction.Unsafe, after: 600 * ms, sent: true},
+		"connecting, past the window":          {effect: snowjunction.Keyed, after: 5 * time.Second, sent: true},
+		"sent":                                 {effect: snowjunction.Unsafe, opened: true, after: 600 * ms},
+		"sent, within the window":              {effect: snowjunction.Keyed, opened: true, after: 900 * ms, sent: true},
+		"sent, close to the end of the window": {effect: snowjunction.Keyed, opened: true, after: 930 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
 			change := func(s *snowjunction.Settings) { s.Classes[0].Window, s.Classes[0].Effect = time.Second, at.effect }
-			b := newDialling(t, change)
+			b := newConnecting(t, change)
 			if at.opened {
-				require.True(t, b.calls[0].opened())
+				require.True(t, b.calls[0].connect())
 			}
-			next := b.killed(at.after, change)
+			next := b.restarted(at.after, change)
 			assert.Equal(t, at.sent, len(next.calls) == 1)
 			assert.Equal(t, !at.sent, len(next.ended) == 1)
 		})
 	}
 }
 
-// An attempt that could not connect counts as made over a kill, and not as run.
-func TestUnsentCountsOverAKill(t *testing.T) {
-	b := newBench(t, func(s *snowjunction.Settings) { s.MaxAttempts = 2 })
-	b.dialling = true
+// An attempt that could not connect is counted as made after a kill, but not as run.
+func TestFailedConnectCountedAfterKill(t *testing.T) {
+	b := newHarness(t, func(s *snowjunction.Settings) { s.MaxAttempts = 2 })
+	b.connecting = true
 	b.add("m1", "status", 0)
 	b.step(5 * ms)
 	require.Len(t, b.calls, 1)
 	b.step(time.Second) // it never connects
-	require.True(t, b.calls[0].gaveUp)
-	_, left, err := store.Load(store.Options{Dir: b.dir, Bytes: 3e6, Log: b.c.Log})
+	require.True(t, b.calls[0].abandoned)
+	_, left, err := store.Load(store.Options{Dir: b.journalDir, Bytes: 3e6, Log: b.c.Log})
 	require.NoError(t, err)
 	require.Len(t, left, 1)
 	assert.Equal(t, 1, left[0].Attempts)
 	assert.False(t, left[0].Ran)
 }
 
-// The disk takes long over the record of an attempt that then may have run: its window is
-// counted from its bytes, also by the next process.
-func TestSlowRecordBeforeTheFirstByte(t *testing.T) {
+// The disk is slow to record an attempt that then may have run. Its window counts from the first
+// byte sent, in the next process as well.
+func TestWindowStartsAfterSlowJournalWrite(t *testing.T) {
 	change := func(s *snowjunction.Settings) { s.Classes[0].Window = time.Second }
-	b := newBench(t, change)
+	b := newHarness(t, change)
 	b.c.Journal = &slowDisk{Journal: b.journal, b: b, take: 400 * ms}
-	b.dialling = true
+	b.connecting = true
 	b.add("m1", "order", 5)
 	b.step(5 * ms)
 	require.Len(t, b.calls, 1)
-	require.True(t, b.calls[0].opened())
+	require.True(t, b.calls[0].connect())
 	left := b.now // once the record is written
 	b.calls[0].done(Result{Outcome: snowjunction.Error})
-	_, found, err := store.Load(store.Options{Dir: b.dir, Bytes: 3e6, Log: b.c.Log})
+	_, found, err := store.Load(store.Options{Dir: b.journalDir, Bytes: 3e6, Log: b.c.Log})
 	require.NoError(t, err)
 	require.Len(t, found, 1)
 	assert.True(t, found[0].Ran)
 	assert.Zero(t, found[0].RanSince.Sub(left).Truncate(ms))
 }
 
-// compact has every record that is in the journal now copied or dropped.
-func (b *bench) compact() {
+// compact has all present records of the journal copied or dropped.
+func (b *harness) compact() {
 	segments := func() []string {
-		names, err := filepath.Glob(filepath.Join(b.dir, "journal-*"))
+		names, err := filepath.Glob(filepath.Join(b.journalDir, "journal-*"))
 		require.NoError(b.t, err)
 		return names
 	}
 	for newest := slices.Max(segments()); slices.Min(segments()) <= newest; {
-		b.filler()
+		b.addFiller()
 	}
 }
 
-// filler is a message that comes and ends now.
-func (b *bench) filler() {
+// addFiller adds a message to the journal that ends at once.
+func (b *harness) addFiller() {
 	m := &store.Message{ID: "filler", Class: "status", Body: make([]byte, MaxBody)}
 	require.NoError(b.t, b.journal.Take(m))
 	require.NoError(b.t, b.journal.Ended(m, store.Withdrawn, 0, b.now))
 	require.NoError(b.t, b.journal.Settle(m))
 }
 
-// A message is over with its attempt given up; the journal is compacted and the process
-// killed. The next of its key rests still, though it has no idempotency key.
-func TestRestOutlastsCompaction(t *testing.T) {
+// A message ends and its attempt is abandoned; the journal is compacted and the process killed. The
+// next message of its key must still wait, although there is no idempotency key.
+func TestKeyHoldOutlastsCompaction(t *testing.T) {
 	for name, compacts := range map[string]int{"killed": 0, "compacted and killed": 1, "and once more": 2} {
 		t.Run(name, func(t *testing.T) {
 			change := func(s *snowjunction.Settings) {
 				s.OrderSettle = 700 * ms
 				s.Classes[0].Effect = snowjunction.Unsafe
 			}
-			b := newBench(t, change)
+			b := newHarness(t, change)
 			for _, id := range []string{"first", "next"} {
 				require.NoError(t, b.c.TakeIn(Request{ID: id, Class: "order", Key: 5, Destination: 7, Left: map[string]time.Duration{
 					"first": time.Second, "next": 10 * time.Second,
@@ -288,12 +287,12 @@
 			b.step(time.Second)
 			b.step(5 * ms)
 			require.Len(t, b.ended, 1)
-			require.True(t, b.calls[0].gaveUp)
+			require.True(t, b.calls[0].abandoned)
 			for range compacts {
 				b.compact()
-				b = b.killed(ms, change)
+				b = b.restarted(ms, change)
 			}
-			b = b.killed(ms, change)
+			b = b.restarted(ms, change)
 			b.step(700 * ms)
 			assert.Empty(t, b.calls)
 			b.step(settleSlack)
@@ -304,31 +303,31 @@
 	}
 }
 
-// What was delivered at its only attempt surely is over: its key need not rest after a kill.
-func TestDeliveredLeavesNoRest(t *testing.T) {
+// A message delivered by its only attempt is certainly over: its key is not held after a kill.
+func TestDeliveredLeavesNoKeyHold(t *testing.T) {
 	change := func(s *snowjunction.Settings) { s.OrderSettle = 700 * ms }
-	b := newBench(t, change)
+	b := newHarness(t, change)
 	b.add("m1", "order", 5)
 	b.add("m2", "order", 5)
 	b.step(5 * ms)
 	require.Len(t, b.calls, 1)
 	b.c.Freeze(func() {})
 	b.calls[0].done(Result{Outcome: snowjunction.OK})
-	b = b.killed(ms, change)
+	b = b.restarted(ms, change)
 	require.Len(t, b.calls, 1)
 	assert.Equal(t, "m2", b.calls[0].m.ID)
 }
 
-// The clock is set back over a restart. What may have run of a settled message is then any time
-// ago: handed in again it does not go, neither at once nor when the clock has come so far again.
-func TestClockSetBackWithAKeyRemembered(t *testing.T) {
+// The clock is set back over a restart, so it is unknown when a settled message ran. A resubmission
+// is not sent, neither at once nor when the clock has caught up.
+func TestClockSetBackWithRememberedKey(t *testing.T) {
 	for _, later := range []time.Duration{0, 2900 * ms, 3100 * ms, 4900 * ms} {
-		b := newBench(t, nil)
+		b := newHarness(t, nil)
 		b.add("m1", "order", 0)
 		b.step(5 * ms)
 		require.Len(t, b.calls, 1)
 		b.calls[0].done(Result{Outcome: snowjunction.OK})
-		b = b.killed(-3*time.Second, nil)
+		b = b.restarted(-3*time.Second, nil)
 		b.step(later)
 		require.NoError(t, b.c.TakeIn(Request{ID: "m2", Class: "order", IdempotencyKey: "m1", Destination: 7, Left: 10 * time.Second},
 			func(Answer, *store.Message) bool { return true }))
@@ -338,19 +337,19 @@
 	}
 }
 
-// A message's end is told with its attempt out; then that proves not to have run. After a kill
-// the message goes as one that never left.
-func TestNotRunAfterItsEnd(t *testing.T) {
+// A message ends with its attempt in flight, and the attempt then turns out not to have run. After
+// a kill a resubmission is sent as if there had been no attempt.
+func TestNotRunKnownAfterEnd(t *testing.T) {
 	for outcome, sent := range map[snowjunction.Outcome]bool{snowjunction.Full: true, snowjunction.Error: false} {
-		b := newBench(t, nil)
+		b := newHarness(t, nil)
 		require.NoError(t, b.c.TakeIn(Request{ID: "m1", Class: "order", Key: 9, IdempotencyKey: "k", Destination: 7, Left: time.Second},
 			func(Answer, *store.Message) bool { return true }))
 		b.step(5 * ms)
 		require.Len(t, b.calls, 1)
-		b.c.execute(snowjunction.Fail{Request: b.c.flowsByRef[name0("m1")].id})
+		b.c.execute(snowjunction.Fail{Request: b.c.flowsByRef[firstFrontRef("m1")].id})
 		require.Len(t, b.ended, 1)
 		b.calls[0].done(Result{Outcome: outcome})
-		b = b.killed(4900*ms, nil)
+		b = b.restarted(4900*ms, nil)
 		require.NoError(t, b.c.TakeIn(Request{ID: "m2", Class: "order", Key: 9, IdempotencyKey: "k", Destination: 7, Left: time.Second},
 			func(Answer, *store.Message) bool { return true }))
 		b.step(200 * ms)
@@ -359,11 +358,12 @@
 	}
 }
 
-// The clock is set back over a restart by a little more than that took. What may have run does
-// not go when the clock has passed its attempt, as the first decisions wait for the directory.
-func TestClockSetBackIntoThePause(t *testing.T) {
-	b := newBench(t, nil)
-	m := b.ran("m1", -50*ms)
+// The clock is set back over a restart by slightly more than the restart took. A message that may
+// have run must not be sent when the clock passes its attempt while the first decisions wait for
+// the directory.
+func TestClockSetBackIntoPause(t *testing.T) {
+	b := newHarness(t, nil)
+	m := b.ranMessage("m1", -50*ms)
 	b.c.Pause(80 * ms)
 	b.c.Restore([]*store.Message{m})
 	b.step(81 * ms)
@@ -373,30 +373,30 @@
 	assert.Equal(t, store.Failed, b.ended[0].State)
 }
 
-// A client that has not heard hands its message in again under another id before the first has
-// left. What the second sends goes within the window of the first, whatever becomes of that one
-// and however often the process is killed; past it, it is told as failed.
-func TestSameKeyBothHeld(t *testing.T) {
+// A client without an answer resubmits under another id before the first message is sent. The
+// second message may be sent only within the window of the first, whatever happens to the first and
+// however often the process is killed. After the window it fails.
+func TestSameKeyBothOpen(t *testing.T) {
 	for name, way := range map[string]struct {
 		first  snowjunction.Outcome // of all attempts under the first id
-		killed string               // "out": with the first attempt out; "ended": so, and its end told; "over": once the first is over; "late": and forgotten
-		sent   bool                 // the second is sent past what would be the window
+		killed string               // kill time; "out": first attempt in flight; "ended": also with its end reported; "over": first message over; "late": and forgotten
+		sent   bool                 // the second message is sent after the end of that window
 	}{
-		"may have run":                    {first: snowjunction.Reset},
-		"delivered":                       {first: snowjunction.OK},
-		"never ran":                       {first: snowjunction.Full, sent: true},
-		"killed with it out":              {first: snowjunction.Reset, killed: "out"},
-		"killed with it out at its end":   {first: snowjunction.Reset, killed: "ended"},
-		"killed long after":               {first: snowjunction.Reset, killed: "late"},
-		"killed after it may have run":    {first: snowjunction.Reset, killed: "over"},
-		"killed after it was delivered":   {first: snowjunction.OK, killed: "over"},
-		"killed after it proved to be no": {first: snowjunction.Full, killed: "over", sent: true},
+		"may have run":                      {first: snowjunction.Reset},
+		"delivered":                         {first: snowjunction.OK},
+		"never ran":                         {first: snowjunction.Full, sent: true},
+		"killed with the attempt in flight": {first: snowjunction.Reset, killed: "out"},
+		"killed after its end with the attempt in flight": {first: snowjunction.Reset, killed: "ended"},
+		"killed long after":                      {first: snowjunction.Reset, killed: "late"},
+		"killed after it may have run":           {first: snowjunction.Reset, killed: "over"},
+		"killed after it was delivered":          {first: snowjunction.OK, killed: "over"},
+		"killed after it proved not to have run": {first: snowjunction.Full, killed: "over", sent: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			change := func(s *snowjunction.Settings) {
 				s.Classes[0].Window, s.Classes[0].Deadline, s.MaxAttempts = time.Second, 1500*ms, 1
 			}
-			b := newBench(t, change)
+			b := newHarness(t, change)
 			for _, id := range []string{"m1", "m2"} {
 				require.NoError(t, b.c.TakeIn(Request{ID: id, Class: "order", Key: 5, IdempotencyKey: "k", Destination: 7, Left: 10 * time.Second},
 					func(Answer, *store.Message) bool { return true }))
@@ -407,23 +407,23 @@
 			switch way.killed {
 			case "out":
 			case "ended":
-				b.c.execute(snowjunction.Fail{Request: b.c.flowsByRef[name0("m1")].id})
+				b.c.execute(snowjunction.Fail{Request: b.c.flowsByRef[firstFrontRef("m1")].id})
 			default:
-				b.list(snowjunction.Draining, false) // the second waits for an endpoint
+				b.list(snowjunction.Draining, false) // the second message waits for an endpoint
 				b.calls[0].done(Result{Outcome: way.first})
 				b.step(5 * ms)
 				b.calls = nil
 			}
 			if way.killed == "late" {
 				b.step(2 * time.Second)
-				b.filler()
+				b.addFiller()
 				require.Empty(t, b.journal.Ran())
 			}
 			if way.killed != "" {
 				b.list(snowjunction.Draining, false)
-				b = newBenchWith(&bench{t: t, now: b.now.Add(600 * ms), settle: true, dir: b.dir, bare: true}, change)
+				b = newHarnessWith(&harness{t: t, now: b.now.Add(600 * ms), settle: true, journalDir: b.journalDir, emptyList: true}, change)
 				b.c.Remember(b.journal.Ran())
-				b.c.Restore(b.heirs)
+				b.c.Restore(b.restored)
 			}
 			b.step(1200 * ms)
 			b.list(snowjunction.Ready, true)
@@ -440,44 +440,46 @@
 	}
 }
 
-// An endpoint says that nobody wants a message any more: it has not run, for the next process too.
-func TestNotWantedHasNotRun(t *testing.T) {
-	b := newBench(t, nil)
+// An endpoint answers that a message is no longer wanted: it has not run, for the next process as
+// well.
+func TestUnwantedMessageHasNotRun(t *testing.T) {
+	b := newHarness(t, nil)
 	b.add("m1", "order", 5)
 	b.step(5 * ms)
 	require.Len(t, b.calls, 1)
 	b.calls[0].done(Result{Outcome: snowjunction.Moot, Over: true})
 	require.Len(t, b.ended, 1)
-	b = b.killed(ms, nil)
+	b = b.restarted(ms, nil)
 	assert.Empty(t, b.journal.Ran())
 }
 
-// name0 is an id of the first front's.
-func name0(id string) messageRef { return messageRef{0, id} }
+// firstFrontRef returns the reference of a message of the first front.
+func firstFrontRef(id string) messageRef { return messageRef{0, id} }
 
-// An attempt is out for longer than the window of its key, its message is over, and the same
-// message is held under another id: that is told as failed, at its turn or when it is given up.
-func TestSameKeyAsOneThatIsOut(t *testing.T) {
+// An attempt stays in flight for longer than the window of its key, its message is over, and the
+// same message is open under another id. That one fails, when it is to be sent or when it is given
+// up.
+func TestSameKeyWithAttemptInFlight(t *testing.T) {
 	for _, givenUp := range []bool{false, true} {
-		b := newBench(t, func(s *snowjunction.Settings) { s.Classes[0].Window = time.Second })
+		b := newHarness(t, func(s *snowjunction.Settings) { s.Classes[0].Window = time.Second })
 		for i, id := range []string{"m1", "m2"} {
 			require.NoError(t, b.c.TakeIn(Request{ID: id, Class: "order", IdempotencyKey: "k", Destination: 7, Left: 10 * time.Second},
 				func(Answer, *store.Message) bool { return true }))
 			if i == 0 {
 				b.step(5 * ms)
 				b.list(snowjunction.Draining, false)
-				b.c.attemptedKeys.NotRun(idempotency.Key{Destination: 7, Text: "k"}, id) // the second has come before it left
+				b.c.attemptedKeys.NotRun(idempotency.Key{Destination: 7, Text: "k"}, id) // the second message arrived before the first was sent
 			}
 		}
 		require.Len(t, b.calls, 1)
-		b.c.execute(snowjunction.Fail{Request: b.c.flowsByRef[name0("m1")].id})
+		b.c.execute(snowjunction.Fail{Request: b.c.flowsByRef[firstFrontRef("m1")].id})
 		b.step(900 * ms)
 		require.Len(t, b.ended, 1)
-		b.now = b.now.Add(100 * ms) // its time-out is not heard of yet
+		b.now = b.now.Add(100 * ms) // the core has not seen its timeout yet
 		if givenUp {
-			b.c.execute(snowjunction.Refuse{Request: b.c.flowsByRef[name0("m2")].id})
+			b.c.execute(snowjunction.Refuse{Request: b.c.flowsByRef[firstFrontRef("m2")].id})
 		} else {
-			b.c.send(snowjunction.Send{Request: b.c.flowsByRef[name0("m2")].id, Endpoint: 1, Timeout: time.Second})
+			b.c.send(snowjunction.Send{Request: b.c.flowsByRef[firstFrontRef("m2")].id, Endpoint: 1, Timeout: time.Second})
 		}
 		require.Len(t, b.ended, 2)
 		assert.Equal(t, "m2", b.ended[1].ID)
@@ -486,18 +488,18 @@
 	}
 }
 
-// A connection takes most of a window to come up, and the attempt may have run: its repeats have
-// the window from its bytes, in the same process too, and none leaves past it.
-func TestWindowBeginsWithTheBytes(t *testing.T) {
-	b := newDialling(t, func(s *snowjunction.Settings) { s.Classes[0].Window = time.Second })
-	require.True(t, b.calls[0].opened())
+// A connection takes most of a window to come up, and the attempt may have run. The window for its
+// retries counts from the first byte sent, and no retry is sent after its end.
+func TestWindowStartsWithFirstByte(t *testing.T) {
+	b := newConnecting(t, func(s *snowjunction.Settings) { s.Classes[0].Window = time.Second })
+	require.True(t, b.calls[0].connect())
 	left := b.now
 	b.step(50 * ms)
 	b.calls[0].done(Result{Outcome: snowjunction.Reset})
 	b.step(5 * ms)
 	require.Len(t, b.calls, 2)
 	b.now = left.Add(920 * ms)
-	assert.True(t, b.calls[1].may(), "inside")
+	assert.True(t, b.calls[1].mayStart(), "inside")
 	b.now = left.Add(935 * ms)
-	assert.False(t, b.calls[1].may(), "close to its end")
+	assert.False(t, b.calls[1].mayStart(), "close to the window's end")
 }
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -10,7 +10,7 @@
 )
 
 // readAnswer has the plug-ins interpret an answer, then completes the attempt. If no plug-in
-// answers in time, the result of the protocol stands.
+// answers in time, the result from the protocol is used.
 func (c *Core) readAnswer(a *attempt, r Result) {
 	if a.flow.attempt != a || a.reading {
 		return
@@ -52,7 +52,7 @@
 	f.attempt = nil
 	c.openCalls--
 	c.Counters.result(r.Outcome)
-	ran := mayHaveRun(r.Outcome)
+	mayRun := mayHaveRun(r.Outcome)
 	switch {
 	case r.Outcome == snowjunction.OK && f.ended:
 		c.Counters.Late++
@@ -63,33 +63,33 @@
 	case r.Outcome == snowjunction.OK:
 		c.finish(f, store.Delivered, 0)
 	case r.Over && !f.ended:
-		c.recordOutcome(a, ran)
+		c.recordOutcome(a, mayRun)
 		c.finish(f, store.Withdrawn, 0)
 	default:
-		c.recordOutcome(a, ran)
-		if r.Outcome == snowjunction.Moot && !f.ended && !c.inWindow(f) { // its window is over, so it cannot be sent any more
+		c.recordOutcome(a, mayRun)
+		if r.Outcome == snowjunction.Moot && !f.ended && !c.inWindow(f) { // cannot be sent any more
 			c.finish(f, store.Failed, 0)
 		}
 	}
-	if !ran && !f.msg.Ran {
+	if !mayRun && !f.msg.Ran {
 		c.attemptedKeys.NotRun(f.idempotencyKey(), f.msg.ID)
 	}
 	c.recordRetryAfter(a, r) // a plug-in may have added the delay
 	c.recordEvidence(a, r)
 	c.stateChanged(snowjunction.DestinationID(f.msg.Destination))
-	ev := snowjunction.AttemptEnded{
+	ended := snowjunction.AttemptEnded{
 		Request: f.id, Endpoint: a.endpoint, Attempt: a.number, Outcome: r.Outcome,
 		Took: c.Loop.Now().Sub(a.startedAt), Wait: r.Wait, Done: f.ended, Report: r.Report,
 	}
 	if !a.sentAt.IsZero() {
-		ev.Dialled = a.sentAt.Sub(a.startedAt)
+		ended.Dialled = a.sentAt.Sub(a.startedAt)
 	}
 	if a.call != nil {
-		ev.Kept = a.call.Kept()
-		ev.Fresh = ev.Kept == 0
+		ended.Kept = a.call.Kept()
+		ended.Fresh = ended.Kept == 0
 	}
-	c.traceAttempt(a, &ev)
-	c.queueEvent(ev)
+	c.traceAttempt(a, &ended)
+	c.queueEvent(ended)
 	c.forget(f)
 	c.checkIdle()
 }
@@ -106,9 +106,9 @@
 
 // trace logs an event of a message at debug level. Such lines are in the order in which the courier
 // saw the events, which may differ from the order at the destination.
-func (c *Core) trace(what string, m *store.Message) {
+func (c *Core) trace(event string, m *store.Message) {
 	if c.Log.Enabled(context.Background(), slog.LevelDebug) {
-		c.Log.Debug(what, "id", m.ID, "dest", m.Destination)
+		c.Log.Debug(event, "id", m.ID, "dest", m.Destination)
 	}
 }
 
@@ -125,13 +125,13 @@
 }
 
 // traceEnd logs a final result at debug level.
-func (c *Core) traceEnd(f *flow, how string, after time.Duration) {
+func (c *Core) traceEnd(f *flow, result string, retryAfter time.Duration) {
 	if !c.Log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
 	m := f.msg
-	c.Log.Debug("end", "id", m.ID, "key", m.IdempotencyKey, "ran", m.Ran, "dest", m.Destination, "class", m.Class, "attempts", m.Attempts, "as", how,
-		"left_ms", m.Deadline.Sub(c.Loop.Now()).Milliseconds(), "after_ms", after.Milliseconds(), "held", c.openFlows)
+	c.Log.Debug("end", "id", m.ID, "key", m.IdempotencyKey, "ran", m.Ran, "dest", m.Destination, "class", m.Class, "attempts", m.Attempts, "as", result,
+		"left_ms", m.Deadline.Sub(c.Loop.Now()).Milliseconds(), "after_ms", retryAfter.Milliseconds(), "held", c.openFlows)
 }
 
 func mayHaveRun(o snowjunction.Outcome) bool {
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -139,8 +139,8 @@
 // Calling yields the destinations for which flows are held by the module or wait for a snapshot.
 func (c *Core) Calling() iter.Seq[snowjunction.DestinationID] {
 	return func(yield func(snowjunction.DestinationID) bool) {
-		for d, g := range c.routes.loaded {
-			if (g.flows > 0 || len(g.parked) > 0) && !yield(d) {
+		for destination, g := range c.routes.loaded {
+			if (g.flows > 0 || len(g.parked) > 0) && !yield(destination) {
 				return
 			}
 		}
@@ -156,20 +156,20 @@
 		c.Heed(front, l)
 		return err
 	}
-	var news []snowjunction.Endpoint
+	var updates []snowjunction.Endpoint
 	if l.Full {
 		c.checkPlausibility(front, l)
-		news = c.replaceList(front, l)
-		c.queueEndpoints(news)
+		updates = c.replaceList(front, l)
+		c.queueEndpoints(updates)
 		c.listChanged(front)
 		return nil
 	}
 	begun := c.Loop.Now()
 	for e := range l.Entries.From(0) {
 		c.clearRetained(front, e.Name)
-		news = append(news, c.applyEntry(front, e)...)
+		updates = append(updates, c.applyEntry(front, e)...)
 	}
-	c.queueEndpoints(news)
+	c.queueEndpoints(updates)
 	c.listChanged(front)
 	c.updates.count++
 	c.updates.took += c.Loop.Now().Sub(begun)
@@ -179,14 +179,14 @@
 // Heed applies only what an otherwise rejected update says of draining and gone endpoints: they get
 // no new calls.
 func (c *Core) Heed(front int, l *groups.List) {
-	var news []snowjunction.Endpoint
+	var updates []snowjunction.Endpoint
 	for _, n := range l.Leaving {
 		if e, ok := c.routes.tables[front].Get(n); ok && e.Phase == snowjunction.Ready {
 			e.Phase = snowjunction.Draining
-			news = append(news, c.applyEntry(front, e)...)
+			updates = append(updates, c.applyEntry(front, e)...)
 		}
 	}
-	c.queueEndpoints(news)
+	c.queueEndpoints(updates)
 	c.listChanged(front)
 }
 
@@ -196,16 +196,16 @@
 	}
 }
 
-func (c *Core) queueEndpoints(news []snowjunction.Endpoint) {
-	if len(news) > 0 {
+func (c *Core) queueEndpoints(updates []snowjunction.Endpoint) {
+	if len(updates) > 0 {
 		c.queueEvent(snowjunction.List{
-			Kind: snowjunction.ListDelta, Endpoints: news, Destinations: c.destinations(),
+			Kind: snowjunction.ListDelta, Endpoints: updates, Destinations: c.destinations(),
 		})
 	}
 }
 
 // applyEntry applies one changed entry.
-func (c *Core) applyEntry(front int, e Entry) (news []snowjunction.Endpoint) {
+func (c *Core) applyEntry(front int, e Entry) (updates []snowjunction.Endpoint) {
 	table := c.routes.tables[front]
 	var old Entry
 	var was bool
@@ -219,18 +219,18 @@
 			c.routes.delisted.add(old.Destination, c.Loop.Now())
 		}
 		if g := c.routes.loaded[old.Destination]; g != nil {
-			news = c.removeEndpoint(g, front, e.Name, news)
+			updates = c.removeEndpoint(g, front, e.Name, updates)
 		}
 	}
 	if g := c.routes.loaded[e.Destination]; g != nil && !g.loading && e.Phase != snowjunction.Gone {
-		news = append(news, c.updateEndpoint(g, front, e)...)
+		updates = append(updates, c.updateEndpoint(g, front, e)...)
 	}
-	return news
+	return updates
 }
 
 // replaceList replaces a front's list by a full list. The immediate cost depends on the loaded
 // destinations only; the rest of the old list is scanned in slices.
-func (c *Core) replaceList(front int, l *groups.List) (news []snowjunction.Endpoint) {
+func (c *Core) replaceList(front int, l *groups.List) (updates []snowjunction.Endpoint) {
 	old := c.routes.tables[front]
 	for _, n := range l.Leaving {
 		if e, ok := l.Entries.Get(n); ok && e.Phase == snowjunction.Gone {
@@ -245,11 +245,11 @@
 		}
 		for _, m := range g.members {
 			if e, ok := table.Get(m.Name); m.front == front && (!ok || e.Destination != g.destination) {
-				news = c.removeEndpoint(g, front, m.Name, news)
+				updates = c.removeEndpoint(g, front, m.Name, updates)
 			}
 		}
 		for e := range table.Of(g.destination) {
-			news = append(news, c.updateEndpoint(g, front, e)...)
+			updates = append(updates, c.updateEndpoint(g, front, e)...)
 		}
 	}
 	at := 0
@@ -262,7 +262,7 @@
 		at += sliceSize
 		return at < old.Len()
 	})
-	return news
+	return updates
 }
 
 // sliceSize is the number of entries scanned in one slice.
@@ -270,28 +270,28 @@
 
 // updateEndpoint applies a front's entry for an endpoint of a loaded destination. An endpoint that
 // is not Ready and that the module does not know is ignored.
-func (c *Core) updateEndpoint(g *group, front int, e Entry) []snowjunction.Endpoint {
-	m := g.find(front, e.Name)
-	if m == nil {
-		if e.Phase != snowjunction.Ready {
+func (c *Core) updateEndpoint(g *group, front int, entry Entry) []snowjunction.Endpoint {
+	member := g.find(front, entry.Name)
+	if member == nil {
+		if entry.Phase != snowjunction.Ready {
 			return nil
 		}
 		c.routes.lastID++
-		m = &loadedEndpoint{front: front, id: c.routes.lastID}
-		g.members = append(g.members, m)
-		c.routes.byID[m.id] = m
+		member = &loadedEndpoint{front: front, id: c.routes.lastID}
+		g.members = append(g.members, member)
+		c.routes.byID[member.id] = member
 	}
-	out, wasOut := c.exclusionOf(front, e.Name)
-	if m.target != nil && (m.Addr != e.Addr || e.Phase != snowjunction.Ready || out) {
-		m.target.Leave()
-		m.target = nil
+	out, wasOut := c.exclusionOf(front, entry.Name)
+	if member.target != nil && (member.Addr != entry.Addr || entry.Phase != snowjunction.Ready || out) {
+		member.target.Leave()
+		member.target = nil
 	}
-	was, known := m.moduleView(), m.Name != ""
-	m.Entry, m.standing, m.excluded, m.excludedFor = e, c.confidenceIn(front, e.Name), out, wasOut
-	if m.target == nil && e.Phase == snowjunction.Ready && !out {
-		m.target = c.Fronts[front].Target(e)
+	was, known := member.moduleView(), member.Name != ""
+	member.Entry, member.standing, member.excluded, member.excludedFor = entry, c.confidenceIn(front, entry.Name), out, wasOut
+	if member.target == nil && entry.Phase == snowjunction.Ready && !out {
+		member.target = c.Fronts[front].Target(entry)
 	}
-	if is := m.moduleView(); is != was || !known {
+	if is := member.moduleView(); is != was || !known {
 		return []snowjunction.Endpoint{is}
 	}
 	return nil
@@ -307,10 +307,10 @@
 }
 
 // removeEndpoint marks an endpoint of a loaded destination as gone.
-func (c *Core) removeEndpoint(g *group, front int, name string, news []snowjunction.Endpoint) []snowjunction.Endpoint {
+func (c *Core) removeEndpoint(g *group, front int, name string, updates []snowjunction.Endpoint) []snowjunction.Endpoint {
 	m := g.find(front, name)
 	if m == nil || m.Phase == snowjunction.Gone {
-		return news
+		return updates
 	}
 	if m.target != nil {
 		m.target.Leave()
@@ -322,7 +322,7 @@
 			c.forgetEndpoint(g, m)
 		}
 	})
-	return append(news, m.moduleView())
+	return append(updates, m.moduleView())
 }
 
 // forgetEndpoint drops an endpoint that has been gone for goneRetention.
@@ -379,7 +379,7 @@
 
 func (h *delisted) has(d snowjunction.DestinationID, now time.Time) bool {
 	age := now.Sub(h.rotatedAt)
-	_, late := h.current[d]
-	_, early := h.previous[d]
-	return late && age < 2*delistedRetention || early && age < delistedRetention
+	_, inCurrent := h.current[d]
+	_, inPrevious := h.previous[d]
+	return inCurrent && age < 2*delistedRetention || inPrevious && age < delistedRetention
 }
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -60,12 +60,12 @@
 // again after that.
 func (c *Core) prepare(a *attempt) {
 	l := c.routes.byID[a.endpoint]
-	asked := c.Plugins != nil && l != nil && c.Plugins.Shape(a.flow.msg, l.Entry, func(s Shape) {
+	handled := c.Plugins != nil && l != nil && c.Plugins.Shape(a.flow.msg, l.Entry, func(s Shape) {
 		if a.flow.attempt == a && a.call == nil {
 			c.dispatch(a, s)
 		}
 	})
-	if !asked {
+	if !handled {
 		c.dispatch(a, Shape{})
 	}
 }
@@ -73,19 +73,19 @@
 // dispatch starts an attempt's call. Its bytes are sent as soon as the connection is up.
 func (c *Core) dispatch(a *attempt, shape Shape) {
 	f := a.flow
-	to := c.target(f, a.endpoint)
-	if to == nil {
+	target := c.target(f, a.endpoint)
+	if target == nil {
 		c.reportUnsent(a)
 		return
 	}
 	shape.Whole = c.Plugins != nil && c.Plugins.Reads(f.msg)
 	waited := c.Loop.Now().Sub(a.startedAt)
-	left := a.timeout - waited
-	if left <= 0 || waited > c.ParkMost || !c.stillValid(f) {
+	remaining := a.timeout - waited
+	if remaining <= 0 || waited > c.ParkMost || !c.stillValid(f) {
 		c.reportUnsent(a)
 		return
 	}
-	if a.call = to.Call(f.msg, shape, left, func() bool { return c.mayStart(a) }, func(r Result) { c.readAnswer(a, r) }); a.call == nil {
+	if a.call = target.Call(f.msg, shape, remaining, func() bool { return c.mayStart(a) }, func(r Result) { c.readAnswer(a, r) }); a.call == nil {
 		c.reportUnsent(a)
 		return
 	}
@@ -154,7 +154,7 @@
 
 // expire ends an attempt after its timeout. If none of its bytes were sent, it certainly has not
 // run.
-func (c *Core) expire(a *attempt, o snowjunction.Outcome) {
+func (c *Core) expire(a *attempt, outcome snowjunction.Outcome) {
 	switch {
 	case a.flow.attempt != a, a.reading:
 		return
@@ -163,11 +163,11 @@
 		return
 	default:
 		if !a.call.Left() {
-			o = snowjunction.ConnectFailed
+			outcome = snowjunction.ConnectFailed
 		}
 		a.call.GiveUp()
 	}
-	c.completeAttempt(a, Result{Outcome: o})
+	c.completeAttempt(a, Result{Outcome: outcome})
 }
 
 // cancel abandons an attempt at the module's request.
--- a/internal/core/share_test.go
+++ b/internal/core/share_test.go
@@ -13,10 +13,10 @@
 	"snowjunction/internal/store"
 )
 
-// The module is told of as many destinations as the fleet has, where a front lists a part of them.
-// Those that flows call for are known.
+// If a front lists only a share of the destinations, the module is told the number in the whole
+// fleet. Calling returns the destinations that have flows.
 func TestDestinationsOfTheWholeFleet(t *testing.T) {
-	b := newBench(t, func(*snowjunction.Settings) {})
+	b := newHarness(t, func(*snowjunction.Settings) {})
 	l := groups.NewList(true)
 	for i := range 10 {
 		require.NoError(t, l.Add(Entry{Name: fmt.Sprint(i), Addr: fmt.Sprintf("127.0.0.2:%d", i+1), Destination: snowjunction.DestinationID(i + 1), Phase: snowjunction.Ready}))
@@ -44,7 +44,7 @@
 		}
 		return out
 	}
-	assert.Empty(t, calling(), "awake, but nothing goes there")
+	assert.Empty(t, calling(), "loaded, but without flows")
 	require.NoError(t, b.c.TakeIn(Request{ID: "a", Class: "status", Destination: 3, Left: time.Second}, func(Answer, *store.Message) bool { return true }))
 	assert.Equal(t, []snowjunction.DestinationID{3}, calling())
 }
--- a/internal/core/sleep.go
+++ b/internal/core/sleep.go
@@ -25,25 +25,25 @@
 const snapshotTimeout = 50 * time.Millisecond
 
 // load returns the group of a destination and loads it into the module if necessary.
-func (c *Core) load(d snowjunction.DestinationID) *group {
-	g := c.routes.loaded[d]
+func (c *Core) load(destination snowjunction.DestinationID) *group {
+	g := c.routes.loaded[destination]
 	if g != nil {
 		c.cancelUnload(g)
 		return g
 	}
-	g = &group{destination: d}
-	c.routes.loaded[d] = g
-	if c.Beyond == nil || c.idleTracker.Keeping(d) || !c.Beyond.Has(uint32(d)) {
-		c.activate(g, c.idleTracker.Wake(d, c.elapsed()))
+	g = &group{destination: destination}
+	c.routes.loaded[destination] = g
+	if c.Beyond == nil || c.idleTracker.Keeping(destination) || !c.Beyond.Has(uint32(destination)) {
+		c.activate(g, c.idleTracker.Wake(destination, c.elapsed()))
 		return g
 	}
 	g.loading = true
 	limit := c.Loop.After(snapshotTimeout, func() { c.snapshotLoaded(g, nil, time.Time{}) })
-	asked := c.Beyond.Take(uint32(d), func(text []byte, at time.Time, ok bool) {
+	requested := c.Beyond.Take(uint32(destination), func(text []byte, at time.Time, ok bool) {
 		limit.Stop()
 		c.snapshotLoaded(g, text, at)
 	})
-	if !asked {
+	if !requested {
 		limit.Stop()
 		c.snapshotLoaded(g, nil, time.Time{})
 	}
@@ -57,13 +57,13 @@
 		return
 	}
 	g.loading = false
-	w := dormancy.Woken{}
+	loaded := dormancy.Woken{}
 	if m, err := memento.Decode(text); err == nil {
-		w = c.idleTracker.WakeWith(m, c.Loop.Now().Sub(at))
+		loaded = c.idleTracker.WakeWith(m, c.Loop.Now().Sub(at))
 	} else {
-		w = c.idleTracker.Wake(g.destination, c.elapsed())
+		loaded = c.idleTracker.Wake(g.destination, c.elapsed())
 	}
-	c.activate(g, w)
+	c.activate(g, loaded)
 	parked := g.parked
 	g.parked = nil
 	for _, f := range parked {
@@ -72,26 +72,26 @@
 }
 
 // activate tells the module of a destination, with its snapshot if there is one.
-func (c *Core) activate(g *group, w dormancy.Woken) {
-	ev := snowjunction.Wake{
-		Destination: g.destination, Slept: w.Slept, Caution: w.Caution, Destinations: c.destinations(),
+func (c *Core) activate(g *group, loaded dormancy.Woken) {
+	event := snowjunction.Wake{
+		Destination: g.destination, Slept: loaded.Slept, Caution: loaded.Caution, Destinations: c.destinations(),
 	}
 	names := map[memento.Name]snowjunction.EndpointID{}
 	for front, t := range c.routes.tables {
 		for e := range t.Of(g.destination) {
 			for _, x := range c.updateEndpoint(g, front, e) {
-				ev.Endpoints = append(ev.Endpoints, x)
+				event.Endpoints = append(event.Endpoints, x)
 				names[memento.NameOf(e.Name)] = x.ID
 			}
 		}
 	}
-	if w.Memento != nil {
-		ev.State = &w.Memento.State
-		for i := range ev.State.EndpointsSeen { // a gone endpoint gets number 0, which no endpoint has
-			ev.State.EndpointsSeen[i].ID = names[w.Memento.Names[i]]
+	if loaded.Memento != nil {
+		event.State = &loaded.Memento.State
+		for i := range event.State.EndpointsSeen { // a gone endpoint gets number 0, which no endpoint has
+			event.State.EndpointsSeen[i].ID = names[loaded.Memento.Names[i]]
 		}
 	}
-	c.queueEvent(ev)
+	c.queueEvent(event)
 }
 
 // cancelUnload cancels the unloading of a destination that the module has not yet returned.
@@ -143,7 +143,7 @@
 	}
 	c.idleTracker.Stale(c.elapsed(), maxUnloads)
 	for range maxUnloads {
-		d, due, wait := c.idleTracker.Due(c.elapsed())
+		destination, due, wait := c.idleTracker.Due(c.elapsed())
 		if !due {
 			if wait >= 0 {
 				c.idleTimer = c.Loop.After(max(wait, unloadInterval), func() {
@@ -153,11 +153,11 @@
 			}
 			return
 		}
-		g := c.routes.loaded[d]
-		c.idleTracker.Busy(d)
+		g := c.routes.loaded[destination]
+		c.idleTracker.Busy(destination)
 		if g != nil && g.flows == 0 && !g.unloading && !c.frozen {
 			g.unloading = true
-			c.queueEvent(snowjunction.Sleep{Destination: d})
+			c.queueEvent(snowjunction.Sleep{Destination: destination})
 		}
 	}
 	c.idleTimer = c.Loop.After(unloadInterval, func() {
@@ -203,16 +203,16 @@
 
 // Dormant returns statistics of the target groups and the unloaded destinations as log attributes.
 func (c *Core) Dormant() slog.Value {
-	n, endpoints, bytes := c.idleTracker.Counts, 0, 0
+	counts, endpoints, bytes := c.idleTracker.Counts, 0, 0
 	for _, t := range c.routes.tables {
 		endpoints += t.Len()
 		bytes += t.Bytes()
 	}
 	u := c.updates
 	c.updates = listUpdates{}
-	mean, beyond := int64(0), 0
+	mean, stored := int64(0), 0
 	if c.Beyond != nil {
-		beyond = c.Beyond.Len()
+		stored = c.Beyond.Len()
 	}
 	if u.count > 0 {
 		mean = u.took.Nanoseconds() / int64(u.count)
@@ -220,8 +220,8 @@
 	return slog.GroupValue(
 		slog.Int("listed", endpoints), slog.Int("destinations", c.routes.destinations()), slog.Int("table_bytes", bytes),
 		slog.Int("awake", c.idleTracker.Awake()), slog.Int("mementos", c.idleTracker.Asleep()), slog.Int("memento_bytes", c.idleTracker.Bytes()),
-		slog.Uint64("slept", n.Slept), slog.Uint64("woke", n.Woke), slog.Uint64("known", n.Known),
-		slog.Int("beyond", beyond), slog.Uint64("dropped", n.Dropped), slog.Uint64("full", n.Full),
+		slog.Uint64("slept", counts.Slept), slog.Uint64("woke", counts.Woke), slog.Uint64("known", counts.Known),
+		slog.Int("beyond", stored), slog.Uint64("dropped", counts.Dropped), slog.Uint64("full", counts.Full),
 		slog.Int("changes", u.count), slog.Int64("change_ns", mean),
 	)
 }
--- a/internal/core/sleep_test.go
+++ b/internal/core/sleep_test.go
@@ -15,8 +15,8 @@
 	"snowjunction/internal/store"
 )
 
-// deliver hands a message in and has its call succeed.
-func (b *bench) deliver(id string) {
+// deliver submits a message and completes its call with success.
+func (b *harness) deliver(id string) {
 	n := len(b.calls)
 	b.add(id, "status", 0)
 	b.step(5 * ms)
@@ -25,36 +25,36 @@
 	b.step(5 * ms)
 }
 
-// doze has everything idle fall asleep.
-func (b *bench) doze() {
+// unloadAll lets all idle destinations be unloaded.
+func (b *harness) unloadAll() {
 	b.step(time.Minute)
 	b.step(10 * ms)
 	require.Empty(b.t, b.c.routes.loaded)
 }
 
-func TestNothingForWhatNobodyCalls(t *testing.T) {
-	b := newBench(t, nil)
+func TestNoStateForUncalledDestinations(t *testing.T) {
+	b := newHarness(t, nil)
 	var many []Entry
 	for i := range 3000 {
 		many = append(many, Entry{Name: fmt.Sprint(i), Addr: fmt.Sprintf("127.1.%d.%d:1", i>>8, i&255), Destination: snowjunction.DestinationID(i / 2), Phase: snowjunction.Ready})
 	}
 	b.listed(0, true, many...)
 	b.step(time.Second)
-	assert.Empty(t, b.made)
+	assert.Empty(t, b.targets)
 	assert.Empty(t, b.c.routes.byID)
 	b.deliver("m1")
-	assert.Len(t, b.made, 2, "the two endpoints of destination 7")
-	b.doze()
-	assert.Equal(t, 2, b.left)
+	assert.Len(t, b.targets, 2, "the two endpoints of destination 7")
+	b.unloadAll()
+	assert.Equal(t, 2, b.leftTargets)
 	assert.Empty(t, b.c.routes.byID)
 	assert.Equal(t, 1, b.c.idleTracker.Asleep())
 	b.deliver("m2")
 	assert.Zero(t, b.c.idleTracker.Asleep())
 }
 
-// A destination that holds a flow never sleeps, however long nothing moves.
-func TestHeldFlowsKeepAwake(t *testing.T) {
-	b := newBench(t, nil)
+// A destination with an open flow is never unloaded, even if nothing happens for long.
+func TestOpenFlowsPreventUnloading(t *testing.T) {
+	b := newHarness(t, nil)
 	b.list(snowjunction.Draining, false)
 	err := b.c.TakeIn(Request{ID: "m1", Class: "status", Destination: 7, Left: 10 * time.Minute}, func(Answer, *store.Message) bool { return true })
 	require.NoError(t, err)
@@ -63,8 +63,8 @@
 	assert.Len(t, b.c.routes.loaded, 1)
 }
 
-// What the list says while a destination sleeps holds when it wakes.
-func TestListedAnewWhileAsleep(t *testing.T) {
+// List changes while a destination is unloaded apply when it is loaded again.
+func TestListChangesWhileUnloaded(t *testing.T) {
 	for name, tc := range map[string]struct {
 		entry Entry
 		calls int
@@ -76,86 +76,86 @@
 		"leaves": {Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 8, Phase: snowjunction.Ready}, 1, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, nil)
+			b := newHarness(t, nil)
 			b.deliver("m1")
-			b.doze()
+			b.unloadAll()
 			b.listed(0, false, tc.entry)
-			assert.Len(t, b.made, 1, "nothing is made for what sleeps")
+			assert.Len(t, b.targets, 1, "no target for an unloaded destination")
 			b.add("m2", "status", 0)
 			b.step(20 * ms)
 			assert.Len(t, b.calls, tc.calls)
 			if tc.addr != "" {
-				assert.Equal(t, tc.addr, b.made[len(b.made)-1].Addr)
+				assert.Equal(t, tc.addr, b.targets[len(b.targets)-1].Addr)
 			}
 		})
 	}
 }
 
-// An endpoint that drains between the waking and the sending gets nothing.
-func TestDrainsAsItWakes(t *testing.T) {
-	b := newBench(t, nil)
+// An endpoint that starts to drain between loading and sending gets nothing.
+func TestEndpointDrainsDuringLoad(t *testing.T) {
+	b := newHarness(t, nil)
 	b.deliver("m1")
-	b.doze()
+	b.unloadAll()
 	b.add("m2", "status", 0)
 	b.listed(0, false, Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Draining})
 	b.step(20 * ms)
 	assert.Len(t, b.calls, 1)
 }
 
-// A told wait longer than the time to sleep holds on waking.
-func TestToldWaitThroughSleep(t *testing.T) {
-	b := newBench(t, nil)
+// A retry-after delay longer than the idle time still applies after loading.
+func TestRetryAfterOutlastsUnload(t *testing.T) {
+	b := newHarness(t, nil)
 	b.add("m1", "status", 0)
 	b.step(5 * ms)
 	b.calls[0].done(Result{Outcome: snowjunction.Full, Wait: 90 * time.Second})
 	began := b.now
 	b.step(3 * time.Second) // its message is given up
-	b.doze()
+	b.unloadAll()
 	for b.now.Sub(began) < 89*time.Second {
 		b.step(time.Second)
 	}
 	b.add("m2", "status", 0)
 	b.step(500 * ms)
-	assert.Len(t, b.calls, 1, "the wait is not over")
+	assert.Len(t, b.calls, 1, "the delay is not over")
 	for range 20 {
 		b.step(50 * ms)
 	}
 	assert.Len(t, b.calls, 2)
 }
 
-// A wait that ends during sleep is over.
-func TestToldWaitEndsInSleep(t *testing.T) {
-	b := newBench(t, nil)
+// A retry-after delay that ends while the destination is unloaded does not apply after loading.
+func TestRetryAfterEndsWhileUnloaded(t *testing.T) {
+	b := newHarness(t, nil)
 	b.add("m1", "status", 0)
 	b.step(5 * ms)
 	b.calls[0].done(Result{Outcome: snowjunction.Full, Wait: 10 * time.Second})
 	b.step(3 * time.Second)
-	b.doze()
+	b.unloadAll()
 	b.add("m2", "status", 0)
 	b.step(20 * ms)
 	assert.Len(t, b.calls, 2)
 }
 
-// A message that comes as its destination is being handed out calls that off.
-func TestComesAsItFallsAsleep(t *testing.T) {
-	b := newBench(t, nil)
+// A message that arrives while its destination is being unloaded cancels the unloading.
+func TestMessageCancelsUnload(t *testing.T) {
+	b := newHarness(t, nil)
 	b.deliver("m1")
 	b.now = b.now.Add(time.Minute)
-	b.c.lastHandled = b.now // the module is asked a tick later
+	b.c.lastHandled = b.now // the module is called one tick later
 	b.c.Loop.Turn()
 	require.True(t, b.c.routes.loaded[7].unloading)
 	b.add("m2", "status", 0)
 	b.step(10 * ms)
 	assert.Len(t, b.calls, 2)
-	assert.Len(t, b.made, 1, "it never slept")
+	assert.Len(t, b.targets, 1, "it was never unloaded")
 }
 
-// Every memento binds and memory is full: a further destination's message gets
-// its fixed response at once, with when to come back, and no rule is forgotten.
-func TestAllThatSleepBind(t *testing.T) {
+// All stored snapshots are binding and memory is full. A message for a further destination gets a
+// fixed response with a retry delay at once, and no binding state is dropped.
+func TestAllSnapshotsBinding(t *testing.T) {
 	cfg := dormancy.Default(snowjunction.Settings{})
 	cfg.Awake, cfg.Memory = 1, 1
-	b := newBenchWith(&bench{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, sleep: &cfg}, nil)
+	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, dormancy: &cfg}, nil)
 	b.listed(0, false, Entry{Name: "s-2", Addr: "127.0.0.1:2", Destination: 8, Phase: snowjunction.Ready})
 	b.add("m1", "status", 0)
 	b.step(5 * ms)
@@ -177,12 +177,12 @@
 	assert.EqualValues(t, 1, b.c.Counters.Crowded)
 	b.add("m3", "status", 0)
 	b.step(500 * ms)
-	assert.Len(t, b.calls, 1, "the wait that was told still holds")
+	assert.Len(t, b.calls, 1, "the retry-after delay still applies")
 }
 
-// A bad change is refused whole, but for what it says of leaving.
-func TestBadChangeHeedsDrains(t *testing.T) {
-	b := newBench(t, nil)
+// An invalid change is refused as a whole, except for the draining endpoints in it.
+func TestInvalidChangeAppliesDraining(t *testing.T) {
+	b := newHarness(t, nil)
 	b.listed(0, false, Entry{Name: "s-2", Addr: "127.0.0.1:2", Destination: 8, Phase: snowjunction.Ready})
 	b.deliver("m1")
 	l, err := groups.ListOf(false, false, []Entry{
@@ -192,16 +192,16 @@
 	require.NoError(t, err)
 	assert.ErrorIs(t, b.c.Listed(0, l), groups.ErrAddress)
 	assert.False(t, b.c.routes.tables[0].Has(9))
-	assert.True(t, b.c.routes.tables[0].Has(8), "what was held stays")
+	assert.True(t, b.c.routes.tables[0].Has(8), "the held list is unchanged")
 	b.add("m2", "status", 0)
 	b.step(20 * ms)
-	assert.Len(t, b.calls, 1, "it drains")
+	assert.Len(t, b.calls, 1, "the endpoint drains")
 }
 
-// A destination whose last endpoint has left is still known for a while.
-func TestHeardOf(t *testing.T) {
+// A destination whose last endpoint has left is still accepted for some minutes.
+func TestRecentlyDelistedDestination(t *testing.T) {
 	for _, full := range []bool{true, false} {
-		b := newBench(t, nil)
+		b := newHarness(t, nil)
 		if full {
 			b.listed(0, true, Entry{Name: "s-2", Addr: "127.0.0.1:2", Destination: 8, Phase: snowjunction.Ready})
 		} else {
@@ -210,18 +210,18 @@
 		b.step(ms)
 		got := b.add("m1", "status", 0)
 		b.step(20 * ms)
-		assert.Equal(t, []Answer{{Verdict: Taken}}, *got, "its next endpoint may come in time")
+		assert.Equal(t, []Answer{{Verdict: Taken}}, *got, "its next endpoint may be listed in time")
 		b.step(3 * delistedRetention)
-		b.doze()
+		b.unloadAll()
 		got = b.add("m2", "status", 0)
 		require.Len(t, *got, 1)
 		assert.Equal(t, Fixed, (*got)[0].Verdict)
 	}
 }
 
-// Full lists that grow and shrink leave nothing behind.
-func TestListsThatGrowAndShrink(t *testing.T) {
-	b := newBench(t, nil)
+// Full lists that grow and shrink do not leak memory.
+func TestListMemoryIsFreed(t *testing.T) {
+	b := newHarness(t, nil)
 	heap := func() int64 {
 		runtime.GC()
 		var m runtime.MemStats
@@ -251,9 +251,9 @@
 	assert.Equal(t, 10, b.c.routes.destinations())
 }
 
-// beyond is a store whose answers come when the test says so.
+// beyond is a Beyond whose answers are sent by the test.
 type beyond struct {
-	b     *bench
+	b     *harness
 	kept  map[uint32][]byte
 	at    map[uint32]time.Time
 	asked []func()
@@ -267,43 +267,43 @@
 	return true
 }
 
-func newBeyond(b *bench, x *beyond) *bench {
+func newBeyond(b *harness, x *beyond) *harness {
 	x.b = b
 	b.beyond = x
-	return newBenchWith(b, nil)
+	return newHarnessWith(b, nil)
 }
 
-// After a restart the memento comes from beyond memory; flows wait for it, for
-// their answer too, and what it says holds.
-func TestRestartWhileAsleep(t *testing.T) {
+// After a restart the snapshot is fetched from the external store. Flows wait for it, with their
+// answers too, and its retry-after delay applies.
+func TestRestartWhileUnloaded(t *testing.T) {
 	x := &beyond{kept: map[uint32][]byte{}, at: map[uint32]time.Time{}}
 	start := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
-	b := newBeyond(&bench{t: t, now: start, settle: true}, x)
+	b := newBeyond(&harness{t: t, now: start, settle: true}, x)
 	b.add("m1", "status", 0)
 	b.step(5 * ms)
 	b.calls[0].done(Result{Outcome: snowjunction.Full, Wait: 10 * time.Minute})
 	b.step(3 * time.Second)
-	b.doze()
+	b.unloadAll()
 	require.NotNil(t, x.kept[7])
 
-	b = newBeyond(&bench{t: t, now: start.Add(2 * time.Minute), settle: true}, x)
+	b = newBeyond(&harness{t: t, now: start.Add(2 * time.Minute), settle: true}, x)
 	got := b.add("m2", "status", 0)
 	b.step(10 * ms)
-	assert.Empty(t, *got, "not before the module has seen it")
+	assert.Empty(t, *got, "no answer before the module's decision")
 	require.Len(t, x.asked, 1)
 	b.add("m3", "status", 0)
 	x.asked[0]()
 	b.step(10 * ms)
 	assert.Equal(t, []Answer{{Verdict: Taken}}, *got)
-	assert.Empty(t, b.calls, "its wait is remembered")
+	assert.Empty(t, b.calls, "its retry-after delay still applies")
 	assert.Equal(t, 2, b.c.Held())
 }
 
-// A store that does not answer holds nothing up for long; what it says later
-// is not heard.
-func TestBeyondIsSilent(t *testing.T) {
+// An external store that does not answer delays flows only for a short time. A late answer is
+// ignored.
+func TestExternalStoreDoesNotAnswer(t *testing.T) {
 	x := &beyond{kept: map[uint32][]byte{7: {1}}, at: map[uint32]time.Time{}}
-	b := newBeyond(&bench{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true}, x)
+	b := newBeyond(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true}, x)
 	got := b.add("m1", "status", 0)
 	b.step(snapshotTimeout)
 	b.step(10 * ms)
@@ -314,17 +314,16 @@
 	assert.Len(t, b.calls, 1)
 }
 
-// What is frozen while it waits for a memento was never taken on.
-func TestFrozenWhileWaiting(t *testing.T) {
+// A flow that waits for a snapshot when the core is frozen was never accepted.
+func TestFrozenWhileLoading(t *testing.T) {
 	x := &beyond{kept: map[uint32][]byte{7: {1}}, at: map[uint32]time.Time{}}
-	b := newBeyond(&bench{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true}, x)
+	b := newBeyond(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true}, x)
 	got := b.add("m1", "status", 0)
 	b.c.Freeze(func() {})
 	assert.Equal(t, []Answer{{Verdict: Fixed}}, *got)
 }
 
-// A turn leaves what is posted for the next after a while, so that timers that
-// are due and others' work come between.
+// A turn leaves posted work for the next turn after maxTurn, so that due timers are not delayed.
 func TestTurnsAreBounded(t *testing.T) {
 	now := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	l := NewLoop(func() time.Time { return now })
@@ -339,15 +338,15 @@
 	l.Turn()
 	assert.Equal(t, []string{"0", "1", "2", "3", "timer", "4", "5"}, order)
 	assert.LessOrEqual(t, l.Turns().Longest, maxTurn+ms)
-	assert.Zero(t, l.Turns().Count, "since it was last asked")
+	assert.Zero(t, l.Turns().Count, "reset by the previous call")
 }
 
-// A message that may have run keeps its destination awake while its keyed window
-// is open; with it over, the destination sleeps, and the key's next one goes.
-func TestKeyedWindowAndSleep(t *testing.T) {
+// A message that may have run keeps its destination loaded while its window is open. After that the
+// destination is unloaded, and the next message of the key is sent.
+func TestKeyedWindowPreventsUnload(t *testing.T) {
 	cfg := dormancy.Default(snowjunction.Settings{})
 	cfg.After = 500 * ms
-	b := newBenchWith(&bench{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, sleep: &cfg}, nil)
+	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, dormancy: &cfg}, nil)
 	hand := func(id string) {
 		err := b.c.TakeIn(Request{ID: id, Class: "order", Key: 9, IdempotencyKey: id, Destination: 7, Left: 20 * time.Second},
 			func(Answer, *store.Message) bool { return true })
@@ -363,7 +362,7 @@
 		b.step(100 * ms)
 		require.Less(t, b.now.Sub(began), 6*time.Second)
 	}
-	assert.Greater(t, b.now.Sub(began), 4*time.Second, "it waited for its window's end")
+	assert.Greater(t, b.now.Sub(began), 4*time.Second, "it ended only with its window")
 	for range 10 {
 		b.step(100 * ms)
 	}
--- a/internal/core/takein.go
+++ b/internal/core/takein.go
@@ -57,20 +57,20 @@
 
 // TakeIn is the first stage of the chain. It returns an error for a malformed request, and then
 // does not call answer. Otherwise answer is called exactly once, soon.
-func (c *Core) TakeIn(r Request, answer AnswerFunc) error {
-	class, err := c.Check(r)
+func (c *Core) TakeIn(request Request, answer AnswerFunc) error {
+	class, err := c.Check(request)
 	if err != nil {
 		c.Counters.Malformed++
 		return err
 	}
 	c.Counters.In++
-	if f := c.flowsByRef[messageRef{r.Origin, r.ID}]; f != nil {
+	if f := c.flowsByRef[messageRef{request.Origin, request.ID}]; f != nil {
 		// The client lost its connection and resubmits an open message, or another client uses the
 		// same id. The first request still gets its answer.
 		if first := f.answer; first != nil {
 			f.answer = func(a Answer, m *store.Message) bool {
-				there := first(a, m)
-				return answer(a, m) || there
+				received := first(a, m)
+				return answer(a, m) || received
 			}
 		} else {
 			answer(Answer{Verdict: Taken}, f.msg)
@@ -78,9 +78,9 @@
 		return nil
 	}
 	f := &flow{class: class, answer: answer, msg: &store.Message{
-		Origin: byte(r.Origin), ID: r.ID, IdempotencyKey: r.IdempotencyKey, Key: r.Key,
-		Destination: r.Destination, Class: r.Class, Tenant: r.Tenant,
-		Deadline: c.Loop.Now().Add(r.Left), Again: r.Again, Body: r.Body,
+		Origin: byte(request.Origin), ID: request.ID, IdempotencyKey: request.IdempotencyKey, Key: request.Key,
+		Destination: request.Destination, Class: request.Class, Tenant: request.Tenant,
+		Deadline: c.Loop.Now().Add(request.Left), Again: request.Again, Body: request.Body,
 	}}
 	c.admit(f)
 	return nil
@@ -92,9 +92,9 @@
 }
 
 // rememberAttempt remembers that an attempt of a flow may run from the given time on.
-func (c *Core) rememberAttempt(f *flow, at, window time.Duration) {
+func (c *Core) rememberAttempt(f *flow, sentAt, window time.Duration) {
 	if f.keyed() {
-		c.attemptedKeys.AttemptSent(f.idempotencyKey(), f.msg.ID, at, window+2*windowSlack) // as the client counts the window
+		c.attemptedKeys.AttemptSent(f.idempotencyKey(), f.msg.ID, sentAt, window+2*windowSlack) // as the client counts the window
 	}
 }
 
@@ -118,9 +118,9 @@
 	if !f.keyed() {
 		return true
 	}
-	for _, o := range c.flowsByIdempotencyKey[f.idempotencyKey()] {
-		since := ranSince(o.msg)
-		if (o != f || o.msg.Ran) && !since.IsZero() && c.Loop.Now().Sub(since) >= f.class.Window-2*c.Settings.Tick {
+	for _, other := range c.flowsByIdempotencyKey[f.idempotencyKey()] {
+		since := ranSince(other.msg)
+		if (other != f || other.msg.Ran) && !since.IsZero() && c.Loop.Now().Sub(since) >= f.class.Window-2*c.Settings.Tick {
 			return false
 		}
 	}
@@ -133,14 +133,14 @@
 	if !f.keyed() {
 		return
 	}
-	others := slices.DeleteFunc(c.flowsByIdempotencyKey[f.idempotencyKey()], func(o *flow) bool { return o == f })
+	others := slices.DeleteFunc(c.flowsByIdempotencyKey[f.idempotencyKey()], func(other *flow) bool { return other == f })
 	if c.flowsByIdempotencyKey[f.idempotencyKey()] = others; len(others) == 0 {
 		delete(c.flowsByIdempotencyKey, f.idempotencyKey())
 	}
 	since := ranSince(f.msg)
-	for _, o := range others {
-		if !o.ended && !o.msg.Ran && !since.IsZero() {
-			c.ranUnderAnother(o, since)
+	for _, other := range others {
+		if !other.ended && !other.msg.Ran && !since.IsZero() {
+			c.ranUnderAnother(other, since)
 		}
 	}
 }
@@ -156,29 +156,29 @@
 func (c *Core) Taking() bool { return !c.draining && !c.frozen }
 
 // Check validates a request and returns its class.
-func (c *Core) Check(r Request) (*snowjunction.Class, error) {
-	bad := func(format string, args ...any) (*snowjunction.Class, error) {
+func (c *Core) Check(request Request) (*snowjunction.Class, error) {
+	invalid := func(format string, args ...any) (*snowjunction.Class, error) {
 		return nil, fmt.Errorf("%w: %s", ErrRequest, fmt.Sprintf(format, args...))
 	}
-	no, known := c.classes[r.Class]
-	_, tenant := c.tenants[r.Tenant]
+	classIndex, known := c.classes[request.Class]
+	_, tenantKnown := c.tenants[request.Tenant]
 	switch {
-	case !headerSafe(r.ID):
-		return bad("the id must be 1 to %d letters, digits, '-', '_' or '.'", maxTextBytes)
-	case r.IdempotencyKey != "" && !headerSafe(r.IdempotencyKey):
-		return bad("the idempotency key must be 1 to %d letters, digits, '-', '_' or '.'", maxTextBytes)
+	case !headerSafe(request.ID):
+		return invalid("the id must be 1 to %d letters, digits, '-', '_' or '.'", maxTextBytes)
+	case request.IdempotencyKey != "" && !headerSafe(request.IdempotencyKey):
+		return invalid("the idempotency key must be 1 to %d letters, digits, '-', '_' or '.'", maxTextBytes)
 	case !known:
-		return bad("unknown class %q", r.Class)
-	case !tenant && (r.Tenant != "" || len(c.tenants) > 0):
-		return bad("unknown tenant %q", r.Tenant)
-	case r.Left <= 0 || r.Left > maxTimeLeft:
-		return bad("the time left must be over 0 and at most %v", maxTimeLeft)
-	case len(r.Body) > MaxBody:
-		return bad("the body must be %d bytes at most", MaxBody)
-	case c.Settings.Classes[no].Effect == snowjunction.Keyed && r.IdempotencyKey == "":
-		return bad("class %q needs an idempotency key", r.Class)
+		return invalid("unknown class %q", request.Class)
+	case !tenantKnown && (request.Tenant != "" || len(c.tenants) > 0):
+		return invalid("unknown tenant %q", request.Tenant)
+	case request.Left <= 0 || request.Left > maxTimeLeft:
+		return invalid("the time left must be over 0 and at most %v", maxTimeLeft)
+	case len(request.Body) > MaxBody:
+		return invalid("the body must be %d bytes at most", MaxBody)
+	case c.Settings.Classes[classIndex].Effect == snowjunction.Keyed && request.IdempotencyKey == "":
+		return invalid("class %q needs an idempotency key", request.Class)
 	}
-	return &c.Settings.Classes[no], nil
+	return &c.Settings.Classes[classIndex], nil
 }
 
 // headerSafe reports whether s can be used as a header value without escaping.
@@ -187,8 +187,8 @@
 		return false
 	}
 	for _, b := range []byte(s) {
-		letter := b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z' || b >= '0' && b <= '9'
-		if !letter && b != '-' && b != '_' && b != '.' {
+		alphanumeric := b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z' || b >= '0' && b <= '9'
+		if !alphanumeric && b != '-' && b != '_' && b != '.' {
 			return false
 		}
 	}
--- a/internal/groups/capacity_test.go
+++ b/internal/groups/capacity_test.go
@@ -8,7 +8,7 @@
 	"snowjunction/internal/gauge"
 )
 
-// fleetTable lists two endpoints of each of so many destinations.
+// fleetTable returns a table with two endpoints for each destination.
 func fleetTable(destinations int) *Table {
 	t := New()
 	for i := range 2 * destinations {
@@ -20,7 +20,7 @@
 	return t
 }
 
-// What a destination with two endpoints takes by being listed.
+// BenchmarkListedDestination measures the memory of a listed destination with two endpoints.
 func BenchmarkListedDestination(b *testing.B) {
 	for _, n := range []int{10_000, 32_768, 130_000, 400_000, 1_300_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/groups/groups.go
+++ b/internal/groups/groups.go
@@ -183,16 +183,16 @@
 }
 
 // Has reports whether a destination has endpoints, in any phase.
-func (t *Table) Has(d snowjunction.DestinationID) bool {
-	_, ok := t.firstOf(d)
+func (t *Table) Has(destination snowjunction.DestinationID) bool {
+	_, ok := t.firstOf(destination)
 	return ok
 }
 
 // Of yields the endpoints of a destination in listing order. The table must not change during the
 // iteration.
-func (t *Table) Of(d snowjunction.DestinationID) iter.Seq[Entry] {
+func (t *Table) Of(destination snowjunction.DestinationID) iter.Seq[Entry] {
 	return func(yield func(Entry) bool) {
-		first, ok := t.firstOf(d)
+		first, ok := t.firstOf(destination)
 		for ref := first; ok; {
 			if !yield(t.entry(ref)) {
 				return
@@ -238,19 +238,19 @@
 		t.chunks = append(t.chunks, make([]entry, chunkSize))
 	}
 	t.n++
-	x := t.at(ref)
-	*x = entry{
+	slot := t.at(ref)
+	*slot = entry{
 		weight: e.Weight, dest: uint32(e.Destination), next: ref, prev: ref, phase: uint8(e.Phase),
 		zone: uint16(min(e.Zone, maxNumber)), kind: uint16(min(e.Kind, maxNumber)),
 	}
 	if len(e.Name) > maxInlineName {
-		x.nameLen = longNameMark
+		slot.nameLen = longNameMark
 		t.longNames = put(t.longNames, ref, e.Name)
 	} else {
-		x.nameLen = uint8(copy(x.name[:], e.Name))
+		slot.nameLen = uint8(copy(slot.name[:], e.Name))
 	}
 	if a, err := netip.ParseAddrPort(e.Addr); err == nil && a.Addr().Is4() && a.Port() != otherAddrPort {
-		x.addr, x.port = a.Addr().As4(), a.Port()
+		slot.addr, slot.port = a.Addr().As4(), a.Port()
 	} else {
 		t.otherAddrs = put(t.otherAddrs, ref, e.Addr)
 	}
@@ -262,10 +262,10 @@
 	}
 	if first, ok := t.firstOf(e.Destination); ok {
 		last := t.at(first).prev
-		x.next, x.prev = first, last
+		slot.next, slot.prev = first, last
 		t.at(last).next, t.at(first).prev = ref, ref
 	} else {
-		t.firstOfDest.insert(destHash(x.dest), ref, t.destHashAt)
+		t.firstOfDest.insert(destHash(slot.dest), ref, t.destHashAt)
 		t.destinations++
 	}
 	return old, replaced
@@ -286,21 +286,21 @@
 	if !ok {
 		return Entry{}, false
 	}
-	old, x, hash := t.entry(ref), *t.at(ref), t.nameHash(ref)
+	old, removed, hash := t.entry(ref), *t.at(ref), t.nameHash(ref)
 	t.names.remove(hash, ref, t.nameHash)
-	if x.phase == uint8(snowjunction.Ready) {
+	if removed.phase == uint8(snowjunction.Ready) {
 		t.countReady(hash, -1)
 		t.addrs.remove(t.addrHash(ref), ref, t.addrHash)
 	}
 	if first, _ := t.firstOf(old.Destination); first == ref {
-		if x.next == ref {
-			t.firstOfDest.remove(destHash(x.dest), ref, t.destHashAt)
+		if removed.next == ref {
+			t.firstOfDest.remove(destHash(removed.dest), ref, t.destHashAt)
 			t.destinations--
 		} else {
-			t.firstOfDest.replace(destHash(x.dest), ref, x.next)
+			t.firstOfDest.replace(destHash(removed.dest), ref, removed.next)
 		}
 	}
-	t.at(x.prev).next, t.at(x.next).prev = x.next, x.prev
+	t.at(removed.prev).next, t.at(removed.next).prev = removed.next, removed.prev
 	delete(t.longNames, ref)
 	delete(t.otherAddrs, ref)
 	if last := uint32(t.n - 1); last != ref {
@@ -317,12 +317,12 @@
 
 // move copies the entry at from to the free slot to.
 func (t *Table) move(from, to uint32) {
-	nameHash, addrHash, x := t.nameHash(from), t.addrHash(from), t.at(from)
+	nameHash, addrHash, source := t.nameHash(from), t.addrHash(from), t.at(from)
 	t.names.replace(nameHash, from, to)
-	if x.phase == uint8(snowjunction.Ready) {
+	if source.phase == uint8(snowjunction.Ready) {
 		t.addrs.replace(addrHash, from, to)
 	}
-	t.firstOfDest.replace(destHash(x.dest), from, to) // no effect unless it is the first of its destination
+	t.firstOfDest.replace(destHash(source.dest), from, to) // no effect unless it is the first of its destination
 	if s, ok := t.longNames[from]; ok {
 		t.longNames[to] = s
 		delete(t.longNames, from)
@@ -331,29 +331,29 @@
 		t.otherAddrs[to] = s
 		delete(t.otherAddrs, from)
 	}
-	y := t.at(to)
-	*y = *x
-	if x.next == from { // the only endpoint of its destination
-		y.next, y.prev = to, to
+	target := t.at(to)
+	*target = *source
+	if source.next == from { // the only endpoint of its destination
+		target.next, target.prev = to, to
 		return
 	}
-	t.at(x.prev).next, t.at(x.next).prev = to, to
+	t.at(source.prev).next, t.at(source.next).prev = to, to
 }
 
 // At returns the name of the Ready endpoint at an address.
 func (t *Table) At(addr string) (string, bool) {
-	var h uint64
+	var hash uint64
 	a, err := netip.ParseAddrPort(addr)
-	four := err == nil && a.Addr().Is4() && a.Port() != otherAddrPort
-	if four {
+	ipv4 := err == nil && a.Addr().Is4() && a.Port() != otherAddrPort
+	if ipv4 {
 		b := a.Addr().As4()
-		h = xxhash.Sum64(binary.LittleEndian.AppendUint16(b[:], a.Port()))
+		hash = xxhash.Sum64(binary.LittleEndian.AppendUint16(b[:], a.Port()))
 	} else {
-		h = xxhash.Sum64String(addr)
+		hash = xxhash.Sum64String(addr)
 	}
-	ref, ok := t.addrs.find(h, func(ref uint32) bool {
+	ref, ok := t.addrs.find(hash, func(ref uint32) bool {
 		e := t.at(ref)
-		if four {
+		if ipv4 {
 			return e.port == a.Port() && e.addr == a.Addr().As4()
 		}
 		return e.port == otherAddrPort && t.otherAddrs[ref] == addr
--- a/internal/groups/groups_test.go
+++ b/internal/groups/groups_test.go
@@ -17,9 +17,9 @@
 	return Entry{Name: name, Addr: addr, Destination: snowjunction.DestinationID(dest), Phase: snowjunction.Ready, Weight: 1}
 }
 
-// Whatever is set and removed, the table holds what a map of the same would,
-// destination by destination in the order of listing.
-func TestTableIsLikeAMap(t *testing.T) {
+// After any sequence of Set and Remove the table has the same content as a map, with each
+// destination's endpoints in listing order.
+func TestTableMatchesMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, model := New(), map[string]Entry{}
 		order := []string{}
@@ -91,26 +91,25 @@
 	return list
 }
 
-// What an operator's mistake would make ambiguous is refused; what it says of
-// leaving is noted all the same.
-func TestNewsThatCannotBeTaken(t *testing.T) {
+// An ambiguous list is refused. Its draining and gone entries are recorded nevertheless.
+func TestInvalidLists(t *testing.T) {
 	l, err := ListOf(true, false, []Entry{endpointAt("a", "127.0.0.1:1", 1), endpointAt("a", "127.0.0.1:2", 1)})
 	assert.ErrorIs(t, err, ErrDuplicate)
 	assert.Equal(t, 1, l.Entries.Len())
 	_, err = ListOf(true, false, []Entry{endpointAt("a", "127.0.0.1:1", 1), endpointAt("b", "127.0.0.1:1", 2)})
 	assert.ErrorIs(t, err, ErrAddress)
 	_, err = ListOf(true, true, []Entry{endpointAt("a", "127.0.0.1:1", 1), endpointAt("b", "127.0.0.1:1", 2)})
-	assert.NoError(t, err, "a gateway serves many at one address")
+	assert.NoError(t, err, "a gateway serves several endpoints at one address")
 	gone := endpointAt("a", "127.0.0.1:1", 1)
 	gone.Phase = snowjunction.Draining
 	l, err = ListOf(true, false, []Entry{gone, endpointAt("b", "127.0.0.1:1", 2)})
-	assert.NoError(t, err, "what drains may share its address with what takes its place")
+	assert.NoError(t, err, "a draining endpoint may share its address with its successor")
 	assert.Equal(t, []string{"a"}, l.Leaving)
 }
 
-// A change that moves an address from one endpoint to another fits where it
-// also takes the other away, in whatever order.
-func TestChangesThatFit(t *testing.T) {
+// A change that assigns an address to another endpoint is valid if it also takes it from the former
+// one, in any order.
+func TestFits(t *testing.T) {
 	held, err := ListOf(true, false, []Entry{endpointAt("a", "127.0.0.1:1", 1), endpointAt("b", "127.0.0.1:2", 1)})
 	require.NoError(t, err)
 	news := func(entries ...Entry) *List {
@@ -122,13 +121,12 @@
 	gone.Phase = snowjunction.Gone
 	assert.ErrorIs(t, held.Entries.Fits(news(endpointAt("c", "127.0.0.1:1", 2))), ErrAddress)
 	assert.NoError(t, held.Entries.Fits(news(endpointAt("c", "127.0.0.1:1", 2), gone)))
-	assert.NoError(t, held.Entries.Fits(news(endpointAt("a", "127.0.0.1:1", 2))), "its own")
-	assert.NoError(t, held.Entries.Fits(news(endpointAt("a", "127.0.0.1:2", 1), endpointAt("b", "127.0.0.1:1", 1))), "they swap")
+	assert.NoError(t, held.Entries.Fits(news(endpointAt("a", "127.0.0.1:1", 2))), "its own address")
+	assert.NoError(t, held.Entries.Fits(news(endpointAt("a", "127.0.0.1:2", 1), endpointAt("b", "127.0.0.1:1", 1))), "two endpoints swap their addresses")
 }
 
-// A list that grows and shrinks, by changes or by full lists, gives its memory
-// back.
-func TestMemoryFollowsTheList(t *testing.T) {
+// A table that grows and shrinks, by changes or by full lists, frees its memory.
+func TestTableFreesMemory(t *testing.T) {
 	table := New()
 	heap := func() int64 {
 		runtime.GC()
@@ -153,8 +151,8 @@
 	before := heap()
 	grow(0)
 	full := heap() - before
-	assert.Less(t, full, int64(20000*100), "under 100 bytes an endpoint")
-	assert.InDelta(t, full, table.Bytes(), float64(full)/4, "what it says of itself")
+	assert.Less(t, full, int64(20000*100), "less than 100 bytes per endpoint")
+	assert.InDelta(t, full, table.Bytes(), float64(full)/4, "Bytes is close to the measured size")
 	shrink(0)
 	for round := 1; round < 10; round++ {
 		grow(round)
--- a/internal/groups/index.go
+++ b/internal/groups/index.go
@@ -20,14 +20,14 @@
 func (x *index) shard(h uint64) *shard { return &x.shards[h>>58] }
 
 // find returns the first reference with hash h that same accepts.
-func (x *index) find(h uint64, same func(ref uint32) bool) (uint32, bool) {
-	s := x.shard(h)
-	if s.n == 0 {
+func (x *index) find(hash uint64, same func(ref uint32) bool) (uint32, bool) {
+	shard := x.shard(hash)
+	if shard.n == 0 {
 		return 0, false
 	}
-	mask := uint64(len(s.slots) - 1)
-	for i := h & mask; s.slots[i] != 0; i = (i + 1) & mask {
-		if ref := s.slots[i] - 1; same(ref) {
+	mask := uint64(len(shard.slots) - 1)
+	for i := hash & mask; shard.slots[i] != 0; i = (i + 1) & mask {
+		if ref := shard.slots[i] - 1; same(ref) {
 			return ref, true
 		}
 	}
@@ -36,12 +36,12 @@
 
 // insert adds a reference. hash returns the hash of any reference in the index.
 func (x *index) insert(h uint64, ref uint32, hash func(uint32) uint64) {
-	s := x.shard(h)
-	if 4*(s.n+1) > 3*len(s.slots) {
-		s.resize(max(2*len(s.slots), minSlots), hash)
+	shard := x.shard(h)
+	if 4*(shard.n+1) > 3*len(shard.slots) {
+		shard.resize(max(2*len(shard.slots), minSlots), hash)
 	}
-	s.put(h, ref)
-	s.n++
+	shard.put(h, ref)
+	shard.n++
 }
 
 func (s *shard) put(h uint64, ref uint32) {
@@ -66,49 +66,49 @@
 // remove deletes a reference and closes the gap instead of leaving a tombstone. Tombstones would
 // fill the shard if a list kept changing for weeks.
 func (x *index) remove(h uint64, ref uint32, hash func(uint32) uint64) {
-	s := x.shard(h)
-	if s.n == 0 {
+	shard := x.shard(h)
+	if shard.n == 0 {
 		return
 	}
-	mask := uint64(len(s.slots) - 1)
+	mask := uint64(len(shard.slots) - 1)
 	i := h & mask
-	for s.slots[i] != ref+1 {
-		if s.slots[i] == 0 {
+	for shard.slots[i] != ref+1 {
+		if shard.slots[i] == 0 {
 			return
 		}
 		i = (i + 1) & mask
 	}
 	for j := i; ; {
 		j = (j + 1) & mask
-		if s.slots[j] == 0 {
+		if shard.slots[j] == 0 {
 			break
 		}
 		// An entry at j may move to the gap at i unless its home slot lies between them.
-		if home := hash(s.slots[j]-1) & mask; (j-home)&mask >= (j-i)&mask {
-			s.slots[i] = s.slots[j]
+		if home := hash(shard.slots[j]-1) & mask; (j-home)&mask >= (j-i)&mask {
+			shard.slots[i] = shard.slots[j]
 			i = j
 		}
 	}
-	s.slots[i] = 0
-	s.n--
+	shard.slots[i] = 0
+	shard.n--
 	switch {
-	case s.n == 0:
-		s.slots = nil
-	case len(s.slots) > minSlots && 8*s.n < len(s.slots):
-		s.resize(len(s.slots)/4, hash)
+	case shard.n == 0:
+		shard.slots = nil
+	case len(shard.slots) > minSlots && 8*shard.n < len(shard.slots):
+		shard.resize(len(shard.slots)/4, hash)
 	}
 }
 
 // replace changes a reference after the referenced value has moved.
-func (x *index) replace(h uint64, from, to uint32) {
-	s := x.shard(h)
-	if s.n == 0 {
+func (x *index) replace(hash uint64, from, to uint32) {
+	shard := x.shard(hash)
+	if shard.n == 0 {
 		return
 	}
-	mask := uint64(len(s.slots) - 1)
-	for i := h & mask; s.slots[i] != 0; i = (i + 1) & mask {
-		if s.slots[i] == from+1 {
-			s.slots[i] = to + 1
+	mask := uint64(len(shard.slots) - 1)
+	for i := hash & mask; shard.slots[i] != 0; i = (i + 1) & mask {
+		if shard.slots[i] == from+1 {
+			shard.slots[i] = to + 1
 			return
 		}
 	}
--- a/internal/idempotency/idempotency.go
+++ b/internal/idempotency/idempotency.go
@@ -30,65 +30,65 @@
 }
 
 // New returns a tracker for at most limit records. Beyond that the oldest are dropped.
-func New(most int) *Tracker { return &Tracker{limit: max(1, most), records: map[Key]*record{}} }
+func New(limit int) *Tracker { return &Tracker{limit: max(1, limit), records: map[Key]*record{}} }
 
 // AttemptSent records that an attempt of message id is sent at the given time with a key that has
 // the given window. The first of several attempts counts until its window is over.
-func (b *Tracker) AttemptSent(k Key, id string, at, window time.Duration) {
-	b.expire(at)
-	if n := b.records[k]; n != nil && at < n.until {
+func (t *Tracker) AttemptSent(key Key, id string, at, window time.Duration) {
+	t.expire(at)
+	if rec := t.records[key]; rec != nil && at < rec.until {
 		return
 	}
-	n := &record{key: k, id: id, at: at, until: at + window}
-	b.remove(b.records[k])
-	b.records[k] = n
-	b.order = append(b.order, n)
-	for len(b.order) > b.limit {
-		b.remove(b.order[0])
-		b.order = b.order[1:]
+	rec := &record{key: key, id: id, at: at, until: at + window}
+	t.remove(t.records[key])
+	t.records[key] = rec
+	t.order = append(t.order, rec)
+	for len(t.order) > t.limit {
+		t.remove(t.order[0])
+		t.order = t.order[1:]
 	}
 }
 
 // NotRun removes the record of message id: its attempts have certainly not run.
-func (b *Tracker) NotRun(k Key, id string) {
-	if n := b.records[k]; n != nil && n.id == id {
-		b.remove(n)
+func (t *Tracker) NotRun(key Key, id string) {
+	if rec := t.records[key]; rec != nil && rec.id == id {
+		t.remove(rec)
 	}
 }
 
 // FirstAttempt returns when the first attempt with the key that may have run was sent, if its
 // window is not over at now.
-func (b *Tracker) FirstAttempt(k Key, now time.Duration) (at time.Duration, ok bool) {
-	n := b.records[k]
-	if n == nil || now >= n.until {
+func (t *Tracker) FirstAttempt(key Key, now time.Duration) (at time.Duration, ok bool) {
+	rec := t.records[key]
+	if rec == nil || now >= rec.until {
 		return 0, false
 	}
-	return n.at, true
+	return rec.at, true
 }
 
 // Each calls f with every record whose window is not over, in the order of recording.
-func (b *Tracker) Each(now time.Duration, f func(k Key, id string, at, until time.Duration)) {
-	for _, n := range b.order {
-		if !n.removed && now < n.until {
-			f(n.key, n.id, n.at, n.until)
+func (t *Tracker) Each(now time.Duration, f func(k Key, id string, at, until time.Duration)) {
+	for _, rec := range t.order {
+		if !rec.removed && now < rec.until {
+			f(rec.key, rec.id, rec.at, rec.until)
 		}
 	}
 }
 
 // Len returns the number of keys remembered.
-func (b *Tracker) Len() int { return len(b.records) }
+func (t *Tracker) Len() int { return len(t.records) }
 
-func (b *Tracker) remove(n *record) {
-	if n != nil && !n.removed {
-		n.removed = true
-		delete(b.records, n.key)
+func (t *Tracker) remove(rec *record) {
+	if rec != nil && !rec.removed {
+		rec.removed = true
+		delete(t.records, rec.key)
 	}
 }
 
 // expire drops removed and outdated records from the front of the order.
-func (b *Tracker) expire(now time.Duration) {
-	for len(b.order) > 0 && (b.order[0].removed || now >= b.order[0].until) {
-		b.remove(b.order[0])
-		b.order = b.order[1:]
+func (t *Tracker) expire(now time.Duration) {
+	for len(t.order) > 0 && (t.order[0].removed || now >= t.order[0].until) {
+		t.remove(t.order[0])
+		t.order = t.order[1:]
 	}
 }
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -10,16 +10,16 @@
 
 const window = 3 * time.Second
 
-func TestFirstCounts(t *testing.T) {
+func TestFirstAttemptCounts(t *testing.T) {
 	b, k := New(10), Key{7, "k1"}
 	b.AttemptSent(k, "m1", time.Second, window)
 	b.AttemptSent(k, "m2", 3*time.Second, window)
-	b.NotRun(k, "m2") // what the second proves says nothing of the first
+	b.NotRun(k, "m2") // the second message's result does not affect the first
 	at, ok := b.FirstAttempt(k, 3900*time.Millisecond)
 	assert.True(t, ok)
 	assert.Equal(t, time.Second, at)
 	_, other := b.FirstAttempt(Key{8, "k1"}, 2*time.Second)
-	assert.False(t, other, "another destination knows nothing of it")
+	assert.False(t, other, "another destination has its own keys")
 	_, ok = b.FirstAttempt(k, 4*time.Second)
 	assert.False(t, ok, "the window is over")
 	b.AttemptSent(k, "m3", 5*time.Second, window)
