--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -158,7 +158,8 @@
 		}
 		request.Deadline = f.msg.Deadline.Sub(now)
 		if f.msg.Ran {
-			if request.RanFor = now.Sub(f.msg.RanSince); request.RanFor < 0 { // the clock was set back: time unknown
+			// A negative time means that the clock was set back: the true time is unknown.
+			if request.RanFor = now.Sub(f.msg.RanSince); request.RanFor < 0 {
 				request.RanFor = f.class.Window
 			}
 		}
@@ -171,8 +172,8 @@
 }
 
 func (c *Core) tenant(name string) int {
-	if no, ok := c.tenants[name]; ok {
-		return no
+	if index, ok := c.tenants[name]; ok {
+		return index
 	}
 	return -1
 }
@@ -269,7 +270,9 @@
 		classIndex, known := c.classes[m.Class]
 		if known && m.Ran { // its window continues, whatever its state
 			c.rememberRun(&flow{msg: m, class: &c.Settings.Classes[classIndex]})
-			if now := c.Loop.Now(); m.RanSince.After(now) { // it would be in the past when the module sees it
+			// The clock was set back. RanSince may have passed by the time the module sees the message;
+			// its window would then seem to have just begun.
+			if now := c.Loop.Now(); m.RanSince.After(now) {
 				m.RanSince = now.Add(-c.Settings.Classes[classIndex].Window)
 			}
 			if _, inFlight := c.adoptedCalls[m.Seq]; !inFlight && !m.Settled {
@@ -311,9 +314,9 @@
 
 // acceptAdmitted accepts the flows that the module has seen and not refused.
 func (c *Core) acceptAdmitted() {
-	fresh := c.awaitingAdmission
+	admitted := c.awaitingAdmission
 	c.awaitingAdmission = nil
-	for _, f := range fresh {
+	for _, f := range admitted {
 		if f.answer != nil && !f.ended {
 			c.accept(f)
 		}
--- a/internal/core/belief.go
+++ b/internal/core/belief.go
@@ -51,9 +51,9 @@
 		return
 	}
 	defer c.resume()
-	was, confirmedAt := d.confidence.Source(), d.confidence.Word()
+	before, confirmedAt := d.confidence.Source(), d.confidence.Word()
 	if d.confidence.Spoken(c.elapsed()) {
-		c.Log.Info("belief", "of", "directory", "is", "live", "was", was.String(), "list_age", (c.elapsed() - confirmedAt).Round(time.Second), "why", "the directory answered")
+		c.Log.Info("belief", "of", "directory", "is", "live", "was", before.String(), "list_age", (c.elapsed() - confirmedAt).Round(time.Second), "why", "the directory answered")
 		c.republish(front)
 	}
 	c.reviewConfidence(front)
@@ -111,10 +111,10 @@
 // updateConfidence updates an endpoint's confidence and returns the module's view of it if that has
 // changed.
 func (c *Core) updateConfidence(m *loadedEndpoint) []snowjunction.Endpoint {
-	was := m.moduleView()
+	before := m.moduleView()
 	m.standing = c.confidenceIn(m.front, m.Name)
-	if is := m.moduleView(); is != was {
-		return []snowjunction.Endpoint{is}
+	if after := m.moduleView(); after != before {
+		return []snowjunction.Endpoint{after}
 	}
 	return nil
 }
@@ -129,15 +129,15 @@
 	if r.Elsewhere {
 		e = belief.Elsewhere
 	}
-	was, is, why := c.directories[l.front].confidence.Heard(l.Destination, l.Name, e, c.elapsed())
-	if was == is {
+	before, after, why := c.directories[l.front].confidence.Heard(l.Destination, l.Name, e, c.elapsed())
+	if before == after {
 		return
 	}
 	level := slog.LevelInfo
-	if is >= belief.Doubtful {
+	if after >= belief.Doubtful {
 		level = slog.LevelWarn
 	}
-	c.Log.Log(context.Background(), level, "belief", "of", l.Name, "destination", l.Destination, "addr", l.Addr, "is", is.String(), "was", was.String(), "why", why)
+	c.Log.Log(context.Background(), level, "belief", "of", l.Name, "destination", l.Destination, "addr", l.Addr, "is", after.String(), "was", before.String(), "why", why)
 	c.queueEndpoints(c.updateConfidence(l))
 }
 
@@ -154,7 +154,7 @@
 	Why         string  `json:"why"`
 }
 
-// Beliefs returns the confidence in at most most endpoints of a front, and the total number of
+// Beliefs returns the confidence in up to limit endpoints of a front, and the total number of
 // endpoints.
 func (c *Core) Beliefs(front, limit int) (out []Believed, total int) {
 	d, now := c.directories[front], c.elapsed()
--- a/internal/core/book.go
+++ b/internal/core/book.go
@@ -146,7 +146,7 @@
 		c.Log.Error("journal", "err", err)
 	}
 	unsettled, ok := c.unsettledEnds[m.Key]
-	if no, known := c.classes[m.Class]; !ok || !known || !c.Settings.Classes[no].InOrder {
+	if classIndex, known := c.classes[m.Class]; !ok || !known || !c.Settings.Classes[classIndex].InOrder {
 		return
 	}
 	if unsettled > 1 {
--- a/internal/core/capacity_test.go
+++ b/internal/core/capacity_test.go
@@ -45,7 +45,7 @@
 	for _, n := range []int{20_000, 200_000, 2_600_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			x := newHarnessWith(&harness{t: b, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)}, nil)
-			most := uint64(0)
+			peak := uint64(0)
 			gauge.CPU(b, n, "entry", func() {
 				l := groups.NewList(true)
 				for i := range n {
@@ -62,10 +62,10 @@
 				}
 				var s runtime.MemStats
 				runtime.ReadMemStats(&s)
-				most = max(most, s.HeapAlloc)
+				peak = max(peak, s.HeapAlloc)
 				x.step(ms)
 			})
-			b.ReportMetric(float64(most)/float64(n), "peak-heap-B/entry")
+			b.ReportMetric(float64(peak)/float64(n), "peak-heap-B/entry")
 		})
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -34,13 +34,22 @@
 
 // Journal stores accepted messages and their progress.
 type Journal interface {
+	// Room reports whether a message with this many bytes of text and body fits.
 	Room(bytes int) bool
+	// Take records an accepted message and assigns its sequence number.
 	Take(m *store.Message) error
+	// Sent records that an attempt is about to be sent.
 	Sent(m *store.Message, at time.Time) error
+	// Came records the outcome of the attempt in flight. left is the time of its first byte, or
+	// zero if none was sent.
 	Came(m *store.Message, mayHaveRun bool, left time.Time) error
+	// Ended records a message's final result.
 	Ended(m *store.Message, s store.State, after time.Duration, at time.Time) error
+	// Settle records that the sender knows the final result.
 	Settle(m *store.Message) error
+	// Copy records a message again after it has changed because of another message.
 	Copy(m *store.Message) error
+	// Written returns how much this process has written.
 	Written() store.Written
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -194,9 +194,9 @@
 	b := newHarness(t, nil)
 	b.add("m1", "status", 0)
 	b.step(5 * ms)
-	again := b.add("m1", "status", 0)
+	second := b.add("m1", "status", 0)
 	b.step(5 * ms)
-	assert.Equal(t, []Answer{{Verdict: Taken}}, *again)
+	assert.Equal(t, []Answer{{Verdict: Taken}}, *second)
 	assert.Len(t, b.calls, 1)
 }
 
@@ -353,12 +353,12 @@
 	b.calls[0].done(Result{Outcome: snowjunction.Reset})
 	b.step(5 * ms)
 	require.Len(t, b.calls, 2)
-	repeat := b.calls[1]
-	repeat.sent = false
-	assert.True(t, repeat.mayStart(), "its window is still open")
+	retry := b.calls[1]
+	retry.sent = false
+	assert.True(t, retry.mayStart(), "its window is still open")
 	b.now = b.now.Add(250 * ms)
-	require.False(t, repeat.mayStart())
-	repeat.done(Result{Outcome: snowjunction.Moot})
+	require.False(t, retry.mayStart())
+	retry.done(Result{Outcome: snowjunction.Moot})
 	b.step(5 * ms)
 	assert.Len(t, b.calls, 2)
 	require.Len(t, b.ended, 1)
@@ -366,6 +366,7 @@
 	assert.False(t, b.ended[0].Out)
 }
 
+// A call of which no byte was sent has certainly not run.
 func TestNeverConnected(t *testing.T) {
 	b := newHarness(t, nil)
 	b.add("m1", "status", 0)
@@ -381,7 +382,7 @@
 	b := newHarness(t, nil)
 	b.c.Restore([]*store.Message{b.ranMessage("inside", 2*time.Second), b.ranMessage("outside", 4950*ms)})
 	b.step(5 * ms)
-	require.Len(t, b.calls, 1, "close to the end of its window, or past it, a keyed message never goes again")
+	require.Len(t, b.calls, 1, "a keyed message is not sent close to the end of its window or after it")
 	assert.Equal(t, "inside", b.calls[0].m.ID)
 	assert.Equal(t, 2, b.calls[0].m.Attempts)
 	require.Len(t, b.ended, 1)
@@ -403,28 +404,28 @@
 	return m
 }
 
-// slowDisk is a journal that takes some time to record an attempt.
-type slowDisk struct {
+// slowJournal is a journal that takes some time to record an attempt.
+type slowJournal struct {
 	*store.Journal
-	b    *harness
-	take time.Duration
+	b     *harness
+	delay time.Duration
 }
 
-func (s *slowDisk) Sent(m *store.Message, at time.Time) error {
+func (s *slowJournal) Sent(m *store.Message, at time.Time) error {
 	err := s.Journal.Sent(m, at)
-	s.b.now = s.b.now.Add(s.take)
+	s.b.now = s.b.now.Add(s.delay)
 	return err
 }
 
 // Recording a retry takes until its window is over. The retry must not be sent.
 func TestSlowJournalWriteOfRetry(t *testing.T) {
 	b := newHarness(t, nil)
-	disk := &slowDisk{Journal: b.journal, b: b}
+	disk := &slowJournal{Journal: b.journal, b: b}
 	b.c.Journal = disk
 	b.add("m1", "order", 9)
 	b.step(5 * ms)
 	require.Len(t, b.calls, 1)
-	disk.take = 5 * time.Second
+	disk.delay = 5 * time.Second
 	b.calls[0].done(Result{Outcome: snowjunction.Reset})
 	b.step(5 * ms)
 	assert.Len(t, b.calls, 1)
@@ -453,26 +454,26 @@
 		key     string
 		sent    bool
 	}{
-		{"inside", snowjunction.Reset, 2 * time.Second, "k", true},
+		{"within the window", snowjunction.Reset, 2 * time.Second, "k", true},
 		{"at the window's end", snowjunction.Reset, 4950 * ms, "k", false},
-		{"delivered, and its client has not heard of it", snowjunction.OK, 4950 * ms, "k", false},
+		{"delivered, but the client got no answer", snowjunction.OK, 4950 * ms, "k", false},
 		{"it never ran", snowjunction.Full, 4950 * ms, "k", true},
-		{"past the window the key is forgotten here", snowjunction.Reset, 6 * time.Second, "k", true},
+		{"after the window, key forgotten", snowjunction.Reset, 6 * time.Second, "k", true},
 		{"another key", snowjunction.Reset, 4950 * ms, "other", true},
 	} {
 		b := newHarness(t, nil)
-		hand := func(id, key string, left time.Duration) {
+		submit := func(id, key string, left time.Duration) {
 			require.NoError(t, b.c.TakeIn(Request{ID: id, Class: "order", IdempotencyKey: key, Destination: 7, Left: left},
 				func(Answer, *store.Message) bool { return true }))
 			b.step(5 * ms)
 		}
-		hand("m1", "k", 40*ms) // expires after this one attempt
+		submit("m1", "k", 40*ms) // expires after this one attempt
 		require.Len(t, b.calls, 1, c.what)
 		b.step(27 * ms)
 		b.calls[0].done(Result{Outcome: c.outcome})
 		b.step(c.after - 32*ms)
 		require.Len(t, b.calls, 1, c.what)
-		hand("m2", c.key, time.Second)
+		submit("m2", c.key, time.Second)
 		b.step(100 * ms)
 		assert.Equal(t, c.sent, len(b.calls) == 2, c.what)
 	}
@@ -515,7 +516,7 @@
 			may := step == "taken" || step == "never" || (later < 5*time.Second || class == "status") && (step == "sent" || step == "ran")
 			assert.Equal(t, may, len(next.calls) == 1, "%s, %s, %v later", class, step, later)
 			if step == "ended" {
-				require.Len(t, next.ended, 1, "its client's side hears of it")
+				require.Len(t, next.ended, 1, "the end is reported again")
 				assert.Equal(t, store.Delivered, next.ended[0].State)
 			}
 		}
@@ -548,7 +549,7 @@
 	b.calls[0].done(Result{Outcome: snowjunction.Reset})
 	b.step(5 * ms)
 	require.Len(t, b.calls, 2)
-	require.Equal(t, "m1", b.calls[1].m.ID, "its own repeat need not wait")
+	require.Equal(t, "m1", b.calls[1].m.ID, "a retry of the same message need not wait")
 	b.calls[1].done(Result{Outcome: snowjunction.OK})
 	for range 30 {
 		b.step(5 * ms)
--- a/internal/core/distrust.go
+++ b/internal/core/distrust.go
@@ -34,7 +34,8 @@
 		}
 		view.Omitted = len(omitted)
 	}
-	if !d.confidence.Live() { // after a directory outage its list takes precedence: the omitted endpoints have left meanwhile
+	// After a directory outage its list takes precedence: omitted endpoints have left meanwhile.
+	if !d.confidence.Live() {
 		view.Held, view.Omitted, omitted = 0, 0, nil
 	}
 	c.applyConditions(front, d.plausibility.Full(c.elapsed(), view))
@@ -57,8 +58,8 @@
 }
 
 // omittedEndpoints returns the held Ready endpoints that a full list neither contains nor names as
-// leaving, and whose address it has not assigned to another endpoint. It looks at about most
-// endpoints, spread evenly over the table.
+// leaving, and whose address it has not assigned to another endpoint. It looks at about
+// limit endpoints, spread evenly over the table.
 func omittedEndpoints(held *groups.Table, list *groups.List, limit int) (out []groups.Entry) {
 	step := max(1, held.Len()/max(limit, 1))
 	for i := 0; i < held.Len(); i += step {
--- a/internal/core/exclude.go
+++ b/internal/core/exclude.go
@@ -21,7 +21,7 @@
 
 // pendingExclusion tracks an endpoint's exclusion while changes to it are being written.
 type pendingExclusion struct {
-	pending  int
+	writes   int
 	excluded bool // the last durable change excludes it
 }
 
@@ -46,19 +46,19 @@
 // change takes effect immediately. done is called on the loop's goroutine once it is durable, or
 // with the error. When no write is pending any more, the endpoint is in the state that was last
 // written successfully.
-func (c *Core) Exclude(front int, name string, out bool, done func(error)) {
+func (c *Core) Exclude(front int, name string, exclude bool, done func(error)) {
 	e, listed := c.routes.tables[front].Get(name)
-	was := c.exclusionSet.Out(name)
+	wasExcluded := c.exclusionSet.Out(name)
 	switch {
 	case c.Exclusions == nil || front != 0:
 		done(errNotExcludable)
 		return
-	case !listed && !was:
+	case !listed && !wasExcluded:
 		done(ErrUnknown)
 		return
 	}
-	change := func(out bool) error {
-		if out {
+	change := func(exclude bool) error {
+		if exclude {
 			if err := c.exclusionSet.Exclude(name, c.Loop.Now()); err != nil {
 				return err
 			}
@@ -72,25 +72,25 @@
 		}
 		return nil
 	}
-	if err := change(out); err != nil {
+	if err := change(exclude); err != nil {
 		done(err)
 		return
 	}
-	c.Log.Info("operator changed an exclusion", "endpoint", name, "out", out, "was", was, "destination", e.Destination)
+	c.Log.Info("operator changed an exclusion", "endpoint", name, "out", exclude, "was", wasExcluded, "destination", e.Destination)
 	c.unwrittenExclusions++
 	pending := c.pendingExclusions[name]
 	if pending == nil {
-		pending = &pendingExclusion{excluded: was}
+		pending = &pendingExclusion{excluded: wasExcluded}
 		c.pendingExclusions[name] = pending
 	}
-	pending.pending++
+	pending.writes++
 	c.Exclusions.Put(c.exclusionSet.Encode(c.Loop.Now()), func(err error) {
 		c.Loop.Post(func() {
 			c.unwrittenExclusions--
-			if pending.pending--; err == nil {
-				pending.excluded = out
+			if pending.writes--; err == nil {
+				pending.excluded = exclude
 			}
-			if pending.pending == 0 {
+			if pending.writes == 0 {
 				if delete(c.pendingExclusions, name); c.exclusionSet.Out(name) != pending.excluded {
 					_ = change(pending.excluded)
 				}
--- a/internal/core/exclude_test.go
+++ b/internal/core/exclude_test.go
@@ -12,16 +12,16 @@
 	"snowjunction/internal/exclusions"
 )
 
-// disk is an Exclusions that keeps the text in memory, or fails.
-type disk struct {
-	text []byte
-	fail error
-	hold []func(error) // if not nil, calls of Put wait here
+// exclusionStore is an Exclusions that keeps the text in memory, or fails.
+type exclusionStore struct {
+	text    []byte
+	fail    error
+	pending []func(error) // if not nil, calls of Put wait here
 }
 
-func (d *disk) Put(text []byte, done func(error)) {
-	if d.hold != nil {
-		d.hold = append(d.hold, done)
+func (d *exclusionStore) Put(text []byte, done func(error)) {
+	if d.pending != nil {
+		d.pending = append(d.pending, done)
 		return
 	}
 	if d.fail == nil {
@@ -41,7 +41,7 @@
 // again. A call in flight at its exclusion is completed.
 func TestExclude(t *testing.T) {
 	b := newHarness(t, func(s *snowjunction.Settings) { s.WarmUp = 14 * time.Second })
-	d := &disk{}
+	d := &exclusionStore{}
 	b.c.Exclusions = d
 	b.add("m1", "status", 0)
 	b.step(5 * ms)
@@ -73,7 +73,7 @@
 func TestExcludeWriteFails(t *testing.T) {
 	b := newHarness(t, nil)
 	full := errors.New("disk full")
-	b.c.Exclusions = &disk{fail: full}
+	b.c.Exclusions = &exclusionStore{fail: full}
 	assert.ErrorIs(t, b.exclude("s-1", true), full)
 	b.add("m1", "status", 0)
 	b.step(5 * ms)
@@ -83,7 +83,7 @@
 // Exclusions are restored before the first decision of the next process.
 func TestExclusionsAreRestored(t *testing.T) {
 	b := newHarness(t, nil)
-	d := &disk{}
+	d := &exclusionStore{}
 	b.c.Exclusions = d
 	require.NoError(t, b.exclude("s-1", true))
 	next := &harness{t: t, now: b.now.Add(time.Second), settle: true}
@@ -100,22 +100,22 @@
 // If two changes are pending at once, the last one that was written successfully counts.
 func TestConcurrentExclusionWrites(t *testing.T) {
 	full := errors.New("disk full")
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		first, second error
 		out           bool
 	}{{full, nil, true}, {nil, full, true}, {full, full, false}, {nil, nil, true}} {
 		b := newHarness(t, nil)
-		d := &disk{hold: []func(error){}}
+		d := &exclusionStore{pending: []func(error){}}
 		b.c.Exclusions = d
 		var got []error
 		for range 2 {
 			b.c.Exclude(0, "s-1", true, func(e error) { got = append(got, e) })
 		}
-		d.hold[0](c.first)
-		d.hold[1](c.second)
+		d.pending[0](tc.first)
+		d.pending[1](tc.second)
 		b.step(5 * ms)
-		assert.Equal(t, []error{c.first, c.second}, got)
-		assert.Equal(t, c.out, b.c.exclusionSet.Out("s-1"))
+		assert.Equal(t, []error{tc.first, tc.second}, got)
+		assert.Equal(t, tc.out, b.c.exclusionSet.Out("s-1"))
 		assert.Empty(t, b.c.pendingExclusions)
 	}
 }
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -3,13 +3,14 @@
 // Figures are the numbers on the operators' page, under its names: counts by class since the
 // process started, and current sizes.
 type Figures struct {
-	Fulfilled     map[string]uint64 `json:"fulfilled"` // delivered
-	Throttled     map[string]uint64 `json:"throttled"` // refused on submission, or returned
-	Faulted       map[string]uint64 `json:"faulted"`   // failed
-	Relayed       uint64            `json:"relayed"`   // attempts sent completely to endpoints
-	Open          int               `json:"open_requests"`
-	Entries       int               `json:"registry_entries"`
-	OutOfRotation int               `json:"out_of_rotation"` // listed endpoints with an open circuit breaker or excluded by an operator
+	Fulfilled map[string]uint64 `json:"fulfilled"` // delivered
+	Throttled map[string]uint64 `json:"throttled"` // refused on submission, or returned
+	Faulted   map[string]uint64 `json:"faulted"`   // failed
+	Relayed   uint64            `json:"relayed"`   // attempts sent completely to endpoints
+	Open      int               `json:"open_requests"`
+	Entries   int               `json:"registry_entries"`
+	// OutOfRotation counts listed endpoints with an open circuit breaker or excluded by an operator.
+	OutOfRotation int `json:"out_of_rotation"`
 }
 
 // tally counts the messages of one class. Each field is incremented where the event is decided.
--- a/internal/core/footprint.go
+++ b/internal/core/footprint.go
@@ -14,8 +14,8 @@
 	SnapshotBytes int // snapshots of unloaded destinations
 }
 
-// Carried returns the bytes that the courier needs for listed and unloaded destinations and the
-// module's books.
+// Carried returns the bytes of the state that the courier keeps for listed, loaded and unloaded
+// destinations.
 func (f Footprint) Carried() int { return f.ListBytes + f.SnapshotBytes + f.BooksBytes }
 
 // LogValue returns the footprint as log attributes.
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -51,7 +51,7 @@
 }
 
 // Hand releases all calls in flight, each to the handover state if its connection can be handed
-// over. Attempts that have not been sent are recorded as not made. The returned function fills in
+// over. Attempts that have not been sent are recorded as not run. The returned function fills in
 // the remaining state and must be called after the engine has stopped. The core must not be used
 // after that.
 func (c *Core) Hand() func(e *handover.Estate) {
@@ -145,15 +145,15 @@
 
 // Counts are the figures that a core has counted since its process started.
 type Counts struct {
-	tallies []tally
-	relayed uint64
+	tallies      []tally
+	attemptsSent uint64
 }
 
 // Counted returns the counts so far.
 func (c *Core) Counted() Counts { return Counts{slices.Clone(c.tallies), c.attemptsSent} }
 
 // Carry continues the counts of an earlier core of this process.
-func (c *Core) Carry(n Counts) { c.tallies, c.attemptsSent = n.tallies, n.relayed }
+func (c *Core) Carry(n Counts) { c.tallies, c.attemptsSent = n.tallies, n.attemptsSent }
 
 // TakeOver loads the state handed over by another process of this courier. It must be called before
 // Restore.
@@ -183,13 +183,13 @@
 func (c *Core) adopt(f *flow) snowjunction.EndpointID {
 	call := *f.adoptedCall
 	f.adoptedCall = nil
-	front, dest := call.Endpoint.Front, snowjunction.DestinationID(f.msg.Destination)
-	g := c.routes.loaded[dest]
+	front, destination := call.Endpoint.Front, snowjunction.DestinationID(f.msg.Destination)
+	g := c.routes.loaded[destination]
 	l := g.find(front, call.Endpoint.Name)
 	if l == nil {
 		c.routes.lastID++
 		l = &loadedEndpoint{front: front, id: c.routes.lastID, standing: belief.Told, Entry: Entry{
-			Name: call.Endpoint.Name, Addr: call.Endpoint.Addr, Destination: dest, Zone: call.Endpoint.Zone, Kind: call.Endpoint.Kind,
+			Name: call.Endpoint.Name, Addr: call.Endpoint.Addr, Destination: destination, Zone: call.Endpoint.Zone, Kind: call.Endpoint.Kind,
 			Phase: snowjunction.Draining, Weight: call.Endpoint.Weight,
 		}}
 		g.members = append(g.members, l)
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -47,7 +47,7 @@
 // A call in flight continues in the next process: its message is not sent again, its key waits for
 // it, and only the next process records its final result.
 func TestCallContinuesAfterHandover(t *testing.T) {
-	for outcome, again := range map[snowjunction.Outcome]bool{snowjunction.OK: false, snowjunction.Reset: true} {
+	for outcome, resent := range map[snowjunction.Outcome]bool{snowjunction.OK: false, snowjunction.Reset: true} {
 		b := newHarness(t, nil)
 		b.add("o1", "order", 9)
 		b.step(5 * ms)
@@ -59,13 +59,13 @@
 		require.Len(t, e.Calls, 1)
 		assert.Equal(t, "HTTP/1.1 2", string(e.Calls[0].Bytes))
 		next.resume(e)
-		require.Len(t, next.calls, 1, "adopted, and nothing else of that key")
+		require.Len(t, next.calls, 1, "the adopted call, and no other of its key")
 		assert.Empty(t, next.c.Forgone())
 		next.calls[0].done(Result{Outcome: outcome})
 		next.step(5 * ms)
 		next.step(200 * ms)
 		require.Len(t, next.calls, 2)
-		if again {
+		if resent {
 			assert.Equal(t, "o1", next.calls[1].m.ID)
 			assert.Equal(t, 2, next.calls[1].m.Attempts)
 		} else {
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -79,17 +79,17 @@
 	if c.Learnt == nil || c.frozen {
 		return
 	}
-	var awake []uint32
+	var loaded []uint32
 	for _, d := range slices.Sorted(maps.Keys(c.routes.loaded)) {
-		awake = append(awake, uint32(d))
+		loaded = append(loaded, uint32(d))
 	}
-	c.requestSnapshots(c.picker.All(awake))
+	c.requestSnapshots(c.picker.All(loaded))
 }
 
 // receiveSnapshot handles a snapshot from the module.
 func (c *Core) receiveSnapshot(a snowjunction.Seen) {
-	form := func(s *snowjunction.State) []byte { return memento.Encode(nil, c.memento(s)) }
-	c.picker.Answered(uint32(a.Destination), a.State, c.Loop.Now(), form, c.journalWritten())
+	encode := func(s *snowjunction.State) []byte { return memento.Encode(nil, c.memento(s)) }
+	c.picker.Answered(uint32(a.Destination), a.State, c.Loop.Now(), encode, c.journalWritten())
 }
 
 // saveUnloaded saves the snapshot of a destination that is being unloaded.
--- a/internal/core/learn_test.go
+++ b/internal/core/learn_test.go
@@ -15,13 +15,13 @@
 	"snowjunction/internal/memento"
 )
 
-// shelf is a Learnt that stores the records in memory.
-type shelf struct {
+// learnedStore is a Learnt that stores the records in memory.
+type learnedStore struct {
 	n       learnt.Counts
 	records map[uint32]learnt.Record
 }
 
-func (s *shelf) Put(batch []learnt.Record) {
+func (s *learnedStore) Put(batch []learnt.Record) {
 	if s.records == nil {
 		s.records = map[uint32]learnt.Record{}
 	}
@@ -32,7 +32,7 @@
 	}
 }
 
-func (s *shelf) Counts() learnt.Counts { return s.n }
+func (s *learnedStore) Counts() learnt.Counts { return s.n }
 
 // completeCalls ends every call in flight with an outcome.
 func (b *harness) completeCalls(o snowjunction.Outcome) {
@@ -46,25 +46,25 @@
 // Learned state takes no more than its share of the journal's writes, however much changes, and an
 // outage is written soon after it was detected.
 func TestLearnedStateWithinWriteBudget(t *testing.T) {
-	kept := &shelf{}
-	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, learnt: kept}, nil)
+	learned := &learnedStore{}
+	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, learnt: learned}, nil)
 	for i := range 400 {
 		b.add(fmt.Sprint("m", i), "status", 0)
 		b.step(20 * ms)
 		b.completeCalls(snowjunction.OK)
 		b.step(30 * ms)
 		w := b.journal.Written()
-		require.LessOrEqual(t, float64(kept.n.Writes), 0.02*float64(w.Records))
-		require.LessOrEqual(t, float64(kept.n.Bytes), 0.1*float64(w.Bytes))
+		require.LessOrEqual(t, float64(learned.n.Writes), 0.02*float64(w.Records))
+		require.LessOrEqual(t, float64(learned.n.Bytes), 0.1*float64(w.Bytes))
 	}
-	assert.NotZero(t, kept.n.Writes)
+	assert.NotZero(t, learned.n.Writes)
 	assert.Greater(t, b.c.picker.Same, uint64(5), "a nearly unchanged state is not written again")
 	b.add("lost", "status", 0)
 	b.step(20 * ms)
 	b.completeCalls(snowjunction.TimedOut)
 	b.step(learnt.Every)
 	b.step(20 * ms)
-	m, err := memento.Decode(kept.records[7].Text)
+	m, err := memento.Decode(learned.records[7].Text)
 	require.NoError(t, err)
 	require.Len(t, m.Names, 1)
 	assert.Equal(t, memento.NameOf("s-1"), m.Names[0])
@@ -72,7 +72,7 @@
 
 	// The next process run uses the record.
 	next := newHarnessWith(&harness{t: t, now: b.now.Add(time.Second), settle: true}, nil)
-	next.c.Recall([]learnt.Record{kept.records[7]})
+	next.c.Recall([]learnt.Record{learned.records[7]})
 	assert.Equal(t, uint64(1), next.c.Counters.Recalled)
 	for i := range 4 {
 		next.add(fmt.Sprint("n", i), "status", 0)
@@ -84,17 +84,17 @@
 
 // A planned shutdown saves all state, regardless of the write budget.
 func TestShutdownSavesAllState(t *testing.T) {
-	kept := &shelf{}
-	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, learnt: kept}, nil)
+	learned := &learnedStore{}
+	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, learnt: learned}, nil)
 	b.add("m1", "status", 0)
 	b.step(20 * ms)
 	b.completeCalls(snowjunction.OK)
 	b.step(20 * ms)
-	require.Empty(t, kept.records)
+	require.Empty(t, learned.records)
 	b.c.Drain()
 	b.step(20 * ms)
-	assert.Len(t, kept.records, 1)
-	assert.Equal(t, uint64(1), kept.n.Writes)
+	assert.Len(t, learned.records, 1)
+	assert.Equal(t, uint64(1), learned.n.Writes)
 }
 
 // The module's view follows the confidence in an endpoint: doubtful, then confirmed or refuted by
@@ -111,12 +111,12 @@
 		b.add(fmt.Sprint("m", i), "status", 0)
 	}
 	b.step(20 * ms)
-	require.Len(t, b.calls, 2, "one to each")
+	require.Len(t, b.calls, 2, "one call to each endpoint")
 	b.calls[0].done(Result{Outcome: snowjunction.OK})
 	b.step(20 * ms)
 	assert.Equal(t, belief.Confirmed, b.standing("s-1"))
 	assert.Equal(t, belief.Doubtful, b.standing("s-2"))
-	require.Greater(t, len(b.calls), 2, "the others go on to the one that answers")
+	require.Greater(t, len(b.calls), 2, "the other messages go to the endpoint that answers")
 	b.calls[1].done(Result{Outcome: snowjunction.ConnectFailed})
 	b.step(20 * ms)
 	assert.Equal(t, belief.Refuted, b.standing("s-2"))
@@ -131,10 +131,10 @@
 	}
 	b.c.Spoken(0)
 	assert.Equal(t, belief.Told, b.standing("s-2"))
-	told, all := b.c.Beliefs(0, 10)
-	assert.Len(t, told, 2)
-	assert.Equal(t, 2, all)
-	assert.Equal(t, "the directory lists it", told[0].Why)
+	beliefs, total := b.c.Beliefs(0, 10)
+	assert.Len(t, beliefs, 2)
+	assert.Equal(t, 2, total)
+	assert.Equal(t, "the directory lists it", beliefs[0].Why)
 }
 
 // An endpoint that answers that it is another one gets nothing more.
@@ -160,7 +160,7 @@
 // The first decisions wait until the directory confirms its list, so that nothing is sent to an
 // endpoint that has left. If it does not answer, they wait for the given time.
 func TestPauseUntilDirectoryConfirms(t *testing.T) {
-	for _, speaks := range []bool{true, false} {
+	for _, confirms := range []bool{true, false} {
 		b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, directories: map[int]Directory{0: {Belief: belief.Default()}}}, nil)
 		require.NoError(t, b.c.Begin(0, full(Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready}), belief.Cached, time.Minute))
 		b.step(10 * ms)
@@ -168,12 +168,12 @@
 		b.add("m1", "status", 0)
 		b.step(40 * ms)
 		require.Empty(t, b.calls)
-		if speaks {
+		if confirms {
 			b.listed(0, true, Entry{Name: "s-2", Addr: "127.0.0.1:2", Destination: 7, Phase: snowjunction.Ready})
 			b.c.Spoken(0)
 		}
 		b.step(10 * ms)
-		if speaks {
+		if confirms {
 			require.Len(t, b.calls, 1)
 			assert.Equal(t, "127.0.0.1:2", b.calls[0].addr)
 			continue
@@ -205,10 +205,10 @@
 	b.c.Moved(0)
 	b.listed(0, true, list(20, 5)...)
 	b.c.Spoken(0)
-	assert.Equal(t, 5, b.c.Table(0).Len(), "the list of another agent")
+	assert.Equal(t, 5, b.c.Table(0).Len(), "the other agent's list is applied")
 	b.listed(0, true, list(20, 1)...)
 	b.c.Spoken(0)
-	assert.Equal(t, 5, b.c.Table(0).Len(), "the next list of the same agent")
+	assert.Equal(t, 5, b.c.Table(0).Len(), "the same agent's next list has collapsed")
 	assert.Contains(t, b.c.Conditions(0), "collapsed")
 	assert.Equal(t, belief.Doubtful, b.standing("e24"))
 	gone := list(24, 1)
--- a/internal/core/plugins_test.go
+++ b/internal/core/plugins_test.go
@@ -83,11 +83,11 @@
 func TestResubmittedWhileWaitingForPlugin(t *testing.T) {
 	b, p := newPluginHarness(t, "admit m1")
 	first := b.add("m1", "status", 0)
-	again := b.add("m1", "status", 0)
+	second := b.add("m1", "status", 0)
 	p.admits["m1"](true, 0)
 	b.step(20 * ms)
 	assert.Equal(t, []Answer{{Verdict: Taken}}, *first)
-	assert.Equal(t, []Answer{{Verdict: Taken}}, *again)
+	assert.Equal(t, []Answer{{Verdict: Taken}}, *second)
 	assert.Len(t, b.calls, 1)
 }
 
@@ -124,7 +124,7 @@
 	for i := 0; i < 100 && len(b.calls) < 2; i++ {
 		b.step(10 * ms)
 	}
-	require.Len(t, b.calls, 2, "m2 goes again")
+	require.Len(t, b.calls, 2, "m2 is sent again")
 	b.calls[1].done(Result{Outcome: snowjunction.OK})
 
 	b.add("m3", "status", 0)
@@ -195,7 +195,7 @@
 			for i := 0; i < 200 && len(b.calls) < 3; i++ {
 				b.step(5 * ms)
 			}
-			require.Greater(t, len(b.calls), 2, "they go after it")
+			require.Greater(t, len(b.calls), 2, "sent after the delay")
 			assert.GreaterOrEqual(t, b.now.Sub(began), refused.Wait)
 			assert.True(t, b.calls[2].connect())
 		})
--- a/internal/core/probe_test.go
+++ b/internal/core/probe_test.go
@@ -18,13 +18,13 @@
 	for _, probes := range []bool{false, true} {
 		t.Run(fmt.Sprint(probes), func(t *testing.T) {
 			b := newHarness(t, func(s *snowjunction.Settings) { s.Probes = probes })
-			handed, done := 0, 0
-			turn := func(up bool) {
-				b.add(fmt.Sprint("m", handed), "status", 0)
-				handed++
+			submitted, answered := 0, 0
+			submitAndAnswer := func(up bool) {
+				b.add(fmt.Sprint("m", submitted), "status", 0)
+				submitted++
 				b.step(100 * ms)
-				for ; done < len(b.calls); done++ {
-					if x := b.calls[done]; up {
+				for ; answered < len(b.calls); answered++ {
+					if x := b.calls[answered]; up {
 						x.done(Result{Outcome: snowjunction.OK})
 					} else {
 						x.done(Result{Outcome: snowjunction.TimedOut})
@@ -32,10 +32,10 @@
 				}
 			}
 			for range 50 {
-				turn(false)
+				submitAndAnswer(false)
 			}
 			for range 600 {
-				turn(true)
+				submitAndAnswer(true)
 			}
 			b.step(time.Second)
 			require.NotEmpty(t, b.ended)
--- a/internal/core/races_test.go
+++ b/internal/core/races_test.go
@@ -17,7 +17,7 @@
 // Messages of a previous process wait until the directory confirms its list. Their windows and
 // deadlines must not be extended by that wait.
 func TestPauseDoesNotExtendTimes(t *testing.T) {
-	for name, left := range map[string]struct {
+	for name, tc := range map[string]struct {
 		class    string
 		deadline time.Duration // after the restart
 		window   time.Duration // rest of the window of the attempt that may have run
@@ -31,15 +31,15 @@
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, nil)
 			m := &store.Message{
-				ID: "m1", IdempotencyKey: "k1", Class: left.class, Destination: 7, Deadline: b.now.Add(left.deadline), Attempts: 1,
-				Ran: true, RanSince: b.now.Add(left.window + windowSlack - 5*time.Second),
+				ID: "m1", IdempotencyKey: "k1", Class: tc.class, Destination: 7, Deadline: b.now.Add(tc.deadline), Attempts: 1,
+				Ran: true, RanSince: b.now.Add(tc.window + windowSlack - 5*time.Second),
 			}
 			require.NoError(t, b.journal.Take(m))
 			b.c.Pause(80 * ms)
 			b.c.Restore([]*store.Message{m})
 			b.step(81 * ms)
 			b.step(10 * ms)
-			if left.sent {
+			if tc.sent {
 				assert.Len(t, b.calls, 1)
 				return
 			}
@@ -52,7 +52,7 @@
 // A success after the message's deadline counts as failed for the client, which still gets a final
 // result.
 func TestAnswerAfterDeadline(t *testing.T) {
-	for name, when := range map[string]struct {
+	for name, tc := range map[string]struct {
 		after time.Duration
 		state store.State
 	}{
@@ -65,10 +65,10 @@
 			b.add("m1", "order", 5)
 			b.step(5 * ms)
 			require.Len(t, b.calls, 1)
-			b.now = b.now.Add(when.after - 5*ms) // before the loop's timers run
+			b.now = b.now.Add(tc.after - 5*ms) // before the loop's timers run
 			b.calls[0].done(Result{Outcome: snowjunction.OK})
 			require.Len(t, b.ended, 1)
-			assert.Equal(t, when.state, b.ended[0].State)
+			assert.Equal(t, tc.state, b.ended[0].State)
 			b.step(5 * ms)
 			assert.Empty(t, b.c.flows)
 		})
@@ -78,7 +78,7 @@
 // A message that may have run is over, the courier is killed, and the client resubmits under
 // another id. The window of the first attempt still applies.
 func TestWindowOutlastsProcess(t *testing.T) {
-	for name, at := range map[string]struct {
+	for name, tc := range map[string]struct {
 		settled   bool
 		compacted bool          // compact the journal before each of two kills
 		after     time.Duration // after the first attempt was sent
@@ -92,25 +92,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, nil)
-			b.settle = at.settled
+			b.settle = tc.settled
 			b.add("m1", "order", 5)
 			b.step(5 * ms)
 			require.Len(t, b.calls, 1)
 			sent := b.now
 			b.step(2 * time.Second) // its deadline passes
 			require.Len(t, b.ended, 1)
-			if at.compacted {
+			if tc.compacted {
 				b.compact()
 				b = b.restarted(100*ms, nil)
 				b.compact()
 			}
-			next := b.restarted(sent.Add(at.after-10*ms).Sub(b.now), nil)
+			next := b.restarted(sent.Add(tc.after-10*ms).Sub(b.now), nil)
 			err := next.c.TakeIn(Request{ID: "m2", Class: "order", Key: 6, IdempotencyKey: "m1", Destination: 7, Left: 10 * time.Second},
 				func(Answer, *store.Message) bool { return true })
 			require.NoError(t, err)
 			next.step(5 * ms)
 			next.step(5 * ms)
-			assert.Equal(t, at.sent, len(next.calls) == 1)
+			assert.Equal(t, tc.sent, len(next.calls) == 1)
 		})
 	}
 }
@@ -186,7 +186,7 @@
 // A connection takes most of a window to come up. Until then the attempt has not run, whatever its
 // class. After that the window counts from the first byte sent, also over a kill.
 func TestKilledWhileConnecting(t *testing.T) {
-	for name, at := range map[string]struct {
+	for name, tc := range map[string]struct {
 		effect snowjunction.Effect
 		opened bool
 		after  time.Duration // after the connection came up, or would have
@@ -199,14 +199,14 @@
 		"sent, close to the end of the window": {effect: snowjunction.Keyed, opened: true, after: 930 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
-			change := func(s *snowjunction.Settings) { s.Classes[0].Window, s.Classes[0].Effect = time.Second, at.effect }
+			change := func(s *snowjunction.Settings) { s.Classes[0].Window, s.Classes[0].Effect = time.Second, tc.effect }
 			b := newConnecting(t, change)
-			if at.opened {
+			if tc.opened {
 				require.True(t, b.calls[0].connect())
 			}
-			next := b.restarted(at.after, change)
-			assert.Equal(t, at.sent, len(next.calls) == 1)
-			assert.Equal(t, !at.sent, len(next.ended) == 1)
+			next := b.restarted(tc.after, change)
+			assert.Equal(t, tc.sent, len(next.calls) == 1)
+			assert.Equal(t, !tc.sent, len(next.ended) == 1)
 		})
 	}
 }
@@ -232,7 +232,7 @@
 func TestWindowStartsAfterSlowJournalWrite(t *testing.T) {
 	change := func(s *snowjunction.Settings) { s.Classes[0].Window = time.Second }
 	b := newHarness(t, change)
-	b.c.Journal = &slowDisk{Journal: b.journal, b: b, take: 400 * ms}
+	b.c.Journal = &slowJournal{Journal: b.journal, b: b, delay: 400 * ms}
 	b.connecting = true
 	b.add("m1", "order", 5)
 	b.step(5 * ms)
@@ -377,10 +377,12 @@
 // second message may be sent only within the window of the first, whatever happens to the first and
 // however often the process is killed. After the window it fails.
 func TestSameKeyBothOpen(t *testing.T) {
-	for name, way := range map[string]struct {
-		first  snowjunction.Outcome // of all attempts under the first id
-		killed string               // kill time; "out": first attempt in flight; "ended": also with its end reported; "over": first message over; "late": and forgotten
-		sent   bool                 // the second message is sent after the end of that window
+	for name, tc := range map[string]struct {
+		first snowjunction.Outcome // of all attempts under the first id
+		// When the process is killed: "out": the first attempt is in flight; "ended": so, and its end
+		// is reported; "over": the first message is over; "late": so, and forgotten.
+		killed string
+		sent   bool // the second message is sent after the end of that window
 	}{
 		"may have run":                      {first: snowjunction.Reset},
 		"delivered":                         {first: snowjunction.OK},
@@ -404,22 +406,22 @@
 			b.step(5 * ms)
 			require.Len(t, b.calls, 1)
 			b.step(100 * ms)
-			switch way.killed {
+			switch tc.killed {
 			case "out":
 			case "ended":
 				b.c.execute(snowjunction.Fail{Request: b.c.flowsByRef[firstFrontRef("m1")].id})
 			default:
 				b.list(snowjunction.Draining, false) // the second message waits for an endpoint
-				b.calls[0].done(Result{Outcome: way.first})
+				b.calls[0].done(Result{Outcome: tc.first})
 				b.step(5 * ms)
 				b.calls = nil
 			}
-			if way.killed == "late" {
+			if tc.killed == "late" {
 				b.step(2 * time.Second)
 				b.addFiller()
 				require.Empty(t, b.journal.Ran())
 			}
-			if way.killed != "" {
+			if tc.killed != "" {
 				b.list(snowjunction.Draining, false)
 				b = newHarnessWith(&harness{t: t, now: b.now.Add(600 * ms), settle: true, journalDir: b.journalDir, emptyList: true}, change)
 				b.c.Remember(b.journal.Ran())
@@ -429,8 +431,8 @@
 			b.list(snowjunction.Ready, true)
 			b.step(200 * ms)
 			b.step(10 * ms)
-			assert.Equal(t, way.sent, len(b.calls) == 1)
-			if !way.sent {
+			assert.Equal(t, tc.sent, len(b.calls) == 1)
+			if !tc.sent {
 				require.NotEmpty(t, b.ended)
 				last := b.ended[len(b.ended)-1]
 				assert.Equal(t, "m2", last.ID)
@@ -468,7 +470,8 @@
 			if i == 0 {
 				b.step(5 * ms)
 				b.list(snowjunction.Draining, false)
-				b.c.attemptedKeys.NotRun(idempotency.Key{Destination: 7, Text: "k"}, id) // the second message arrived before the first was sent
+				// As if the second message had arrived before the first was sent.
+				b.c.attemptedKeys.NotRun(idempotency.Key{Destination: 7, Text: "k"}, id)
 			}
 		}
 		require.Len(t, b.calls, 1)
@@ -499,7 +502,7 @@
 	b.step(5 * ms)
 	require.Len(t, b.calls, 2)
 	b.now = left.Add(920 * ms)
-	assert.True(t, b.calls[1].mayStart(), "inside")
+	assert.True(t, b.calls[1].mayStart(), "within the window")
 	b.now = left.Add(935 * ms)
 	assert.False(t, b.calls[1].mayStart(), "close to the window's end")
 }
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -19,7 +19,8 @@
 	if c.recordRetryAfter(a, r) {
 		c.trace("told to wait", a.flow.msg)
 		if c.Plugins != nil && c.Plugins.Reads(a.flow.msg) {
-			c.queueEvent(snowjunction.WaitTold{Endpoint: a.endpoint, Wait: r.Wait}) // the plug-ins may take some time
+			// The plug-ins may take some time, but the delay applies at once.
+			c.queueEvent(snowjunction.WaitTold{Endpoint: a.endpoint, Wait: r.Wait})
 		}
 	}
 	var to Entry
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -164,7 +164,7 @@
 		c.listChanged(front)
 		return nil
 	}
-	begun := c.Loop.Now()
+	started := c.Loop.Now()
 	for e := range l.Entries.From(0) {
 		c.clearRetained(front, e.Name)
 		updates = append(updates, c.applyEntry(front, e)...)
@@ -172,7 +172,7 @@
 	c.queueEndpoints(updates)
 	c.listChanged(front)
 	c.updates.count++
-	c.updates.took += c.Loop.Now().Sub(begun)
+	c.updates.took += c.Loop.Now().Sub(started)
 	return nil
 }
 
@@ -208,13 +208,13 @@
 func (c *Core) applyEntry(front int, e Entry) (updates []snowjunction.Endpoint) {
 	table := c.routes.tables[front]
 	var old Entry
-	var was bool
+	var replaced bool
 	if e.Phase == snowjunction.Gone {
-		old, was = table.Remove(e.Name)
+		old, replaced = table.Remove(e.Name)
 	} else {
-		old, was = table.Set(e)
+		old, replaced = table.Set(e)
 	}
-	if was && (e.Phase == snowjunction.Gone || old.Destination != e.Destination) {
+	if replaced && (e.Phase == snowjunction.Gone || old.Destination != e.Destination) {
 		if !table.Has(old.Destination) {
 			c.routes.delisted.add(old.Destination, c.Loop.Now())
 		}
@@ -281,18 +281,18 @@
 		g.members = append(g.members, member)
 		c.routes.byID[member.id] = member
 	}
-	out, wasOut := c.exclusionOf(front, entry.Name)
-	if member.target != nil && (member.Addr != entry.Addr || entry.Phase != snowjunction.Ready || out) {
+	excluded, excludedFor := c.exclusionOf(front, entry.Name)
+	if member.target != nil && (member.Addr != entry.Addr || entry.Phase != snowjunction.Ready || excluded) {
 		member.target.Leave()
 		member.target = nil
 	}
-	was, known := member.moduleView(), member.Name != ""
-	member.Entry, member.standing, member.excluded, member.excludedFor = entry, c.confidenceIn(front, entry.Name), out, wasOut
-	if member.target == nil && entry.Phase == snowjunction.Ready && !out {
+	before, known := member.moduleView(), member.Name != ""
+	member.Entry, member.standing, member.excluded, member.excludedFor = entry, c.confidenceIn(front, entry.Name), excluded, excludedFor
+	if member.target == nil && entry.Phase == snowjunction.Ready && !excluded {
 		member.target = c.Fronts[front].Target(entry)
 	}
-	if is := member.moduleView(); is != was || !known {
-		return []snowjunction.Endpoint{is}
+	if after := member.moduleView(); after != before || !known {
+		return []snowjunction.Endpoint{after}
 	}
 	return nil
 }
--- a/internal/core/share_test.go
+++ b/internal/core/share_test.go
@@ -22,15 +22,15 @@
 		require.NoError(t, l.Add(Entry{Name: fmt.Sprint(i), Addr: fmt.Sprintf("127.0.0.2:%d", i+1), Destination: snowjunction.DestinationID(i + 1), Phase: snowjunction.Ready}))
 	}
 	require.NoError(t, b.c.Listed(0, l))
-	told := func(d snowjunction.DestinationID) int {
+	destinations := func(d snowjunction.DestinationID) int {
 		b.c.load(d)
 		w, is := b.c.events[len(b.c.events)-1].(snowjunction.Wake)
 		require.True(t, is)
 		return w.Destinations
 	}
-	assert.Equal(t, 10, told(1))
+	assert.Equal(t, 10, destinations(1))
 	b.c.ListedShare = func(front int) float64 { return 1 / float64(4+front) }
-	assert.Equal(t, 40, told(2))
+	assert.Equal(t, 40, destinations(2))
 	gone := groups.NewList(false)
 	require.NoError(t, gone.Add(Entry{Name: "1", Phase: snowjunction.Gone}))
 	require.NoError(t, b.c.Listed(0, gone))
--- a/internal/core/sleep.go
+++ b/internal/core/sleep.go
@@ -208,21 +208,21 @@
 		endpoints += t.Len()
 		bytes += t.Bytes()
 	}
-	u := c.updates
+	updates := c.updates
 	c.updates = listUpdates{}
-	mean, stored := int64(0), 0
+	meanNs, stored := int64(0), 0
 	if c.Beyond != nil {
 		stored = c.Beyond.Len()
 	}
-	if u.count > 0 {
-		mean = u.took.Nanoseconds() / int64(u.count)
+	if updates.count > 0 {
+		meanNs = updates.took.Nanoseconds() / int64(updates.count)
 	}
 	return slog.GroupValue(
 		slog.Int("listed", endpoints), slog.Int("destinations", c.routes.destinations()), slog.Int("table_bytes", bytes),
 		slog.Int("awake", c.idleTracker.Awake()), slog.Int("mementos", c.idleTracker.Asleep()), slog.Int("memento_bytes", c.idleTracker.Bytes()),
 		slog.Uint64("slept", counts.Slept), slog.Uint64("woke", counts.Woke), slog.Uint64("known", counts.Known),
 		slog.Int("beyond", stored), slog.Uint64("dropped", counts.Dropped), slog.Uint64("full", counts.Full),
-		slog.Int("changes", u.count), slog.Int64("change_ns", mean),
+		slog.Int("changes", updates.count), slog.Int64("change_ns", meanNs),
 	)
 }
 
--- a/internal/core/sleep_test.go
+++ b/internal/core/sleep_test.go
@@ -34,11 +34,11 @@
 
 func TestNoStateForUncalledDestinations(t *testing.T) {
 	b := newHarness(t, nil)
-	var many []Entry
+	var entries []Entry
 	for i := range 3000 {
-		many = append(many, Entry{Name: fmt.Sprint(i), Addr: fmt.Sprintf("127.1.%d.%d:1", i>>8, i&255), Destination: snowjunction.DestinationID(i / 2), Phase: snowjunction.Ready})
+		entries = append(entries, Entry{Name: fmt.Sprint(i), Addr: fmt.Sprintf("127.1.%d.%d:1", i>>8, i&255), Destination: snowjunction.DestinationID(i / 2), Phase: snowjunction.Ready})
 	}
-	b.listed(0, true, many...)
+	b.listed(0, true, entries...)
 	b.step(time.Second)
 	assert.Empty(t, b.targets)
 	assert.Empty(t, b.c.routes.byID)
@@ -162,7 +162,7 @@
 	b.calls[0].done(Result{Outcome: snowjunction.Full, Wait: 40 * time.Second})
 	b.step(3 * time.Second)
 	var got []Answer
-	other := func(id string) {
+	submit := func(id string) {
 		got = nil
 		err := b.c.TakeIn(Request{ID: id, Class: "status", Destination: 8, Left: time.Second}, func(a Answer, _ *store.Message) bool {
 			got = append(got, a)
@@ -170,8 +170,8 @@
 		})
 		require.NoError(t, err)
 	}
-	other("m2")
-	require.Len(t, got, 1, "at once")
+	submit("m2")
+	require.Len(t, got, 1, "answered at once")
 	assert.Equal(t, Fixed, got[0].Verdict)
 	assert.Positive(t, int64(got[0].After))
 	assert.EqualValues(t, 1, b.c.Counters.Crowded)
@@ -347,12 +347,12 @@
 	cfg := dormancy.Default(snowjunction.Settings{})
 	cfg.After = 500 * ms
 	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, dormancy: &cfg}, nil)
-	hand := func(id string) {
+	submit := func(id string) {
 		err := b.c.TakeIn(Request{ID: id, Class: "order", Key: 9, IdempotencyKey: id, Destination: 7, Left: 20 * time.Second},
 			func(Answer, *store.Message) bool { return true })
 		require.NoError(t, err)
 	}
-	hand("m1")
+	submit("m1")
 	b.step(5 * ms)
 	b.calls[0].done(Result{Outcome: snowjunction.Reset})
 	b.listed(0, false, Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Draining})
@@ -369,7 +369,7 @@
 	require.Empty(t, b.c.routes.loaded)
 	b.listed(0, false, Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready})
 	n := len(b.calls)
-	hand("m2")
+	submit("m2")
 	b.step(10 * ms)
 	assert.Len(t, b.calls, n+1)
 }
--- a/internal/core/takein.go
+++ b/internal/core/takein.go
@@ -20,8 +20,8 @@
 	Class, Tenant  string
 	Destination    uint32
 	Left           time.Duration // time left until its deadline
-	Again          bool
-	Forwarded      bool // by another courier; the core makes no difference
+	Again          bool          // the client marks it as a resubmission
+	Forwarded      bool          // by another courier; the core makes no difference
 	Body           []byte
 }
 
@@ -47,7 +47,7 @@
 
 // Limits of a request.
 const (
-	MaxBody      = 64 << 10
+	MaxBody      = 64 << 10  // bytes
 	maxTextBytes = 64        // bytes of an id or idempotency key
 	maxTimeLeft  = time.Hour // far longer than any deadline: a greater value is a client error
 )
@@ -94,7 +94,8 @@
 // rememberAttempt remembers that an attempt of a flow may run from the given time on.
 func (c *Core) rememberAttempt(f *flow, sentAt, window time.Duration) {
 	if f.keyed() {
-		c.attemptedKeys.AttemptSent(f.idempotencyKey(), f.msg.ID, sentAt, window+2*windowSlack) // as the client counts the window
+		// The window as the client counts it is up to two slacks longer.
+		c.attemptedKeys.AttemptSent(f.idempotencyKey(), f.msg.ID, sentAt, window+2*windowSlack)
 	}
 }
 
--- a/internal/groups/groups_test.go
+++ b/internal/groups/groups_test.go
@@ -110,19 +110,19 @@
 // A change that assigns an address to another endpoint is valid if it also takes it from the former
 // one, in any order.
 func TestFits(t *testing.T) {
-	held, err := ListOf(true, false, []Entry{endpointAt("a", "127.0.0.1:1", 1), endpointAt("b", "127.0.0.1:2", 1)})
+	table, err := ListOf(true, false, []Entry{endpointAt("a", "127.0.0.1:1", 1), endpointAt("b", "127.0.0.1:2", 1)})
 	require.NoError(t, err)
-	news := func(entries ...Entry) *List {
+	changes := func(entries ...Entry) *List {
 		l, err := ListOf(false, false, entries)
 		require.NoError(t, err)
 		return l
 	}
 	gone := endpointAt("a", "127.0.0.1:1", 1)
 	gone.Phase = snowjunction.Gone
-	assert.ErrorIs(t, held.Entries.Fits(news(endpointAt("c", "127.0.0.1:1", 2))), ErrAddress)
-	assert.NoError(t, held.Entries.Fits(news(endpointAt("c", "127.0.0.1:1", 2), gone)))
-	assert.NoError(t, held.Entries.Fits(news(endpointAt("a", "127.0.0.1:1", 2))), "its own address")
-	assert.NoError(t, held.Entries.Fits(news(endpointAt("a", "127.0.0.1:2", 1), endpointAt("b", "127.0.0.1:1", 1))), "two endpoints swap their addresses")
+	assert.ErrorIs(t, table.Entries.Fits(changes(endpointAt("c", "127.0.0.1:1", 2))), ErrAddress)
+	assert.NoError(t, table.Entries.Fits(changes(endpointAt("c", "127.0.0.1:1", 2), gone)))
+	assert.NoError(t, table.Entries.Fits(changes(endpointAt("a", "127.0.0.1:1", 2))), "its own address")
+	assert.NoError(t, table.Entries.Fits(changes(endpointAt("a", "127.0.0.1:2", 1), endpointAt("b", "127.0.0.1:1", 1))), "two endpoints swap their addresses")
 }
 
 // A table that grows and shrinks, by changes or by full lists, frees its memory.
