--- a/internal/core/exclude.go
+++ b/internal/core/exclude.go
@@ -16,7 +16,7 @@
 // Errors of Exclude.
 var (
 	ErrUnknown       = errors.New("no such endpoint")
-	errNotExcludable = errors.New("endpoints cannot be excluded here")
+	errNotExcludable = errors.New("nothing can be taken out here")
 )
 
 // pendingExclusion tracks an endpoint's exclusion while changes to it are being written.
