--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -70,7 +70,7 @@
 		if pass {
 			c.admitChecked(f)
 		} else {
-			c.Counters.Hooked++
+			c.Counters.RefusedByPlugin++
 			c.refuse(f, after)
 		}
 		next()
@@ -98,7 +98,7 @@
 	}
 	if c.routes.loaded[destination] == nil {
 		if room, after := c.idleTracker.Room(c.elapsed()); !room { // all stored snapshots are binding
-			c.Counters.Crowded++
+			c.Counters.RefusedCrowded++
 			c.refuse(f, min(after, c.Settings.MaxRetry))
 			return
 		}
@@ -254,12 +254,12 @@
 	}
 	f.untried = false
 	if attempted {
-		c.Counters.Tried++
+		c.Counters.UntriedAttempted++
 	} else {
-		c.Counters.GivenUp++
+		c.Counters.UntriedAbandoned++
 	}
-	if n := &c.Counters; n.Tried+n.GivenUp == n.Untried {
-		c.Log.Info("all restored messages without an earlier attempt have been attempted or ended", "untried", n.Untried, "tried", n.Tried, "given_up", n.GivenUp)
+	if n := &c.Counters; n.UntriedAttempted+n.UntriedAbandoned == n.RestoredUntried {
+		c.Log.Info("all restored messages without an earlier attempt have been attempted or ended", "untried", n.RestoredUntried, "tried", n.UntriedAttempted, "given_up", n.UntriedAbandoned)
 	}
 }
 
@@ -290,7 +290,7 @@
 				c.ranUnderAnother(f, first.RanSince)
 			}
 			if f.untried {
-				c.Counters.Untried++
+				c.Counters.RestoredUntried++
 			}
 			if call, ok := c.adoptedCalls[m.Seq]; ok && m.Out {
 				f.adoptedCall = &call
@@ -341,7 +341,7 @@
 	}
 	c.Counters.Taken++
 	if !answer(Answer{Verdict: Taken}, f.msg) {
-		c.Counters.Gone++
+		c.Counters.ClientGone++
 		c.withdraw(f)
 		c.finish(f, store.Withdrawn, 0)
 		return false
--- a/internal/core/book.go
+++ b/internal/core/book.go
@@ -10,36 +10,36 @@
 
 // Counters count the courier's work. They are for reporting only and influence no decision.
 type Counters struct {
-	In             uint64 // well-formed messages received
-	Malformed      uint64 // requests answered with an error
-	Taken          uint64 // accepted
-	Refused        uint64 // fixed responses
-	Hooked         uint64 // refused by a plug-in
-	Crowded        uint64 // refused because too many destinations are loaded or have binding state
-	Gone           uint64 // accepted, but the client had disconnected
-	Restored       uint64 // recovered from the journal at start
-	Untried        uint64 // restored without an earlier attempt
-	Tried          uint64 // untried messages attempted since
-	GivenUp        uint64 // untried messages that ended without an attempt
-	Recalled       uint64 // destinations with learned state of a previous process run
-	Sent           uint64 // attempts sent
-	Unsent         uint64 // attempts not sent after all
-	Late           uint64 // successes after the message's final result
-	Overdue        uint64 // successes after the deadline, counted as failed
-	Delivered      uint64
-	Withdrawn      uint64
-	Failed         uint64
-	Returned       uint64
-	Told           uint64 // messages sent to the fleet
-	Noted          uint64 // messages received from other couriers
-	Unread         uint64 // messages from other couriers that could not be decoded
-	Forwarded      uint64 // messages answered by another courier
-	ForwardedBytes uint64 // of commands sent to other couriers
-	Moved          uint64 // messages of other couriers whose list is not held here
-	Vain           uint64 // forwarding attempts that certainly had no effect
-	Unknown        uint64 // forwarded messages with an unknown result
-	Unrouted       uint64 // messages refused because no responsible courier was reachable
-	Results        [snowjunction.Moot + 1]uint64
+	In                   uint64 // well-formed messages received
+	Malformed            uint64 // requests answered with an error
+	Taken                uint64 // accepted
+	Refused              uint64 // fixed responses
+	RefusedByPlugin      uint64 // refused by a plug-in
+	RefusedCrowded       uint64 // refused because too many destinations are loaded or have binding state
+	ClientGone           uint64 // accepted, but the client had disconnected
+	Restored             uint64 // recovered from the journal at start
+	RestoredUntried      uint64 // restored without an earlier attempt
+	UntriedAttempted     uint64 // untried messages attempted since
+	UntriedAbandoned     uint64 // untried messages that ended without an attempt
+	LearnedRestored      uint64 // destinations with learned state of a previous process run
+	Sent                 uint64 // attempts sent
+	Unsent               uint64 // attempts not sent after all
+	Late                 uint64 // successes after the message's final result
+	Overdue              uint64 // successes after the deadline, counted as failed
+	Delivered            uint64
+	Withdrawn            uint64
+	Failed               uint64
+	Returned             uint64
+	PeerMessagesSent     uint64 // messages sent to the fleet
+	PeerMessagesReceived uint64 // messages received from other couriers
+	Unread               uint64 // messages from other couriers that could not be decoded
+	Forwarded            uint64 // messages answered by another courier
+	ForwardedBytes       uint64 // of commands sent to other couriers
+	Moved                uint64 // messages of other couriers whose list is not held here
+	Vain                 uint64 // forwarding attempts that certainly had no effect
+	Unknown              uint64 // forwarded messages with an unknown result
+	Unrouted             uint64 // messages refused because no responsible courier was reachable
+	Results              [snowjunction.Moot + 1]uint64
 
 	lastFlow uint32
 }
@@ -56,15 +56,15 @@
 func (n *Counters) LogValue() slog.Value {
 	attrs := []slog.Attr{
 		slog.Uint64("in", n.In), slog.Uint64("malformed", n.Malformed), slog.Uint64("taken", n.Taken),
-		slog.Uint64("refused", n.Refused), slog.Uint64("hooked", n.Hooked), slog.Uint64("crowded", n.Crowded), slog.Uint64("gone", n.Gone),
+		slog.Uint64("refused", n.Refused), slog.Uint64("hooked", n.RefusedByPlugin), slog.Uint64("crowded", n.RefusedCrowded), slog.Uint64("gone", n.ClientGone),
 		slog.Uint64("restored", n.Restored), slog.Uint64("sent", n.Sent), slog.Uint64("unsent", n.Unsent),
 		slog.Uint64("late", n.Late), slog.Uint64("delivered", n.Delivered),
 		slog.Uint64("withdrawn", n.Withdrawn), slog.Uint64("failed", n.Failed),
-		slog.Uint64("returned", n.Returned), slog.Uint64("told", n.Told), slog.Uint64("noted", n.Noted), slog.Uint64("unread", n.Unread),
+		slog.Uint64("returned", n.Returned), slog.Uint64("told", n.PeerMessagesSent), slog.Uint64("noted", n.PeerMessagesReceived), slog.Uint64("unread", n.Unread),
 		slog.Uint64("overdue", n.Overdue),
 		slog.Uint64("forwarded", n.Forwarded), slog.Uint64("forwarded_bytes", n.ForwardedBytes), slog.Uint64("moved", n.Moved), slog.Uint64("in_vain", n.Vain),
 		slog.Uint64("unknown", n.Unknown), slog.Uint64("unrouted", n.Unrouted),
-		slog.Uint64("untried", n.Untried), slog.Uint64("tried", n.Tried), slog.Uint64("given_up", n.GivenUp),
+		slog.Uint64("untried", n.RestoredUntried), slog.Uint64("tried", n.UntriedAttempted), slog.Uint64("given_up", n.UntriedAbandoned),
 	}
 	for o, count := range n.Results {
 		attrs = append(attrs, slog.Uint64(outcomes[o], count))
@@ -192,7 +192,7 @@
 type Deletion int
 
 const (
-	NotHeld Deletion = iota // no such message is open
+	NotOpen Deletion = iota // no such message is open
 	Out                     // an attempt is in flight; the message may still be delivered
 	Deleted                 // the end is in the journal; nothing more is sent
 )
@@ -204,7 +204,7 @@
 	f := c.flowsByRef[messageRef{front, id}]
 	switch {
 	case f == nil || f.ended || f.answer != nil || f.id == 0:
-		return NotHeld
+		return NotOpen
 	case f.attempt != nil:
 		return Out
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -274,7 +274,7 @@
 
 // Noted handles messages from the courier with the given number.
 func (c *Core) Noted(peer int, notes []snowjunction.Note) {
-	c.Counters.Noted++
+	c.Counters.PeerMessagesReceived++
 	c.queueEvent(snowjunction.Heard{Peer: peer, Notes: notes})
 }
 
@@ -302,7 +302,7 @@
 		c.receiveSnapshot(action)
 	case snowjunction.Tell:
 		if c.Fleet != nil {
-			c.Counters.Told++
+			c.Counters.PeerMessagesSent++
 			c.Fleet.Tell(action.Peer, action.Notes)
 		}
 	case snowjunction.Watch: // fronts watch their lists on their own
--- a/internal/core/distrust.go
+++ b/internal/core/distrust.go
@@ -27,7 +27,7 @@
 	}
 	held := c.routes.tables[front]
 	omitted := omittedEndpoints(held, list, sampleSize)
-	view := distrust.View{Held: held.Ready(), Listed: list.Entries.Ready(), Sum: list.Entries.Sum()}
+	view := distrust.View{Held: held.Ready(), Listed: list.Entries.Ready(), Sum: list.Entries.ReadyHash()}
 	if n := len(omitted); n > 0 {
 		if held.Len() > sampleSize && n*8 > sampleSize { // many of the sample are missing: check all
 			omitted = omittedEndpoints(held, list, held.Len())
@@ -70,7 +70,7 @@
 		if _, ok := list.Entries.Get(e.Name); ok {
 			continue
 		}
-		if _, reassigned := list.Entries.At(e.Addr); reassigned {
+		if _, reassigned := list.Entries.NameAt(e.Addr); reassigned {
 			continue
 		}
 		out = append(out, e)
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -14,8 +14,8 @@
 	"snowjunction/internal/store"
 )
 
-// Handing is a Call whose connection can be handed over to another process.
-type Handing interface {
+// CallHandover is a Call whose connection can be handed over to another process.
+type CallHandover interface {
 	// Hand detaches the connection from this process. It returns false if it cannot be handed over.
 	Hand() (handover.Call, bool)
 	// Rest returns the part of the answer that had been read. It is valid once the engine has
@@ -23,8 +23,8 @@
 	Rest() []byte
 }
 
-// Adopting is a Target that can continue another process's call.
-type Adopting interface {
+// CallAdopter is a Target that can continue another process's call.
+type CallAdopter interface {
 	Adopt(m *store.Message, from handover.Call, done func(Result)) Call
 }
 
@@ -42,7 +42,7 @@
 	n := c.awaitingPlugins + c.unwrittenExclusions
 	for _, f := range c.flows {
 		if a := f.attempt; a != nil && a.call != nil {
-			if _, ok := a.call.(Handing); a.reading || !ok && a.call.Left() {
+			if _, ok := a.call.(CallHandover); a.reading || !ok && a.call.Left() {
 				n++
 			}
 		}
@@ -63,14 +63,14 @@
 	}
 	heldKeys := map[uint64]time.Time{}
 	var calls []handover.Call
-	var handed []Handing
+	var handed []CallHandover
 	for _, id := range slices.Sorted(maps.Keys(c.flows)) {
 		f := c.flows[id]
 		a := f.attempt
 		if a == nil || a.call == nil {
 			continue
 		}
-		h, ok := a.call.(Handing)
+		h, ok := a.call.(CallHandover)
 		l := c.routes.byID[a.endpoint]
 		switch {
 		case f.ended: // only its ordering key still depends on the call
@@ -207,6 +207,6 @@
 	f.attempt = a
 	c.openCalls++
 	a.timeoutTimer = c.Loop.After(call.Until.Sub(c.Loop.Now()), func() { c.expire(a, snowjunction.TimedOut) })
-	a.call = t.(Adopting).Adopt(f.msg, call, func(r Result) { c.readAnswer(a, r) })
+	a.call = t.(CallAdopter).Adopt(f.msg, call, func(r Result) { c.readAnswer(a, r) })
 	return l.id
 }
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -32,7 +32,7 @@
 			age = max(age, 0)
 		}
 		if c.idleTracker.Recall(snowjunction.DestinationID(r.Destination), r.Text, age, c.elapsed()) {
-			c.Counters.Recalled++
+			c.Counters.LearnedRestored++
 		}
 	}
 }
@@ -130,7 +130,7 @@
 	}
 	counts, written := c.Learnt.Counts(), c.Journal.Written()
 	return slog.GroupValue(
-		slog.Uint64("recalled", c.Counters.Recalled), slog.Uint64("writes", counts.Writes), slog.Uint64("bytes", counts.Bytes),
+		slog.Uint64("recalled", c.Counters.LearnedRestored), slog.Uint64("writes", counts.Writes), slog.Uint64("bytes", counts.Bytes),
 		slog.Uint64("records", counts.Records), slog.Uint64("same", c.picker.Same), slog.Uint64("dropped", counts.Dropped),
 		slog.Uint64("failed", counts.Failed), slog.Uint64("journal_writes", written.Records), slog.Uint64("journal_bytes", written.Bytes),
 	)
--- a/internal/core/learn_test.go
+++ b/internal/core/learn_test.go
@@ -73,7 +73,7 @@
 	// The next process run uses the record.
 	next := newHarnessWith(&harness{t: t, now: b.now.Add(time.Second), settle: true}, nil)
 	next.c.Recall([]learnt.Record{learned.records[7]})
-	assert.Equal(t, uint64(1), next.c.Counters.Recalled)
+	assert.Equal(t, uint64(1), next.c.Counters.LearnedRestored)
 	for i := range 4 {
 		next.add(fmt.Sprint("n", i), "status", 0)
 	}
--- a/internal/core/races_test.go
+++ b/internal/core/races_test.go
@@ -128,7 +128,7 @@
 	b.step(5 * ms)
 	b.step(5 * ms)
 	n := b.c.Counters
-	assert.Equal(t, [4]uint64{3, 2, 1, 1}, [4]uint64{n.Restored, n.Untried, n.Tried, n.GivenUp})
+	assert.Equal(t, [4]uint64{3, 2, 1, 1}, [4]uint64{n.Restored, n.RestoredUntried, n.UntriedAttempted, n.UntriedAbandoned})
 }
 
 // A process dies with an attempt in flight, and the next process gives that message up. The next
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -109,7 +109,7 @@
 // listedAnywhere reports whether any front lists endpoints of a destination.
 func (r *routes) listedAnywhere(d snowjunction.DestinationID) bool {
 	for _, t := range r.tables {
-		if t.Has(d) {
+		if t.HasDestination(d) {
 			return true
 		}
 	}
@@ -152,7 +152,7 @@
 // invalid; draining and gone endpoints are then still applied and everything else stays unchanged.
 func (c *Core) Listed(front int, l *groups.List) error {
 	table := c.routes.tables[front]
-	if err := table.Fits(l); err != nil {
+	if err := table.CheckChanges(l); err != nil {
 		c.Heed(front, l)
 		return err
 	}
@@ -215,7 +215,7 @@
 		old, replaced = table.Set(e)
 	}
 	if replaced && (e.Phase == snowjunction.Gone || old.Destination != e.Destination) {
-		if !table.Has(old.Destination) {
+		if !table.HasDestination(old.Destination) {
 			c.routes.delisted.add(old.Destination, c.Loop.Now())
 		}
 		if g := c.routes.loaded[old.Destination]; g != nil {
@@ -248,14 +248,14 @@
 				updates = c.removeEndpoint(g, front, m.Name, updates)
 			}
 		}
-		for e := range table.Of(g.destination) {
+		for e := range table.ByDestination(g.destination) {
 			updates = append(updates, c.updateEndpoint(g, front, e)...)
 		}
 	}
 	at := 0
 	c.Loop.Slices(func() bool {
 		for d := range old.DestinationsFrom(at, at+sliceSize) {
-			if !c.routes.tables[front].Has(d) {
+			if !c.routes.tables[front].HasDestination(d) {
 				c.routes.delisted.add(d, c.Loop.Now())
 			}
 		}
--- a/internal/core/sleep.go
+++ b/internal/core/sleep.go
@@ -78,7 +78,7 @@
 	}
 	names := map[memento.Name]snowjunction.EndpointID{}
 	for front, t := range c.routes.tables {
-		for e := range t.Of(g.destination) {
+		for e := range t.ByDestination(g.destination) {
 			for _, x := range c.updateEndpoint(g, front, e) {
 				event.Endpoints = append(event.Endpoints, x)
 				names[memento.NameOf(e.Name)] = x.ID
--- a/internal/groups/groups.go
+++ b/internal/groups/groups.go
@@ -79,8 +79,8 @@
 // Ready returns the number of Ready endpoints.
 func (t *Table) Ready() int { return t.ready }
 
-// Sum returns an order-independent hash of the names of Ready endpoints.
-func (t *Table) Sum() uint64 { return t.readySum }
+// ReadyHash returns an order-independent hash of the names of Ready endpoints.
+func (t *Table) ReadyHash() uint64 { return t.readySum }
 
 // countReady updates the count and the hash when a Ready endpoint is added (by is 1) or removed (by
 // is -1).
@@ -182,15 +182,15 @@
 	return t.firstOfDest.find(destHash(uint32(d)), func(ref uint32) bool { return t.at(ref).dest == uint32(d) })
 }
 
-// Has reports whether a destination has endpoints, in any phase.
-func (t *Table) Has(destination snowjunction.DestinationID) bool {
+// HasDestination reports whether a destination has endpoints, in any phase.
+func (t *Table) HasDestination(destination snowjunction.DestinationID) bool {
 	_, ok := t.firstOf(destination)
 	return ok
 }
 
-// Of yields the endpoints of a destination in listing order. The table must not change during the
+// ByDestination yields the endpoints of a destination in listing order. The table must not change during the
 // iteration.
-func (t *Table) Of(destination snowjunction.DestinationID) iter.Seq[Entry] {
+func (t *Table) ByDestination(destination snowjunction.DestinationID) iter.Seq[Entry] {
 	return func(yield func(Entry) bool) {
 		first, ok := t.firstOf(destination)
 		for ref := first; ok; {
@@ -340,8 +340,8 @@
 	t.at(source.prev).next, t.at(source.next).prev = to, to
 }
 
-// At returns the name of the Ready endpoint at an address.
-func (t *Table) At(addr string) (string, bool) {
+// NameAt returns the name of the Ready endpoint at an address.
+func (t *Table) NameAt(addr string) (string, bool) {
 	var hash uint64
 	a, err := netip.ParseAddrPort(addr)
 	ipv4 := err == nil && a.Addr().Is4() && a.Port() != otherAddrPort
@@ -386,7 +386,7 @@
 		return fmt.Errorf("%q: %w", e.Name, ErrDuplicate)
 	}
 	if e.Phase == snowjunction.Ready && !l.Shared {
-		if other, ok := l.Entries.At(e.Addr); ok {
+		if other, ok := l.Entries.NameAt(e.Addr); ok {
 			return fmt.Errorf("%q and %q, %s: %w", other, e.Name, e.Addr, ErrAddress)
 		}
 	}
@@ -406,9 +406,9 @@
 	return l, nil
 }
 
-// Fits checks whether a set of changes can be applied to t: no two Ready endpoints may share an
+// CheckChanges checks whether a set of changes can be applied to t: no two Ready endpoints may share an
 // address afterwards. A full list without an error from Add always fits.
-func (t *Table) Fits(l *List) error {
+func (t *Table) CheckChanges(l *List) error {
 	if l.Full || l.Shared {
 		return nil
 	}
@@ -416,7 +416,7 @@
 		if e.Phase != snowjunction.Ready {
 			continue
 		}
-		other, ok := t.At(e.Addr)
+		other, ok := t.NameAt(e.Addr)
 		if !ok || other == e.Name {
 			continue
 		}
--- a/internal/groups/groups_test.go
+++ b/internal/groups/groups_test.go
@@ -59,7 +59,7 @@
 			require.True(t, ok)
 			require.Equal(t, e, got)
 			dests[e.Destination] = append(dests[e.Destination], e)
-			at, ok := table.At(e.Addr)
+			at, ok := table.NameAt(e.Addr)
 			require.True(t, ok || e.Phase != snowjunction.Ready)
 			if ok {
 				require.Equal(t, e.Addr, model[at].Addr)
@@ -69,7 +69,7 @@
 		require.Equal(t, len(dests), table.Destinations())
 		for d, want := range dests {
 			var got []Entry
-			for e := range table.Of(d) {
+			for e := range table.ByDestination(d) {
 				got = append(got, e)
 			}
 			require.Equal(t, want, got)
@@ -119,10 +119,10 @@
 	}
 	gone := endpointAt("a", "127.0.0.1:1", 1)
 	gone.Phase = snowjunction.Gone
-	assert.ErrorIs(t, table.Entries.Fits(changes(endpointAt("c", "127.0.0.1:1", 2))), ErrAddress)
-	assert.NoError(t, table.Entries.Fits(changes(endpointAt("c", "127.0.0.1:1", 2), gone)))
-	assert.NoError(t, table.Entries.Fits(changes(endpointAt("a", "127.0.0.1:1", 2))), "its own address")
-	assert.NoError(t, table.Entries.Fits(changes(endpointAt("a", "127.0.0.1:2", 1), endpointAt("b", "127.0.0.1:1", 1))), "two endpoints swap their addresses")
+	assert.ErrorIs(t, table.Entries.CheckChanges(changes(endpointAt("c", "127.0.0.1:1", 2))), ErrAddress)
+	assert.NoError(t, table.Entries.CheckChanges(changes(endpointAt("c", "127.0.0.1:1", 2), gone)))
+	assert.NoError(t, table.Entries.CheckChanges(changes(endpointAt("a", "127.0.0.1:1", 2))), "its own address")
+	assert.NoError(t, table.Entries.CheckChanges(changes(endpointAt("a", "127.0.0.1:2", 1), endpointAt("b", "127.0.0.1:1", 1))), "two endpoints swap their addresses")
 }
 
 // A table that grows and shrinks, by changes or by full lists, frees its memory.
