--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -287,7 +287,7 @@
 			c.Counters.Restored++
 			f := &flow{msg: m, class: &c.Settings.Classes[classIndex], untried: m.Attempts == 0}
 			if first := c.endedBefore[f.idempotencyKey()]; first != nil && f.keyed() && !m.Ran {
-				c.ranUnderAnother(f, first.RanSince)
+				c.markRanUnderOtherID(f, first.RanSince)
 			}
 			if f.untried {
 				c.Counters.RestoredUntried++
@@ -334,7 +334,7 @@
 	if err := c.Journal.Take(f.msg); err != nil {
 		c.Log.Error("message not accepted: journal write failed", "id", f.msg.ID, "err", err)
 		c.Counters.Refused++
-		c.tallyOf(f).throttled++
+		c.tallyOf(f).refused++
 		answer(Answer{Verdict: Fixed, After: c.Settings.MaxRetry / 2}, nil)
 		c.withdraw(f)
 		return false
@@ -358,7 +358,7 @@
 // refuse answers a flow that is not accepted with a fixed response.
 func (c *Core) refuse(f *flow, retryAfter time.Duration) {
 	c.Counters.Refused++
-	c.tallyOf(f).throttled++
+	c.tallyOf(f).refused++
 	c.traceEnd(f, "turned_away", retryAfter)
 	if c.flowsByRef[f.ref()] == f && f.id == 0 {
 		delete(c.flowsByRef, f.ref())
--- a/internal/core/book.go
+++ b/internal/core/book.go
@@ -92,11 +92,11 @@
 	c.traceEnd(f, "refused", retryAfter)
 	if state == store.Returned {
 		c.Counters.Refused++
-		c.tallyOf(f).throttled++
+		c.tallyOf(f).refused++
 		answer(Answer{Verdict: Fixed, After: retryAfter}, nil)
 	} else {
 		c.Counters.Failed++
-		c.tallyOf(f).faulted++
+		c.tallyOf(f).failed++
 		answer(Answer{Verdict: Failed}, nil)
 	}
 }
@@ -112,15 +112,15 @@
 	switch state {
 	case store.Delivered:
 		c.Counters.Delivered++
-		c.tallyOf(f).fulfilled++
+		c.tallyOf(f).delivered++
 	case store.Withdrawn, store.Deleted:
 		c.Counters.Withdrawn++
 	case store.Failed:
 		c.Counters.Failed++
-		c.tallyOf(f).faulted++
+		c.tallyOf(f).failed++
 	case store.Returned:
 		c.Counters.Returned++
-		c.tallyOf(f).throttled++
+		c.tallyOf(f).refused++
 	}
 	c.traceEnd(f, state.String(), retryAfter)
 	if c.Plugins != nil {
--- a/internal/core/capacity_test.go
+++ b/internal/core/capacity_test.go
@@ -29,10 +29,10 @@
 				b.Fatal(err)
 			}
 			if i%100 == 99 {
-				x.step(5 * ms)
+				x.advance(5 * ms)
 			}
 		}
-		if x.step(5 * ms); x.c.Held() != n {
+		if x.advance(5 * ms); x.c.Held() != n {
 			b.Fatalf("%d messages held, want %d", x.c.Held(), n)
 		}
 		return x
@@ -63,7 +63,7 @@
 				var s runtime.MemStats
 				runtime.ReadMemStats(&s)
 				peak = max(peak, s.HeapAlloc)
-				x.step(ms)
+				x.advance(ms)
 			})
 			b.ReportMetric(float64(peak)/float64(n), "peak-heap-B/entry")
 		})
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -39,9 +39,9 @@
 	learnt       Learnt
 	directories  map[int]Directory
 	plugins      Plugins
-	journalDir   string                // of the journal
+	journalDir   string
 	restored     []*store.Message      // messages that a previous process left in the journal
-	resumes      func(seq uint64) bool // see store.Options.Goes
+	resumes      func(seq uint64) bool // which attempts in flight continue, by message number
 	journalBytes int64                 // size limit of the journal in bytes; 0 means 3e6
 }
 
@@ -136,7 +136,7 @@
 
 func (b *harness) list(phase snowjunction.Phase, full bool) {
 	b.listed(0, full, Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: phase})
-	b.step(10 * ms)
+	b.advance(10 * ms)
 }
 
 func (b *harness) listed(front int, full bool, entries ...Entry) {
@@ -156,14 +156,14 @@
 // standing returns the confidence in an endpoint of the first front.
 func (b *harness) standing(name string) belief.Standing { return b.c.confidenceIn(0, name) }
 
-func (b *harness) step(d time.Duration) {
+func (b *harness) advance(d time.Duration) {
 	b.c.Loop.Turn()
 	b.now = b.now.Add(d)
 	b.c.Loop.Turn()
 }
 
-// add submits a message and returns the slice that receives its answers.
-func (b *harness) add(id, class string, key uint64) *[]Answer {
+// submit submits a message and returns the slice that receives its answers.
+func (b *harness) submit(id, class string, key uint64) *[]Answer {
 	got := &[]Answer{}
 	err := b.c.TakeIn(Request{ID: id, Class: class, Key: key, IdempotencyKey: id, Destination: 7, Left: 2 * time.Second},
 		func(a Answer, _ *store.Message) bool {
@@ -176,14 +176,14 @@
 
 func TestAcceptedThenDelivered(t *testing.T) {
 	b := newHarness(t, nil)
-	got := b.add("m1", "status", 0)
+	got := b.submit("m1", "status", 0)
 	assert.Empty(t, *got, "no answer before the module's decision")
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	assert.Equal(t, []Answer{{Verdict: Taken}}, *got)
 	require.Len(t, b.calls, 1)
 	b.calls[0].done(Result{Outcome: snowjunction.OK})
 	b.calls[0].done(Result{Outcome: snowjunction.Error}) // a second result is ignored
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	require.Len(t, b.ended, 1)
 	assert.Equal(t, store.Delivered, b.ended[0].State)
 	assert.Zero(t, b.c.Held())
@@ -192,10 +192,10 @@
 
 func TestResubmittedWhileOpen(t *testing.T) {
 	b := newHarness(t, nil)
-	b.add("m1", "status", 0)
-	b.step(5 * ms)
-	second := b.add("m1", "status", 0)
-	b.step(5 * ms)
+	b.submit("m1", "status", 0)
+	b.advance(5 * ms)
+	second := b.submit("m1", "status", 0)
+	b.advance(5 * ms)
 	assert.Equal(t, []Answer{{Verdict: Taken}}, *second)
 	assert.Len(t, b.calls, 1)
 }
@@ -203,8 +203,8 @@
 // Another client with the same id as an open message must not take away the first client's answer.
 func TestOpenIDUsedByTwoClients(t *testing.T) {
 	b := newHarness(t, nil)
-	first, other := b.add("m1", "status", 0), b.add("m1", "status", 0)
-	b.step(5 * ms)
+	first, other := b.submit("m1", "status", 0), b.submit("m1", "status", 0)
+	b.advance(5 * ms)
 	assert.Equal(t, []Answer{{Verdict: Taken}}, *first)
 	assert.Equal(t, []Answer{{Verdict: Taken}}, *other)
 	assert.Len(t, b.calls, 1)
@@ -226,15 +226,15 @@
 	b.list(snowjunction.Gone, false)
 	r.ID, r.Destination = "m2", 7
 	require.NoError(t, b.c.TakeIn(r, answer))
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	require.Len(t, got, 2)
 	assert.Equal(t, Taken, got[1].Verdict)
 }
 
 func TestRefusedAtCapacity(t *testing.T) {
 	b := newHarness(t, func(s *snowjunction.Settings) { s.MaxHeld = 1 })
-	b.add("m1", "status", 0)
-	got := b.add("m2", "status", 0)
+	b.submit("m1", "status", 0)
+	got := b.submit("m2", "status", 0)
 	require.Len(t, *got, 1)
 	assert.Equal(t, Fixed, (*got)[0].Verdict)
 	assert.Positive(t, (*got)[0].After)
@@ -245,9 +245,9 @@
 	b := newHarness(t, func(s *snowjunction.Settings) { s.MaxHeld = 2 })
 	var all []*[]Answer
 	for _, id := range []string{"m1", "m2"} {
-		all = append(all, b.add(id, "status", 0))
+		all = append(all, b.submit(id, "status", 0))
 	}
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	verdicts := map[Verdict]int{}
 	for _, got := range all {
 		require.Len(t, *got, 1)
@@ -261,12 +261,12 @@
 	b := newHarness(t, nil)
 	require.NoError(t, b.c.TakeIn(Request{ID: "m1", Class: "status", Destination: 7, Left: time.Second},
 		func(Answer, *store.Message) bool { return false }))
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	assert.Empty(t, b.calls, "no client waits for it")
 	assert.Zero(t, b.c.Held())
-	b.step(5 * ms)
-	b.add("m2", "status", 0)
-	b.step(5 * ms)
+	b.advance(5 * ms)
+	b.submit("m2", "status", 0)
+	b.advance(5 * ms)
 	assert.Len(t, b.calls, 1, "its slot is free again")
 }
 
@@ -275,25 +275,25 @@
 func TestKeyWaitsForNotice(t *testing.T) {
 	b := newHarness(t, nil)
 	b.settle = false
-	b.add("m1", "order", 9)
-	b.step(5 * ms)
-	b.add("m2", "order", 9)
-	b.step(5 * ms)
+	b.submit("m1", "order", 9)
+	b.advance(5 * ms)
+	b.submit("m2", "order", 9)
+	b.advance(5 * ms)
 	require.Len(t, b.calls, 1)
-	b.step(3 * time.Second) // the first message expires with its call in flight
+	b.advance(3 * time.Second) // the first message expires with its call in flight
 	require.True(t, b.calls[0].abandoned)
 	require.NotEmpty(t, b.ended)
 	require.Equal(t, "m1", b.ended[0].ID)
-	b.add("m3", "order", 9)
-	b.step(5 * ms)
-	b.step(100 * ms)
+	b.submit("m3", "order", 9)
+	b.advance(5 * ms)
+	b.advance(100 * ms)
 	assert.Len(t, b.calls, 1, "not sent before the end is confirmed")
 	for _, m := range b.ended {
 		b.c.Settled(m)
 	}
 	assert.Len(t, b.calls, 1, "the decision is too old: a retry-after delay may have arrived since")
 	for i := 0; i < 300 && len(b.calls) < 2; i++ { // its endpoint has timed out and gets only trial calls
-		b.step(5 * ms)
+		b.advance(5 * ms)
 	}
 	require.Len(t, b.calls, 2)
 	assert.Equal(t, "m3", b.calls[1].m.ID)
@@ -302,13 +302,13 @@
 // A target may leave its group between the module's decision and the sending.
 func TestNoCallToRemovedTarget(t *testing.T) {
 	b := newHarness(t, nil)
-	b.add("m1", "status", 0)
+	b.submit("m1", "status", 0)
 	b.listed(0, true)
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	assert.Empty(t, b.calls)
 	assert.Equal(t, 1, b.leftTargets)
 	b.list(snowjunction.Ready, true)
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	assert.Len(t, b.calls, 1, "listed again under the same name, it is called again")
 	b.list(snowjunction.Draining, false)
 	assert.Equal(t, 2, b.leftTargets)
@@ -318,7 +318,7 @@
 func TestListsOfTwoFronts(t *testing.T) {
 	b := newHarness(t, nil)
 	b.listed(1, true, Entry{Name: "s-1", Addr: "127.0.0.1:2", Destination: 7, Phase: snowjunction.Ready})
-	b.add("m1", "status", 0)
+	b.submit("m1", "status", 0)
 	b.listed(0, true)
 	assert.Equal(t, 1, b.leftTargets)
 	g := b.c.routes.loaded[7]
@@ -330,13 +330,13 @@
 // otherwise every release would add endpoints that are kept forever.
 func TestGoneEndpointsAreForgotten(t *testing.T) {
 	b := newHarness(t, nil)
-	b.add("m1", "status", 0)
+	b.submit("m1", "status", 0)
 	g := b.c.routes.loaded[7]
 	b.list(snowjunction.Gone, false)
 	b.list(snowjunction.Ready, false)
 	assert.EqualValues(t, 1, g.find(0, "s-1").id)
 	b.list(snowjunction.Gone, false)
-	b.step(goneRetention)
+	b.advance(goneRetention)
 	b.list(snowjunction.Ready, false)
 	assert.EqualValues(t, 2, g.find(0, "s-1").id)
 	assert.Len(t, b.c.routes.byID, 1)
@@ -346,12 +346,12 @@
 // sent, and a restart finds no attempt in flight.
 func TestRetryConnectsAfterWindow(t *testing.T) {
 	b := newHarness(t, func(s *snowjunction.Settings) { s.Classes[0].Window = 500 * ms })
-	b.add("m1", "order", 9)
-	b.step(5 * ms)
+	b.submit("m1", "order", 9)
+	b.advance(5 * ms)
 	require.Len(t, b.calls, 1)
-	b.step(200 * ms)
+	b.advance(200 * ms)
 	b.calls[0].done(Result{Outcome: snowjunction.Reset})
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	require.Len(t, b.calls, 2)
 	retry := b.calls[1]
 	retry.sent = false
@@ -359,7 +359,7 @@
 	b.now = b.now.Add(250 * ms)
 	require.False(t, retry.mayStart())
 	retry.done(Result{Outcome: snowjunction.Moot})
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	assert.Len(t, b.calls, 2)
 	require.Len(t, b.ended, 1)
 	assert.Equal(t, store.Failed, b.ended[0].State)
@@ -369,10 +369,10 @@
 // A call of which no byte was sent has certainly not run.
 func TestNeverConnected(t *testing.T) {
 	b := newHarness(t, nil)
-	b.add("m1", "status", 0)
-	b.step(5 * ms)
+	b.submit("m1", "status", 0)
+	b.advance(5 * ms)
 	b.calls[0].sent = false
-	b.step(time.Second)
+	b.advance(time.Second)
 	assert.True(t, b.calls[0].abandoned)
 	assert.EqualValues(t, 1, b.c.Counters.Results[snowjunction.ConnectFailed])
 	assert.False(t, b.calls[0].m.Ran)
@@ -381,7 +381,7 @@
 func TestRestoredKeepsAttemptsAndWindow(t *testing.T) {
 	b := newHarness(t, nil)
 	b.c.Restore([]*store.Message{b.ranMessage("inside", 2*time.Second), b.ranMessage("outside", 4950*ms)})
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	require.Len(t, b.calls, 1, "a keyed message is not sent close to the end of its window or after it")
 	assert.Equal(t, "inside", b.calls[0].m.ID)
 	assert.Equal(t, 2, b.calls[0].m.Attempts)
@@ -422,12 +422,12 @@
 	b := newHarness(t, nil)
 	disk := &slowJournal{Journal: b.journal, b: b}
 	b.c.Journal = disk
-	b.add("m1", "order", 9)
-	b.step(5 * ms)
+	b.submit("m1", "order", 9)
+	b.advance(5 * ms)
 	require.Len(t, b.calls, 1)
 	disk.delay = 5 * time.Second
 	b.calls[0].done(Result{Outcome: snowjunction.Reset})
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	assert.Len(t, b.calls, 1)
 	require.Len(t, b.ended, 1)
 	assert.False(t, b.ended[0].Out)
@@ -438,7 +438,7 @@
 func TestClockSetBackOverRestart(t *testing.T) {
 	b := newHarness(t, nil)
 	b.c.Restore([]*store.Message{b.ranMessage("m1", -time.Hour)})
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	assert.Empty(t, b.calls)
 	require.Len(t, b.ended, 1)
 	assert.Equal(t, store.Failed, b.ended[0].State)
@@ -465,16 +465,16 @@
 		submit := func(id, key string, left time.Duration) {
 			require.NoError(t, b.c.TakeIn(Request{ID: id, Class: "order", IdempotencyKey: key, Destination: 7, Left: left},
 				func(Answer, *store.Message) bool { return true }))
-			b.step(5 * ms)
+			b.advance(5 * ms)
 		}
 		submit("m1", "k", 40*ms) // expires after this one attempt
 		require.Len(t, b.calls, 1, c.what)
-		b.step(27 * ms)
+		b.advance(27 * ms)
 		b.calls[0].done(Result{Outcome: c.outcome})
-		b.step(c.after - 32*ms)
+		b.advance(c.after - 32*ms)
 		require.Len(t, b.calls, 1, c.what)
 		submit("m2", c.key, time.Second)
-		b.step(100 * ms)
+		b.advance(100 * ms)
 		assert.Equal(t, c.sent, len(b.calls) == 2, c.what)
 	}
 }
@@ -483,11 +483,11 @@
 func TestSameKeyAfterRestart(t *testing.T) {
 	b := newHarness(t, nil)
 	b.c.Restore([]*store.Message{b.ranMessage("m1", 4940*ms)})
-	b.step(60 * ms)
+	b.advance(60 * ms)
 	require.Len(t, b.ended, 1)
 	require.NoError(t, b.c.TakeIn(Request{ID: "m2", Class: "order", IdempotencyKey: "k", Destination: 7, Left: time.Second},
 		func(Answer, *store.Message) bool { return true }))
-	b.step(100 * ms)
+	b.advance(100 * ms)
 	assert.Empty(t, b.calls)
 }
 
@@ -512,7 +512,7 @@
 			}
 			next := newHarnessWith(&harness{t: t, now: b.now.Add(later), settle: true, journalDir: b.journalDir}, nil)
 			next.c.Restore(next.restored)
-			next.step(5 * ms)
+			next.advance(5 * ms)
 			may := step == "taken" || step == "never" || (later < 5*time.Second || class == "status") && (step == "sent" || step == "ran")
 			assert.Equal(t, may, len(next.calls) == 1, "%s, %s, %v later", class, step, later)
 			if step == "ended" {
@@ -525,17 +525,17 @@
 
 func TestFreezeKeepsOpenMessagesInJournal(t *testing.T) {
 	b := newHarness(t, nil)
-	b.add("m1", "status", 0)
-	b.step(5 * ms)
+	b.submit("m1", "status", 0)
+	b.advance(5 * ms)
 	b.c.Drain()
-	got := b.add("m2", "status", 0)
+	got := b.submit("m2", "status", 0)
 	assert.Equal(t, Fixed, (*got)[0].Verdict)
 	idle := false
 	b.c.Freeze(func() { idle = true })
 	assert.False(t, idle, "a call is in flight")
 	b.calls[0].done(Result{Outcome: snowjunction.Error})
 	assert.True(t, idle)
-	b.step(time.Minute)
+	b.advance(time.Minute)
 	assert.Empty(t, b.ended, "no decisions after Freeze")
 }
 
@@ -543,20 +543,20 @@
 // configured time because the hold starts at the endpoint.
 func TestKeyHeldAfterReset(t *testing.T) {
 	b := newHarness(t, nil)
-	b.add("m1", "order", 9)
-	b.add("m2", "order", 9)
-	b.step(5 * ms)
+	b.submit("m1", "order", 9)
+	b.submit("m2", "order", 9)
+	b.advance(5 * ms)
 	b.calls[0].done(Result{Outcome: snowjunction.Reset})
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	require.Len(t, b.calls, 2)
 	require.Equal(t, "m1", b.calls[1].m.ID, "a retry of the same message need not wait")
 	b.calls[1].done(Result{Outcome: snowjunction.OK})
 	for range 30 {
-		b.step(5 * ms)
+		b.advance(5 * ms)
 		assert.Len(t, b.calls, 2, "held for longer than the configured 100 ms")
 	}
 	for range 4 {
-		b.step(5 * ms)
+		b.advance(5 * ms)
 	}
 	require.Len(t, b.calls, 3)
 	assert.Equal(t, "m2", b.calls[2].m.ID)
--- a/internal/core/exclude_test.go
+++ b/internal/core/exclude_test.go
@@ -33,7 +33,7 @@
 func (b *harness) exclude(name string, out bool) error {
 	err := errors.New("no answer")
 	b.c.Exclude(0, name, out, func(e error) { err = e })
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	return err
 }
 
@@ -43,18 +43,18 @@
 	b := newHarness(t, func(s *snowjunction.Settings) { s.WarmUp = 14 * time.Second })
 	d := &exclusionStore{}
 	b.c.Exclusions = d
-	b.add("m1", "status", 0)
-	b.step(5 * ms)
+	b.submit("m1", "status", 0)
+	b.advance(5 * ms)
 	require.Len(t, b.calls, 1)
 	require.NoError(t, b.exclude("s-1", true))
 	require.NoError(t, b.exclude("s-1", true))
 	assert.Equal(t, 1, b.leftTargets, "its idle connections are closed")
 	b.calls[0].done(Result{Outcome: snowjunction.OK})
-	b.add("m2", "status", 0)
-	b.step(50 * ms)
+	b.submit("m2", "status", 0)
+	b.advance(50 * ms)
 	for _, phase := range []snowjunction.Phase{snowjunction.Ready, snowjunction.Draining, snowjunction.Gone, snowjunction.Ready} {
 		b.list(phase, phase == snowjunction.Ready)
-		b.step(50 * ms)
+		b.advance(50 * ms)
 		assert.Len(t, b.calls, 1, "%v", phase)
 	}
 	x := b.c.Figures(0)
@@ -75,8 +75,8 @@
 	full := errors.New("disk full")
 	b.c.Exclusions = &exclusionStore{fail: full}
 	assert.ErrorIs(t, b.exclude("s-1", true), full)
-	b.add("m1", "status", 0)
-	b.step(5 * ms)
+	b.submit("m1", "status", 0)
+	b.advance(5 * ms)
 	assert.Len(t, b.calls, 1)
 }
 
@@ -92,8 +92,8 @@
 	require.Zero(t, s.Decode(d.text))
 	next.c.RecallOut(s)
 	next.list(snowjunction.Ready, true)
-	next.add("m1", "status", 0)
-	next.step(50 * ms)
+	next.submit("m1", "status", 0)
+	next.advance(50 * ms)
 	assert.Empty(t, next.calls)
 }
 
@@ -113,7 +113,7 @@
 		}
 		d.pending[0](tc.first)
 		d.pending[1](tc.second)
-		b.step(5 * ms)
+		b.advance(5 * ms)
 		assert.Equal(t, []error{tc.first, tc.second}, got)
 		assert.Equal(t, tc.out, b.c.exclusionSet.Out("s-1"))
 		assert.Empty(t, b.c.pendingExclusions)
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -13,8 +13,9 @@
 	OutOfRotation int `json:"out_of_rotation"`
 }
 
-// tally counts the messages of one class. Each field is incremented where the event is decided.
-type tally struct{ fulfilled, throttled, faulted uint64 }
+// tally counts the messages of one class; refused includes returned ones. Each field is incremented
+// where the event is decided.
+type tally struct{ delivered, refused, failed uint64 }
 
 // tallyOf returns the tally of a flow's class.
 func (c *Core) tallyOf(f *flow) *tally {
@@ -33,8 +34,8 @@
 	}
 	for i, cl := range c.Settings.Classes {
 		t := c.tallies[i]
-		x.Fulfilled[cl.Name], x.Throttled[cl.Name] = t.fulfilled, t.throttled
-		x.Faulted[cl.Name] = t.faulted
+		x.Fulfilled[cl.Name], x.Throttled[cl.Name] = t.delivered, t.refused
+		x.Faulted[cl.Name] = t.failed
 	}
 	return x
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -42,7 +42,7 @@
 	n := c.awaitingPlugins + c.unwrittenExclusions
 	for _, f := range c.flows {
 		if a := f.attempt; a != nil && a.call != nil {
-			if _, ok := a.call.(CallHandover); a.reading || !ok && a.call.Left() {
+			if _, ok := a.call.(CallHandover); a.answered || !ok && a.call.Left() {
 				n++
 			}
 		}
@@ -82,7 +82,7 @@
 			a.call.GiveUp()
 			c.recordOutcome(a, false)
 			continue
-		case !ok || a.reading || l == nil:
+		case !ok || a.answered || l == nil:
 			continue // the journal says that it may have run
 		}
 		if x, ok := h.Hand(); ok {
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -41,7 +41,7 @@
 func (b *harness) resume(e *handover.Estate) {
 	b.c.TakeOver(e)
 	b.c.Restore(b.restored)
-	b.step(10 * ms)
+	b.advance(10 * ms)
 }
 
 // A call in flight continues in the next process: its message is not sent again, its key waits for
@@ -49,10 +49,10 @@
 func TestCallContinuesAfterHandover(t *testing.T) {
 	for outcome, resent := range map[snowjunction.Outcome]bool{snowjunction.OK: false, snowjunction.Reset: true} {
 		b := newHarness(t, nil)
-		b.add("o1", "order", 9)
-		b.step(5 * ms)
-		b.add("o2", "order", 9)
-		b.step(5 * ms)
+		b.submit("o1", "order", 9)
+		b.advance(5 * ms)
+		b.submit("o2", "order", 9)
+		b.advance(5 * ms)
 		require.Len(t, b.calls, 1)
 		b.calls[0].sent = true
 		next, e := b.handOver()
@@ -62,8 +62,8 @@
 		require.Len(t, next.calls, 1, "the adopted call, and no other of its key")
 		assert.Empty(t, next.c.Forgone())
 		next.calls[0].done(Result{Outcome: outcome})
-		next.step(5 * ms)
-		next.step(200 * ms)
+		next.advance(5 * ms)
+		next.advance(200 * ms)
 		require.Len(t, next.calls, 2)
 		if resent {
 			assert.Equal(t, "o1", next.calls[1].m.ID)
@@ -82,18 +82,18 @@
 // run.
 func TestRetryAfterIsHandedOver(t *testing.T) {
 	b := newHarness(t, nil)
-	b.add("m1", "status", 0)
-	b.step(5 * ms)
+	b.submit("m1", "status", 0)
+	b.advance(5 * ms)
 	require.Len(t, b.calls, 1)
 	b.c.Hush()
 	b.calls[0].done(Result{Outcome: snowjunction.Full, Wait: time.Second})
 	next, e := b.handOver()
 	next.resume(e)
-	next.add("m2", "status", 0)
-	next.step(900 * ms)
+	next.submit("m2", "status", 0)
+	next.advance(900 * ms)
 	assert.Empty(t, next.calls, "within the retry-after delay")
-	next.step(200 * ms)
-	next.step(50 * ms)
+	next.advance(200 * ms)
+	next.advance(50 * ms)
 	assert.NotEmpty(t, next.calls)
 }
 
@@ -101,24 +101,24 @@
 	b := newHarness(t, nil)
 	require.NoError(t, b.c.TakeIn(Request{ID: "o1", Class: "order", Key: 9, IdempotencyKey: "k", Destination: 7, Left: 50 * ms},
 		func(Answer, *store.Message) bool { return true }))
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	require.Len(t, b.calls, 1)
 	b.calls[0].sent = true
-	b.step(60 * ms) // expired, with its call still in flight
+	b.advance(60 * ms) // expired, with its call still in flight
 	next, e := b.handOver()
 	assert.Empty(t, e.Calls)
 	require.Len(t, e.Keys, 1)
 	require.Len(t, e.Rests, 1)
 	next.resume(e)
-	next.add("o2", "order", 9)
-	next.step(20 * ms)
+	next.submit("o2", "order", 9)
+	next.advance(20 * ms)
 	assert.Empty(t, next.calls, "the key is held")
-	next.step(200 * ms)
+	next.advance(200 * ms)
 	require.Len(t, next.calls, 1)
 	next.calls[0].done(Result{Outcome: snowjunction.OK})
-	next.step(4700 * ms)
+	next.advance(4700 * ms)
 	require.NoError(t, next.c.TakeIn(Request{ID: "o3", Class: "order", IdempotencyKey: "k", Destination: 7, Left: time.Second},
 		func(Answer, *store.Message) bool { return true }))
-	next.step(100 * ms)
+	next.advance(100 * ms)
 	assert.Len(t, next.calls, 1, "the first message's window is over")
 }
--- a/internal/core/learn_test.go
+++ b/internal/core/learn_test.go
@@ -49,21 +49,21 @@
 	learned := &learnedStore{}
 	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, learnt: learned}, nil)
 	for i := range 400 {
-		b.add(fmt.Sprint("m", i), "status", 0)
-		b.step(20 * ms)
+		b.submit(fmt.Sprint("m", i), "status", 0)
+		b.advance(20 * ms)
 		b.completeCalls(snowjunction.OK)
-		b.step(30 * ms)
+		b.advance(30 * ms)
 		w := b.journal.Written()
 		require.LessOrEqual(t, float64(learned.n.Writes), 0.02*float64(w.Records))
 		require.LessOrEqual(t, float64(learned.n.Bytes), 0.1*float64(w.Bytes))
 	}
 	assert.NotZero(t, learned.n.Writes)
 	assert.Greater(t, b.c.picker.Same, uint64(5), "a nearly unchanged state is not written again")
-	b.add("lost", "status", 0)
-	b.step(20 * ms)
+	b.submit("lost", "status", 0)
+	b.advance(20 * ms)
 	b.completeCalls(snowjunction.TimedOut)
-	b.step(learnt.Every)
-	b.step(20 * ms)
+	b.advance(learnt.Every)
+	b.advance(20 * ms)
 	m, err := memento.Decode(learned.records[7].Text)
 	require.NoError(t, err)
 	require.Len(t, m.Names, 1)
@@ -75,10 +75,10 @@
 	next.c.Recall([]learnt.Record{learned.records[7]})
 	assert.Equal(t, uint64(1), next.c.Counters.LearnedRestored)
 	for i := range 4 {
-		next.add(fmt.Sprint("n", i), "status", 0)
+		next.submit(fmt.Sprint("n", i), "status", 0)
 	}
-	next.step(20 * ms)
-	next.step(20 * ms)
+	next.advance(20 * ms)
+	next.advance(20 * ms)
 	assert.LessOrEqual(t, len(next.calls), 1, "at most one trial call, no burst")
 }
 
@@ -86,13 +86,13 @@
 func TestShutdownSavesAllState(t *testing.T) {
 	learned := &learnedStore{}
 	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, learnt: learned}, nil)
-	b.add("m1", "status", 0)
-	b.step(20 * ms)
+	b.submit("m1", "status", 0)
+	b.advance(20 * ms)
 	b.completeCalls(snowjunction.OK)
-	b.step(20 * ms)
+	b.advance(20 * ms)
 	require.Empty(t, learned.records)
 	b.c.Drain()
-	b.step(20 * ms)
+	b.advance(20 * ms)
 	assert.Len(t, learned.records, 1)
 	assert.Equal(t, uint64(1), learned.n.Writes)
 }
@@ -108,22 +108,22 @@
 		Entry{Name: "s-2", Addr: "127.0.0.1:2", Destination: 7, Phase: snowjunction.Ready})
 	require.NoError(t, b.c.Begin(0, l, belief.Cached, time.Hour))
 	for i := range 4 {
-		b.add(fmt.Sprint("m", i), "status", 0)
+		b.submit(fmt.Sprint("m", i), "status", 0)
 	}
-	b.step(20 * ms)
+	b.advance(20 * ms)
 	require.Len(t, b.calls, 2, "one call to each endpoint")
 	b.calls[0].done(Result{Outcome: snowjunction.OK})
-	b.step(20 * ms)
+	b.advance(20 * ms)
 	assert.Equal(t, belief.Confirmed, b.standing("s-1"))
 	assert.Equal(t, belief.Doubtful, b.standing("s-2"))
 	require.Greater(t, len(b.calls), 2, "the other messages go to the endpoint that answers")
 	b.calls[1].done(Result{Outcome: snowjunction.ConnectFailed})
-	b.step(20 * ms)
+	b.advance(20 * ms)
 	assert.Equal(t, belief.Refuted, b.standing("s-2"))
 	b.calls = nil
 	for i := range 4 {
-		b.add(fmt.Sprint("n", i), "status", 0)
-		b.step(20 * ms)
+		b.submit(fmt.Sprint("n", i), "status", 0)
+		b.advance(20 * ms)
 		for _, x := range b.calls {
 			assert.Equal(t, "127.0.0.1:1", x.addr)
 		}
@@ -141,19 +141,19 @@
 func TestEndpointIsAnother(t *testing.T) {
 	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, directories: map[int]Directory{0: {Belief: belief.Default()}}}, nil)
 	require.NoError(t, b.c.Begin(0, full(Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready}), belief.Known, 0))
-	b.add("m1", "status", 0)
-	b.step(20 * ms)
+	b.submit("m1", "status", 0)
+	b.advance(20 * ms)
 	require.Len(t, b.calls, 1)
 	b.calls[0].done(Result{Outcome: snowjunction.Error, Elsewhere: true})
 	b.calls = nil
-	b.step(20 * ms)
-	b.add("m2", "status", 0)
-	b.step(100 * ms)
+	b.advance(20 * ms)
+	b.submit("m2", "status", 0)
+	b.advance(100 * ms)
 	assert.Empty(t, b.calls)
 	b.listed(0, true, Entry{Name: "s-1", Addr: "127.0.0.1:3", Destination: 7, Phase: snowjunction.Ready})
 	b.c.Spoken(0)
-	b.step(100 * ms)
-	b.step(100 * ms)
+	b.advance(100 * ms)
+	b.advance(100 * ms)
 	assert.NotEmpty(t, b.calls, "the directory overrides the evidence of calls")
 }
 
@@ -163,23 +163,23 @@
 	for _, confirms := range []bool{true, false} {
 		b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, directories: map[int]Directory{0: {Belief: belief.Default()}}}, nil)
 		require.NoError(t, b.c.Begin(0, full(Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready}), belief.Cached, time.Minute))
-		b.step(10 * ms)
+		b.advance(10 * ms)
 		b.c.Pause(80 * ms)
-		b.add("m1", "status", 0)
-		b.step(40 * ms)
+		b.submit("m1", "status", 0)
+		b.advance(40 * ms)
 		require.Empty(t, b.calls)
 		if confirms {
 			b.listed(0, true, Entry{Name: "s-2", Addr: "127.0.0.1:2", Destination: 7, Phase: snowjunction.Ready})
 			b.c.Spoken(0)
 		}
-		b.step(10 * ms)
+		b.advance(10 * ms)
 		if confirms {
 			require.Len(t, b.calls, 1)
 			assert.Equal(t, "127.0.0.1:2", b.calls[0].addr)
 			continue
 		}
 		require.Empty(t, b.calls)
-		b.step(40 * ms)
+		b.advance(40 * ms)
 		require.Len(t, b.calls, 1)
 	}
 }
--- a/internal/core/plugins_test.go
+++ b/internal/core/plugins_test.go
@@ -61,16 +61,16 @@
 // plug-in.
 func TestKeyOrderWhileWaitingForPlugins(t *testing.T) {
 	b, p := newPluginHarness(t, "admit m1", "admit m3")
-	first, second, third := b.add("m1", "order", 9), b.add("m2", "order", 9), b.add("m3", "order", 9)
-	other := b.add("o", "order", 8)
-	b.step(20 * ms)
+	first, second, third := b.submit("m1", "order", 9), b.submit("m2", "order", 9), b.submit("m3", "order", 9)
+	other := b.submit("o", "order", 8)
+	b.advance(20 * ms)
 	assert.Empty(t, *second)
 	assert.Len(t, *other, 1, "other keys do not wait")
 	assert.Nil(t, p.admits["m3"], "one message of a key at a time")
 	p.admits["m1"](true, 0)
 	require.NotNil(t, p.admits["m3"])
 	p.admits["m3"](false, 700*ms)
-	b.step(20 * ms)
+	b.advance(20 * ms)
 	assert.Equal(t, []Answer{{Verdict: Taken}}, *first)
 	assert.Equal(t, []Answer{{Verdict: Taken}}, *second)
 	assert.Equal(t, []Answer{{Verdict: Fixed, After: 700 * ms}}, *third)
@@ -82,10 +82,10 @@
 // A message resubmitted while a plug-in decides is still one message.
 func TestResubmittedWhileWaitingForPlugin(t *testing.T) {
 	b, p := newPluginHarness(t, "admit m1")
-	first := b.add("m1", "status", 0)
-	second := b.add("m1", "status", 0)
+	first := b.submit("m1", "status", 0)
+	second := b.submit("m1", "status", 0)
 	p.admits["m1"](true, 0)
-	b.step(20 * ms)
+	b.advance(20 * ms)
 	assert.Equal(t, []Answer{{Verdict: Taken}}, *first)
 	assert.Equal(t, []Answer{{Verdict: Taken}}, *second)
 	assert.Len(t, b.calls, 1)
@@ -94,7 +94,7 @@
 // If the courier shuts down while a plug-in decides, the flow is refused once.
 func TestDrainWhileWaitingForPlugin(t *testing.T) {
 	b, p := newPluginHarness(t, "admit m1")
-	got := b.add("m1", "status", 0)
+	got := b.submit("m1", "status", 0)
 	b.c.Drain()
 	p.admits["m1"](true, 0)
 	assert.Equal(t, []Answer{{Verdict: Fixed, After: drainAfter}}, *got)
@@ -106,31 +106,31 @@
 // old. Both are checked again afterwards.
 func TestChecksAfterShaping(t *testing.T) {
 	b, p := newPluginHarness(t, "shape m1", "shape m2", "shape m3")
-	b.add("m1", "status", 0)
-	b.step(5 * ms)
+	b.submit("m1", "status", 0)
+	b.advance(5 * ms)
 	assert.Empty(t, b.calls)
 	p.shapes["m1"](Shape{Headers: []HeaderField{{"X-A", "b"}}})
 	require.Len(t, b.calls, 1)
 	assert.Equal(t, []HeaderField{{"X-A", "b"}}, b.calls[0].shape.Headers)
 	b.calls[0].done(Result{Outcome: snowjunction.OK})
 
-	b.add("m2", "status", 0)
-	b.step(10 * ms)
+	b.submit("m2", "status", 0)
+	b.advance(10 * ms)
 	b.listed(0, false, Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Draining})
 	p.shapes["m2"](Shape{})
 	assert.Len(t, b.calls, 1, "the endpoint drains")
 	b.listed(0, false, Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready})
 	p.asks = map[string]bool{"shape m3": true}
 	for i := 0; i < 100 && len(b.calls) < 2; i++ {
-		b.step(10 * ms)
+		b.advance(10 * ms)
 	}
 	require.Len(t, b.calls, 2, "m2 is sent again")
 	b.calls[1].done(Result{Outcome: snowjunction.OK})
 
-	b.add("m3", "status", 0)
-	b.step(10 * ms)
+	b.submit("m3", "status", 0)
+	b.advance(10 * ms)
 	late := p.shapes["m3"]
-	b.step(maxDecisionAge + ms)
+	b.advance(maxDecisionAge + ms)
 	late(Shape{})
 	assert.Len(t, b.calls, 2, "the decision is too old")
 	late(Shape{})
@@ -141,25 +141,25 @@
 // again after the delay, and a second result is ignored.
 func TestPluginReadsSuccessAsError(t *testing.T) {
 	b, p := newPluginHarness(t, "read m1")
-	got := b.add("m1", "status", 0)
-	b.step(5 * ms)
+	got := b.submit("m1", "status", 0)
+	b.advance(5 * ms)
 	require.Len(t, b.calls, 1)
 	assert.True(t, b.calls[0].shape.Whole)
 	b.calls[0].done(Result{Outcome: snowjunction.OK})
 	b.calls[0].done(Result{Outcome: snowjunction.OK})
-	b.step(20 * ms)
+	b.advance(20 * ms)
 	assert.Empty(t, b.ended)
 	p.reads["m1"](Result{Outcome: snowjunction.Error, Wait: 300 * ms})
 	assert.True(t, b.calls[0].m.Ran)
 	began := b.now
 	for i := 0; i < 200 && len(b.calls) < 2; i++ {
-		b.step(5 * ms)
+		b.advance(5 * ms)
 	}
 	require.Len(t, b.calls, 2)
 	assert.GreaterOrEqual(t, b.now.Sub(began), 300*ms)
 	p.asks = nil
 	b.calls[1].done(Result{Outcome: snowjunction.OK})
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	assert.Equal(t, []Answer{{Verdict: Taken}}, *got)
 	assert.Equal(t, []string{"m1"}, p.ended)
 	require.Len(t, b.ended, 1)
@@ -174,9 +174,9 @@
 		t.Run(name, func(t *testing.T) {
 			b, p := newPluginHarness(t, asks...)
 			b.connecting = true
-			b.add("m1", "status", 0)
-			b.add("m2", "status", 0)
-			b.step(10 * ms)
+			b.submit("m1", "status", 0)
+			b.submit("m2", "status", 0)
+			b.advance(10 * ms)
 			require.Len(t, b.calls, 2)
 			require.True(t, b.calls[0].connect())
 			refused := Result{Outcome: snowjunction.Full, Wait: 500 * ms}
@@ -184,16 +184,16 @@
 			assert.False(t, b.calls[1].connect(), "before the module's next decision")
 			b.calls[1].done(Result{Outcome: snowjunction.Moot})
 			began := b.now
-			b.add("m3", "status", 0)
+			b.submit("m3", "status", 0)
 			for range 6 {
-				b.step(10 * ms)
+				b.advance(10 * ms)
 			}
 			assert.Len(t, b.calls, 2, "a retry-after delay applies")
 			if read := p.reads["m1"]; read != nil {
 				read(refused)
 			}
 			for i := 0; i < 200 && len(b.calls) < 3; i++ {
-				b.step(5 * ms)
+				b.advance(5 * ms)
 			}
 			require.Greater(t, len(b.calls), 2, "sent after the delay")
 			assert.GreaterOrEqual(t, b.now.Sub(began), refused.Wait)
@@ -206,13 +206,13 @@
 // timeout does not apply any more once the answer has arrived.
 func TestPluginReadOutlastsAttemptTimeout(t *testing.T) {
 	b, p := newPluginHarness(t, "read m1")
-	b.add("m1", "status", 0)
-	b.step(5 * ms)
+	b.submit("m1", "status", 0)
+	b.advance(5 * ms)
 	b.calls[0].done(Result{Outcome: snowjunction.OK})
-	b.step(1500 * ms)
+	b.advance(1500 * ms)
 	assert.False(t, b.calls[0].abandoned)
 	p.reads["m1"](Result{Outcome: snowjunction.OK})
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	assert.Len(t, b.calls, 1)
 	assert.Zero(t, b.c.Counters.Results[snowjunction.TimedOut])
 	assert.EqualValues(t, 1, b.c.Counters.Results[snowjunction.OK])
@@ -221,10 +221,10 @@
 // Flows that wait for a plug-in count as held, so that their number is bounded.
 func TestWaitingForPluginsIsBounded(t *testing.T) {
 	b, p := newPluginHarness(t, "admit m0")
-	b.add("m0", "order", 9)
+	b.submit("m0", "order", 9)
 	var rest []*[]Answer
 	for i := 1; i <= 20; i++ {
-		rest = append(rest, b.add(fmt.Sprint("m", i), "order", 9))
+		rest = append(rest, b.submit(fmt.Sprint("m", i), "order", 9))
 	}
 	refused := 0
 	for _, got := range rest {
@@ -232,7 +232,7 @@
 	}
 	assert.Equal(t, 11, refused, "at most ten may be held")
 	p.admits["m0"](true, 0)
-	b.step(20 * ms)
+	b.advance(20 * ms)
 	assert.Equal(t, 9, b.c.Held(), "the module sheds one above 92% of its limit")
 	assert.Zero(t, b.c.awaitingPlugins)
 }
--- a/internal/core/probe_test.go
+++ b/internal/core/probe_test.go
@@ -20,9 +20,9 @@
 			b := newHarness(t, func(s *snowjunction.Settings) { s.Probes = probes })
 			submitted, answered := 0, 0
 			submitAndAnswer := func(up bool) {
-				b.add(fmt.Sprint("m", submitted), "status", 0)
+				b.submit(fmt.Sprint("m", submitted), "status", 0)
 				submitted++
-				b.step(100 * ms)
+				b.advance(100 * ms)
 				for ; answered < len(b.calls); answered++ {
 					if x := b.calls[answered]; up {
 						x.done(Result{Outcome: snowjunction.OK})
@@ -37,7 +37,7 @@
 			for range 600 {
 				submitAndAnswer(true)
 			}
-			b.step(time.Second)
+			b.advance(time.Second)
 			require.NotEmpty(t, b.ended)
 			assert.Equal(t, store.Delivered, b.ended[len(b.ended)-1].State)
 		})
--- a/internal/core/races_test.go
+++ b/internal/core/races_test.go
@@ -37,8 +37,8 @@
 			require.NoError(t, b.journal.Take(m))
 			b.c.Pause(80 * ms)
 			b.c.Restore([]*store.Message{m})
-			b.step(81 * ms)
-			b.step(10 * ms)
+			b.advance(81 * ms)
+			b.advance(10 * ms)
 			if tc.sent {
 				assert.Len(t, b.calls, 1)
 				return
@@ -62,14 +62,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, nil)
-			b.add("m1", "order", 5)
-			b.step(5 * ms)
+			b.submit("m1", "order", 5)
+			b.advance(5 * ms)
 			require.Len(t, b.calls, 1)
 			b.now = b.now.Add(tc.after - 5*ms) // before the loop's timers run
 			b.calls[0].done(Result{Outcome: snowjunction.OK})
 			require.Len(t, b.ended, 1)
 			assert.Equal(t, tc.state, b.ended[0].State)
-			b.step(5 * ms)
+			b.advance(5 * ms)
 			assert.Empty(t, b.c.flows)
 		})
 	}
@@ -93,11 +93,11 @@
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, nil)
 			b.settle = tc.settled
-			b.add("m1", "order", 5)
-			b.step(5 * ms)
+			b.submit("m1", "order", 5)
+			b.advance(5 * ms)
 			require.Len(t, b.calls, 1)
 			sent := b.now
-			b.step(2 * time.Second) // its deadline passes
+			b.advance(2 * time.Second) // its deadline passes
 			require.Len(t, b.ended, 1)
 			if tc.compacted {
 				b.compact()
@@ -108,8 +108,8 @@
 			err := next.c.TakeIn(Request{ID: "m2", Class: "order", Key: 6, IdempotencyKey: "m1", Destination: 7, Left: 10 * time.Second},
 				func(Answer, *store.Message) bool { return true })
 			require.NoError(t, err)
-			next.step(5 * ms)
-			next.step(5 * ms)
+			next.advance(5 * ms)
+			next.advance(5 * ms)
 			assert.Equal(t, tc.sent, len(next.calls) == 1)
 		})
 	}
@@ -125,8 +125,8 @@
 		return m
 	}
 	b.c.Restore([]*store.Message{message("goes", time.Second, 0), message("too late", -time.Second, 0), message("was tried", time.Second, 1)})
-	b.step(5 * ms)
-	b.step(5 * ms)
+	b.advance(5 * ms)
+	b.advance(5 * ms)
 	n := b.c.Counters
 	assert.Equal(t, [4]uint64{3, 2, 1, 1}, [4]uint64{n.Restored, n.RestoredUntried, n.UntriedAttempted, n.UntriedAbandoned})
 }
@@ -151,13 +151,13 @@
 	})
 	next.c.Remember(next.journal.Ran())
 	next.c.Restore(next.restored)
-	next.step(5 * ms)
-	next.step(700 * ms)
+	next.advance(5 * ms)
+	next.advance(700 * ms)
 	require.Len(t, next.ended, 1)
 	assert.Equal(t, "out", next.ended[0].ID)
 	assert.Empty(t, next.calls)
-	next.step(settleSlack)
-	next.step(10 * ms)
+	next.advance(settleSlack)
+	next.advance(10 * ms)
 	assert.Len(t, next.calls, 1)
 }
 
@@ -166,8 +166,8 @@
 	next := newHarnessWith(&harness{t: b.t, now: b.now.Add(after), settle: true, journalDir: b.journalDir}, change)
 	next.c.Remember(next.journal.Ran())
 	next.c.Restore(next.restored)
-	next.step(5 * ms)
-	next.step(5 * ms)
+	next.advance(5 * ms)
+	next.advance(5 * ms)
 	return next
 }
 
@@ -177,9 +177,9 @@
 	b.connecting = true
 	require.NoError(t, b.c.TakeIn(Request{ID: "m1", Class: "order", IdempotencyKey: "k1", Destination: 7, Left: 20 * time.Second},
 		func(Answer, *store.Message) bool { return true }))
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	require.Len(t, b.calls, 1)
-	b.step(900 * ms)
+	b.advance(900 * ms)
 	return b
 }
 
@@ -215,10 +215,10 @@
 func TestFailedConnectCountedAfterKill(t *testing.T) {
 	b := newHarness(t, func(s *snowjunction.Settings) { s.MaxAttempts = 2 })
 	b.connecting = true
-	b.add("m1", "status", 0)
-	b.step(5 * ms)
+	b.submit("m1", "status", 0)
+	b.advance(5 * ms)
 	require.Len(t, b.calls, 1)
-	b.step(time.Second) // it never connects
+	b.advance(time.Second) // it never connects
 	require.True(t, b.calls[0].abandoned)
 	_, left, err := store.Load(store.Options{Dir: b.journalDir, Bytes: 3e6, Log: b.c.Log})
 	require.NoError(t, err)
@@ -234,8 +234,8 @@
 	b := newHarness(t, change)
 	b.c.Journal = &slowJournal{Journal: b.journal, b: b, delay: 400 * ms}
 	b.connecting = true
-	b.add("m1", "order", 5)
-	b.step(5 * ms)
+	b.submit("m1", "order", 5)
+	b.advance(5 * ms)
 	require.Len(t, b.calls, 1)
 	require.True(t, b.calls[0].connect())
 	left := b.now // once the record is written
@@ -282,10 +282,10 @@
 					"first": time.Second, "next": 10 * time.Second,
 				}[id]}, func(Answer, *store.Message) bool { return true }))
 			}
-			b.step(5 * ms)
+			b.advance(5 * ms)
 			require.Len(t, b.calls, 1)
-			b.step(time.Second)
-			b.step(5 * ms)
+			b.advance(time.Second)
+			b.advance(5 * ms)
 			require.Len(t, b.ended, 1)
 			require.True(t, b.calls[0].abandoned)
 			for range compacts {
@@ -293,10 +293,10 @@
 				b = b.restarted(ms, change)
 			}
 			b = b.restarted(ms, change)
-			b.step(700 * ms)
+			b.advance(700 * ms)
 			assert.Empty(t, b.calls)
-			b.step(settleSlack)
-			b.step(10 * ms)
+			b.advance(settleSlack)
+			b.advance(10 * ms)
 			require.Len(t, b.calls, 1)
 			assert.Equal(t, "next", b.calls[0].m.ID)
 		})
@@ -307,9 +307,9 @@
 func TestDeliveredLeavesNoKeyHold(t *testing.T) {
 	change := func(s *snowjunction.Settings) { s.OrderSettle = 700 * ms }
 	b := newHarness(t, change)
-	b.add("m1", "order", 5)
-	b.add("m2", "order", 5)
-	b.step(5 * ms)
+	b.submit("m1", "order", 5)
+	b.submit("m2", "order", 5)
+	b.advance(5 * ms)
 	require.Len(t, b.calls, 1)
 	b.c.Freeze(func() {})
 	b.calls[0].done(Result{Outcome: snowjunction.OK})
@@ -323,16 +323,16 @@
 func TestClockSetBackWithRememberedKey(t *testing.T) {
 	for _, later := range []time.Duration{0, 2900 * ms, 3100 * ms, 4900 * ms} {
 		b := newHarness(t, nil)
-		b.add("m1", "order", 0)
-		b.step(5 * ms)
+		b.submit("m1", "order", 0)
+		b.advance(5 * ms)
 		require.Len(t, b.calls, 1)
 		b.calls[0].done(Result{Outcome: snowjunction.OK})
 		b = b.restarted(-3*time.Second, nil)
-		b.step(later)
+		b.advance(later)
 		require.NoError(t, b.c.TakeIn(Request{ID: "m2", Class: "order", IdempotencyKey: "m1", Destination: 7, Left: 10 * time.Second},
 			func(Answer, *store.Message) bool { return true }))
-		b.step(5 * ms)
-		b.step(5 * ms)
+		b.advance(5 * ms)
+		b.advance(5 * ms)
 		assert.Empty(t, b.calls, "%v later", later)
 	}
 }
@@ -344,7 +344,7 @@
 		b := newHarness(t, nil)
 		require.NoError(t, b.c.TakeIn(Request{ID: "m1", Class: "order", Key: 9, IdempotencyKey: "k", Destination: 7, Left: time.Second},
 			func(Answer, *store.Message) bool { return true }))
-		b.step(5 * ms)
+		b.advance(5 * ms)
 		require.Len(t, b.calls, 1)
 		b.c.execute(snowjunction.Fail{Request: b.c.flowsByRef[firstFrontRef("m1")].id})
 		require.Len(t, b.ended, 1)
@@ -352,8 +352,8 @@
 		b = b.restarted(4900*ms, nil)
 		require.NoError(t, b.c.TakeIn(Request{ID: "m2", Class: "order", Key: 9, IdempotencyKey: "k", Destination: 7, Left: time.Second},
 			func(Answer, *store.Message) bool { return true }))
-		b.step(200 * ms)
-		b.step(10 * ms)
+		b.advance(200 * ms)
+		b.advance(10 * ms)
 		assert.Equal(t, sent, len(b.calls) == 1, outcome)
 	}
 }
@@ -366,8 +366,8 @@
 	m := b.ranMessage("m1", -50*ms)
 	b.c.Pause(80 * ms)
 	b.c.Restore([]*store.Message{m})
-	b.step(81 * ms)
-	b.step(10 * ms)
+	b.advance(81 * ms)
+	b.advance(10 * ms)
 	assert.Empty(t, b.calls)
 	require.Len(t, b.ended, 1)
 	assert.Equal(t, store.Failed, b.ended[0].State)
@@ -403,9 +403,9 @@
 				require.NoError(t, b.c.TakeIn(Request{ID: id, Class: "order", Key: 5, IdempotencyKey: "k", Destination: 7, Left: 10 * time.Second},
 					func(Answer, *store.Message) bool { return true }))
 			}
-			b.step(5 * ms)
+			b.advance(5 * ms)
 			require.Len(t, b.calls, 1)
-			b.step(100 * ms)
+			b.advance(100 * ms)
 			switch tc.killed {
 			case "out":
 			case "ended":
@@ -413,11 +413,11 @@
 			default:
 				b.list(snowjunction.Draining, false) // the second message waits for an endpoint
 				b.calls[0].done(Result{Outcome: tc.first})
-				b.step(5 * ms)
+				b.advance(5 * ms)
 				b.calls = nil
 			}
 			if tc.killed == "late" {
-				b.step(2 * time.Second)
+				b.advance(2 * time.Second)
 				b.addFiller()
 				require.Empty(t, b.journal.Ran())
 			}
@@ -427,10 +427,10 @@
 				b.c.Remember(b.journal.Ran())
 				b.c.Restore(b.restored)
 			}
-			b.step(1200 * ms)
+			b.advance(1200 * ms)
 			b.list(snowjunction.Ready, true)
-			b.step(200 * ms)
-			b.step(10 * ms)
+			b.advance(200 * ms)
+			b.advance(10 * ms)
 			assert.Equal(t, tc.sent, len(b.calls) == 1)
 			if !tc.sent {
 				require.NotEmpty(t, b.ended)
@@ -446,8 +446,8 @@
 // well.
 func TestUnwantedMessageHasNotRun(t *testing.T) {
 	b := newHarness(t, nil)
-	b.add("m1", "order", 5)
-	b.step(5 * ms)
+	b.submit("m1", "order", 5)
+	b.advance(5 * ms)
 	require.Len(t, b.calls, 1)
 	b.calls[0].done(Result{Outcome: snowjunction.Moot, Over: true})
 	require.Len(t, b.ended, 1)
@@ -468,7 +468,7 @@
 			require.NoError(t, b.c.TakeIn(Request{ID: id, Class: "order", IdempotencyKey: "k", Destination: 7, Left: 10 * time.Second},
 				func(Answer, *store.Message) bool { return true }))
 			if i == 0 {
-				b.step(5 * ms)
+				b.advance(5 * ms)
 				b.list(snowjunction.Draining, false)
 				// As if the second message had arrived before the first was sent.
 				b.c.attemptedKeys.NotRun(idempotency.Key{Destination: 7, Text: "k"}, id)
@@ -476,7 +476,7 @@
 		}
 		require.Len(t, b.calls, 1)
 		b.c.execute(snowjunction.Fail{Request: b.c.flowsByRef[firstFrontRef("m1")].id})
-		b.step(900 * ms)
+		b.advance(900 * ms)
 		require.Len(t, b.ended, 1)
 		b.now = b.now.Add(100 * ms) // the core has not seen its timeout yet
 		if givenUp {
@@ -497,9 +497,9 @@
 	b := newConnecting(t, func(s *snowjunction.Settings) { s.Classes[0].Window = time.Second })
 	require.True(t, b.calls[0].connect())
 	left := b.now
-	b.step(50 * ms)
+	b.advance(50 * ms)
 	b.calls[0].done(Result{Outcome: snowjunction.Reset})
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	require.Len(t, b.calls, 2)
 	b.now = left.Add(920 * ms)
 	assert.True(t, b.calls[1].mayStart(), "within the window")
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -12,10 +12,10 @@
 // readAnswer has the plug-ins interpret an answer, then completes the attempt. If no plug-in
 // answers in time, the result from the protocol is used.
 func (c *Core) readAnswer(a *attempt, r Result) {
-	if a.flow.attempt != a || a.reading {
+	if a.flow.attempt != a || a.answered {
 		return
 	}
-	a.reading = true
+	a.answered = true
 	if c.recordRetryAfter(a, r) {
 		c.trace("told to wait", a.flow.msg)
 		if c.Plugins != nil && c.Plugins.Reads(a.flow.msg) {
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -18,7 +18,7 @@
 	call         Call   // nil while it waits for its key or a plug-in
 	recorded     bool
 	sentAt       time.Time // when its first byte was sent, at the latest; zero if none was
-	reading      bool      // its answer has arrived and plug-ins are interpreting it
+	answered     bool      // its answer has arrived and plug-ins are interpreting it
 }
 
 // maxDecisionAge is the maximum age of a send decision when its key becomes free. The destination
@@ -156,7 +156,7 @@
 // run.
 func (c *Core) expire(a *attempt, outcome snowjunction.Outcome) {
 	switch {
-	case a.flow.attempt != a, a.reading:
+	case a.flow.attempt != a, a.answered:
 		return
 	case a.call == nil:
 		c.reportUnsent(a)
--- a/internal/core/sleep_test.go
+++ b/internal/core/sleep_test.go
@@ -18,17 +18,17 @@
 // deliver submits a message and completes its call with success.
 func (b *harness) deliver(id string) {
 	n := len(b.calls)
-	b.add(id, "status", 0)
-	b.step(5 * ms)
+	b.submit(id, "status", 0)
+	b.advance(5 * ms)
 	require.Len(b.t, b.calls, n+1, id)
 	b.calls[n].done(Result{Outcome: snowjunction.OK})
-	b.step(5 * ms)
+	b.advance(5 * ms)
 }
 
 // unloadAll lets all idle destinations be unloaded.
 func (b *harness) unloadAll() {
-	b.step(time.Minute)
-	b.step(10 * ms)
+	b.advance(time.Minute)
+	b.advance(10 * ms)
 	require.Empty(b.t, b.c.routes.loaded)
 }
 
@@ -39,7 +39,7 @@
 		entries = append(entries, Entry{Name: fmt.Sprint(i), Addr: fmt.Sprintf("127.1.%d.%d:1", i>>8, i&255), Destination: snowjunction.DestinationID(i / 2), Phase: snowjunction.Ready})
 	}
 	b.listed(0, true, entries...)
-	b.step(time.Second)
+	b.advance(time.Second)
 	assert.Empty(t, b.targets)
 	assert.Empty(t, b.c.routes.byID)
 	b.deliver("m1")
@@ -58,8 +58,8 @@
 	b.list(snowjunction.Draining, false)
 	err := b.c.TakeIn(Request{ID: "m1", Class: "status", Destination: 7, Left: 10 * time.Minute}, func(Answer, *store.Message) bool { return true })
 	require.NoError(t, err)
-	b.step(9 * time.Minute)
-	b.step(time.Second)
+	b.advance(9 * time.Minute)
+	b.advance(time.Second)
 	assert.Len(t, b.c.routes.loaded, 1)
 }
 
@@ -81,8 +81,8 @@
 			b.unloadAll()
 			b.listed(0, false, tc.entry)
 			assert.Len(t, b.targets, 1, "no target for an unloaded destination")
-			b.add("m2", "status", 0)
-			b.step(20 * ms)
+			b.submit("m2", "status", 0)
+			b.advance(20 * ms)
 			assert.Len(t, b.calls, tc.calls)
 			if tc.addr != "" {
 				assert.Equal(t, tc.addr, b.targets[len(b.targets)-1].Addr)
@@ -96,29 +96,29 @@
 	b := newHarness(t, nil)
 	b.deliver("m1")
 	b.unloadAll()
-	b.add("m2", "status", 0)
+	b.submit("m2", "status", 0)
 	b.listed(0, false, Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Draining})
-	b.step(20 * ms)
+	b.advance(20 * ms)
 	assert.Len(t, b.calls, 1)
 }
 
 // A retry-after delay longer than the idle time still applies after loading.
 func TestRetryAfterOutlastsUnload(t *testing.T) {
 	b := newHarness(t, nil)
-	b.add("m1", "status", 0)
-	b.step(5 * ms)
+	b.submit("m1", "status", 0)
+	b.advance(5 * ms)
 	b.calls[0].done(Result{Outcome: snowjunction.Full, Wait: 90 * time.Second})
 	began := b.now
-	b.step(3 * time.Second) // its message is given up
+	b.advance(3 * time.Second) // its message is given up
 	b.unloadAll()
 	for b.now.Sub(began) < 89*time.Second {
-		b.step(time.Second)
+		b.advance(time.Second)
 	}
-	b.add("m2", "status", 0)
-	b.step(500 * ms)
+	b.submit("m2", "status", 0)
+	b.advance(500 * ms)
 	assert.Len(t, b.calls, 1, "the delay is not over")
 	for range 20 {
-		b.step(50 * ms)
+		b.advance(50 * ms)
 	}
 	assert.Len(t, b.calls, 2)
 }
@@ -126,13 +126,13 @@
 // A retry-after delay that ends while the destination is unloaded does not apply after loading.
 func TestRetryAfterEndsWhileUnloaded(t *testing.T) {
 	b := newHarness(t, nil)
-	b.add("m1", "status", 0)
-	b.step(5 * ms)
+	b.submit("m1", "status", 0)
+	b.advance(5 * ms)
 	b.calls[0].done(Result{Outcome: snowjunction.Full, Wait: 10 * time.Second})
-	b.step(3 * time.Second)
+	b.advance(3 * time.Second)
 	b.unloadAll()
-	b.add("m2", "status", 0)
-	b.step(20 * ms)
+	b.submit("m2", "status", 0)
+	b.advance(20 * ms)
 	assert.Len(t, b.calls, 2)
 }
 
@@ -144,8 +144,8 @@
 	b.c.lastHandled = b.now // the module is called one tick later
 	b.c.Loop.Turn()
 	require.True(t, b.c.routes.loaded[7].unloading)
-	b.add("m2", "status", 0)
-	b.step(10 * ms)
+	b.submit("m2", "status", 0)
+	b.advance(10 * ms)
 	assert.Len(t, b.calls, 2)
 	assert.Len(t, b.targets, 1, "it was never unloaded")
 }
@@ -157,10 +157,10 @@
 	cfg.Awake, cfg.Memory = 1, 1
 	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, dormancy: &cfg}, nil)
 	b.listed(0, false, Entry{Name: "s-2", Addr: "127.0.0.1:2", Destination: 8, Phase: snowjunction.Ready})
-	b.add("m1", "status", 0)
-	b.step(5 * ms)
+	b.submit("m1", "status", 0)
+	b.advance(5 * ms)
 	b.calls[0].done(Result{Outcome: snowjunction.Full, Wait: 40 * time.Second})
-	b.step(3 * time.Second)
+	b.advance(3 * time.Second)
 	var got []Answer
 	submit := func(id string) {
 		got = nil
@@ -175,8 +175,8 @@
 	assert.Equal(t, Fixed, got[0].Verdict)
 	assert.Positive(t, int64(got[0].After))
 	assert.EqualValues(t, 1, b.c.Counters.RefusedCrowded)
-	b.add("m3", "status", 0)
-	b.step(500 * ms)
+	b.submit("m3", "status", 0)
+	b.advance(500 * ms)
 	assert.Len(t, b.calls, 1, "the retry-after delay still applies")
 }
 
@@ -193,8 +193,8 @@
 	assert.ErrorIs(t, b.c.Listed(0, l), groups.ErrAddress)
 	assert.False(t, b.c.routes.tables[0].HasDestination(9))
 	assert.True(t, b.c.routes.tables[0].HasDestination(8), "the held list is unchanged")
-	b.add("m2", "status", 0)
-	b.step(20 * ms)
+	b.submit("m2", "status", 0)
+	b.advance(20 * ms)
 	assert.Len(t, b.calls, 1, "the endpoint drains")
 }
 
@@ -207,13 +207,13 @@
 		} else {
 			b.listed(0, false, Entry{Name: "s-1", Phase: snowjunction.Gone})
 		}
-		b.step(ms)
-		got := b.add("m1", "status", 0)
-		b.step(20 * ms)
+		b.advance(ms)
+		got := b.submit("m1", "status", 0)
+		b.advance(20 * ms)
 		assert.Equal(t, []Answer{{Verdict: Taken}}, *got, "its next endpoint may be listed in time")
-		b.step(3 * delistedRetention)
+		b.advance(3 * delistedRetention)
 		b.unloadAll()
-		got = b.add("m2", "status", 0)
+		got = b.submit("m2", "status", 0)
 		require.Len(t, *got, 1)
 		assert.Equal(t, Fixed, (*got)[0].Verdict)
 	}
@@ -237,7 +237,7 @@
 			}))
 		}
 		require.NoError(t, b.c.Listed(0, l))
-		b.step(ms)
+		b.advance(ms)
 	}
 	list(0, 20000)
 	list(0, 10)
@@ -245,7 +245,7 @@
 	for round := 1; round <= 10; round++ {
 		list(round, 20000)
 		list(round, 10)
-		b.step(delistedRetention)
+		b.advance(delistedRetention)
 	}
 	assert.Less(t, heap()-before, int64(1<<20))
 	assert.Equal(t, 10, b.c.routes.destinations())
@@ -279,21 +279,21 @@
 	x := &beyond{kept: map[uint32][]byte{}, at: map[uint32]time.Time{}}
 	start := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	b := newBeyond(&harness{t: t, now: start, settle: true}, x)
-	b.add("m1", "status", 0)
-	b.step(5 * ms)
+	b.submit("m1", "status", 0)
+	b.advance(5 * ms)
 	b.calls[0].done(Result{Outcome: snowjunction.Full, Wait: 10 * time.Minute})
-	b.step(3 * time.Second)
+	b.advance(3 * time.Second)
 	b.unloadAll()
 	require.NotNil(t, x.kept[7])
 
 	b = newBeyond(&harness{t: t, now: start.Add(2 * time.Minute), settle: true}, x)
-	got := b.add("m2", "status", 0)
-	b.step(10 * ms)
+	got := b.submit("m2", "status", 0)
+	b.advance(10 * ms)
 	assert.Empty(t, *got, "no answer before the module's decision")
 	require.Len(t, x.asked, 1)
-	b.add("m3", "status", 0)
+	b.submit("m3", "status", 0)
 	x.asked[0]()
-	b.step(10 * ms)
+	b.advance(10 * ms)
 	assert.Equal(t, []Answer{{Verdict: Taken}}, *got)
 	assert.Empty(t, b.calls, "its retry-after delay still applies")
 	assert.Equal(t, 2, b.c.Held())
@@ -304,13 +304,13 @@
 func TestExternalStoreDoesNotAnswer(t *testing.T) {
 	x := &beyond{kept: map[uint32][]byte{7: {1}}, at: map[uint32]time.Time{}}
 	b := newBeyond(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true}, x)
-	got := b.add("m1", "status", 0)
-	b.step(snapshotTimeout)
-	b.step(10 * ms)
+	got := b.submit("m1", "status", 0)
+	b.advance(snapshotTimeout)
+	b.advance(10 * ms)
 	assert.Equal(t, []Answer{{Verdict: Taken}}, *got)
 	assert.Len(t, b.calls, 1)
 	x.asked[0]()
-	b.step(10 * ms)
+	b.advance(10 * ms)
 	assert.Len(t, b.calls, 1)
 }
 
@@ -318,7 +318,7 @@
 func TestFrozenWhileLoading(t *testing.T) {
 	x := &beyond{kept: map[uint32][]byte{7: {1}}, at: map[uint32]time.Time{}}
 	b := newBeyond(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true}, x)
-	got := b.add("m1", "status", 0)
+	got := b.submit("m1", "status", 0)
 	b.c.Freeze(func() {})
 	assert.Equal(t, []Answer{{Verdict: Fixed}}, *got)
 }
@@ -353,23 +353,23 @@
 		require.NoError(t, err)
 	}
 	submit("m1")
-	b.step(5 * ms)
+	b.advance(5 * ms)
 	b.calls[0].done(Result{Outcome: snowjunction.Reset})
 	b.listed(0, false, Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Draining})
 	began := b.now
 	for len(b.ended) == 0 {
 		require.Len(t, b.c.routes.loaded, 1)
-		b.step(100 * ms)
+		b.advance(100 * ms)
 		require.Less(t, b.now.Sub(began), 6*time.Second)
 	}
 	assert.Greater(t, b.now.Sub(began), 4*time.Second, "it ended only with its window")
 	for range 10 {
-		b.step(100 * ms)
+		b.advance(100 * ms)
 	}
 	require.Empty(t, b.c.routes.loaded)
 	b.listed(0, false, Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready})
 	n := len(b.calls)
 	submit("m2")
-	b.step(10 * ms)
+	b.advance(10 * ms)
 	assert.Len(t, b.calls, n+1)
 }
--- a/internal/core/takein.go
+++ b/internal/core/takein.go
@@ -141,12 +141,13 @@
 	since := ranSince(f.msg)
 	for _, other := range others {
 		if !other.ended && !other.msg.Ran && !since.IsZero() {
-			c.ranUnderAnother(other, since)
+			c.markRanUnderOtherID(other, since)
 		}
 	}
 }
 
-func (c *Core) ranUnderAnother(f *flow, since time.Time) {
+// markRanUnderOtherID records that a flow's message may have run under another id since then.
+func (c *Core) markRanUnderOtherID(f *flow, since time.Time) {
 	f.msg.Ran, f.msg.RanSince = true, since
 	if err := c.Journal.Copy(f.msg); err != nil {
 		c.Log.Error("journal", "err", err)
