--- a/internal/core/probe_test.go
+++ b/internal/core/probe_test.go
@@ -12,19 +12,19 @@
 	"snowjunction/internal/store"
 )
 
-// Where the settings allow probes, which no front makes, an endpoint that was down is tried by a
-// message all the same.
-func TestDownComesBackWhereProbesAreAllowed(t *testing.T) {
+// If the settings allow probes, which no front can send, an endpoint that was down must still be
+// tried by a message. Otherwise it would never be used again.
+func TestEndpointRecoversWithProbesEnabled(t *testing.T) {
 	for _, probes := range []bool{false, true} {
 		t.Run(fmt.Sprint(probes), func(t *testing.T) {
-			b := newBench(t, func(s *snowjunction.Settings) { s.Probes = probes })
-			handed, done := 0, 0
-			turn := func(up bool) {
-				b.add(fmt.Sprint("m", handed), "status", 0)
-				handed++
-				b.step(100 * ms)
-				for ; done < len(b.calls); done++ {
-					if x := b.calls[done]; up {
+			b := newHarness(t, func(s *snowjunction.Settings) { s.Probes = probes })
+			submitted, answered := 0, 0
+			submitAndAnswer := func(up bool) {
+				b.submit(fmt.Sprint("m", submitted), "status", 0)
+				submitted++
+				b.advance(100 * ms)
+				for ; answered < len(b.calls); answered++ {
+					if x := b.calls[answered]; up {
 						x.done(Result{Outcome: snowjunction.OK})
 					} else {
 						x.done(Result{Outcome: snowjunction.TimedOut})
@@ -32,12 +32,12 @@
 				}
 			}
 			for range 50 {
-				turn(false)
+				submitAndAnswer(false)
 			}
 			for range 600 {
-				turn(true)
+				submitAndAnswer(true)
 			}
-			b.step(time.Second)
+			b.advance(time.Second)
 			require.NotEmpty(t, b.ended)
 			assert.Equal(t, store.Delivered, b.ended[len(b.ended)-1].State)
 		})
--- a/internal/core/share_test.go
+++ b/internal/core/share_test.go
@@ -13,24 +13,24 @@
 	"snowjunction/internal/store"
 )
 
-// The module is told of as many destinations as the fleet has, where a front lists a part of them.
-// Those that flows call for are known.
+// If a front lists only a share of the destinations, the module is told the number in the whole
+// fleet. Calling returns the destinations that have flows.
 func TestDestinationsOfTheWholeFleet(t *testing.T) {
-	b := newBench(t, func(*snowjunction.Settings) {})
+	b := newHarness(t, func(*snowjunction.Settings) {})
 	l := groups.NewList(true)
 	for i := range 10 {
 		require.NoError(t, l.Add(Entry{Name: fmt.Sprint(i), Addr: fmt.Sprintf("127.0.0.2:%d", i+1), Destination: snowjunction.DestinationID(i + 1), Phase: snowjunction.Ready}))
 	}
 	require.NoError(t, b.c.Listed(0, l))
-	told := func(d snowjunction.DestinationID) int {
-		b.c.wake(d)
+	destinations := func(d snowjunction.DestinationID) int {
+		b.c.load(d)
 		w, is := b.c.events[len(b.c.events)-1].(snowjunction.Wake)
 		require.True(t, is)
 		return w.Destinations
 	}
-	assert.Equal(t, 10, told(1))
+	assert.Equal(t, 10, destinations(1))
 	b.c.ListedShare = func(front int) float64 { return 1 / float64(4+front) }
-	assert.Equal(t, 40, told(2))
+	assert.Equal(t, 40, destinations(2))
 	gone := groups.NewList(false)
 	require.NoError(t, gone.Add(Entry{Name: "1", Phase: snowjunction.Gone}))
 	require.NoError(t, b.c.Listed(0, gone))
@@ -44,7 +44,7 @@
 		}
 		return out
 	}
-	assert.Empty(t, calling(), "awake, but nothing goes there")
+	assert.Empty(t, calling(), "loaded, but without flows")
 	require.NoError(t, b.c.TakeIn(Request{ID: "a", Class: "status", Destination: 3, Left: time.Second}, func(Answer, *store.Message) bool { return true }))
 	assert.Equal(t, []snowjunction.DestinationID{3}, calling())
 }
