--- a/internal/lease/capacity_test.go
+++ b/internal/lease/capacity_test.go
@@ -8,25 +8,25 @@
 	"snowjunction/internal/gauge"
 )
 
-const accounts = 100_000
+const ledgers = 100_000
 
-// The share of the accounts that another courier keeps once one has joined a fleet, of
-// those whose first keeper one courier's restart silences, and of those without a keeper in
-// line as a zone of six is lost: with numbers that run through one zone after another, and
-// dealt out in turn.
-func BenchmarkKeepers(b *testing.B) {
+// BenchmarkOwners measures three shares of the quota ledgers: those whose owner changes when one
+// courier joins the fleet, those whose preferred owner is unreachable while one courier restarts,
+// and those left without any candidate owner when one of six zones is lost. The last is measured
+// with courier numbers assigned to zones in consecutive runs, and round robin.
+func BenchmarkOwners(b *testing.B) {
 	for _, fleet := range []int{20, 80, 320, 3_400} {
 		b.Run(fmt.Sprint(fleet), func(b *testing.B) {
 			before, after := NewLine(fleet, 0), NewLine(fleet+1, 0)
 			var moved, restarted, runs, dealt float64
 			for b.Loop() {
 				moved, restarted, runs, dealt = 0, 0, 0, 0
-				for dest := range uint32(accounts) {
+				for dest := range uint32(ledgers) {
 					first := before.First(dest)
-					moved += share(first != after.First(dest))
-					restarted += share(first == 1)
-					runs += share(nobody(fleet, first, func(p int) bool { return p*6/fleet == 3 }))
-					dealt += share(nobody(fleet, first, func(p int) bool { return p%6 == 3 }))
+					moved += fraction(first != after.First(dest))
+					restarted += fraction(first == 1)
+					runs += fraction(allLost(fleet, first, func(p int) bool { return p*6/fleet == 3 }))
+					dealt += fraction(allLost(fleet, first, func(p int) bool { return p%6 == 3 }))
 				}
 			}
 			b.ReportMetric(moved, "moved-by-one-more/account")
@@ -37,16 +37,16 @@
 	}
 }
 
-func share(is bool) float64 {
+func fraction(is bool) float64 {
 	if is {
-		return 1.0 / accounts
+		return 1.0 / ledgers
 	}
 	return 0
 }
 
-// nobody tells that all in line after a first keeper are lost.
-func nobody(fleet, first int, lost func(int) bool) bool {
-	for i := range min(keepersMost, fleet) {
+// allLost reports whether all candidate owners, starting with the preferred one, are lost.
+func allLost(fleet, first int, lost func(int) bool) bool {
+	for i := range min(maxCandidates, fleet) {
 		if !lost((first + i) % fleet) {
 			return false
 		}
@@ -54,9 +54,9 @@
 	return true
 }
 
-// What an account holds that twelve couriers have asked of late, as a keeper's heap sees it
-// once all have been served, and with a hundred and twenty that said that their calls fail.
-func BenchmarkAccount(b *testing.B) {
+// BenchmarkLedger measures the heap size of one quota ledger after twelve couriers requested calls
+// and all were granted, without and with 120 couriers that reported failing calls.
+func BenchmarkLedger(b *testing.B) {
 	const n = 4_000
 	for _, failing := range []int{0, 120} {
 		b.Run(fmt.Sprintf("failing=%d", failing), func(b *testing.B) {
--- a/internal/lease/footprint.go
+++ b/internal/lease/footprint.go
@@ -2,18 +2,18 @@
 
 import "unsafe"
 
-// words are those of an entry of a map with a number for its key, nearly.
-const words = 3
+// mapEntryWords is the approximate size, in machine words, of a map entry with an integer key.
+const mapEntryWords = 3
 
-// Bytes is what an account takes, without what the allocator adds.
+// Bytes returns the memory size of the ledger in bytes, without allocator overhead.
 func (l *Ledger) Bytes() int {
 	word := int(unsafe.Sizeof(uintptr(0)))
-	n := int(unsafe.Sizeof(*l)) + word*(cap(l.asks)+words*len(l.by)+words*len(l.shut))
-	return n + len(l.asks)*int(unsafe.Sizeof(ask{}))
+	n := int(unsafe.Sizeof(*l)) + word*(cap(l.requests)+mapEntryWords*len(l.byPeer)+mapEntryWords*len(l.failingSince))
+	return n + len(l.requests)*int(unsafe.Sizeof(request{}))
 }
 
-// Bytes is what a view of the fleet takes, without what the allocator adds.
+// Bytes returns the memory size of the fleet view in bytes, without allocator overhead.
 func (l *Line) Bytes() int {
 	word := int(unsafe.Sizeof(uintptr(0)))
-	return int(unsafe.Sizeof(*l)) + word*words*len(l.passed)
+	return int(unsafe.Sizeof(*l)) + word*mapEntryWords*len(l.unreachableUntil)
 }
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -3,184 +3,192 @@
 import "time"
 
 const (
-	answerIn    = 120 * time.Millisecond // past which an ask or its answer is taken for lost
-	asksMost    = 2                      // asks without an answer, after which a keeper is passed over
-	keepersMost = 3                      // in line
-	aloneFor    = 400 * time.Millisecond // where none of them answers, until it is looked again
-	askAgain    = 500 * time.Millisecond // while a wish waits, so that its keeper goes on holding it
-	grantFor    = 250 * time.Millisecond // past which a granted call goes back
-	owedMost    = 20
+	answerTimeout         = 120 * time.Millisecond // a request or its answer counts as lost after this
+	maxUnansweredRequests = 2                      // requests without an answer after which an owner counts as unreachable
+	maxCandidates         = 3                      // candidate owners of one ledger
+	noOwnerRetry          = 400 * time.Millisecond // how long to wait before trying again when no candidate answers
+	renewInterval         = 500 * time.Millisecond // renewal interval of a waiting request, so that the owner keeps it queued
+	grantLifetime         = 250 * time.Millisecond // unused granted calls are returned after this
+	maxDebt               = 20                     // calls made without a grant that are charged at most
 )
 
-// PassedFor is how long a keeper that does not answer is passed over.
+// PassedFor is how long an owner that does not answer counts as unreachable.
 const PassedFor = 2 * time.Second
 
-// Line is the couriers as one of them sees them: who keeps which account, and who has
-// not answered of late.
+// Line is one courier's view of the fleet: which courier owns the quota ledger of each destination,
+// and which couriers did not answer recently.
 type Line struct {
-	Fleet, Self int
-	passed      map[int]time.Duration // until then
+	Fleet, Self      int
+	unreachableUntil map[int]time.Duration // by courier: when it is tried again
 }
 
-// NewLine returns the line of a fleet of so many, as courier self sees it.
+// NewLine returns the view that courier self has of a fleet of the given size.
 func NewLine(fleet, self int) *Line {
-	return &Line{Fleet: fleet, Self: self, passed: map[int]time.Duration{}}
+	return &Line{Fleet: fleet, Self: self, unreachableUntil: map[int]time.Duration{}}
 }
 
-// Keeper is who keeps the account of a destination now; false: nobody answers.
+// Keeper returns the courier that owns the ledger of a destination now. It returns false if no
+// candidate is reachable.
 func (l *Line) Keeper(dest uint32, now time.Duration) (peer int, ok bool) {
 	first := l.First(dest)
-	for i := range min(keepersMost, l.Fleet) {
+	for i := range min(maxCandidates, l.Fleet) {
 		p := (first + i) % l.Fleet
-		if p == l.Self || now >= l.passed[p] {
+		if p == l.Self || now >= l.unreachableUntil[p] {
 			return p, true
 		}
 	}
 	return 0, false
 }
 
-// First is who keeps the account of a destination while all answer.
+// First returns the preferred owner of a destination's ledger, which owns it while all couriers
+// answer.
 func (l *Line) First(dest uint32) int {
 	return int((uint64(dest) * 0x9e3779b97f4a7c15 >> 32) % uint64(max(1, l.Fleet)))
 }
 
-// Heard tells that a courier has said something.
-func (l *Line) Heard(peer int) { delete(l.passed, peer) }
+// Heard records that a message from a courier was received.
+func (l *Line) Heard(peer int) { delete(l.unreachableUntil, peer) }
 
-// Silent tells that a courier was passed over and has not been heard since.
+// Silent reports whether a courier was marked unreachable and has sent nothing since.
 func (l *Line) Silent(peer int) bool {
-	_, silent := l.passed[peer]
-	return silent
+	_, marked := l.unreachableUntil[peer]
+	return marked
 }
 
-// Pass passes a courier over for a while.
-func (l *Line) Pass(peer int, now time.Duration) { l.passed[peer] = now + PassedFor }
+// Pass marks a courier unreachable for PassedFor.
+func (l *Line) Pass(peer int, now time.Duration) { l.unreachableUntil[peer] = now + PassedFor }
 
-// Holder is what one courier may call at one destination.
+// Holder holds the calls that one courier is granted for one destination, and the state of its
+// requests to the ledger's owner.
 type Holder struct {
-	calls  int
-	until  time.Duration // the calls are good
-	back   int           // calls that were granted and not made, less those made and not granted
-	keeper int
-	asked  time.Duration // when the last ask went; 0: none is open
-	tries  int           // asks without an answer
-	again  time.Duration // the wish is told anew then
-	n      int           // messages waiting, as told
-	lost   bool          // no keeper has answered since one was passed over: this courier goes by what it knows
-	over   int           // the one that was passed over first
-	pooled time.Duration // until then its keeper grants what a cold destination bears
-	wanted bool          // a message could go but for a grant
+	// granted is the number of granted calls that are still unused.
+	granted          int
+	grantExpires     time.Duration // expiry of the granted calls
+	balance          int           // granted calls that were not made, minus calls made without a grant
+	owner            int           // the courier that the last request went to
+	requestedAt      time.Duration // when the last request was sent; zero means that none is open
+	unanswered       int           // requests without an answer
+	renewAt          time.Duration // when an open request is renewed
+	requested        int           // waiting messages, as last requested
+	withoutOwner     bool          // no owner has answered since one was marked unreachable: this courier relies on its own estimate
+	firstUnreachable int           // the owner that was marked unreachable first
+	coldUntil        time.Duration // until then the owner's grants are limited to the capacity of a cold destination
+	wanted           bool          // a message could be sent if a grant were available
 }
 
-// May tells whether a call may go now. Where it may not, the wish is noted.
+// May reports whether a call may be made now. If not, it records that a grant is wanted.
 func (h *Holder) May(now time.Duration) bool {
 	h.expire(now)
-	if h.calls > 0 {
+	if h.granted > 0 {
 		return true
 	}
 	h.wanted = true
-	return h.lost
+	return h.withoutOwner
 }
 
-// Lost tells that calls go without a grant, as no keeper answers. What goes so keeps to
-// a pace that is its caller's to set: all couriers may be lost at once. As soon as the
-// keeper has been heard, calls wait for its grants: those that went besides would come on
-// top of all that it grants the others.
+// Lost reports whether calls are made without a grant because no owner answers. The caller has to
+// limit the rate of such calls, as all couriers may be in this state at once. As soon as a message
+// from the owner is received, calls wait for its grants again: calls made without one would be
+// added to all that the owner grants to other couriers.
 func (h *Holder) Lost(l *Line) bool {
-	h.lost = h.lost && l.Silent(h.over)
-	return h.lost
+	h.withoutOwner = h.withoutOwner && l.Silent(h.firstUnreachable)
+	return h.withoutOwner
 }
 
 func (h *Holder) expire(now time.Duration) {
-	if h.calls > 0 && now >= h.until {
-		h.back += h.calls
-		h.calls = 0
+	if h.granted > 0 && now >= h.grantExpires {
+		h.balance += h.granted
+		h.granted = 0
 	}
 }
 
-// Called counts a call that was made; one that was not granted is owed, but for those
-// at a lost courier's own pace: the limit has come back for them since.
+// Called counts a call that was made. A call without a grant is charged later, except while the
+// owner is unreachable: the limit has recovered from those calls by then.
 func (h *Holder) Called() {
-	if h.calls > 0 {
-		h.calls--
-	} else if h.back > -owedMost && !h.lost {
-		h.back--
+	if h.granted > 0 {
+		h.granted--
+	} else if h.balance > -maxDebt && !h.withoutOwner {
+		h.balance--
 	}
 }
 
-// Granted takes a keeper's grant; no calls: it has heard the wish, which waits. Cold:
-// its grants are what a cold destination bears.
+// Granted handles a grant from an owner. A grant of zero calls acknowledges a request that waits.
+// cold means that the owner's grants are limited to the capacity of a cold destination.
 func (h *Holder) Granted(now time.Duration, peer, calls int, cold bool) {
-	if peer == h.keeper {
-		h.tries, h.again, h.lost = 0, now+askAgain, false
+	if peer == h.owner {
+		h.unanswered, h.renewAt, h.withoutOwner = 0, now+renewInterval, false
 	}
 	if cold {
-		h.pooled = now + askAgain + answerIn
+		h.coldUntil = now + renewInterval + answerTimeout
 	}
 	if calls == 0 {
 		return
 	}
 	h.expire(now)
-	h.calls += calls
-	h.until = now + grantFor
-	if h.n -= calls; h.n <= 0 {
-		h.asked = 0
+	h.granted += calls
+	h.grantExpires = now + grantLifetime
+	if h.requested -= calls; h.requested <= 0 {
+		h.requestedAt = 0
 	}
 }
 
-// Pools tells that what a cold destination bears is its keeper's to share out.
-func (h *Holder) Pools(now time.Duration) bool { return now < h.pooled && !h.lost }
+// Pools reports whether the owner divides the capacity of a cold destination among the couriers.
+func (h *Holder) Pools(now time.Duration) bool { return now < h.coldUntil && !h.withoutOwner }
 
-// Idle tells that there is nothing to ask, to take back or to give back.
-func (h *Holder) Idle() bool { return !h.wanted && h.asked == 0 && h.back == 0 && h.calls == 0 }
+// Idle reports whether there is no request to send, withdraw or answer and no call to return.
+func (h *Holder) Idle() bool {
+	return !h.wanted && h.requestedAt == 0 && h.balance == 0 && h.granted == 0
+}
 
-// Ask is what is to be asked now, of whom, with n messages waiting. With n 0 a wish that is open is taken back. next is when to look again.
+// Ask returns the request to send now, if any: peer is the owner to send it to, back the number of
+// calls to return, ask whether to send it, and next when to check again. n is the number of waiting
+// messages; zero withdraws an open request.
 func (h *Holder) Ask(now time.Duration, dest uint32, n int, l *Line) (peer, back int, ask bool, next time.Duration) {
 	h.expire(now)
-	wanted := h.wanted && h.calls == 0
+	wanted := h.wanted && h.granted == 0
 	h.wanted = false
-	if wanted && h.lost { // it goes without leave: a keeper that is back would not be found
+	if wanted && h.withoutOwner { // without a request, an owner that is reachable again would not be noticed
 		n = max(n, 1)
 	}
 	if n == 0 {
-		if ask = h.asked > 0 && h.tries == 0 || h.back > 0; ask {
-			peer, back = h.keeper, h.back
+		if ask = h.requestedAt > 0 && h.unanswered == 0 || h.balance > 0; ask {
+			peer, back = h.owner, h.balance
 		}
-		h.asked, h.n, h.back = 0, 0, 0
+		h.requestedAt, h.requested, h.balance = 0, 0, 0
 		return peer, back, ask, 0
 	}
 	if !wanted {
 		return 0, 0, false, 0
 	}
-	if h.asked > 0 && h.tries > 0 && now-h.asked >= answerIn && h.tries >= asksMost {
-		l.Pass(h.keeper, now)
-		if h.asked = 0; !h.lost {
-			h.lost, h.over = true, h.keeper
+	if h.requestedAt > 0 && h.unanswered > 0 && now-h.requestedAt >= answerTimeout && h.unanswered >= maxUnansweredRequests {
+		l.Pass(h.owner, now)
+		if h.requestedAt = 0; !h.withoutOwner {
+			h.withoutOwner, h.firstUnreachable = true, h.owner
 		}
 	}
 	peer, ok := l.Keeper(dest, now)
 	if !ok {
-		if h.asked, h.back = 0, 0; !h.lost {
-			h.lost, h.over = true, l.First(dest)
+		if h.requestedAt, h.balance = 0, 0; !h.withoutOwner {
+			h.withoutOwner, h.firstUnreachable = true, l.First(dest)
 		}
-		return 0, 0, false, now + aloneFor
+		return 0, 0, false, now + noOwnerRetry
 	}
-	due := h.asked == 0 || peer != h.keeper || n > h.n || h.tries > 0 && now-h.asked >= answerIn || h.tries == 0 && now >= h.again
+	due := h.requestedAt == 0 || peer != h.owner || n > h.requested || h.unanswered > 0 && now-h.requestedAt >= answerTimeout || h.unanswered == 0 && now >= h.renewAt
 	if !due {
-		if h.tries > 0 {
-			return 0, 0, false, h.asked + answerIn
+		if h.unanswered > 0 {
+			return 0, 0, false, h.requestedAt + answerTimeout
 		}
-		return 0, 0, false, h.again
+		return 0, 0, false, h.renewAt
 	}
-	if peer != h.keeper || h.asked == 0 {
-		h.tries = 0
+	if peer != h.owner || h.requestedAt == 0 {
+		h.unanswered = 0
 	}
-	back = h.back
-	h.keeper, h.asked, h.n, h.back = peer, max(now, 1), n, 0
+	back = h.balance
+	h.owner, h.requestedAt, h.requested, h.balance = peer, max(now, 1), n, 0
 	if peer == l.Self {
-		h.tries, h.again, h.lost = 0, now+askAgain, false
-		return peer, back, true, h.again
+		h.unanswered, h.renewAt, h.withoutOwner = 0, now+renewInterval, false
+		return peer, back, true, h.renewAt
 	}
-	h.tries++
-	return peer, back, true, now + answerIn
+	h.unanswered++
+	return peer, back, true, now + answerTimeout
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-func TestLedgerGrantsByWorth(t *testing.T) {
+func TestLedgerGrantsByRank(t *testing.T) {
 	l := NewLedger(Slow{})
 	l.Report(0, 10)
 	require.Len(t, grants(l, 0), 0)
@@ -35,7 +35,7 @@
 	return peers
 }
 
-// rateOf is how many calls a second an account grants to whoever asks for many.
+// rateOf returns how many calls per second a ledger grants to a courier that requests many.
 func rateOf(l *Ledger, from time.Duration) (n int) {
 	for now := from; now < from+time.Second; now += ms {
 		l.Ask(now, 1, 100, 1, 0)
@@ -44,22 +44,22 @@
 	return n
 }
 
-// A limit that is cut or restored is taken at once; noise moves it little; what cannot be
-// a limit not at all.
+// A reduced or restored limit is adopted at once. Small variations move the estimate little, and
+// values that cannot be a limit are ignored.
 func TestLedgerFollowsLimit(t *testing.T) {
 	l := NewLedger(Slow{})
 	l.Known(0, 100)
-	assert.InDelta(t, 97, rateOf(l, 0), 15, "none was known")
+	assert.InDelta(t, 97, rateOf(l, 0), 15, "no limit was known before")
 	l.Report(time.Second, 25)
 	assert.Equal(t, 25.0, l.Rate())
 	assert.InDelta(t, 25, rateOf(l, time.Second), 4)
 	l.Report(2*time.Second, 30)
 	assert.Less(t, l.Rate(), 26.0)
 	l.Known(2*time.Second, 100)
-	assert.Less(t, l.Rate(), 26.0, "it is from before the cut")
+	assert.Less(t, l.Rate(), 26.0, "the report predates the reduction")
 	l.Known(2*time.Second, 24)
 	assert.Less(t, l.Rate(), 25.7)
-	assert.Greater(t, l.Rate(), 25.0, "one more reading")
+	assert.Greater(t, l.Rate(), 25.0, "averaged like any other report")
 	l.Report(2*time.Second, 100)
 	assert.InDelta(t, 100, rateOf(l, 2*time.Second), 15)
 	for _, v := range []float64{0, -1} {
@@ -68,9 +68,9 @@
 	}
 }
 
-// Refusals hold grants back a moment and lower them for longer; calls given back come
-// again, and those made without leave are owed.
-func TestLedgerLearns(t *testing.T) {
+// Rejections pause grants briefly and lower the grant rate for longer. Calls made without a grant
+// are charged.
+func TestLedgerAfterRejections(t *testing.T) {
 	l := NewLedger(Slow{})
 	l.Report(0, 100)
 	sound := rateOf(l, 0)
@@ -84,21 +84,22 @@
 	assert.LessOrEqual(t, rateOf(l, 4*time.Second), sound-40)
 }
 
-// A wish that is not made again ends: its courier has.
-func TestWishEnds(t *testing.T) {
+// A request that is not renewed expires, as its courier may have ended.
+func TestRequestExpires(t *testing.T) {
 	l := NewLedger(Slow{})
 	l.Report(0, 10)
 	l.Ask(0, 1, 5, 200, -30)
-	later := askedFor + 2*time.Second
+	later := requestLifetime + 2*time.Second
 	l.Ask(later, 2, 1, 1, 0)
 	assert.Equal(t, []int{2}, grants(l, later))
 	assert.Zero(t, l.Next(later))
 }
 
-// One that hears nothing asks again, then the next in line, and goes by what it knows
-// from the first that it has passed over, at a pace that is not for its keeper to book.
-// Who speaks again is asked again, also by one without a message that waits.
-func TestHolderWithoutKeeper(t *testing.T) {
+// A courier that gets no answer repeats its request, then tries the next candidate. From the first
+// candidate that is marked unreachable on it relies on its own estimate, and the owner does not
+// charge those calls. A candidate that sends a message again is used again, also by a courier
+// without a waiting message.
+func TestHolderWithoutOwner(t *testing.T) {
 	line, h, asked := NewLine(80, 99), Holder{}, []int{}
 	now := ms
 	for ; now < time.Second; now += ms {
@@ -111,7 +112,7 @@
 	assert.Equal(t, []int{first, first, first + 1, first + 1, first + 2, first + 2}, asked)
 	h.Called()
 	line.Heard(first + 1)
-	assert.True(t, h.Lost(line), "its own keeper is silent")
+	assert.True(t, h.Lost(line), "the preferred owner is still unreachable")
 	assert.True(t, h.May(now))
 	peer, back, ask, _ := h.Ask(now, 7, 0, line)
 	assert.True(t, ask)
@@ -121,12 +122,12 @@
 	h.Granted(now, peer, 0, false)
 	assert.False(t, h.May(now))
 	line.Heard(first)
-	assert.False(t, lost.Lost(line), "it will grant again, as to all")
+	assert.False(t, lost.Lost(line), "the preferred owner grants calls again")
 	assert.False(t, lost.May(now))
 }
 
-// A grant is good for a while; what is not called goes back.
-func TestGrantEnds(t *testing.T) {
+// A grant expires, and calls that were not made are returned.
+func TestGrantExpires(t *testing.T) {
 	line, h := NewLine(80, 99), Holder{}
 	assert.False(t, h.May(ms))
 	peer, _, ask, _ := h.Ask(ms, 7, 2, line)
@@ -134,21 +135,21 @@
 	h.Granted(20*ms, peer, 0, false)
 	h.May(30 * ms)
 	_, _, ask, next := h.Ask(30*ms, 7, 2, line)
-	assert.False(t, ask, "it waits")
-	assert.Equal(t, 20*ms+askAgain, next)
+	assert.False(t, ask, "the request is already open")
+	assert.Equal(t, 20*ms+renewInterval, next)
 	h.Granted(40*ms, peer, 2, false)
 	assert.True(t, h.May(50*ms))
 	h.Called()
-	assert.False(t, h.May(40*ms+grantFor))
-	_, back, ask, _ := h.Ask(40*ms+grantFor, 7, 1, line)
+	assert.False(t, h.May(40*ms+grantLifetime))
+	_, back, ask, _ := h.Ask(40*ms+grantLifetime, 7, 1, line)
 	assert.True(t, ask)
 	assert.Equal(t, 1, back)
 	_, _, ask, _ = h.Ask(400*ms, 7, 0, line)
-	assert.False(t, ask, "its answer is still out: the wish ends by itself")
+	assert.False(t, ask, "the request is unanswered and expires by itself")
 }
 
-// Many couriers that saw an outage make the account that of a cold destination when it
-// answers again: grants start low and grow. A few that missed one endpoint do not.
+// If many couriers saw an outage, the ledger treats the destination as cold once it answers again:
+// grants start low and grow. If few couriers had failing calls, it does not.
 func TestLedgerOfColdDestination(t *testing.T) {
 	slow := Slow{Share: 0.2, Over: 1.8, Warm: 14 * time.Second, Least: 10}
 	for saw, want := range map[int][]int{9: {97, 97, 97}, 40: {44, 66, 104}} {
@@ -166,8 +167,9 @@
 	}
 }
 
-// Where no limit is known all is granted: that is not what a cold destination bears.
-func TestLedgerWithoutALimitPoolsNothing(t *testing.T) {
+// Without a known limit all requests are granted, so the grants are not limited to the capacity of
+// a cold destination.
+func TestLedgerWithoutLimitIsNotCold(t *testing.T) {
 	for _, limit := range []float64{0, 10} {
 		l := NewLedger(Slow{Share: 0.2, Over: 1.8, Warm: 10 * time.Second, Least: 3})
 		l.Report(0, limit)
@@ -183,5 +185,5 @@
 	}
 	l.Serves(time.Second)
 	l.Report(1200*ms, 10)
-	assert.True(t, l.Cold(1300*ms), "it is known now")
+	assert.True(t, l.Cold(1300*ms), "the limit is known now")
 }
--- a/internal/lease/ledger.go
+++ b/internal/lease/ledger.go
@@ -1,17 +1,17 @@
-// Package lease splits a destination's limit among the couriers of a large fleet. It
-// knows no clock, no socket and no goroutine.
+// Package lease divides a destination's rate limit among the couriers of a large fleet. It uses no
+// clock, socket or goroutine.
 //
-// A courier that meets a destination once a second learns its limit too late alone: by
-// the time its next call is refused, eighty others have found the same out, each with a
-// refused call that used the limit up. So one courier keeps the account of each
-// destination, its keeper, and the others ask it before they call. The keeper grants
-// calls at the rate of the limit, to the messages worth most in the whole fleet first.
+// A courier that calls a destination once a second learns its limit too late on its own: by the
+// time its next call is rejected, eighty others have found out the same, each with a rejected call
+// that used up the limit. Therefore one courier, the owner, keeps the quota ledger of each
+// destination, and the others request calls from it before they make them. The owner grants calls
+// at the rate of the limit, to the messages with the highest rank in the whole fleet first.
 //
-// Which courier keeps an account follows from the destination's number, so that nobody
-// has to agree with anybody. A keeper that does not answer is passed over for a while,
-// and the next in line keeps an account of its own; where nobody answers, a courier goes
-// by what it knows alone. Notes may be lost or late, and two keepers may be at work for
-// a while: the limit is then passed by as much, and refusals put the accounts right.
+// The owner of a ledger follows from the destination's number, so no agreement is needed. An owner
+// that does not answer counts as unreachable for a while, and the next candidate keeps a ledger of
+// its own. If no candidate answers, a courier relies on its own estimate. Peer messages may be lost
+// or late, and two owners may be active for a while: the limit is then exceeded by that much, and
+// rejections correct the ledgers.
 package lease
 
 import (
@@ -21,183 +21,192 @@
 )
 
 const (
-	blend      = 0.15                    // weight of one report in the limit
-	jump       = 1.5                     // times its last value: the limit has been cut or restored
-	burst      = 0.1                     // seconds of the limit that may go at once
-	pause      = 0.1                     // seconds of the limit owed after a refusal
-	trustStart = 0.97                    // of the limit that the fleet goes up to
-	trustLeast = 0.8                     //
-	trustCut   = 0.97                    // on a refusal, once in trustEvery
-	trustGrow  = 0.05                    // a second without one
-	trustMost  = 1.02                    //
-	trustEvery = 200 * time.Millisecond  //
-	askedFor   = 1200 * time.Millisecond // an ask that is not made again has been served or its courier has ended
-	askersMost = 4096
-	failingFor = 30 * time.Second // that a courier is told of a return
+	reportWeight           = 0.15                    // weight of one report in the moving average of the limit
+	limitChangeFactor      = 1.5                     // a report that differs by this factor means that the limit was cut or restored
+	burstSeconds           = 0.1                     // seconds of the limit that may be granted at once
+	rejectionDebtSeconds   = 0.1                     // seconds of the limit by which tokens go negative after a rejection
+	initialUtilization     = 0.97                    // initial share of the limit that the fleet uses
+	minUtilization         = 0.8                     //
+	utilizationCut         = 0.97                    // factor applied on a rejection, at most once per utilizationCutInterval
+	utilizationGrowth      = 0.05                    // increase per second without a rejection
+	maxUtilization         = 1.02                    //
+	utilizationCutInterval = 200 * time.Millisecond  //
+	requestLifetime        = 1200 * time.Millisecond // a request that is not renewed in this time was served or its courier has ended
+	maxRequesters          = 4096
+	recoveryNoticeWindow   = 30 * time.Second // how long after its report a courier is told that the destination recovered
 )
 
-// Ledger is a keeper's account of one destination.
+// Ledger is the owner's quota ledger of one destination.
 type Ledger struct {
-	rate   float64 // limit in calls a second, of all couriers; 0: not known, all is granted
-	trust  float64
-	tokens float64 // calls that may be granted now
-	at     time.Duration
-	cutAt  time.Duration
-	used   time.Duration // asked last
-	asks   []*ask        // in order of their first coming
-	by     map[int]*ask
-	shut   map[int]time.Duration // by courier: when it said that its calls fail
-	back   time.Duration         // it has answered again then; with slow
-	slow   Slow
-	cold   bool
+	rate float64 // limit in calls per second, of all couriers; zero means unknown: everything is granted
+	// utilization is the share of the limit that the fleet uses.
+	utilization float64
+	tokens      float64 // calls that may be granted now
+	// refilledAt is when tokens was last updated, utilizationCutAt when utilization was last lowered.
+	refilledAt       time.Duration
+	utilizationCutAt time.Duration
+	lastUsed         time.Duration // last request or report
+	requests         []*request    // oldest first
+	byPeer           map[int]*request
+	failingSince     map[int]time.Duration // by courier: when it reported that its calls fail
+	recoveredAt      time.Duration         // when the destination recovered; used with slowStart
+	slowStart        Slow
+	// cold is set while the destination recovers from an outage.
+	cold bool
 }
 
-// Slow is what a destination bears that is back from an outage.
+// Slow configures the slow start of a destination that recovers from an outage.
 type Slow struct {
-	Share float64       // of its limit, at once
-	Over  float64       // times what it is taken to bear that it is sent: under what makes it fall
-	Warm  time.Duration // it bears all after this
-	Least int           // couriers that must have seen the outage
+	Share float64       // share of the limit that it can take at once
+	Over  float64       // load sent, as a multiple of its estimated capacity; below the factor that makes it collapse
+	Warm  time.Duration // time until it takes the full limit
+	Least int           // number of couriers that must have seen the outage
 }
 
-// share is what may be granted of the limit now. Calls to a destination that is down are
-// granted as to one that has returned this moment: the next of them may find that it has.
-func (l *Ledger) share(now time.Duration) float64 {
-	least := math.Min(1, l.slow.Over*l.slow.Share)
+// grantableShare returns the share of the limit that may be granted now. For a destination that is down,
+// calls are granted as if it had recovered at this moment, because the next call may find that it
+// has.
+func (l *Ledger) grantableShare(now time.Duration) float64 {
+	least := math.Min(1, l.slowStart.Over*l.slowStart.Share)
 	switch {
-	case len(l.shut) >= l.slow.Least && l.slow.Least > 0:
+	case len(l.failingSince) >= l.slowStart.Least && l.slowStart.Least > 0:
 		return least
 	case !l.cold:
 		return 1
 	}
-	gone := float64(now-l.back) / math.Max(1, float64(l.slow.Warm))
-	if gone >= 1 {
+	progress := float64(now-l.recoveredAt) / math.Max(1, float64(l.slowStart.Warm))
+	if progress >= 1 {
 		l.cold = false
 		return 1
 	}
-	return math.Min(1, l.slow.Over*(l.slow.Share+(1-l.slow.Share)*gone))
+	return math.Min(1, l.slowStart.Over*(l.slowStart.Share+(1-l.slowStart.Share)*progress))
 }
 
-// Cold tells that grants are what a destination bears that is back from an outage. Where
-// no limit is known all is granted, and its callers mind that themselves.
+// Cold reports whether grants are limited to the capacity of a destination that recovers from an
+// outage. Without a known limit everything is granted, and the callers limit themselves.
 func (l *Ledger) Cold(now time.Duration) bool {
-	l.share(now)
+	l.grantableShare(now)
 	return l.cold && l.rate > 0
 }
 
-type ask struct {
+type request struct {
 	peer, n, rank int
 	at            time.Duration
-	heard         bool // its courier knows that it has come
+	acknowledged  bool // a grant has acknowledged the request
 }
 
-// Grant is what one courier may call; no calls: its wish has come and waits.
+// Grant is the number of calls that a courier may make. Zero calls acknowledge a request that
+// waits.
 type Grant struct{ Peer, Calls int }
 
-// NewLedger returns the account of a destination of which nothing is known.
-func NewLedger(s Slow) *Ledger { return &Ledger{trust: trustStart, by: map[int]*ask{}, slow: s} }
+// NewLedger returns the ledger of a destination whose limit is not known yet.
+func NewLedger(s Slow) *Ledger {
+	return &Ledger{utilization: initialUtilization, byPeer: map[int]*request{}, slowStart: s}
+}
 
-// Rate is the limit as it is known, in calls a second; 0: not at all.
+// Rate returns the known limit in calls per second. Zero means unknown.
 func (l *Ledger) Rate() float64 { return l.rate }
 
-// Used is when the account was asked last.
-func (l *Ledger) Used() time.Duration { return l.used }
+// Used returns when the ledger was last used.
+func (l *Ledger) Used() time.Duration { return l.lastUsed }
 
-// Report takes a limit that an answer to any courier has told.
+// Report records a limit that a courier has read from an answer.
 func (l *Ledger) Report(now time.Duration, limit float64) { l.report(now, limit, false) }
 
-// Known takes a limit that its courier has known for a while: of a fleet that calls a
-// destination seldom, many know the one from before a cut, and each would undo what others
-// have been told since. It counts where none is known, or as one more reading of the same.
+// Known records a limit that a courier has known for some time. If a fleet calls a destination
+// rarely, many couriers still know the limit from before a cut, and each report would undo newer
+// ones. The report therefore only counts if no limit is known, or as a further sample close to the
+// current one.
 func (l *Ledger) Known(now time.Duration, limit float64) { l.report(now, limit, true) }
 
-func (l *Ledger) report(now time.Duration, limit float64, old bool) {
+func (l *Ledger) report(now time.Duration, limit float64, stale bool) {
 	if !(limit > 0) || math.IsInf(limit, 0) {
 		return
 	}
-	l.fill(now)
-	jumps := math.Max(limit/l.rate, l.rate/limit) > jump
+	l.refill(now)
+	changed := math.Max(limit/l.rate, l.rate/limit) > limitChangeFactor
 	switch {
-	case old && jumps && l.rate > 0:
-	case l.rate == 0 || jumps:
+	case stale && changed && l.rate > 0:
+	case l.rate == 0 || changed:
 		l.rate = limit
-		l.tokens = math.Min(l.tokens, l.most())
+		l.tokens = math.Min(l.tokens, l.maxTokens())
 	default:
-		l.rate += blend * (limit - l.rate)
+		l.rate += reportWeight * (limit - l.rate)
 	}
 }
 
-// Failing takes a courier's word that its calls do not reach the destination.
+// Failing records that a courier's calls do not reach the destination.
 func (l *Ledger) Failing(now time.Duration, peer int) {
-	l.used = now
-	if l.shut == nil {
-		l.shut = map[int]time.Duration{}
+	l.lastUsed = now
+	if l.failingSince == nil {
+		l.failingSince = map[int]time.Duration{}
 	}
-	if len(l.shut) < askersMost {
-		l.shut[peer] = now
+	if len(l.failingSince) < maxRequesters {
+		l.failingSince[peer] = now
 	}
 }
 
-// Serves takes a courier's word that the destination has answered again. It returns, in
-// order, those who are to be told.
+// Serves records that the destination has answered a call again. It returns the couriers to notify,
+// in ascending order.
 func (l *Ledger) Serves(now time.Duration) (peers []int) {
-	for p, at := range l.shut {
-		if now-at <= failingFor {
+	for p, at := range l.failingSince {
+		if now-at <= recoveryNoticeWindow {
 			peers = append(peers, p)
 		}
 	}
-	if len(peers) >= l.slow.Least && !l.cold {
-		l.fill(now)
-		l.cold, l.back = true, now
-		l.tokens = math.Min(l.tokens, math.Max(1, l.most()*l.share(now)))
+	if len(peers) >= l.slowStart.Least && !l.cold {
+		l.refill(now)
+		l.cold, l.recoveredAt = true, now
+		l.tokens = math.Min(l.tokens, math.Max(1, l.maxTokens()*l.grantableShare(now)))
 	}
-	l.shut = nil
+	l.failingSince = nil
 	slices.Sort(peers)
 	return peers
 }
 
-// Refused takes a refusal above the limit.
+// Refused records that the destination rejected a call above the limit.
 func (l *Ledger) Refused(now time.Duration) {
-	l.fill(now)
-	l.tokens = math.Min(l.tokens, -l.rate*pause)
-	if l.cutAt == 0 || now-l.cutAt >= trustEvery {
-		l.trust, l.cutAt = math.Max(trustLeast, l.trust*trustCut), now
+	l.refill(now)
+	l.tokens = math.Min(l.tokens, -l.rate*rejectionDebtSeconds)
+	if l.utilizationCutAt == 0 || now-l.utilizationCutAt >= utilizationCutInterval {
+		l.utilization, l.utilizationCutAt = math.Max(minUtilization, l.utilization*utilizationCut), now
 	}
 }
 
-// Ask takes a courier's wish for n calls, the first of them worth rank; it replaces the
-// wish before. Back are granted calls that it has not made, or less those it has made
-// without a grant.
+// Ask records a courier's request for n calls, the first of which has the given rank. It replaces
+// the courier's previous request. back is the number of granted calls that were not made, minus
+// calls made without a grant.
 func (l *Ledger) Ask(now time.Duration, peer, n, rank, back int) {
-	l.fill(now)
-	l.used = now
-	l.tokens = math.Min(l.tokens+float64(back), l.most())
-	a := l.by[peer]
+	l.refill(now)
+	l.lastUsed = now
+	l.tokens = math.Min(l.tokens+float64(back), l.maxTokens())
+	a := l.byPeer[peer]
 	switch {
 	case n <= 0:
-		l.drop(a)
-	case a == nil && len(l.asks) < askersMost:
-		a = &ask{peer: peer, n: n, rank: rank, at: now}
-		l.by[peer] = a
-		l.asks = append(l.asks, a)
+		l.remove(a)
+	case a == nil && len(l.requests) < maxRequesters:
+		a = &request{peer: peer, n: n, rank: rank, at: now}
+		l.byPeer[peer] = a
+		l.requests = append(l.requests, a)
 	case a != nil:
-		a.n, a.rank, a.at, a.heard = n, rank, now, false
+		a.n, a.rank, a.at, a.acknowledged = n, rank, now, false
 	}
 }
 
-// Grants hands out what the limit allows by now: one call after another, each to the
-// wish worth most, of equals to the one that came first. A wish that waits is named once
-// each time it comes: who hears nothing takes the keeper for dead.
+// Grants returns the calls that the limit allows by now. Calls are assigned one at a time, each to
+// the request with the highest rank, and among equals to the oldest. A waiting request is
+// acknowledged once each time it is received, because a courier that gets no answer takes the owner
+// for unreachable.
 func (l *Ledger) Grants(now time.Duration) (out []Grant) {
-	l.fill(now)
-	for _, a := range slices.Clone(l.asks) {
-		if now-a.at > askedFor {
-			l.drop(a)
+	l.refill(now)
+	for _, a := range slices.Clone(l.requests) {
+		if now-a.at > requestLifetime {
+			l.remove(a)
 		}
 	}
 	calls := map[int]int{}
-	for len(l.asks) > 0 && (l.rate == 0 || l.tokens >= 1) {
-		best := slices.MaxFunc(l.asks, func(a, b *ask) int { return a.rank - b.rank })
+	for len(l.requests) > 0 && (l.rate == 0 || l.tokens >= 1) {
+		best := slices.MaxFunc(l.requests, func(a, b *request) int { return a.rank - b.rank })
 		n := 1
 		if l.rate == 0 {
 			n = best.n
@@ -207,52 +216,52 @@
 			out = append(out, Grant{Peer: best.peer})
 		}
 		calls[best.peer] += n
-		best.n, best.heard = best.n-n, true
-		l.drop(best)
-		if best.n > 0 { // its next message is worth no more: others of the same worth go first
-			l.by[best.peer] = best
-			l.asks = append(l.asks, best)
+		best.n, best.acknowledged = best.n-n, true
+		l.remove(best)
+		if best.n > 0 { // its next message has no higher rank: others of the same rank go first
+			l.byPeer[best.peer] = best
+			l.requests = append(l.requests, best)
 		}
 	}
 	for i := range out {
 		out[i].Calls = calls[out[i].Peer]
 	}
-	for _, a := range l.asks {
-		if !a.heard {
-			a.heard = true
+	for _, a := range l.requests {
+		if !a.acknowledged {
+			a.acknowledged = true
 			out = append(out, Grant{Peer: a.peer})
 		}
 	}
 	return out
 }
 
-// Next is when there will be more to grant; 0: nobody waits.
+// Next returns when more can be granted. Zero means that no request waits or everything is granted.
 func (l *Ledger) Next(now time.Duration) time.Duration {
-	if len(l.asks) == 0 || l.rate == 0 {
+	if len(l.requests) == 0 || l.rate == 0 {
 		return 0
 	}
-	return now + max(seconds((1-l.tokens)/(l.rate*l.trust*l.share(now))), time.Millisecond)
+	return now + max(clampedSeconds((1-l.tokens)/(l.rate*l.utilization*l.grantableShare(now))), time.Millisecond)
 }
 
-func (l *Ledger) most() float64 { return math.Max(1, l.rate*burst) }
+func (l *Ledger) maxTokens() float64 { return math.Max(1, l.rate*burstSeconds) }
 
-func (l *Ledger) fill(now time.Duration) {
-	dt := (now - l.at).Seconds()
+func (l *Ledger) refill(now time.Duration) {
+	dt := (now - l.refilledAt).Seconds()
 	if dt <= 0 {
 		return
 	}
-	l.at = now
-	l.trust = math.Min(trustMost, l.trust+dt*trustGrow)
-	l.tokens = math.Min(l.tokens+dt*l.rate*l.trust*l.share(now), l.most())
+	l.refilledAt = now
+	l.utilization = math.Min(maxUtilization, l.utilization+dt*utilizationGrowth)
+	l.tokens = math.Min(l.tokens+dt*l.rate*l.utilization*l.grantableShare(now), l.maxTokens())
 }
 
-func (l *Ledger) drop(a *ask) {
+func (l *Ledger) remove(a *request) {
 	if a != nil {
-		delete(l.by, a.peer)
-		l.asks = slices.DeleteFunc(l.asks, func(x *ask) bool { return x == a })
+		delete(l.byPeer, a.peer)
+		l.requests = slices.DeleteFunc(l.requests, func(x *request) bool { return x == a })
 	}
 }
 
-func seconds(s float64) time.Duration {
+func clampedSeconds(s float64) time.Duration {
 	return time.Duration(math.Min(math.Max(s, 0), 10) * float64(time.Second))
 }
--- a/internal/lease/ramp.go
+++ b/internal/lease/ramp.go
@@ -5,52 +5,53 @@
 	"time"
 )
 
-// What a destination stands that is back from an outage, where nobody adds the fleet's
-// calls up. The settings allow the fleet n calls in the fall time; it falls at more than
-// Stands(n). Each courier has a part of n, often less than a call: those that saw the
-// outage come back to it together, and a first call of each may be more than it stands.
+// This file limits the load on a destination that recovers from an outage where no owner adds up
+// the calls of the fleet. The settings allow the fleet n calls within the collapse window
+// (FallTime); the destination collapses above Stands(n). Each courier has a share of n, often less
+// than one call. The couriers that saw the outage return to the destination together, and one call
+// of each may already be too much.
 
 const (
-	tries       = 2.0 // of the capacity: what the fleet sends in an outage, with repeats and clients' own
-	chanceRoots = 2.0 // times the root of n, which the rule puts down to chance (STANDING.md)
-	chanceCalls = 2.0 // and so many calls
+	outageLoadFactor = 2.0 // calls sent during an outage, as a multiple of the capacity, with retries and other clients' calls
+	chanceDeviations = 2.0 // standard deviations that count as chance (STANDING.md)
+	chanceAllowance  = 2.0 // calls that are allowed on top
 )
 
-// Stands is the most calls in the fall time that a destination back from an outage stands
-// where the settings allow n.
-func Stands(n float64) float64 { return n + chanceRoots*math.Sqrt(n) + chanceCalls }
+// Stands returns how many calls within the collapse window a destination that recovers from an
+// outage tolerates if the settings allow n.
+func Stands(n float64) float64 { return n + chanceDeviations*math.Sqrt(n) + chanceAllowance }
 
-// Saw is how many couriers of a fleet have seen an outage of a destination that takes
-// capacity calls a second, if it was out for so long: each call that the fleet made while
-// it lasted came from one of them.
-func Saw(fleet, capacity float64, out time.Duration) float64 {
-	return math.Max(1, fleet*(1-math.Exp(-tries*capacity*out.Seconds()/fleet)))
+// Saw estimates how many couriers of a fleet have seen an outage of a destination with a capacity
+// in calls per second: every call that the fleet made during the outage came from one of them.
+func Saw(fleet, capacity float64, outage time.Duration) float64 {
+	return math.Max(1, fleet*(1-math.Exp(-outageLoadFactor*capacity*outage.Seconds()/fleet)))
 }
 
-// Spread spaces one courier's calls to a destination that is not well, of which its part
-// is under a call in the fall time.
+// Spread spaces one courier's calls to an unhealthy destination if the courier's share is less than
+// one call within the collapse window.
 type Spread struct {
-	last  time.Duration // call, or what stands for one before the first
-	apart time.Duration // least time to the next, as found since; 0: not yet
-	drawn bool
+	lastCall time.Duration // last call; before the first, a randomly drawn time in its place
+	interval time.Duration // shortest interval seen since the last call; zero means none yet
+	started  bool          // lastCall is set
 }
 
-// Called counts a call.
-func (s *Spread) Called(now time.Duration) { s.last, s.apart, s.drawn = now, 0, true }
+// Called records a call.
+func (s *Spread) Called(now time.Duration) { s.lastCall, s.interval, s.started = now, 0, true }
 
 // Reset forgets the outage.
 func (s *Spread) Reset() { *s = Spread{} }
 
-// Room tells whether a call may go now, each so far apart. The first waits for a drawn
-// part of that, draw being from 0 to 1: the calls of all come evenly then. What has been
-// found to be enough stays so: as an outage goes on more are taken to have seen it, and a
-// call would move away faster than time goes by.
-func (s *Spread) Room(now, apart time.Duration, draw func() float64) bool {
-	if !s.drawn {
-		s.Called(now - time.Duration(draw()*float64(apart)))
+// Room reports whether a call may be made now, with the given interval between calls. The first
+// call waits for a random part of the interval (draw returns a number from 0 to 1), so that the
+// calls of all couriers are spread evenly. The shortest interval since the last call is kept:
+// during an outage the estimated number of couriers that saw it grows, and the next call would
+// otherwise be postponed faster than time passes.
+func (s *Spread) Room(now, interval time.Duration, draw func() float64) bool {
+	if !s.started {
+		s.Called(now - time.Duration(draw()*float64(interval)))
 	}
-	if s.apart == 0 || apart < s.apart {
-		s.apart = apart
+	if s.interval == 0 || interval < s.interval {
+		s.interval = interval
 	}
-	return now-s.last >= s.apart
+	return now-s.lastCall >= s.interval
 }
--- a/internal/lease/ramp_test.go
+++ b/internal/lease/ramp_test.go
@@ -9,18 +9,18 @@
 	"pgregory.net/rapid"
 )
 
-func TestStandsAndSaw(t *testing.T) {
+func TestCollapseLimitAndObservers(t *testing.T) {
 	assert.Equal(t, 2.0, Stands(0))
 	assert.Equal(t, 17.0, Stands(9))
-	assert.InDelta(t, 1, Saw(30, 10, 0), 1e-9, "this one at least")
-	assert.InDelta(t, 30, Saw(30, 10, 30*time.Second), 1e-6, "all of them in a long one")
-	assert.InDelta(t, 0.2, Saw(300, 0.1, time.Second), 0.9, "few where few call")
+	assert.InDelta(t, 1, Saw(30, 10, 0), 1e-9, "at least this courier")
+	assert.InDelta(t, 30, Saw(30, 10, 30*time.Second), 1e-6, "all couriers see a long outage")
+	assert.InDelta(t, 0.2, Saw(300, 0.1, time.Second), 0.9, "few couriers see it if few call")
 	assert.Less(t, Saw(300, 10, time.Second), Saw(300, 10, 2*time.Second))
 }
 
-// Couriers that all come at one moment call evenly: the first calls within the time that
-// lies between calls, later ones no closer, whatever the draws.
-func TestSpread(t *testing.T) {
+// Couriers that start at the same moment spread their calls evenly: the first calls within one
+// interval, later ones exactly one interval apart, whatever the draws.
+func TestSpreadIsEven(t *testing.T) {
 	const apart = 5 * time.Second
 	rng := rand.New(rand.NewPCG(1, 1))
 	var quarter [8]int
@@ -42,10 +42,9 @@
 	}
 }
 
-// As an outage goes on the time between calls grows, and as a destination gets warm it
-// shrinks: a call waits no longer than the least that has been found since the last, and
-// no shorter than that.
-func TestSpreadWaitsForTheLeastFound(t *testing.T) {
+// The interval grows during an outage and shrinks as a destination warms up. A call waits exactly
+// for the shortest interval seen since the last call.
+func TestSpreadKeepsShortestInterval(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Spread
 		now := time.Hour
@@ -56,7 +55,7 @@
 			apart := time.Duration(rapid.IntRange(100, 9000).Draw(t, "apart")) * ms
 			least = min(least, apart)
 			if got := s.Room(now, apart, nil); got != (now-last >= least) {
-				t.Fatalf("room %v %v after the last call, %v apart at the least", got, now-last, least)
+				t.Fatalf("allowed=%v %v after the last call with a shortest interval of %v", got, now-last, least)
 			}
 			if now-last >= least && rapid.Bool().Draw(t, "calls") {
 				s.Called(now)
@@ -65,7 +64,7 @@
 		}
 		s.Reset()
 		if s.Room(now, time.Second, func() float64 { return 0.5 }) || !s.Room(now+500*ms, time.Second, nil) {
-			t.Fatal("another outage is drawn anew")
+			t.Fatal("the first call of another outage must wait for a new draw")
 		}
 	})
 }
--- a/internal/notes/capacity_test.go
+++ b/internal/notes/capacity_test.go
@@ -6,8 +6,8 @@
 	"snowjunction"
 )
 
-// What one note costs to write and to read, alone in its datagram as it is where a courier
-// has three thousand peers, and its bytes.
+// BenchmarkNote measures the cost of writing and reading one peer message, and its size. Each
+// message has one item, as is usual for a courier with three thousand peers.
 func BenchmarkNote(b *testing.B) {
 	const dest = 1_200_000
 	for _, x := range []struct {
--- a/internal/notes/notes.go
+++ b/internal/notes/notes.go
@@ -1,16 +1,17 @@
-// Package notes writes and reads what couriers of a fleet tell each other. It does no
-// I/O. A note is a byte for its form, then an item for each destination:
+// Package notes encodes and decodes the messages that the couriers of a fleet send each other. It
+// does no I/O. A message is a format byte, followed by an item for each destination:
 //
 //	uvarint  destination
 //	byte     flags
-//	byte     calls asked for or granted, with flag 1 (asks) or 2 (grants)
+//	byte     calls requested or granted, with flag 1 (request) or 2 (grant)
 //	byte     rank, with flag 1
-//	varint   calls given back, with flag 4
-//	uvarint  calls refused, with flag 8
-//	uvarint  limit in tenths of a call a second, with flag 16
+//	varint   calls returned, with flag 4
+//	uvarint  calls rejected, with flag 8
+//	uvarint  limit in tenths of a call per second, with flag 16
 //	flag 32  the sender's calls fail
-//	flag 64  a call has been answered again
-//	flag 128 grants are what a cold destination bears; with flag 1, the limit is no news
+//	flag 64  a call was answered again
+//	flag 128 grants are limited to the capacity of a cold destination; with flag 1, the limit is
+//	         not new
 package notes
 
 import (
@@ -22,42 +23,43 @@
 	"snowjunction/internal/record"
 )
 
-// Most is the bytes that a note may have.
+// Most is the maximum size of a message in bytes.
 const Most = 256
 
 const (
-	form    = 1
-	asks    = 1
-	grants  = 2
-	back    = 4
-	refused = 8
-	limit   = 16
-	failing = 32
-	serves  = 64
-	cold    = 128 // with grants
-	old     = 128 // with asks
+	// formatVersion is the format byte; the following constants are the flags of an item.
+	formatVersion  = 1
+	flagRequest    = 1
+	flagGrant      = 2
+	flagReturned   = 4
+	flagRejected   = 8
+	flagLimit      = 16
+	flagFailing    = 32
+	flagRecovered  = 64
+	flagCold       = 128 // with grants
+	flagStaleLimit = 128 // with asks
 
-	callsMost = 255
-	backMost  = 1000
-	limitMost = 1e6 // calls a second
-	itemMost  = 5 + 1 + 2 + 2 + 2 + 4
+	maxCalls     = 255
+	maxReturned  = 1000
+	maxLimit     = 1e6 // calls per second
+	maxItemBytes = 5 + 1 + 2 + 2 + 2 + 4
 )
 
-// Errors of Read.
+// Errors returned by Read.
 var (
-	ErrForm = errors.New("a note of an unknown form")
-	ErrItem = errors.New("a note that is cut off or has a figure out of range")
+	ErrForm = errors.New("peer message has an unknown format")
+	ErrItem = errors.New("peer message is truncated or has a value out of range")
 )
 
-// Write returns as many notes as the items need, one at least: that which names nothing
-// says that its sender is there.
+// Write encodes items as one or more messages. Without items it returns one empty message, which
+// tells the receiver that the sender is alive.
 func Write(items []snowjunction.Note) (out [][]byte) {
-	b := []byte{form}
+	b := []byte{formatVersion}
 	for _, n := range items {
-		if len(b)+itemMost > Most {
-			out, b = append(out, b), []byte{form}
+		if len(b)+maxItemBytes > Most {
+			out, b = append(out, b), []byte{formatVersion}
 		}
-		b = item(b, n)
+		b = appendItem(b, n)
 	}
 	if len(b) > 1 || len(out) == 0 {
 		out = append(out, b)
@@ -65,7 +67,7 @@
 	return out
 }
 
-func item(b []byte, n snowjunction.Note) []byte {
+func appendItem(b []byte, n snowjunction.Note) []byte {
 	b = binary.AppendUvarint(b, uint64(n.Destination))
 	at := len(b)
 	b = append(b, 0)
@@ -75,55 +77,55 @@
 		}
 		return holds
 	}
-	flag(n.Failing, failing)
-	flag(n.Serves, serves)
-	flag(n.Cold && !n.Asks, cold)
-	flag(n.Old && n.Asks, old)
-	if flag(n.Asks, asks) || flag(n.Grants, grants) {
-		b = append(b, byte(min(max(n.Calls, 0), callsMost)))
+	flag(n.Failing, flagFailing)
+	flag(n.Serves, flagRecovered)
+	flag(n.Cold && !n.Asks, flagCold)
+	flag(n.Old && n.Asks, flagStaleLimit)
+	if flag(n.Asks, flagRequest) || flag(n.Grants, flagGrant) {
+		b = append(b, byte(min(max(n.Calls, 0), maxCalls)))
 	}
 	if n.Asks {
 		b = append(b, byte(min(max(n.Rank, 0), 255)))
 	}
-	if flag(n.Back != 0, back) {
-		b = binary.AppendVarint(b, int64(min(max(n.Back, -backMost), backMost)))
+	if flag(n.Back != 0, flagReturned) {
+		b = binary.AppendVarint(b, int64(min(max(n.Back, -maxReturned), maxReturned)))
 	}
-	if flag(n.Refused > 0, refused) {
-		b = binary.AppendUvarint(b, uint64(min(n.Refused, backMost)))
+	if flag(n.Refused > 0, flagRejected) {
+		b = binary.AppendUvarint(b, uint64(min(n.Refused, maxReturned)))
 	}
-	if flag(n.Limit > 0, limit) {
-		b = binary.AppendUvarint(b, uint64(math.Round(10*math.Min(n.Limit, limitMost))))
+	if flag(n.Limit > 0, flagLimit) {
+		b = binary.AppendUvarint(b, uint64(math.Round(10*math.Min(n.Limit, maxLimit))))
 	}
 	return b
 }
 
-// Read returns a note's items. One that cannot be read whole is refused whole.
+// Read decodes a message. A message with any invalid item is rejected as a whole.
 func Read(b []byte) (items []snowjunction.Note, err error) {
-	if len(b) == 0 || len(b) > Most || b[0] != form {
+	if len(b) == 0 || len(b) > Most || b[0] != formatVersion {
 		return nil, ErrForm
 	}
 	for r := (record.Reader{B: b[1:]}); len(r.B) > 0; {
 		n := snowjunction.Note{Destination: snowjunction.DestinationID(r.Uint(math.MaxUint32))}
 		flags := r.Byte()
-		n.Asks, n.Grants = flags&asks != 0, flags&grants != 0
-		n.Failing, n.Serves = flags&failing != 0, flags&serves != 0
-		n.Cold, n.Old = !n.Asks && flags&cold != 0, n.Asks && flags&old != 0
+		n.Asks, n.Grants = flags&flagRequest != 0, flags&flagGrant != 0
+		n.Failing, n.Serves = flags&flagFailing != 0, flags&flagRecovered != 0
+		n.Cold, n.Old = !n.Asks && flags&flagCold != 0, n.Asks && flags&flagStaleLimit != 0
 		if n.Asks || n.Grants {
 			n.Calls = int(r.Byte())
 		}
 		if n.Asks {
 			n.Rank = int(r.Byte())
 		}
-		if flags&back != 0 {
+		if flags&flagReturned != 0 {
 			v := r.Int()
-			r.Bad = r.Bad || v < -backMost || v > backMost
+			r.Bad = r.Bad || v < -maxReturned || v > maxReturned
 			n.Back = int(v)
 		}
-		if flags&refused != 0 {
-			n.Refused = int(r.Uint(backMost))
+		if flags&flagRejected != 0 {
+			n.Refused = int(r.Uint(maxReturned))
 		}
-		if flags&limit != 0 {
-			n.Limit = float64(r.Uint(limitMost*10)) / 10
+		if flags&flagLimit != 0 {
+			n.Limit = float64(r.Uint(maxLimit*10)) / 10
 		}
 		if r.Bad || n.Asks && n.Grants {
 			return nil, ErrItem
--- a/internal/notes/notes_test.go
+++ b/internal/notes/notes_test.go
@@ -10,7 +10,7 @@
 	"snowjunction"
 )
 
-func TestNotesComeBack(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var items, got []snowjunction.Note
 		for range rapid.IntRange(1, 60).Draw(t, "items") {
@@ -18,9 +18,9 @@
 			switch rapid.IntRange(0, 2).Draw(t, "kind") {
 			case 0:
 				n.Asks, n.Rank = true, rapid.IntRange(0, 255).Draw(t, "rank")
-				n.Calls = rapid.IntRange(0, callsMost).Draw(t, "calls")
+				n.Calls = rapid.IntRange(0, maxCalls).Draw(t, "calls")
 			case 1:
-				n.Grants, n.Calls = true, rapid.IntRange(0, callsMost).Draw(t, "calls")
+				n.Grants, n.Calls = true, rapid.IntRange(0, maxCalls).Draw(t, "calls")
 			}
 			n.Failing, n.Serves = rapid.Bool().Draw(t, "failing"), rapid.Bool().Draw(t, "serves")
 			if high := rapid.Bool().Draw(t, "cold or old"); n.Asks {
@@ -28,9 +28,9 @@
 			} else {
 				n.Cold = high
 			}
-			n.Back = rapid.IntRange(-backMost, backMost).Draw(t, "back")
-			n.Refused = rapid.IntRange(0, backMost).Draw(t, "refused")
-			n.Limit = float64(rapid.IntRange(0, limitMost*10).Draw(t, "limit")) / 10
+			n.Back = rapid.IntRange(-maxReturned, maxReturned).Draw(t, "back")
+			n.Refused = rapid.IntRange(0, maxReturned).Draw(t, "refused")
+			n.Limit = float64(rapid.IntRange(0, maxLimit*10).Draw(t, "limit")) / 10
 			items = append(items, n)
 		}
 		for _, b := range Write(items) {
@@ -50,16 +50,16 @@
 	assert.Empty(t, none)
 }
 
-func TestBadNotes(t *testing.T) {
+func TestInvalidMessages(t *testing.T) {
 	good := Write([]snowjunction.Note{{Destination: 700, Asks: true, Calls: 3, Rank: 9, Back: -2, Refused: 1, Limit: 44.5}})[0]
 	for n := range len(good) {
-		if _, err := Read(good[:n]); n != 1 { // nothing but its form says nothing
+		if _, err := Read(good[:n]); n != 1 { // the format byte alone is an empty message
 			require.Error(t, err, "cut off after %d bytes", n)
 		}
 	}
 	for _, b := range [][]byte{
-		{2, 1, 0}, {form, 1, asks | grants, 1, 1}, {form, 255, 255, 255, 255, 255, 1},
-		{form, 1, refused, 255, 255, 3}, make([]byte, Most+1),
+		{2, 1, 0}, {formatVersion, 1, flagRequest | flagGrant, 1, 1}, {formatVersion, 255, 255, 255, 255, 255, 1},
+		{formatVersion, 1, flagRejected, 255, 255, 3}, make([]byte, Most+1),
 	} {
 		_, err := Read(b)
 		require.Error(t, err, "%v", b)
