--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,18 +1,18 @@
-// Package backoff decides how long a courier waits before it asks its directory
-// again, and how long each of its steps may take. It knows no clock and no socket.
+// Package backoff decides how long a courier waits before it sends its directory another request,
+// and how long each step of a request may take. It uses no clock and no socket.
 //
-// One courier that asks again after 50 ms costs a directory nothing. Eighty that are
-// turned away together and each come back after 50 ms are over a thousand calls a
-// second, and none of them is served. So the pauses grow with the fleet, that all
-// couriers together ask about as often as two did, double while the directory turns
-// the asker away, and are drawn from a range, so that those who were turned away
-// together do not come back together.
+// A single courier that retries after 50 ms costs a directory nothing. Eighty couriers that are
+// rejected together and all retry after 50 ms send over a thousand requests per second, and none of
+// them is served. Pauses therefore grow with the size of the fleet, so that all couriers together
+// send about as many requests as two would, double while the directory rejects requests, and are
+// drawn at random from a range, so that couriers that were rejected together do not retry together.
 //
-// All of that ends where news would be heard too late: a change counts as told 6 s after
-// the directory had it and could be reached, whatever failed before. What it had, and could
-// tell, when the last step began (a connection, an ask) would have come by that step, so
-// what is missing became news after that. The step may fail late, a pause follows, and one
-// attempt that succeeds in just its time: all three together stay within Bound.
+// The pauses are bounded by the time in which changes have to arrive: a change counts as known 6 s
+// after the directory had it and was reachable, whatever failed before. A change that the directory
+// had, and could send, when the last step (connecting or a request) began would have arrived with
+// that step, so a missing change is newer than the start of that step. The step may fail late, a
+// pause follows, then one attempt that succeeds just within its timeout: all three together stay
+// within Bound.
 package backoff
 
 import (
@@ -21,153 +21,156 @@
 )
 
 const (
-	// told is when a change counts as told after the directory had it and could be reached
-	// (the standing test's page).
-	told = 6 * time.Second
-	// ConnectTimeout is how long a connection may take to come up.
+	// changeDeadline is when a change counts as known to couriers after the directory had it and was
+	// reachable (the page of the standing test).
+	changeDeadline = 6 * time.Second
+	// ConnectTimeout bounds the setup of a connection.
 	ConnectTimeout = time.Second
-	// AnswerTimeout is how long an answer may take whose asker need not wait, and how long one that
-	// has begun may pause.
+	// AnswerTimeout bounds the answer to a request that does not wait for changes, and each gap
+	// within an answer that has begun.
 	AnswerTimeout = 2 * time.Second
-	// attempt is the longest one that succeeds.
-	attempt = ConnectTimeout + AnswerTimeout
-	// spread is kept for the pause after an ask that was silent to its end.
-	spread = 250 * time.Millisecond
-	// slack is how late the answer to a watch may be.
-	slack = 750 * time.Millisecond
-	// shortList is the size in bytes up to which an answer has AskTimeout alone.
-	shortList = 64 << 10
-	// longListRate is in bytes a second: what is longer goes on while it comes as fast.
-	longListRate = 1 << 20
-	// waitMost bounds what a watch asks to wait.
-	waitMost = 20 * time.Second
-	// pause is that of a courier of a fleet of two, or alone.
-	pause = 50 * time.Millisecond
-	// MaxPause bounds each pause, where Bound does not bound it further.
+	// attemptTimeout bounds one successful attempt.
+	attemptTimeout = ConnectTimeout + AnswerTimeout
+	// reservedPause is reserved for the pause after a request that got no answer until its timeout.
+	reservedPause = 250 * time.Millisecond
+	// watchSlack is how late the answer to a watch may arrive.
+	watchSlack = 750 * time.Millisecond
+	// shortListBytes is the answer size in bytes up to which AskTimeout applies unchanged.
+	shortListBytes = 64 << 10
+	// minListRate is the minimum transfer rate of longer answers in bytes per second.
+	minListRate = 1 << 20
+	// maxWatchWait bounds the wait that a watch requests.
+	maxWatchWait = 20 * time.Second
+	// firstPause is the first pause of a courier that is alone or in a fleet of two.
+	firstPause = 50 * time.Millisecond
+	// MaxPause bounds each pause where Bound does not bound it further.
 	MaxPause = 4 * time.Second
-	// few couriers need not spread their first asks.
-	few = 4
-	// firstMost bounds first asks where nothing else is told: half of a second's grace.
-	firstMost = 500 * time.Millisecond
+	// smallFleet is the fleet size up to which couriers do not spread their first requests.
+	smallFleet = 4
+	// maxFirstDelay bounds the delay of first requests if no grace is configured: half of a grace of
+	// one second.
+	maxFirstDelay = 500 * time.Millisecond
 )
 
-// Backoff is one courier's, towards one directory.
+// Backoff computes the pauses of one courier towards one directory.
 type Backoff struct {
-	rng     *rand.Rand
-	base    time.Duration
-	soon    time.Duration // bounds what may be late without a reason of the directory's
-	margin  time.Duration // of the grace, used for the bound
-	refused int           // calls in a row that were answered with an error
-	lost    int           // connections in a row that broke or did not come up
-	unread  int           // lists in a row that could not be taken
+	rng             *rand.Rand
+	base            time.Duration
+	maxUnprovoked   time.Duration // bounds delays that no error of the directory caused
+	graceMargin     time.Duration // part of the grace that is added to the bound
+	errorResponses  int           // consecutive requests answered with an error
+	disconnects     int           // consecutive connections that broke or could not be set up
+	unreadableLists int           // consecutive lists that could not be used
 }
 
-// New returns the backoff of one of so many couriers; a fleet under one counts as
-// one. The seed is the courier's own: two that draw alike would ask together.
+// New returns the backoff of one courier in a fleet of the given size; sizes below one count as
+// one. The seed must differ between couriers: equal seeds draw equal pauses, so that the couriers
+// would retry together.
 func New(fleet int, seed uint64) *Backoff {
 	return &Backoff{
-		soon: firstMost,
-		rng:  rand.New(rand.NewPCG(seed, 0x70617469656e6365)),
-		base: min(pause*time.Duration(max(2, min(fleet, 1<<20)))/2, MaxPause),
+		maxUnprovoked: maxFirstDelay,
+		rng:           rand.New(rand.NewPCG(seed, 0x70617469656e6365)),
+		base:          min(firstPause*time.Duration(max(2, min(fleet, 1<<20)))/2, MaxPause),
 	}
 }
 
-// Within tells the grace for endpoints that drain, if it is over 0. What an agent holds
-// counts as told, asked or not: first asks, and the first one after a lost connection,
-// come in half of it.
+// Within sets the grace for draining endpoints if it is positive. What the directory agent holds
+// counts as known whether or not it was requested: first requests, and the first one after a lost
+// connection, are sent within half of the grace.
 func (b *Backoff) Within(grace time.Duration) *Backoff {
 	if grace > 0 {
-		b.soon, b.margin = grace/2, grace/2
+		b.maxUnprovoked, b.graceMargin = grace/2, grace/2
 	}
 	return b
 }
 
-// Bound is how long after the directory has news and can be reached they are heard at the
-// latest: half of the grace is left.
-func (b *Backoff) Bound() time.Duration { return told + b.margin }
+// Bound returns how long after the directory has a change and is reachable the courier receives it
+// at the latest. It leaves half of the grace.
+func (b *Backoff) Bound() time.Duration { return changeDeadline + b.graceMargin }
 
-// AskTimeout is how long an ask may take until its answer is whole, what it may wait included.
+// AskTimeout bounds a request until its answer is complete, the requested wait included.
 func (b *Backoff) AskTimeout() time.Duration {
-	return min(b.Bound()-attempt-spread, waitMost+slack)
+	return min(b.Bound()-attemptTimeout-reservedPause, maxWatchWait+watchSlack)
 }
 
-// RestOfAnswer is how much longer an answer may take that was asked for so long ago and of which
-// so many bytes have come. A list that takes longer than the bound cannot be heard within it; it
-// is not given up for that while it comes fast, or it would never be taken.
+// RestOfAnswer returns how much longer to wait for the rest of an answer. ago is the time since the
+// request, size the number of bytes received so far. A list that takes longer than the bound cannot
+// arrive within it, but is not abandoned while its data arrives fast enough, because it could never
+// be received otherwise.
 func (b *Backoff) RestOfAnswer(ago time.Duration, size int) time.Duration {
-	long := time.Duration(max(0, size-shortList)) * time.Second / longListRate
+	long := time.Duration(max(0, size-shortListBytes)) * time.Second / minListRate
 	return min(AnswerTimeout, b.AskTimeout()+long-ago)
 }
 
-// WatchWait is how long a watch asks the directory to wait for news.
-func (b *Backoff) WatchWait() time.Duration { return b.AskTimeout() - slack }
+// WatchWait returns how long a watch asks the directory to wait for changes.
+func (b *Backoff) WatchWait() time.Duration { return b.AskTimeout() - watchSlack }
 
-// Initial is when a courier that starts with a list asks first: couriers of a large fleet that
-// start together would fill the directory's queue at once, and many of them wait in vain.
-// A few ask at once.
+// Initial returns the delay of the first request of a courier that starts with a list. Couriers of
+// a large fleet that start together would fill the directory's queue at once, and many requests
+// would time out. Couriers of a small fleet send theirs immediately.
 func (b *Backoff) Initial() time.Duration {
-	if b.base <= few*pause/2 {
+	if b.base <= smallFleet*firstPause/2 {
 		return 0
 	}
-	return time.Duration(b.rng.Int64N(int64(min(b.base, b.soon))))
+	return time.Duration(b.rng.Int64N(int64(min(b.base, b.maxUnprovoked))))
 }
 
-// Disconnected is the pause after a connection that broke or did not come up: short after the
-// first, as the agent may be there, and longer after each that follows. Here and below, ago
-// is how long ago the step began that failed.
+// Disconnected returns the pause after a connection that broke or could not be set up: short after
+// the first, as the agent may be reachable, and longer after each further one. Here and in the
+// following methods, ago is the time since the start of the failed step.
 func (b *Backoff) Disconnected(ago time.Duration) time.Duration {
-	d := grown(min(b.base, b.soon), b.lost, b.base)
-	b.lost++
-	return b.draw(d, ago)
+	d := doubled(min(b.base, b.maxUnprovoked), b.disconnects, b.base)
+	b.disconnects++
+	return b.jitter(d, ago)
 }
 
-// TimedOut is the pause after a call that was not answered, or a connection that did not come
-// up, in its time. It does not grow: the time itself is a pause, and what an agent has to tell
-// when it speaks again counts as told at once. One that has turned calls away of late is asked by
-// too many, and not sooner for its silence.
+// TimedOut returns the pause after a request without an answer, or a connection that was not set
+// up, within its timeout. The pause does not grow: the timeout itself is a pause, and changes count
+// as known as soon as an agent answers again. If the agent recently rejected requests it is
+// overloaded, and a timeout does not shorten the pause.
 func (b *Backoff) TimedOut(ago time.Duration) time.Duration {
-	if b.refused > 0 {
-		return b.draw(grown(b.base, b.refused, MaxPause), ago)
+	if b.errorResponses > 0 {
+		return b.jitter(doubled(b.base, b.errorResponses, MaxPause), ago)
 	}
-	return b.draw(min(b.base, b.soon), ago)
+	return b.jitter(min(b.base, b.maxUnprovoked), ago)
 }
 
-// Refused is the pause after an answer that is an error. What it tells to wait, 0 for
-// nothing, is the least, up to three quarters of what the bound leaves: those who are told
-// alike do not come back together.
+// Refused returns the pause after an error response. wait is the retry-after delay of the response,
+// zero if it has none. The pause is at least that long, up to three quarters of what the bound
+// leaves, so that couriers with equal retry-after delays do not retry together.
 func (b *Backoff) Refused(wait, ago time.Duration) time.Duration {
-	room := b.room(ago)
-	d := min(max(grown(b.base, b.refused, MaxPause), wait+wait/2), room)
-	b.refused++
-	return b.between(max(d/2, min(wait, d*3/4)), d)
+	room := b.remaining(ago)
+	d := min(max(doubled(b.base, b.errorResponses, MaxPause), wait+wait/2), room)
+	b.errorResponses++
+	return b.randomBetween(max(d/2, min(wait, d*3/4)), d)
 }
 
-// Unreadable is the pause after a list that could not be taken: short after the first, as what
-// could not be read counts as told.
+// Unreadable returns the pause after a list that could not be used: short after the first, because
+// what it contained counts as known.
 func (b *Backoff) Unreadable(ago time.Duration) time.Duration {
-	d := grown(min(b.base, b.soon), b.unread, MaxPause)
-	b.unread++
-	return b.draw(d, ago)
+	d := doubled(min(b.base, b.maxUnprovoked), b.unreadableLists, MaxPause)
+	b.unreadableLists++
+	return b.jitter(d, ago)
 }
 
-// Reset tells that a list has been taken: the next pause is the first again.
-func (b *Backoff) Reset() { b.refused, b.unread, b.lost = 0, 0, 0 }
+// Reset records that a list was received: the next pause is the first one again.
+func (b *Backoff) Reset() { b.errorResponses, b.unreadableLists, b.disconnects = 0, 0, 0 }
 
-// room is how long a pause the bound leaves after a step that began so long ago.
-func (b *Backoff) room(ago time.Duration) time.Duration {
-	return max(min(b.Bound()-attempt-ago, MaxPause), 0)
+// remaining returns the longest pause that the bound allows after a step that began ago before now.
+func (b *Backoff) remaining(ago time.Duration) time.Duration {
+	return max(min(b.Bound()-attemptTimeout-ago, MaxPause), 0)
 }
 
-func grown(d time.Duration, times int, most time.Duration) time.Duration {
+func doubled(d time.Duration, times int, most time.Duration) time.Duration {
 	return min(d<<min(times, 16), most)
 }
 
-// draw is a pause between half of d and d, or of the room that is left.
-func (b *Backoff) draw(d, ago time.Duration) time.Duration {
-	d = min(d, b.room(ago))
-	return b.between(d/2, d)
+// jitter returns a random pause between half of d and d, with d limited to the remaining room.
+func (b *Backoff) jitter(d, ago time.Duration) time.Duration {
+	d = min(d, b.remaining(ago))
+	return b.randomBetween(d/2, d)
 }
 
-func (b *Backoff) between(least, most time.Duration) time.Duration {
+func (b *Backoff) randomBetween(least, most time.Duration) time.Duration {
 	return least + time.Duration(b.rng.Int64N(int64(most-least)+1))
 }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// asks is how often couriers ask in a minute, all turned away from the start on, each
-// turn taking as long as a refused call does.
-func asks(fleet int, took time.Duration) (n int) {
+// requests returns how many requests the couriers of a fleet send in a minute if all are rejected from
+// the start, each after the given time.
+func requests(fleet int, took time.Duration) (n int) {
 	for i := range fleet {
 		b := New(fleet, uint64(i))
 		for at := time.Duration(0); at < time.Minute; at += took + b.Refused(0, took) {
@@ -21,50 +21,50 @@
 	return n
 }
 
-// A large fleet that is turned away asks no more often than a small one does.
-func TestFleetAsksNoMoreOften(t *testing.T) {
-	small := asks(2, 0)
+// A large fleet whose requests are rejected sends them no more often than a small one.
+func TestLargeFleetRequestRate(t *testing.T) {
+	small := requests(2, 0)
 	for _, fleet := range []int{8, 80, 800} {
-		n := asks(fleet, 0)
+		n := requests(fleet, 0)
 		assert.LessOrEqual(t, n, max(2*small, fleet*(1+int(time.Minute/(MaxPause/2)))), "fleet %d", fleet)
-		assert.GreaterOrEqual(t, n, fleet*int(time.Minute/MaxPause), "fleet %d is still told", fleet)
+		assert.GreaterOrEqual(t, n, fleet*int(time.Minute/MaxPause), "fleet %d still sends requests", fleet)
 	}
 }
 
-// What is turned away together does not come back together.
+// Couriers that are rejected together do not retry together.
 func TestPausesSpread(t *testing.T) {
-	seen, least, most := map[time.Duration]bool{}, MaxPause, time.Duration(0)
+	pauses, least, most := map[time.Duration]bool{}, MaxPause, time.Duration(0)
 	for i := range 80 {
 		d := New(80, uint64(i)).Refused(0, 0)
-		seen[d], least, most = true, min(least, d), max(most, d)
+		pauses[d], least, most = true, min(least, d), max(most, d)
 	}
-	assert.Greater(t, len(seen), 70)
+	assert.Greater(t, len(pauses), 70)
 	assert.GreaterOrEqual(t, least, time.Second)
 	assert.LessOrEqual(t, most, 2*time.Second)
 	assert.Greater(t, most-least, 800*time.Millisecond)
 }
 
-func TestPausesGrowAndEnd(t *testing.T) {
+func TestPausesGrowAndReset(t *testing.T) {
 	b := New(2, 1).Within(2 * time.Second)
 	for i := range 40 {
-		most := min(pause<<min(i, 16), MaxPause)
+		most := min(firstPause<<min(i, 16), MaxPause)
 		d := b.Refused(0, 0)
 		assert.GreaterOrEqual(t, d, most/2)
 		assert.LessOrEqual(t, d, most)
 	}
 	b.Reset()
-	assert.LessOrEqual(t, b.Refused(0, 0), pause)
+	assert.LessOrEqual(t, b.Refused(0, 0), firstPause)
 	for range 40 {
-		assert.LessOrEqual(t, b.Disconnected(0), pause, "a broken connection does not add up")
+		assert.LessOrEqual(t, b.Disconnected(0), firstPause, "broken connections of a small fleet do not lengthen the pause")
 		assert.LessOrEqual(t, b.Unreadable(0), MaxPause)
 	}
-	assert.GreaterOrEqual(t, b.Unreadable(0), MaxPause/2, "lists that cannot be taken do")
+	assert.GreaterOrEqual(t, b.Unreadable(0), MaxPause/2, "unreadable lists lengthen the pause")
 }
 
-// What an answer tells to wait is kept, and spread, while the bound has room for it.
-func TestToldWaits(t *testing.T) {
+// A retry-after delay is kept and spread as far as the bound leaves room for it.
+func TestRetryAfterDelay(t *testing.T) {
 	const grace = time.Second
-	room := New(300, 0).Within(grace).Bound() - attempt
+	room := New(300, 0).Within(grace).Bound() - attemptTimeout
 	for _, fleet := range []int{1, 300, 3000} {
 		for wait, bounds := range map[time.Duration][2]time.Duration{
 			time.Second:     {time.Second, room},
@@ -78,25 +78,25 @@
 			}
 			assert.GreaterOrEqual(t, least, bounds[0], "fleet %d, %v", fleet, wait)
 			assert.LessOrEqual(t, most, bounds[1], "fleet %d, %v", fleet, wait)
-			assert.Greater(t, most-least, 400*time.Millisecond, "not all at once")
+			assert.Greater(t, most-least, 400*time.Millisecond, "the pauses are spread")
 		}
 	}
 }
 
-// In a large fleet each kind of pause is that of the fleet in the end, and the first ones after
-// what is no refusal are within half of the grace.
+// In a large fleet each kind of pause grows to that of the fleet, and the first pauses without a
+// rejection stay within half of the grace.
 func TestPausesGrowInALargeFleet(t *testing.T) {
 	const grace = time.Second
-	for name, again := range map[string]func(*Backoff) time.Duration{
+	for name, next := range map[string]func(*Backoff) time.Duration{
 		"broken connections":         func(b *Backoff) time.Duration { return b.Disconnected(0) },
 		"lists that cannot be taken": func(b *Backoff) time.Duration { return b.Unreadable(0) },
 	} {
 		b := New(300, 7).Within(grace)
-		room := b.Bound() - attempt
+		room := b.Bound() - attemptTimeout
 		for range 2 {
 			most := grace / 2
 			for range 8 {
-				d := again(b)
+				d := next(b)
 				assert.GreaterOrEqual(t, d, most/2, name)
 				assert.LessOrEqual(t, d, most, name)
 				most = min(2*most, room)
@@ -107,35 +107,35 @@
 	}
 	b := New(300, 7).Within(grace)
 	for range 8 {
-		assert.LessOrEqual(t, b.TimedOut(ConnectTimeout), grace/2, "silence is a pause of its own")
+		assert.LessOrEqual(t, b.TimedOut(ConnectTimeout), grace/2, "the timeout itself is a pause")
 		b.Refused(0, 0)
 		d := b.TimedOut(ConnectTimeout)
-		assert.GreaterOrEqual(t, d, time.Second, "but who is turned away is not asked sooner for it")
-		assert.LessOrEqual(t, d, b.Bound()-attempt-ConnectTimeout)
+		assert.GreaterOrEqual(t, d, time.Second, "after a rejection a timeout does not shorten the pause")
+		assert.LessOrEqual(t, d, b.Bound()-attemptTimeout-ConnectTimeout)
 		b.Reset()
 	}
 }
 
-// outage plays one courier's calls, whatever they meet, until the directory has news and can be
-// reached, and returns how long after that they are heard. A step that begins then or later
-// succeeds, in its time; one that began before may still fail as late as it can.
+// outage simulates one courier's steps, with any failures, until the directory has a change and is
+// reachable, and returns how long after that the change arrives. A step that begins then or later
+// succeeds within its timeout; a step that began before may still fail at the last moment.
 func outage(t *rapid.T, b *Backoff) time.Duration {
 	upTo := func(name string, most time.Duration) time.Duration {
 		return rapid.OneOf(rapid.Just(time.Duration(0)), rapid.Just(most), rapid.Map(rapid.Int64Range(0, int64(most)),
 			func(n int64) time.Duration { return time.Duration(n) })).Draw(t, name)
 	}
 	steps := rapid.IntRange(0, 20).Draw(t, "steps before")
-	now, reach := time.Duration(0), time.Hour
+	now, reachable := time.Duration(0), time.Hour
 	begin := func() time.Duration {
-		if steps--; steps < 0 && reach == time.Hour { // most often just as a step has begun
-			reach = now + 1 + upTo("into the step", b.AskTimeout())
+		if steps--; steps < 0 && reachable == time.Hour { // usually just after a step has begun
+			reachable = now + 1 + upTo("into the step", b.AskTimeout())
 		}
 		return now
 	}
 	for connected := false; ; {
 		begun := begin()
 		if !connected {
-			up := begun >= reach || rapid.Bool().Draw(t, "up")
+			up := begun >= reachable || rapid.Bool().Draw(t, "up")
 			switch took := upTo("connect", ConnectTimeout); {
 			case up:
 				now += took
@@ -150,13 +150,13 @@
 			}
 			connected, begun = true, begin()
 		}
-		if begun >= reach {
-			return now + upTo("answer", AnswerTimeout) - reach
+		if begun >= reachable {
+			return now + upTo("answer", AnswerTimeout) - reachable
 		}
 		took := upTo("whole", b.AskTimeout())
 		switch rapid.SampledFrom([]string{"served", "error", "broken", "unreadable", "silent", "drips"}).Draw(t, "meets") {
 		case "served":
-			now = min(now+took, reach)
+			now = min(now+took, reachable)
 			b.Reset()
 			continue
 		case "error":
@@ -180,21 +180,21 @@
 	}
 }
 
-// Whatever failed before, in whatever order: news are heard within 6 s and half of the grace.
-func TestHeardInTime(t *testing.T) {
+// Whatever failed before, in whatever order, changes arrive within 6 s plus half of the grace.
+func TestChangesArriveInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := rapid.OneOf(rapid.IntRange(1, 8), rapid.IntRange(1, 3000)).Draw(t, "fleet")
 		grace := time.Duration(rapid.IntRange(0, 3000).Draw(t, "grace")) * time.Millisecond
 		b := New(fleet, rapid.Uint64().Draw(t, "seed")).Within(grace)
 		if late := outage(t, b); late > 6*time.Second+grace/2 {
-			t.Fatalf("heard %v after the directory could be reached", late)
+			t.Fatalf("the change arrived %v after the directory was reachable", late)
 		}
 	})
 }
 
-// 300 couriers that meet the same outage from the same moment on are no flood: after some
-// seconds an outage that answers hears 240 in any second at most, and one that does not as many
-// as there are couriers.
+// 300 couriers that meet the same outage at the same moment do not flood the directory: after some
+// seconds, a directory that answers gets at most 240 requests in any second, and one that does not
+// answer at most one per courier.
 func TestOutageOfALargeFleet(t *testing.T) {
 	const fleet, answered = 300, 240
 	for name, kind := range map[string]struct {
@@ -225,16 +225,16 @@
 					top = max(top, end-i)
 				}
 			}
-			t.Logf("%d calls at most in a second, %d in the mean", top, len(asks)/120)
+			t.Logf("at most %d requests in a second, %d on average", top, len(asks)/120)
 			assert.LessOrEqual(t, top, kind.most)
 		})
 	}
 }
 
-// A connection that broke is made anew within half of the grace, whatever the fleet; only
-// where that fails again and again are the pauses those of a large fleet.
-func TestLostConnection(t *testing.T) {
-	for within, half := range map[time.Duration]time.Duration{0: firstMost, 400 * time.Millisecond: 200 * time.Millisecond, 3 * time.Second: 1500 * time.Millisecond} {
+// A broken connection is set up again within half of the grace, whatever the fleet size. Only
+// repeated failures lengthen the pauses to those of a large fleet.
+func TestReconnectPauses(t *testing.T) {
+	for within, half := range map[time.Duration]time.Duration{0: maxFirstDelay, 400 * time.Millisecond: 200 * time.Millisecond, 3 * time.Second: 1500 * time.Millisecond} {
 		b := New(300, 7).Within(within)
 		for range 3 {
 			assert.LessOrEqual(t, max(b.Initial(), b.Disconnected(0)), half)
@@ -248,43 +248,44 @@
 	}
 }
 
-// Settings without a fleet size, or with one that cannot be, are those of a lone courier.
-func TestFleetOfNone(t *testing.T) {
+// A missing or invalid fleet size counts as a single courier.
+func TestInvalidFleetSize(t *testing.T) {
 	for _, fleet := range []int{-3, 0, 1, 2} {
-		assert.LessOrEqual(t, New(fleet, 1).Disconnected(0), pause)
+		assert.LessOrEqual(t, New(fleet, 1).Disconnected(0), firstPause)
 	}
 	assert.LessOrEqual(t, New(1<<40, 1).Disconnected(0), MaxPause)
 	assert.Positive(t, New(1<<40, 1).Disconnected(0))
 }
 
-// Couriers that start together ask one after another; a few ask at once.
-func TestFirstAsksSpread(t *testing.T) {
+// Couriers that start together spread their first requests; those of a small fleet send them at
+// once.
+func TestFirstRequestsSpread(t *testing.T) {
 	early, late := 0, 0
 	for i := range 80 {
 		d := New(80, uint64(i)).Initial()
-		assert.LessOrEqual(t, d, firstMost)
-		if d < firstMost/4 {
+		assert.LessOrEqual(t, d, maxFirstDelay)
+		if d < maxFirstDelay/4 {
 			early++
-		} else if d > firstMost*3/4 {
+		} else if d > maxFirstDelay*3/4 {
 			late++
 		}
 	}
 	assert.InDelta(t, 20, early, 12)
 	assert.InDelta(t, 20, late, 12)
-	for fleet := range few + 1 {
+	for fleet := range smallFleet + 1 {
 		assert.Zero(t, New(fleet, 1).Initial())
 	}
-	assert.Less(t, New(1<<40, 1).Initial(), firstMost)
+	assert.Less(t, New(1<<40, 1).Initial(), maxFirstDelay)
 }
 
-// An answer that is short or comes slowly has the time of the bound; one that is long goes on
-// while it comes fast, and may pause no longer than any.
+// A short or slow answer gets the time that the bound allows; a long one continues while its data
+// arrives fast, without longer gaps than any other.
 func TestRestOfAnswer(t *testing.T) {
 	b := New(300, 1).Within(time.Second)
-	for _, size := range []int{0, 1, shortList} {
+	for _, size := range []int{0, 1, shortListBytes} {
 		assert.Equal(t, b.AskTimeout()-3*time.Second, b.RestOfAnswer(3*time.Second, size))
 	}
 	assert.Equal(t, AnswerTimeout, b.RestOfAnswer(0, 1))
-	assert.Equal(t, AnswerTimeout, b.RestOfAnswer(10*time.Second, 200<<20), "20 MB a second")
-	assert.Negative(t, b.RestOfAnswer(15*time.Second, 10<<20), "under 1 MB a second")
+	assert.Equal(t, AnswerTimeout, b.RestOfAnswer(10*time.Second, 200<<20), "20 MB per second")
+	assert.Negative(t, b.RestOfAnswer(15*time.Second, 10<<20), "less than 1 MB per second")
 }
--- a/internal/belief/belief.go
+++ b/internal/belief/belief.go
@@ -1,20 +1,20 @@
-// Package belief weighs what is known of endpoints while the directory does not
-// vouch for them: after a start from a list that was kept on disk, and while it is
-// silent. It does no I/O, reads no clock and starts no goroutine: times are handed
-// in, as the time since a moment of the caller's choice.
+// Package belief tracks the confidence in endpoints while the directory does not confirm them:
+// after a start from a list that was stored on disk, and while the directory does not answer. It
+// does no I/O, reads no clock and starts no goroutine: times are passed in, as the time since a
+// moment of the caller's choice.
 //
-// While the directory speaks, its word is all there is: every endpoint that it lists
-// is Told. Else an endpoint starts from the age of the word on it, and calls to it
-// move it:
+// While the directory answers, only its list counts: every listed endpoint is Told. Otherwise the
+// confidence in an endpoint starts from the age of the last confirmation, and the results of calls
+// change it:
 //
-//	Told       the directory vouches for it
-//	Confirmed  a call to it was answered since the directory was last heard
-//	Probable   the word on it is young
-//	Doubtful   the word on it is old, or it could not be reached
-//	Refuted    it is not there, while a sibling of its destination is
+//	Told       the directory confirms it
+//	Confirmed  a call to it was answered since the directory's last answer
+//	Probable   the last confirmation is recent
+//	Doubtful   the last confirmation is old, or the endpoint was unreachable
+//	Refuted    the endpoint is gone, while another of its destination is not
 //
-// The moment the directory speaks, all of that is forgotten: what calls have shown
-// says that somebody answers at an address, not who.
+// As soon as the directory answers, these results are discarded: a call shows that somebody answers
+// at an address, not who.
 package belief
 
 import (
@@ -24,10 +24,10 @@
 	"snowjunction"
 )
 
-// Standing is how much an endpoint is believed in.
+// Standing is the level of confidence in an endpoint.
 type Standing int
 
-// The standings.
+// The levels of confidence, see the package comment.
 const (
 	Told Standing = iota
 	Confirmed
@@ -40,49 +40,49 @@
 	return [...]string{"told", "confirmed", "probable", "doubtful", "refuted"}[s]
 }
 
-// Source is where the word on the endpoints comes from.
+// Source is the origin of the endpoint list.
 type Source int
 
 // The sources.
 const (
 	Nothing Source = iota // there is no list
-	Live                  // the directory has spoken in this life
-	Cached                // the list kept on disk
-	Known                 // the configuration's
+	Live                  // the directory has answered this process
+	Cached                // the list stored on disk
+	Known                 // the list of the configuration
 )
 
 func (s Source) String() string { return [...]string{"nothing", "live", "cached", "known"}[s] }
 
-// Config are the bounds of belief.
+// Config holds the thresholds.
 type Config struct {
-	Fresh  time.Duration // a word younger than that is probable, an older one doubtful
-	Silent time.Duration // a directory not heard for so long is silent
+	Fresh  time.Duration // confirmations younger than this make endpoints Probable, older ones Doubtful
+	Silent time.Duration // a directory without an answer for this long counts as silent
 
-	// An endpoint that cannot be connected to RefuteFails times in a row is doubtful,
-	// and over RefuteAfter or more refuted, if a sibling is confirmed.
+	// An endpoint becomes Doubtful after RefuteFails consecutive failed connections, and Refuted if
+	// they span RefuteAfter or more and another endpoint of its destination is Confirmed.
 	RefuteFails int
 	RefuteAfter time.Duration
 }
 
-// Default are the bounds where no operator file names others.
+// Default returns the thresholds that apply without an operator file.
 func Default() Config {
 	return Config{Fresh: 10 * time.Minute, Silent: 45 * time.Second, RefuteFails: 3, RefuteAfter: 5 * time.Second}
 }
 
-// Evidence is what a call has shown of an endpoint.
+// Evidence is what a call has shown about an endpoint.
 type Evidence int
 
 // The kinds of evidence.
 const (
 	None      Evidence = iota
-	Answered           // it took a call, or turned one away as the protocol says
-	Unreached          // no connection came up
-	Elsewhere          // it said that it is not who was called
+	Answered           // it accepted a call, or rejected one as the protocol specifies
+	Unreached          // no connection could be set up
+	Elsewhere          // it answered that it is not the endpoint that was called
 )
 
-// EvidenceOf tells what an outcome shows. An error is what anybody may answer, also one
-// who uses the address of an endpoint that is gone; a time-out or a connection that
-// broke may be the network's doing; what was not sent shows nothing.
+// EvidenceOf returns what an outcome shows. Errors show nothing, because a process that reuses the
+// address of a removed endpoint may return them as well; neither do timeouts and broken
+// connections, which may be caused by the network, nor calls that were not sent.
 func EvidenceOf(o snowjunction.Outcome) Evidence {
 	switch o {
 	case snowjunction.OK, snowjunction.Full:
@@ -93,59 +93,58 @@
 	return None
 }
 
-// mark is what calls have shown of one endpoint.
-type mark struct {
+// endpointState is the state of one endpoint, as calls have shown it.
+type endpointState struct {
 	dest     snowjunction.DestinationID
 	standing Standing
-	why      string
+	reason   string
 	since    time.Duration
-	fails    int // connections that did not come up, in a row
+	fails    int // consecutive failed connections
 	failedAt time.Duration
-	kept     bool // left out by a list that is not believed: Doubtful at best by that
+	retained bool // omitted by a list that is not trusted: that list alone leaves it at most Doubtful
 }
 
-// Book is the record of belief in the endpoints of one front.
+// Book tracks the confidence in the endpoints of one front.
 type Book struct {
-	cfg       Config
-	source    Source
-	word      time.Duration // when the directory last vouched for the list
-	since     time.Duration // of this source
-	live      bool
-	old       bool // the word is past Fresh, as Look has found
-	marks     map[string]*mark
-	confirmed map[snowjunction.DestinationID]int
+	cfg         Config
+	source      Source
+	confirmedAt time.Duration // when the directory last confirmed the list
+	since       time.Duration // when source became current
+	live        bool
+	stale       bool // the confirmation is older than Fresh, as found by Look
+	states      map[string]*endpointState
+	confirmed   map[snowjunction.DestinationID]int
 }
 
-// New returns a book without a list.
+// New returns a Book without a list.
 func New(cfg Config) *Book {
-	return &Book{cfg: cfg, marks: map[string]*mark{}, confirmed: map[snowjunction.DestinationID]int{}}
+	return &Book{cfg: cfg, states: map[string]*endpointState{}, confirmed: map[snowjunction.DestinationID]int{}}
 }
 
-// Begin takes a list at the start that the directory has vouched for so long ago. An
-// age under 0 is none that can be believed, as after a clock was set back: the list
-// counts as old.
+// Begin sets the list at the start of the process, which the directory confirmed age ago. A
+// negative age, as after a clock was set back, counts as old.
 func (b *Book) Begin(s Source, age, now time.Duration) {
 	b.source, b.since, b.live = s, now, false
-	b.word = now - age
-	b.old = age < 0 || age >= b.cfg.Fresh
+	b.confirmedAt = now - age
+	b.stale = age < 0 || age >= b.cfg.Fresh
 	if age < 0 {
-		b.word = now - b.cfg.Fresh
+		b.confirmedAt = now - b.cfg.Fresh
 	}
 }
 
-// Spoken tells that the directory has vouched for the list held. It returns true
-// where belief has changed: everything is Told from now on, but for what is kept
-// against its word.
+// Spoken records that the directory has confirmed the list. It returns true if this changes the
+// confidence: all endpoints are Told from now on, except those that are retained although the list
+// omits them.
 func (b *Book) Spoken(now time.Duration) (changed bool) {
 	changed = !b.live
-	b.word = now
+	b.confirmedAt = now
 	if !changed {
 		return false
 	}
-	b.source, b.since, b.live, b.old = Live, now, true, false
-	for name, m := range b.marks {
-		if !m.kept {
-			delete(b.marks, name)
+	b.source, b.since, b.live, b.stale = Live, now, true, false
+	for name, m := range b.states {
+		if !m.retained {
+			delete(b.states, name)
 		} else {
 			m.standing, m.fails = Doubtful, 0
 		}
@@ -154,7 +153,7 @@
 	return true
 }
 
-// Change is a change of belief in all endpoints at once.
+// Change is a change of confidence in all endpoints at once.
 type Change int
 
 // The changes that Look finds.
@@ -164,31 +163,31 @@
 	Aged
 )
 
-// Look tells what time alone has changed, and when to look again; a wait of 0: not
-// before something is heard.
+// Look returns what has changed through the passage of time alone, and how long to wait before the
+// next call. A wait of zero means that only new information can change something.
 func (b *Book) Look(now time.Duration) (c Change, again time.Duration) {
 	if b.source == Nothing {
 		return Same, 0
 	}
 	if b.live {
-		if left := b.word + b.cfg.Silent - now; left > 0 {
+		if left := b.confirmedAt + b.cfg.Silent - now; left > 0 {
 			return Same, left
 		}
 		b.live, b.since, c = false, now, Silent
 	}
-	if b.old {
+	if b.stale {
 		return c, 0
 	}
-	left := b.word + b.cfg.Fresh - now
+	left := b.confirmedAt + b.cfg.Fresh - now
 	if left > 0 {
 		return c, left
 	}
-	b.old = true
+	b.stale = true
 	return Aged, 0
 }
 
-// Moved tells that another agent is asked from now on: until it has spoken nobody
-// vouches for the list.
+// Moved records that another directory agent is used from now on. Until it has answered, the list
+// is not confirmed.
 func (b *Book) Moved(now time.Duration) (changed bool) {
 	changed = b.live
 	b.live = false
@@ -198,72 +197,72 @@
 	return changed
 }
 
-// Live tells that the directory vouches for the list.
+// Live reports whether the directory currently confirms the list.
 func (b *Book) Live() bool { return b.live }
 
-// Source is where the list comes from.
+// Source returns the origin of the list.
 func (b *Book) Source() Source { return b.source }
 
-// Word is when the directory last vouched for the list held.
-func (b *Book) Word() time.Duration { return b.word }
+// Word returns when the directory last confirmed the list.
+func (b *Book) Word() time.Duration { return b.confirmedAt }
 
-// Standing is that of an endpoint of the list.
+// Standing returns the confidence in a listed endpoint.
 func (b *Book) Standing(name string) Standing {
-	if m := b.marks[name]; m != nil {
+	if m := b.states[name]; m != nil {
 		return m.standing
 	}
-	return b.base()
+	return b.defaultLevel()
 }
 
-// base is the standing of an endpoint that calls have shown nothing of.
-func (b *Book) base() Standing {
+// defaultLevel returns the confidence in an endpoint without results of calls.
+func (b *Book) defaultLevel() Standing {
 	switch {
 	case b.live:
 		return Told
-	case b.old:
+	case b.stale:
 		return Doubtful
 	}
 	return Probable
 }
 
-// Heard takes what a call has shown of an endpoint and returns its standing before
-// and after, with the reason of a change.
+// Heard records what a call has shown about an endpoint. It returns the confidence before and
+// after, with the reason of a change.
 func (b *Book) Heard(dest snowjunction.DestinationID, name string, e Evidence, now time.Duration) (was, is Standing, why string) {
-	m := b.marks[name]
+	m := b.states[name]
 	if e == None || b.live && m == nil {
 		return b.Standing(name), b.Standing(name), ""
 	}
 	if m == nil {
-		m = &mark{dest: dest, standing: b.base(), since: now}
-		b.marks[name] = m
+		m = &endpointState{dest: dest, standing: b.defaultLevel(), since: now}
+		b.states[name] = m
 	}
 	was = m.standing
 	switch {
-	case was == Refuted: // a call that was out before: only the directory takes that back
+	case was == Refuted: // from a call sent earlier: only the directory's answer ends this state
 	case e == Elsewhere:
-		b.move(m, Refuted, "it says that it is not who was called", now)
+		b.setLevel(m, Refuted, "it answered that it is another endpoint", now)
 	case e == Answered:
 		m.fails = 0
-		b.move(m, Confirmed, "it answers", now)
+		b.setLevel(m, Confirmed, "it answered a call", now)
 	case e == Unreached:
 		if m.fails++; m.fails == 1 {
 			m.failedAt = now
 		}
 		switch down := now - m.failedAt; {
-		case was == Confirmed: // it was there a moment ago: an outage, which the module sees to
+		case was == Confirmed: // it answered recently: an outage, which the circuit breaker handles
 		case m.fails >= b.cfg.RefuteFails && down >= b.cfg.RefuteAfter && b.confirmed[m.dest] > 0:
-			b.move(m, Refuted, fmt.Sprintf("%d connections in a row failed over %v while a sibling serves", m.fails, down.Round(time.Millisecond)), now)
+			b.setLevel(m, Refuted, fmt.Sprintf("%d consecutive connections failed over %v while another endpoint of the destination serves", m.fails, down.Round(time.Millisecond)), now)
 		case was == Probable && m.fails >= b.cfg.RefuteFails:
-			b.move(m, Doubtful, "it cannot be connected to", now)
+			b.setLevel(m, Doubtful, "it is unreachable", now)
 		}
 	}
 	if m.standing == was {
 		return was, was, ""
 	}
-	return was, m.standing, m.why
+	return was, m.standing, m.reason
 }
 
-func (b *Book) move(m *mark, to Standing, why string, now time.Duration) {
+func (b *Book) setLevel(m *endpointState, to Standing, why string, now time.Duration) {
 	if m.standing == to {
 		return
 	}
@@ -273,53 +272,53 @@
 	if to == Confirmed {
 		b.confirmed[m.dest]++
 	}
-	m.standing, m.why, m.since = to, why, now
+	m.standing, m.reason, m.since = to, why, now
 }
 
-// Keep holds on to an endpoint that a list has left out and that is kept all the
-// same: it is Doubtful, whoever speaks, until a call confirms it or Drop.
+// Keep retains an endpoint that a list omits: it is Doubtful, even while the directory answers,
+// until a call confirms it or Drop removes it.
 func (b *Book) Keep(dest snowjunction.DestinationID, name, why string, now time.Duration) {
-	m := b.marks[name]
+	m := b.states[name]
 	if m == nil {
-		m = &mark{dest: dest, standing: b.base(), since: now}
-		b.marks[name] = m
+		m = &endpointState{dest: dest, standing: b.defaultLevel(), since: now}
+		b.states[name] = m
 	}
-	m.kept = true
+	m.retained = true
 	if m.standing < Doubtful {
-		b.move(m, Doubtful, why, now)
+		b.setLevel(m, Doubtful, why, now)
 	}
 }
 
-// Drop forgets an endpoint: the directory has listed it anew, or it is gone.
+// Drop removes the state of an endpoint, because the directory lists it again or it is gone.
 func (b *Book) Drop(name string) {
-	if m := b.marks[name]; m != nil {
+	if m := b.states[name]; m != nil {
 		if m.standing == Confirmed {
 			b.confirmed[m.dest]--
 		}
-		delete(b.marks, name)
+		delete(b.states, name)
 	}
 }
 
-// Account is what is believed of one endpoint, and why.
+// Account explains the confidence in one endpoint.
 type Account struct {
 	Standing Standing
 	Source   Source
-	Since    time.Duration // when it came by this standing
-	Word     time.Duration // when the directory last vouched for the list
+	Since    time.Duration // when it reached this level
+	Word     time.Duration // when the directory last confirmed the list
 	Why      string
 }
 
-// Explain accounts for the belief in an endpoint.
+// Explain returns the confidence in an endpoint and its reason.
 func (b *Book) Explain(name string) Account {
-	a := Account{Standing: b.Standing(name), Source: b.source, Since: b.since, Word: b.word}
-	if m := b.marks[name]; m != nil && m.why != "" {
-		a.Since, a.Why = m.since, m.why
+	a := Account{Standing: b.Standing(name), Source: b.source, Since: b.since, Word: b.confirmedAt}
+	if m := b.states[name]; m != nil && m.reason != "" {
+		a.Since, a.Why = m.since, m.reason
 		return a
 	}
 	switch {
 	case b.live:
 		a.Why = "the directory lists it"
-	case b.old:
+	case b.stale:
 		a.Why = "the list is old"
 	default:
 		a.Why = "the list is young"
--- a/internal/belief/belief_test.go
+++ b/internal/belief/belief_test.go
@@ -12,22 +12,22 @@
 	"snowjunction"
 )
 
-func book(s Source, age time.Duration) *Book {
+func newBook(s Source, age time.Duration) *Book {
 	b := New(Default())
 	b.Begin(s, age, 0)
 	return b
 }
 
-func hear(b *Book, name string, e Evidence, at time.Duration) Standing {
+func record(b *Book, name string, e Evidence, at time.Duration) Standing {
 	_, is, _ := b.Heard(1, name, e, at)
 	return is
 }
 
-func TestAgeDecides(t *testing.T) {
-	assert.Equal(t, Probable, book(Cached, time.Minute).Standing("a"))
-	assert.Equal(t, Doubtful, book(Cached, 7*24*time.Hour).Standing("a"))
-	assert.Equal(t, Doubtful, book(Cached, -1).Standing("a"), "a clock that was set back tells no age")
-	b := book(Known, 0)
+func TestStandingByAge(t *testing.T) {
+	assert.Equal(t, Probable, newBook(Cached, time.Minute).Standing("a"))
+	assert.Equal(t, Doubtful, newBook(Cached, 7*24*time.Hour).Standing("a"))
+	assert.Equal(t, Doubtful, newBook(Cached, -1).Standing("a"), "after a clock was set back the age is unknown")
+	b := newBook(Known, 0)
 	assert.Equal(t, Probable, b.Standing("a"))
 	change, again := b.Look(time.Minute)
 	assert.Equal(t, Same, change)
@@ -38,41 +38,41 @@
 	assert.Equal(t, Doubtful, b.Standing("a"))
 }
 
-func TestCallsDecide(t *testing.T) {
-	b := book(Cached, time.Hour)
-	assert.Equal(t, Confirmed, hear(b, "a", Answered, 1))
+func TestStandingByCalls(t *testing.T) {
+	b := newBook(Cached, time.Hour)
+	assert.Equal(t, Confirmed, record(b, "a", Answered, 1))
 	assert.Equal(t, Doubtful, b.Standing("b"))
-	assert.Equal(t, Confirmed, hear(b, "a", Unreached, 2), "an outage is not being gone")
+	assert.Equal(t, Confirmed, record(b, "a", Unreached, 2), "an endpoint in an outage is not gone")
 	for i := range 3 {
-		assert.Equal(t, Doubtful, hear(b, "b", Unreached, time.Duration(i)*time.Second), "too few, or too soon")
+		assert.Equal(t, Doubtful, record(b, "b", Unreached, time.Duration(i)*time.Second), "too few failures, or over too short a time")
 	}
-	assert.Equal(t, Refuted, hear(b, "b", Unreached, 5*time.Second))
-	assert.Equal(t, Refuted, hear(b, "b", Answered, 6*time.Second), "only the directory takes that back")
-	assert.Equal(t, Refuted, hear(b, "c", Elsewhere, 6*time.Second))
+	assert.Equal(t, Refuted, record(b, "b", Unreached, 5*time.Second))
+	assert.Equal(t, Refuted, record(b, "b", Answered, 6*time.Second), "only the directory ends this state")
+	assert.Equal(t, Refuted, record(b, "c", Elsewhere, 6*time.Second))
 	_, is, why := b.Heard(2, "d", Answered, 7*time.Second)
 	assert.Equal(t, Confirmed, is)
-	assert.Equal(t, "it answers", why)
-	assert.Equal(t, "it answers", b.Explain("d").Why)
+	assert.Equal(t, "it answered a call", why)
+	assert.Equal(t, "it answered a call", b.Explain("d").Why)
 	assert.True(t, b.Spoken(8*time.Second))
 	for _, n := range []string{"a", "b", "c", "d"} {
 		assert.Equal(t, Told, b.Standing(n))
 	}
-	assert.Equal(t, Told, hear(b, "a", Unreached, 9*time.Second), "while it speaks, calls show nothing")
+	assert.Equal(t, Told, record(b, "a", Unreached, 9*time.Second), "calls show nothing while the directory answers")
 }
 
-// Where nobody of a destination answers, none of it is refuted: that is an outage, or
-// all are gone, and then there is nothing to gain.
-func TestLastIsNeverRefutedBySilence(t *testing.T) {
-	b := book(Cached, time.Minute)
+// If no endpoint of a destination answers, none is refuted: either it is an outage, or all are
+// gone, and nothing would be gained.
+func TestNotRefutedWithoutConfirmedSibling(t *testing.T) {
+	b := newBook(Cached, time.Minute)
 	for i := range 1000 {
-		require.NotEqual(t, Refuted, hear(b, fmt.Sprint(i%3), Unreached, time.Duration(i)*time.Second))
+		require.NotEqual(t, Refuted, record(b, fmt.Sprint(i%3), Unreached, time.Duration(i)*time.Second))
 	}
 	_, _, _ = b.Heard(2, "other", Answered, 0)
-	require.NotEqual(t, Refuted, hear(b, "0", Unreached, 1001*time.Second), "a sibling is one of the same destination")
+	require.NotEqual(t, Refuted, record(b, "0", Unreached, 1001*time.Second), "endpoints of other destinations do not count")
 }
 
-func TestSilence(t *testing.T) {
-	b := book(Cached, time.Minute)
+func TestSilentDirectory(t *testing.T) {
+	b := newBook(Cached, time.Minute)
 	b.Spoken(0)
 	change, again := b.Look(10 * time.Second)
 	assert.Equal(t, Same, change)
@@ -81,7 +81,7 @@
 	assert.Equal(t, Silent, change)
 	assert.Equal(t, 10*time.Minute-45*time.Second, again)
 	assert.Equal(t, Probable, b.Standing("a"))
-	hear(b, "a", Answered, time.Minute)
+	record(b, "a", Answered, time.Minute)
 	change, _ = b.Look(11 * time.Minute)
 	assert.Equal(t, Aged, change)
 	assert.Equal(t, Confirmed, b.Standing("a"))
@@ -90,14 +90,14 @@
 	assert.False(t, b.Spoken(12*time.Minute))
 }
 
-func TestKept(t *testing.T) {
-	b := book(Cached, 0)
+func TestRetainedEndpoint(t *testing.T) {
+	b := newBook(Cached, 0)
 	b.Spoken(0)
 	b.Keep(1, "a", "left out", 1)
 	assert.Equal(t, Doubtful, b.Standing("a"))
 	b.Spoken(2)
-	assert.Equal(t, Doubtful, b.Standing("a"), "a list that leaves it out says nothing new")
-	assert.Equal(t, Confirmed, hear(b, "a", Answered, 3))
+	assert.Equal(t, Doubtful, b.Standing("a"), "another list that omits it changes nothing")
+	assert.Equal(t, Confirmed, record(b, "a", Answered, 3))
 	b.Look(time.Minute)
 	b.Spoken(2 * time.Minute)
 	assert.Equal(t, Doubtful, b.Standing("a"))
@@ -105,10 +105,10 @@
 	assert.Equal(t, Told, b.Standing("a"))
 }
 
-// Whatever is heard, in whatever order: while the directory speaks all that is not
-// kept is Told; what it has not vouched for is Told never; Refuted stays until it
-// speaks; the count of confirmed siblings is that of the marks.
-func TestAlways(t *testing.T) {
+// For any order of events: while the directory answers, every endpoint that is not retained is
+// Told; an endpoint that it has not confirmed is never Told; Refuted lasts until the directory
+// answers; the number of confirmed endpoints per destination matches the marks.
+func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(Default())
 		now := time.Duration(0)
@@ -143,7 +143,7 @@
 				if !kept[n] {
 					require.Equal(t, b.Live(), s == Told)
 				}
-				if m := b.marks[n]; m != nil && m.standing == Confirmed {
+				if m := b.states[n]; m != nil && m.standing == Confirmed {
 					confirmed[m.dest]++
 				}
 			}
--- a/internal/distrust/distrust.go
+++ b/internal/distrust/distrust.go
@@ -1,18 +1,17 @@
-// Package distrust judges what a directory tells: by stated conditions, each with an
-// entry, an exit and a distance between the two, so that none swings. It does no I/O,
-// reads no clock and starts no goroutine: times are handed in, as the time since a
-// moment of the caller's choice.
+// Package distrust checks the plausibility of a directory's lists by defined conditions, each with
+// an entry and an exit threshold apart from each other (hysteresis). It does no I/O, reads no clock
+// and starts no goroutine: times are passed in, as the time since a moment of the caller's choice.
 //
-//	Collapsed  a full list leaves out over LossMost of the endpoints that were Ready.
-//	           Left when a list leaves out under LossBack of them, when lists agree
-//	           (the same one Agree times over AgreeFor), or after KeepMost.
+//	Collapsed  a full list omits more than LossMost of the endpoints that were Ready.
+//	           Left when a list omits less than LossBack of them, when lists agree
+//	           (Agree identical lists over AgreeFor), or after KeepMost.
 //	Flapping   lists alternate between two answers, FlapTurns times within FlapWithin.
-//	           Left after FlapRest without a turn.
-//	Ambiguous  a list cannot be taken: it names something twice, or one address for
-//	           several. Left with the first list that can.
+//	           Left after FlapRest without such a change.
+//	Ambiguous  a list cannot be used: it names something twice, or one address for
+//	           several endpoints. Left with the first list that can be used.
 //
-// What a list names as draining or gone is never called in question: conditions only
-// say what becomes of endpoints that a list leaves out, or brings.
+// Endpoints that a list names as draining or gone are always taken as listed: conditions only
+// decide about endpoints that a list omits or adds.
 package distrust
 
 import (
@@ -20,24 +19,24 @@
 	"time"
 )
 
-// Config are the bounds of trust.
+// Config holds the thresholds.
 type Config struct {
-	Keep bool // what a collapsed list leaves out is kept, with doubt; else its word is taken
+	Keep bool // retain the endpoints that a collapsed list omits, with reduced confidence; otherwise the list is accepted as it is
 
-	Least    int     // endpoints that must have been Ready for a loss to tell anything
-	LossMost float64 // share of them
+	Least    int     // minimum number of Ready endpoints for a loss to count
+	LossMost float64 // share of the Ready endpoints
 	LossBack float64
 	Agree    int
 	AgreeFor time.Duration
 	KeepMost time.Duration
-	Recheck  time.Duration // the whole list is asked for again after it, while Collapsed
+	Recheck  time.Duration // interval between requests for the full list while Collapsed
 
 	FlapTurns  int
 	FlapWithin time.Duration
 	FlapRest   time.Duration
 }
 
-// Default are the bounds where no operator file names others.
+// Default returns the thresholds that apply without an operator file.
 func Default() Config {
 	return Config{
 		Least: 4, LossMost: 0.5, LossBack: 0.25, Agree: 3, AgreeFor: 10 * time.Second, KeepMost: 10 * time.Minute,
@@ -45,162 +44,163 @@
 	}
 }
 
-// Condition is one of the states that a directory may be in.
+// Condition is a state of doubt about a directory's lists.
 type Condition int
 
-// The conditions.
+// The conditions, see the package comment.
 const (
 	Collapsed Condition = iota
 	Flapping
 	Ambiguous
-	conditions
+	conditionCount
 )
 
 func (c Condition) String() string { return [...]string{"collapsed", "flapping", "ambiguous"}[c] }
 
-// Turn is a condition entered or left.
+// Turn is the entry into or exit from a condition.
 type Turn struct {
 	Condition Condition
 	Entered   bool
 	Why       string
 }
 
-// View is what is to be seen of a full list beside the one held.
-type View struct {
-	Held    int // endpoints that were Ready
-	Omitted int // of these, that the list neither has nor names
+// View compares a full list with the one in use.
+type View struct { // Ready endpoints in use
+	Held    int // of these, endpoints that the list does not name
+	Omitted int // Ready endpoints in the list
 	Listed  int // Ready in the list
 	Sum     uint64
 }
 
-// Judge is the record of one directory's lists.
+// Judge tracks the lists of one directory.
 type Judge struct {
-	cfg Config
-	in  [conditions]bool
-	at  [conditions]time.Duration // entered
-
-	sum      uint64 // of the list before
-	before   uint64 // of the one before that
-	lists    int
-	agreed   int // lists in a row with the same sum, while Collapsed
-	agreedAt time.Duration
-	turns    []time.Duration // when lists turned back to the one before the last
+	cfg       Config
+	active    [conditionCount]bool
+	enteredAt [conditionCount]time.Duration // when the condition was entered
+
+	lastSum        uint64 // of the previous list
+	previousSum    uint64 // of the list before that
+	listCount      int
+	identical      int // consecutive identical lists while Collapsed
+	identicalSince time.Duration
+	reversals      []time.Duration // when a list was the same as the one before the previous
 }
 
-// New returns a judge who has seen nothing.
+// New returns a Judge that has seen no list.
 func New(cfg Config) *Judge { return &Judge{cfg: cfg} }
 
-// In tells whether a condition holds.
-func (j *Judge) In(c Condition) bool { return j.in[c] }
+// In reports whether a condition holds.
+func (j *Judge) In(c Condition) bool { return j.active[c] }
 
-// Since is when a condition that holds was entered.
-func (j *Judge) Since(c Condition) time.Duration { return j.at[c] }
+// Since returns when a condition that holds was entered.
+func (j *Judge) Since(c Condition) time.Duration { return j.enteredAt[c] }
 
-// Keeps tells that what the last list has left out is to be kept.
-func (j *Judge) Keeps() bool { return j.cfg.Keep && j.in[Collapsed] }
+// Keeps reports whether endpoints that the last list omits are retained.
+func (j *Judge) Keeps() bool { return j.cfg.Keep && j.active[Collapsed] }
 
-// Recheck is after how long the whole list is to be asked for again; 0: need not be.
+// Recheck returns the delay until the full list is requested again. Zero means that this is not
+// needed.
 func (j *Judge) Recheck() time.Duration {
-	if j.in[Collapsed] && j.cfg.Keep {
+	if j.active[Collapsed] && j.cfg.Keep {
 		return j.cfg.Recheck
 	}
 	return 0
 }
 
-// Next is when Look may find something new; 0: not before a list.
+// Next returns when Look may find a change. Zero means that only a new list can change something.
 func (j *Judge) Next() (at time.Duration) {
 	soonest := func(t time.Duration) {
 		if at == 0 || t < at {
 			at = t
 		}
 	}
-	if j.in[Collapsed] {
-		soonest(j.at[Collapsed] + j.cfg.KeepMost)
+	if j.active[Collapsed] {
+		soonest(j.enteredAt[Collapsed] + j.cfg.KeepMost)
 	}
-	if j.in[Flapping] {
-		soonest(j.lastTurn() + j.cfg.FlapRest)
+	if j.active[Flapping] {
+		soonest(j.lastReversal() + j.cfg.FlapRest)
 	}
 	return at
 }
 
-func (j *Judge) lastTurn() time.Duration {
-	if n := len(j.turns); n > 0 {
-		return j.turns[n-1]
+func (j *Judge) lastReversal() time.Duration {
+	if n := len(j.reversals); n > 0 {
+		return j.reversals[n-1]
 	}
-	return j.at[Flapping]
+	return j.enteredAt[Flapping]
 }
 
-func (j *Judge) enter(turns []Turn, c Condition, now time.Duration, why string, args ...any) []Turn {
-	if j.in[c] {
-		return turns
+func (j *Judge) enter(transitions []Turn, c Condition, now time.Duration, why string, args ...any) []Turn {
+	if j.active[c] {
+		return transitions
 	}
-	j.in[c], j.at[c] = true, now
-	return append(turns, Turn{c, true, fmt.Sprintf(why, args...)})
+	j.active[c], j.enteredAt[c] = true, now
+	return append(transitions, Turn{c, true, fmt.Sprintf(why, args...)})
 }
 
-func (j *Judge) leave(turns []Turn, c Condition, why string, args ...any) []Turn {
-	if !j.in[c] {
-		return turns
+func (j *Judge) leave(transitions []Turn, c Condition, why string, args ...any) []Turn {
+	if !j.active[c] {
+		return transitions
 	}
-	j.in[c] = false
-	return append(turns, Turn{c, false, fmt.Sprintf(why, args...)})
+	j.active[c] = false
+	return append(transitions, Turn{c, false, fmt.Sprintf(why, args...)})
 }
 
-// Full judges a full list that can be taken, and returns what it changes.
-func (j *Judge) Full(now time.Duration, v View) (turns []Turn) {
-	turns = j.leave(turns, Ambiguous, "a list can be taken")
-	turns = append(turns, j.flap(now, v)...)
+// Full checks a usable full list and returns the conditions that it enters or leaves.
+func (j *Judge) Full(now time.Duration, v View) (transitions []Turn) {
+	transitions = j.leave(transitions, Ambiguous, "a usable list arrived")
+	transitions = append(transitions, j.countReversal(now, v)...)
 	lost := 0.0
 	if v.Held > 0 {
 		lost = float64(v.Omitted) / float64(v.Held)
 	}
 	switch {
-	case !j.in[Collapsed]:
+	case !j.active[Collapsed]:
 		if v.Held >= j.cfg.Least && lost > j.cfg.LossMost {
-			j.agreed, j.agreedAt = 1, now
-			turns = j.enter(turns, Collapsed, now, "%d of %d endpoints are left out, %d are listed", v.Omitted, v.Held, v.Listed)
+			j.identical, j.identicalSince = 1, now
+			transitions = j.enter(transitions, Collapsed, now, "%d of %d endpoints are left out, %d are listed", v.Omitted, v.Held, v.Listed)
 		}
 	case lost < j.cfg.LossBack:
-		turns = j.leave(turns, Collapsed, "%d of %d endpoints are left out", v.Omitted, v.Held)
-	case v.Sum != j.sum:
-		j.agreed, j.agreedAt = 1, now
+		transitions = j.leave(transitions, Collapsed, "%d of %d endpoints are left out", v.Omitted, v.Held)
+	case v.Sum != j.lastSum:
+		j.identical, j.identicalSince = 1, now
 	default:
-		if j.agreed++; j.agreed >= j.cfg.Agree && now-j.agreedAt >= j.cfg.AgreeFor {
-			turns = j.leave(turns, Collapsed, "%d lists agree over %v", j.agreed, (now - j.agreedAt).Round(time.Millisecond))
+		if j.identical++; j.identical >= j.cfg.Agree && now-j.identicalSince >= j.cfg.AgreeFor {
+			transitions = j.leave(transitions, Collapsed, "%d lists agree over %v", j.identical, (now - j.identicalSince).Round(time.Millisecond))
 		}
 	}
-	j.sum, j.before = v.Sum, j.sum
-	j.lists++
-	return append(turns, j.Look(now)...)
+	j.lastSum, j.previousSum = v.Sum, j.lastSum
+	j.listCount++
+	return append(transitions, j.Look(now)...)
 }
 
-// flap counts a turn where a list is that before the last, and not the last.
-func (j *Judge) flap(now time.Duration, v View) (turns []Turn) {
-	if j.lists < 2 || v.Sum != j.before || v.Sum == j.sum {
+// countReversal counts a change back to the list before the previous one.
+func (j *Judge) countReversal(now time.Duration, v View) (transitions []Turn) {
+	if j.listCount < 2 || v.Sum != j.previousSum || v.Sum == j.lastSum {
 		return nil
 	}
-	j.turns = append(j.turns, now)
-	for len(j.turns) > 0 && (now-j.turns[0] > j.cfg.FlapWithin || len(j.turns) > 4*j.cfg.FlapTurns) {
-		j.turns = j.turns[1:]
+	j.reversals = append(j.reversals, now)
+	for len(j.reversals) > 0 && (now-j.reversals[0] > j.cfg.FlapWithin || len(j.reversals) > 4*j.cfg.FlapTurns) {
+		j.reversals = j.reversals[1:]
 	}
-	if len(j.turns) >= j.cfg.FlapTurns {
-		turns = j.enter(turns, Flapping, now, "%d turns between two answers within %v", len(j.turns), j.cfg.FlapWithin)
+	if len(j.reversals) >= j.cfg.FlapTurns {
+		transitions = j.enter(transitions, Flapping, now, "%d turns between two answers within %v", len(j.reversals), j.cfg.FlapWithin)
 	}
-	return turns
+	return transitions
 }
 
-// Refused judges a list that cannot be taken.
+// Refused records a list that cannot be used.
 func (j *Judge) Refused(now time.Duration, why error) []Turn {
 	return j.enter(nil, Ambiguous, now, "%v", why)
 }
 
-// Look finds what time alone has changed.
-func (j *Judge) Look(now time.Duration) (turns []Turn) {
-	if j.in[Collapsed] && now-j.at[Collapsed] >= j.cfg.KeepMost {
-		turns = j.leave(turns, Collapsed, "it has lasted %v: the directory's word is taken", j.cfg.KeepMost)
+// Look returns what has changed through the passage of time alone.
+func (j *Judge) Look(now time.Duration) (transitions []Turn) {
+	if j.active[Collapsed] && now-j.enteredAt[Collapsed] >= j.cfg.KeepMost {
+		transitions = j.leave(transitions, Collapsed, "it has lasted %v: the directory's list is accepted", j.cfg.KeepMost)
 	}
-	if j.in[Flapping] && now-j.lastTurn() >= j.cfg.FlapRest {
-		turns = j.leave(turns, Flapping, "no turn for %v", j.cfg.FlapRest)
+	if j.active[Flapping] && now-j.lastReversal() >= j.cfg.FlapRest {
+		transitions = j.leave(transitions, Flapping, "no turn for %v", j.cfg.FlapRest)
 	}
-	return turns
+	return transitions
 }
--- a/internal/distrust/distrust_test.go
+++ b/internal/distrust/distrust_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func keeping() *Judge {
+func newRetainingJudge() *Judge {
 	c := Default()
 	c.Keep = true
 	return New(c)
@@ -19,64 +19,64 @@
 const s = time.Second
 
 func TestCollapse(t *testing.T) {
-	j := keeping()
+	j := newRetainingJudge()
 	assert.Empty(t, j.Full(0, View{Held: 0, Listed: 10, Sum: 1}))
-	assert.Empty(t, j.Full(s, View{Held: 10, Listed: 5, Omitted: 5, Sum: 2}), "half is not most")
-	turns := j.Full(2*s, View{Held: 10, Listed: 0, Omitted: 10, Sum: 0})
-	require.Len(t, turns, 1)
-	assert.Equal(t, Turn{Collapsed, true, "10 of 10 endpoints are left out, 0 are listed"}, turns[0])
+	assert.Empty(t, j.Full(s, View{Held: 10, Listed: 5, Omitted: 5, Sum: 2}), "half is not more than half")
+	transitions := j.Full(2*s, View{Held: 10, Listed: 0, Omitted: 10, Sum: 0})
+	require.Len(t, transitions, 1)
+	assert.Equal(t, Turn{Collapsed, true, "10 of 10 endpoints are left out, 0 are listed"}, transitions[0])
 	assert.True(t, j.Keeps())
 	assert.Equal(t, 2*s, j.Recheck())
-	assert.Empty(t, j.Full(4*s, View{Held: 10, Listed: 6, Omitted: 4, Sum: 3}), "between the bounds nothing changes")
-	turns = j.Full(5*s, View{Held: 10, Listed: 8, Omitted: 2, Sum: 4})
-	require.Len(t, turns, 1)
-	assert.False(t, turns[0].Entered)
+	assert.Empty(t, j.Full(4*s, View{Held: 10, Listed: 6, Omitted: 4, Sum: 3}), "nothing changes between the thresholds")
+	transitions = j.Full(5*s, View{Held: 10, Listed: 8, Omitted: 2, Sum: 4})
+	require.Len(t, transitions, 1)
+	assert.False(t, transitions[0].Entered)
 	assert.False(t, j.Keeps())
 	assert.Zero(t, j.Recheck())
 }
 
-func TestCollapseThatIsAgreedOn(t *testing.T) {
-	j := keeping()
+func TestCollapseEndsWhenListsAgree(t *testing.T) {
+	j := newRetainingJudge()
 	v := View{Held: 10, Listed: 1, Omitted: 9, Sum: 7}
 	require.Len(t, j.Full(0, v), 1)
 	for at := 2 * s; at < 10*s; at += 2 * s {
-		require.Empty(t, j.Full(at, v), "agreed, not yet for long")
+		require.Empty(t, j.Full(at, v), "identical, but not for long enough")
 	}
-	turns := j.Full(10*s, v)
-	require.Len(t, turns, 1)
-	assert.Equal(t, "6 lists agree over 10s", turns[0].Why)
-	j = keeping()
+	transitions := j.Full(10*s, v)
+	require.Len(t, transitions, 1)
+	assert.Equal(t, "6 lists agree over 10s", transitions[0].Why)
+	j = newRetainingJudge()
 	require.Len(t, j.Full(0, v), 1)
-	for at := 2 * s; at < 60*s; at += 2 * s { // never two alike
+	for at := 2 * s; at < 60*s; at += 2 * s { // never two identical lists
 		v.Sum++
 		require.Empty(t, j.Full(at, v))
 	}
-	turns = j.Look(10 * time.Minute)
-	require.Len(t, turns, 1, "but not for ever")
-	assert.Contains(t, turns[0].Why, "word is taken")
+	transitions = j.Look(10 * time.Minute)
+	require.Len(t, transitions, 1, "the condition ends after its maximum duration")
+	assert.Contains(t, transitions[0].Why, "list is accepted")
 }
 
-func TestFewEndpointsTellNothing(t *testing.T) {
-	assert.Empty(t, keeping().Full(0, View{Held: 3, Omitted: 3}))
+func TestFewEndpointsDoNotCollapse(t *testing.T) {
+	assert.Empty(t, newRetainingJudge().Full(0, View{Held: 3, Omitted: 3}))
 }
 
-func TestFlaps(t *testing.T) {
+func TestFlapping(t *testing.T) {
 	j := New(Default())
-	var turns []Turn
+	var transitions []Turn
 	for i := range 5 {
-		require.Empty(t, turns)
-		turns = j.Full(time.Duration(i)*s, View{Held: 10, Listed: 10, Sum: uint64(i % 2)})
+		require.Empty(t, transitions)
+		transitions = j.Full(time.Duration(i)*s, View{Held: 10, Listed: 10, Sum: uint64(i % 2)})
 	}
-	require.Len(t, turns, 1)
-	assert.Equal(t, Flapping, turns[0].Condition)
+	require.Len(t, transitions, 1)
+	assert.Equal(t, Flapping, transitions[0].Condition)
 	assert.Equal(t, 34*s, j.Next())
 	assert.Empty(t, j.Look(33*s))
 	j.Full(33*s, View{Held: 10, Listed: 10, Sum: 1})
-	assert.Empty(t, j.Look(62*s), "each turn begins the rest anew")
-	turns = j.Look(63 * s)
-	require.Len(t, turns, 1)
-	assert.False(t, turns[0].Entered)
-	// Lists that only change do not flap, nor does the same one again and again.
+	assert.Empty(t, j.Look(62*s), "each change restarts the quiet period")
+	transitions = j.Look(63 * s)
+	require.Len(t, transitions, 1)
+	assert.False(t, transitions[0].Entered)
+	// Lists that keep changing do not flap, nor does a list that is repeated.
 	j = New(Default())
 	for i := range 50 {
 		require.Empty(t, j.Full(time.Duration(i)*s, View{Held: 10, Listed: 10, Sum: uint64(i / 2)}))
@@ -86,40 +86,40 @@
 func TestAmbiguous(t *testing.T) {
 	j := New(Default())
 	require.Len(t, j.Refused(0, errors.New("named twice")), 1)
-	require.Empty(t, j.Refused(s, errors.New("named twice")), "one line for a row of them")
+	require.Empty(t, j.Refused(s, errors.New("named twice")), "consecutive unusable lists are reported once")
 	require.Len(t, j.Full(2*s, View{Held: 10, Listed: 10, Sum: 1}), 1)
 }
 
-// Whatever comes, conditions are entered and left in turn, each collapse ends within
-// its longest time, and Next is never in the past after a look.
-func TestAlways(t *testing.T) {
+// For any order of lists, conditions are entered and left alternately, each collapse ends within
+// its maximum duration, and Next is in the future after Look.
+func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		j := keeping()
+		j := newRetainingJudge()
 		now := time.Duration(0)
 		in := map[Condition]bool{}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 90000).Draw(t, "ms")) * time.Millisecond
-			var turns []Turn
+			var transitions []Turn
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				turns = j.Refused(now, errors.New("x"))
+				transitions = j.Refused(now, errors.New("x"))
 			case 1:
-				turns = j.Look(now)
+				transitions = j.Look(now)
 			default:
 				held := rapid.IntRange(0, 20).Draw(t, "held")
-				turns = j.Full(now, View{
+				transitions = j.Full(now, View{
 					Held: held, Omitted: rapid.IntRange(0, held).Draw(t, "omitted"), Sum: uint64(rapid.IntRange(0, 2).Draw(t, "sum")),
 				})
 			}
-			for _, x := range turns {
+			for _, x := range transitions {
 				require.NotEqual(t, in[x.Condition], x.Entered)
 				in[x.Condition] = x.Entered
 			}
-			for c := range conditions {
+			for c := range conditionCount {
 				require.Equal(t, in[c], j.In(c))
 			}
 			j.Look(now)
-			for c := range conditions {
+			for c := range conditionCount {
 				in[c] = j.In(c)
 			}
 			if at := j.Next(); at != 0 {
--- a/internal/exclusions/exclusions.go
+++ b/internal/exclusions/exclusions.go
@@ -1,6 +1,6 @@
-// Package exclusions holds which endpoints staff have taken out by hand, whatever a list
-// says of them, and which of them have come back a while ago. It does no I/O, reads no
-// clock and starts no goroutine.
+// Package exclusions stores which endpoints an operator has excluded, whatever a list says about
+// them, and which of them were included again recently. It does no I/O, reads no clock and starts
+// no goroutine.
 package exclusions
 
 import (
@@ -13,70 +13,70 @@
 	"snowjunction/internal/record"
 )
 
-// Bounds of what is kept.
+// Limits of the set.
 const (
-	Most     = 128 // endpoints that are out, or have come back a while ago
-	NameMost = 128 // bytes of a name
+	Most     = 128 // endpoints that are excluded or were included again recently
+	NameMost = 128 // bytes of an endpoint name
 	Bytes    = Most * (record.Frame + 2*binary.MaxVarintLen64 + 2 + NameMost)
 )
 
-// ErrMany tells that no further endpoint can be taken out.
-var ErrMany = errors.New("too many endpoints are out")
+// ErrMany is returned if no further endpoint can be excluded.
+var ErrMany = errors.New("too many endpoints are excluded")
 
-// Stay is how long an endpoint has been out. While Back is zero it still is.
+// Stay is the exclusion of an endpoint. Back is zero while the endpoint is excluded.
 type Stay struct{ Out, Back time.Time }
 
-// Set is what is out, by name.
+// Set holds the exclusions by endpoint name.
 type Set struct {
-	stays map[string]Stay
-	cold  time.Duration
+	exclusions map[string]Stay
+	coldFor    time.Duration
 }
 
-// New returns a set that remembers for so long that an endpoint has come back.
-func New(cold time.Duration) *Set { return &Set{stays: map[string]Stay{}, cold: cold} }
+// New returns an empty set. It remembers for the duration cold that an endpoint was included again.
+func New(cold time.Duration) *Set { return &Set{exclusions: map[string]Stay{}, coldFor: cold} }
 
-// Exclude takes an endpoint out. That it may be out already changes nothing.
+// Exclude excludes an endpoint. It has no effect on an endpoint that is excluded already.
 func (s *Set) Exclude(name string, now time.Time) error {
 	if s.Out(name) {
 		return nil
 	}
-	s.forget(now)
-	if _, known := s.stays[name]; !known && len(s.stays) >= Most || len(name) > NameMost {
+	s.removeOld(now)
+	if _, known := s.exclusions[name]; !known && len(s.exclusions) >= Most || len(name) > NameMost {
 		return ErrMany
 	}
-	s.stays[name] = Stay{Out: now}
+	s.exclusions[name] = Stay{Out: now}
 	return nil
 }
 
-// Include lets an endpoint serve again and tells whether it was out.
+// Include ends an exclusion and reports whether the endpoint was excluded.
 func (s *Set) Include(name string, now time.Time) bool {
-	stay, known := s.stays[name]
+	stay, known := s.exclusions[name]
 	if !known || !stay.Back.IsZero() {
 		return false
 	}
-	s.stays[name] = Stay{Out: stay.Out, Back: now}
+	s.exclusions[name] = Stay{Out: stay.Out, Back: now}
 	return true
 }
 
-// Out tells whether an endpoint is out.
+// Out reports whether an endpoint is excluded.
 func (s *Set) Out(name string) bool {
-	stay, known := s.stays[name]
+	stay, known := s.exclusions[name]
 	return known && stay.Back.IsZero()
 }
 
-// Cold is how long an endpoint was out that has come back a while ago; 0: it has not. A
-// clock that was set back makes it longer, never shorter.
+// Cold returns how long an endpoint was excluded if it was included again recently, else zero. If
+// the clock was set back, the recent period gets longer, never shorter.
 func (s *Set) Cold(name string, now time.Time) time.Duration {
-	stay, known := s.stays[name]
-	if !known || stay.Back.IsZero() || now.Sub(stay.Back) >= s.cold {
+	stay, known := s.exclusions[name]
+	if !known || stay.Back.IsZero() || now.Sub(stay.Back) >= s.coldFor {
 		return 0
 	}
 	return max(stay.Back.Sub(stay.Out), 1)
 }
 
-// Names are those that are out, in order.
+// Names returns the excluded endpoints in sorted order.
 func (s *Set) Names() (out []string) {
-	for _, name := range slices.Sorted(maps.Keys(s.stays)) {
+	for _, name := range slices.Sorted(maps.Keys(s.exclusions)) {
 		if s.Out(name) {
 			out = append(out, name)
 		}
@@ -84,18 +84,18 @@
 	return out
 }
 
-// forget drops those that have been back for long.
-func (s *Set) forget(now time.Time) {
-	maps.DeleteFunc(s.stays, func(_ string, stay Stay) bool {
-		return !stay.Back.IsZero() && now.Sub(stay.Back) >= s.cold
+// removeOld removes endpoints that were included again long ago.
+func (s *Set) removeOld(now time.Time) {
+	maps.DeleteFunc(s.exclusions, func(_ string, stay Stay) bool {
+		return !stay.Back.IsZero() && now.Sub(stay.Back) >= s.coldFor
 	})
 }
 
-// Encode is the set in the form that lasts, a record for each endpoint.
+// Encode returns the stored form of the set: a record for each endpoint.
 func (s *Set) Encode(now time.Time) (out []byte) {
-	s.forget(now)
-	for _, name := range slices.Sorted(maps.Keys(s.stays)) {
-		stay := s.stays[name]
+	s.removeOld(now)
+	for _, name := range slices.Sorted(maps.Keys(s.exclusions)) {
+		stay := s.exclusions[name]
 		b := binary.AppendVarint(make([]byte, record.Frame), stay.Out.UnixMilli())
 		back := int64(0)
 		if !stay.Back.IsZero() {
@@ -106,21 +106,21 @@
 	return out
 }
 
-// Decode takes what can be read of b into the set, and tells how many bytes cannot.
+// Decode adds the records in b to the set and returns the number of bytes that cannot be read.
 func (s *Set) Decode(b []byte) (lost int) {
 	for len(b) > 0 {
 		payload, rest, err := record.Open(b, Bytes)
 		r := record.Reader{B: payload}
 		out, back := r.Int(), r.Int()
 		name := r.Text(NameMost)
-		if err != nil || r.Bad || name == "" || len(s.stays) >= Most {
+		if err != nil || r.Bad || name == "" || len(s.exclusions) >= Most {
 			return len(b)
 		}
 		stay := Stay{Out: time.UnixMilli(out)}
 		if back != 0 {
 			stay.Back = time.UnixMilli(back)
 		}
-		s.stays[name] = stay
+		s.exclusions[name] = stay
 		b = rest
 	}
 	return 0
--- a/internal/exclusions/exclusions_test.go
+++ b/internal/exclusions/exclusions_test.go
@@ -16,17 +16,17 @@
 
 var noon = time.UnixMilli(1772366400000)
 
-// Twice out and once in is in; one that has come back counts as cold for a while, also to the
-// next life, and one that goes out again does not.
-func TestOutAndBack(t *testing.T) {
+// Excluding twice is undone by including once. An endpoint that was included again counts as cold
+// for a while, also after a restart, unless it is excluded again.
+func TestExcludeAndInclude(t *testing.T) {
 	s := New(cold)
 	require.NoError(t, s.Exclude("s-1", noon))
 	require.NoError(t, s.Exclude("s-1", noon.Add(time.Second)))
 	assert.True(t, s.Out("s-1"))
 	assert.Zero(t, s.Cold("s-1", noon.Add(time.Second)))
 	assert.True(t, s.Include("s-1", noon.Add(5*time.Second)))
-	assert.False(t, s.Include("s-1", noon.Add(6*time.Second)), "once in is in")
-	for _, x := range []*Set{s, again(t, s, noon.Add(6*time.Second))} {
+	assert.False(t, s.Include("s-1", noon.Add(6*time.Second)), "it is included already")
+	for _, x := range []*Set{s, decoded(t, s, noon.Add(6*time.Second))} {
 		assert.False(t, x.Out("s-1"))
 		assert.Equal(t, 5*time.Second, x.Cold("s-1", noon.Add(18*time.Second)))
 		assert.Equal(t, 5*time.Second, x.Cold("s-1", noon.Add(-time.Hour)), "with the clock set back")
@@ -34,17 +34,17 @@
 	}
 	require.NoError(t, s.Exclude("s-1", noon.Add(7*time.Second)))
 	assert.Zero(t, s.Cold("s-1", noon.Add(7*time.Second)))
-	assert.Equal(t, []string{"s-1"}, again(t, s, noon.Add(time.Hour)).Names(), "out for as long as nobody calls it back")
+	assert.Equal(t, []string{"s-1"}, decoded(t, s, noon.Add(time.Hour)).Names(), "excluded until an operator includes it")
 }
 
-func again(t *testing.T, s *Set, now time.Time) *Set {
+func decoded(t *testing.T, s *Set, now time.Time) *Set {
 	x := New(cold)
 	require.Zero(t, x.Decode(s.Encode(now)))
 	return x
 }
 
-// There is a bound, and those long back make room.
-func TestBound(t *testing.T) {
+// The set is bounded, and endpoints that were included again long ago make room.
+func TestSetIsBounded(t *testing.T) {
 	s := New(cold)
 	for i := range Most {
 		require.NoError(t, s.Exclude(fmt.Sprint("s-", i), noon))
@@ -52,11 +52,11 @@
 	assert.ErrorIs(t, s.Exclude("more", noon), ErrMany)
 	assert.LessOrEqual(t, len(s.Encode(noon)), Bytes)
 	s.Include("s-1", noon)
-	assert.ErrorIs(t, s.Exclude("more", noon), ErrMany, "it may be cold still")
+	assert.ErrorIs(t, s.Exclude("more", noon), ErrMany, "the included endpoint may still be cold")
 	assert.NoError(t, s.Exclude("more", noon.Add(cold)))
 }
 
-// A torn file costs what is behind the tear and is told of in a line.
+// A torn file loses only the records after the damage, and the loss is logged once.
 func TestTornFile(t *testing.T) {
 	s := New(cold)
 	for _, name := range []string{"s-1", "s-2", "s-3"} {
@@ -74,28 +74,28 @@
 	f.Put(whole[:len(whole)-1], func(err error) { done <- err })
 	require.NoError(t, <-done)
 	f.Close()
-	var told []string
+	var logged []string
 	x := New(cold)
-	Read(dir, x, slog.New(slog.NewTextHandler(lines(func(s string) { told = append(told, s) }), nil)))
+	Read(dir, x, slog.New(slog.NewTextHandler(lineWriter(func(s string) { logged = append(logged, s) }), nil)))
 	assert.Equal(t, []string{"s-1", "s-2"}, x.Names())
-	require.Len(t, told, 1)
-	assert.Contains(t, told[0], "cannot be read whole")
+	require.Len(t, logged, 1)
+	assert.Contains(t, logged[0], "cannot be read completely")
 }
 
-// What cannot be written is told to whoever waits for it.
-func TestUnwritten(t *testing.T) {
+// Write errors are reported to every caller that waits for the write.
+func TestWriteError(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.MkdirAll(filepath.Join(dir, fileName, "in the way"), 0o700))
 	f := Open(dir, slog.New(slog.DiscardHandler))
 	done := make(chan error, 1)
 	f.Put(nil, func(err error) { done <- err })
-	assert.ErrorContains(t, <-done, "write what is out")
+	assert.ErrorContains(t, <-done, "write exclusions")
 	f.Close()
 }
 
-type lines func(string)
+type lineWriter func(string)
 
-func (l lines) Write(b []byte) (int, error) {
+func (l lineWriter) Write(b []byte) (int, error) {
 	l(string(b))
 	return len(b), nil
 }
@@ -106,7 +106,7 @@
 	f.Add(s.Encode(noon))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s := New(cold)
-		if lost := s.Decode(b); lost < 0 || lost > len(b) || len(s.stays) > Most {
+		if lost := s.Decode(b); lost < 0 || lost > len(b) || len(s.exclusions) > Most {
 			t.Fatal(lost)
 		}
 	})
--- a/internal/exclusions/file.go
+++ b/internal/exclusions/file.go
@@ -11,14 +11,14 @@
 	"snowjunction/internal/aside"
 )
 
-// fileName is that of the file in the folder that lasts.
+// fileName is the name of the file in the state directory.
 const fileName = "excluded"
 
-// Room is what the file may take of the folder, with the one that replaces it.
+// Room returns the disk space in bytes that the file needs, including the copy that replaces it.
 func Room() int64 { return 2 * (Bytes/aside.Block + 1) * aside.Block }
 
-// Read reads what an earlier life has left in a folder. A part that is torn is told of,
-// the rest is kept.
+// Read adds the exclusions that a previous process run stored in a directory. Damaged records are
+// logged, the others are kept.
 func Read(dir string, into *Set, log *slog.Logger) {
 	path := filepath.Join(dir, fileName)
 	b, err := os.ReadFile(path)
@@ -26,31 +26,34 @@
 		return
 	}
 	if err != nil {
-		log.Warn("what is out cannot be read", "file", path, "err", err)
+		log.Warn("exclusions cannot be read", "file", path, "err", err)
 		return
 	}
 	if lost := into.Decode(b); lost > 0 {
-		log.Warn("what is out cannot be read whole", "file", path, "lost_bytes", lost, "out", into.Names())
+		log.Warn("exclusions cannot be read completely", "file", path, "lost_bytes", lost, "out", into.Names())
 	}
 }
 
-// File keeps the set in a folder, on a goroutine of its own.
-type File struct{ writer aside.Writer[write] }
+// File writes the set to a directory on its own goroutine.
+type File struct{ writer aside.Writer[pendingWrite] }
 
-// write is the newest text, and who waits for it or an earlier one.
-type write struct {
-	text []byte
-	done []func(error)
+// pendingWrite is the latest encoded set, and the callbacks of this and of earlier writes that it
+// replaces.
+type pendingWrite struct {
+	encoded []byte
+	done    []func(error)
 }
 
-// Open returns the file in a folder.
+// Open returns the file in a directory.
 func Open(dir string, log *slog.Logger) *File {
 	f := &File{}
-	f.writer = aside.Writer[write]{
-		Log: log, What: "what is out",
-		Merge: func(waiting, come write) write { return write{come.text, append(waiting.done, come.done...)} },
-		Write: func(w write) error {
-			err := save(filepath.Join(dir, fileName), w.text)
+	f.writer = aside.Writer[pendingWrite]{
+		Log: log, What: "exclusions file",
+		Merge: func(waiting, come pendingWrite) pendingWrite {
+			return pendingWrite{come.encoded, append(waiting.done, come.done...)}
+		},
+		Write: func(w pendingWrite) error {
+			err := writeFile(filepath.Join(dir, fileName), w.encoded)
 			for _, done := range w.done {
 				done(err)
 			}
@@ -60,22 +63,22 @@
 	return f
 }
 
-// Put has the set written. done is called once it lasts, or with why it does not, on
-// another goroutine; after Close it is not called.
+// Put writes the encoded set. done is called on another goroutine, without an error once the set is
+// stored; it is not called after Close.
 func (f *File) Put(text []byte, done func(error)) {
-	f.writer.Put(write{text, []func(error){done}})
+	f.writer.Put(pendingWrite{text, []func(error){done}})
 }
 
-// Close waits until what was put is written.
+// Close waits until pending writes are finished.
 func (f *File) Close() { f.writer.Close() }
 
-func save(path string, text []byte) error {
+func writeFile(path string, text []byte) error {
 	next := path + ".new"
 	if err := os.WriteFile(next, text, 0o600); err != nil {
-		return fmt.Errorf("write what is out: %w", err)
+		return fmt.Errorf("write exclusions: %w", err)
 	}
 	if err := os.Rename(next, path); err != nil {
-		return fmt.Errorf("write what is out: %w", err)
+		return fmt.Errorf("write exclusions: %w", err)
 	}
 	return nil
 }
--- a/internal/lease/capacity_test.go
+++ b/internal/lease/capacity_test.go
@@ -10,11 +10,11 @@
 
 const ledgers = 100_000
 
-// BenchmarkOwners measures three shares of the quota ledgers: those whose owner changes when one
+// BenchmarkKeepers measures three shares of the quota ledgers: those whose owner changes when one
 // courier joins the fleet, those whose preferred owner is unreachable while one courier restarts,
 // and those left without any candidate owner when one of six zones is lost. The last is measured
 // with courier numbers assigned to zones in consecutive runs, and round robin.
-func BenchmarkOwners(b *testing.B) {
+func BenchmarkKeepers(b *testing.B) {
 	for _, fleet := range []int{20, 80, 320, 3_400} {
 		b.Run(fmt.Sprint(fleet), func(b *testing.B) {
 			before, after := NewLine(fleet, 0), NewLine(fleet+1, 0)
@@ -54,9 +54,9 @@
 	return true
 }
 
-// BenchmarkLedger measures the heap size of one quota ledger after twelve couriers requested calls
+// BenchmarkAccount measures the heap size of one quota ledger after twelve couriers requested calls
 // and all were granted, without and with 120 couriers that reported failing calls.
-func BenchmarkLedger(b *testing.B) {
+func BenchmarkAccount(b *testing.B) {
 	const n = 4_000
 	for _, failing := range []int{0, 120} {
 		b.Run(fmt.Sprintf("failing=%d", failing), func(b *testing.B) {
