--- a/internal/partition/capacity_test.go
+++ b/internal/partition/capacity_test.go
@@ -10,26 +10,26 @@
 	"snowjunction/internal/gauge"
 )
 
-// The fleet to come, in three regions, with one owner of each partition in each.
+// The planned fleet: three regions, with one owner of each partition in each.
 const (
-	toCome     = 3400
-	toComeIn   = 3
-	partitions = 1 << 14
+	plannedMembers = 3400
+	plannedRegions = 3
+	partitions     = 1 << 14
 )
 
-func fleetToCome(b *testing.B) *Membership {
-	return membership(b, partitions, 1, fleet(toCome, toComeIn, 4))
+func plannedMembership(b *testing.B) *Membership {
+	return membership(b, partitions, 1, fleet(plannedMembers, plannedRegions, 4))
 }
 
-// BenchmarkMembershipAnew is what a start costs: processor time of a membership.
+// BenchmarkMembershipAnew measures the processor time of creating a membership, as at a start.
 func BenchmarkMembershipAnew(b *testing.B) {
-	all := fleet(toCome, toComeIn, 4)
+	all := fleet(plannedMembers, plannedRegions, 4)
 	gauge.CPU(b, 1, "membership", func() { membership(b, partitions, 1, all) })
 }
 
-// BenchmarkMembershipChange is what one member that leaves or comes back costs each courier.
+// BenchmarkMembershipChange measures what each courier spends when one member leaves or returns.
 func BenchmarkMembershipChange(b *testing.B) {
-	all := fleet(toCome, toComeIn, 4)
+	all := fleet(plannedMembers, plannedRegions, 4)
 	m := membership(b, partitions, 1, all)
 	without := slices.Delete(slices.Clone(all), 1700, 1701)
 	const turns = 10
@@ -45,52 +45,53 @@
 	})
 }
 
-// BenchmarkMembershipHeld is the heap that one takes, names and addresses included, and the bytes
-// of its members in an operator file without a space.
+// BenchmarkMembershipHeld measures the heap size of a membership, names and addresses included, and
+// the size in bytes of its members in an operator file without spaces.
 func BenchmarkMembershipHeld(b *testing.B) {
-	gauge.Held(b, 1, "membership", func() any { return fleetToCome(b) })
+	gauge.Held(b, 1, "membership", func() any { return plannedMembership(b) })
 	n := 0
-	for _, x := range fleet(toCome, toComeIn, 4) {
+	for _, x := range fleet(plannedMembers, plannedRegions, 4) {
 		n += len(fmt.Sprintf(`{"name":%q,"addr":%q,"region":%q,"zone":%q},`, x.Name, x.Addr, x.Region, x.Zone))
 	}
 	b.ReportMetric(float64(n), "file-B/membership")
 }
 
-// BenchmarkPartitionsMoved is how many places of a partition pass to another owner where one member
-// leaves: the mean over 34 of them.
+// BenchmarkPartitionsMoved measures how many partitions get another owner when one member leaves:
+// the mean over 34 members.
 func BenchmarkPartitionsMoved(b *testing.B) {
-	all := fleet(toCome, toComeIn, 4)
+	all := fleet(plannedMembers, plannedRegions, 4)
 	before := membership(b, partitions, 1, all)
 	n, gone := 0, 0
 	for b.Loop() {
-		for i := 0; i < toCome; i += 100 {
+		for i := 0; i < plannedMembers; i += 100 {
 			after, err := before.With(slices.Delete(slices.Clone(all), i, i+1))
 			if err != nil {
 				b.Fatal(err)
 			}
-			n += len(moved(before, after))
+			n += len(movedPartitions(before, after))
 			gone++
 		}
 	}
 	b.ReportMetric(float64(n)/float64(gone), "partitions/member")
 }
 
-// BenchmarkRoute is what the way of an event costs a courier of the fleet to come that forwards
-// nearly all: of no key, and of a key, which is remembered. Events come at 2,300 a second.
+// BenchmarkRoute measures the routing of an event at a courier of the planned fleet, which forwards
+// nearly all events: without a key, and with a key, which is remembered. Events arrive at 2,300 per
+// second.
 func BenchmarkRoute(b *testing.B) {
 	for name, keyed := range map[string]bool{"no key": false, "keys": true} {
 		b.Run(name, func(b *testing.B) {
-			r := NewRouter(Options{Self: "n7", Linger: linger, Longest: longest}, fleetToCome(b), 0)
+			r := NewRouter(Options{Self: "n7", Linger: serveAfterLoss, Longest: maxDeadline}, plannedMembership(b), 0)
 			r.Held(r.Wanted())
 			const events = 1 << 16
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
-			now, n := late, uint32(0)
+			now, n := longAfterStart, uint32(0)
 			gauge.CPU(b, events, "event", func() {
 				for range events {
 					n++
 					now += time.Second / 2300
-					m := Message{Destination: n * 2654435761 % 1300000, Left: longest}
+					m := Message{Destination: n * 2654435761 % 1300000, Left: maxDeadline}
 					if keyed {
 						m.Key = uint64(n%40000) + 1
 					}
--- a/internal/partition/partition_test.go
+++ b/internal/partition/partition_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is n members, spread over regions and zones by number.
+// fleet returns n members, distributed over regions and zones by number.
 func fleet(n, regions, zones int) (out []Member) {
 	for i := range n {
 		out = append(out, Member{
@@ -35,9 +35,9 @@
 	return out
 }
 
-// A member that leaves moves what it owned and nothing else, and what is worked out from the
-// change is the same as what is worked out anew.
-func TestOneLeaves(t *testing.T) {
+// A member that leaves moves only the partitions that it owned, and the incremental result is the
+// same as that of a new membership.
+func TestMemberLeaves(t *testing.T) {
 	all := fleet(40, 2, 4)
 	before, err := New(512, 2, all)
 	require.NoError(t, err)
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestMembersThatAreNone(t *testing.T) {
+func TestInvalidMembers(t *testing.T) {
 	one := Member{Name: "a", Addr: "127.0.0.1:1"}
 	for want, tc := range map[string]struct {
 		partitions, copies int
@@ -70,23 +70,23 @@
 		"a member has no name":                         {8, 1, []Member{one, {Addr: "127.0.0.1:2"}}},
 		`"a" is named twice`:                           {8, 1, []Member{one, {Name: "a", Addr: "127.0.0.1:2"}}},
 		`"a" and "b" have one address, 127.0.0.1:1`:    {8, 1, []Member{{Name: "b", Addr: one.Addr}, one}},
-		`"b": a weight of -1 is not over 0`:            {8, 1, []Member{one, {Name: "b", Weight: -1}}},
-		`"b": a weight of +Inf is not over 0`:          {8, 1, []Member{one, {Name: "b", Weight: math.Inf(1)}}},
-		`"b": a weight of NaN is not over 0`:           {8, 1, []Member{one, {Name: "b", Weight: math.NaN()}}},
+		`"b": weight -1 is not positive`:               {8, 1, []Member{one, {Name: "b", Weight: -1}}},
+		`"b": weight +Inf is not positive`:             {8, 1, []Member{one, {Name: "b", Weight: math.Inf(1)}}},
+		`"b": weight NaN is not positive`:              {8, 1, []Member{one, {Name: "b", Weight: math.NaN()}}},
 	} {
 		_, err := New(tc.partitions, tc.copies, tc.members)
 		require.ErrorIs(t, err, ErrMembers, want)
 		assert.ErrorContains(t, err, want)
 	}
 	m := membership(t, 8, 1, nil)
-	assert.Empty(t, m.Owners(3, "r0"), "nobody is there")
+	assert.Empty(t, m.Owners(3, "r0"), "there are no members")
 	assert.Empty(t, m.Owned("a"))
 	_, found := m.Member("a")
 	assert.False(t, found)
 }
 
-// drawn is a fleet in which regions and zones may be few or many, and weights differ.
-func drawn(t *rapid.T) []Member {
+// randomFleet returns a fleet with random weights and a random number of regions and zones.
+func randomFleet(t *rapid.T) []Member {
 	all := fleet(rapid.IntRange(0, 60).Draw(t, "members"), 1, 1)
 	regions, zones := rapid.IntRange(1, 3).Draw(t, "regions"), rapid.IntRange(1, 4).Draw(t, "zones")
 	for i := range all {
@@ -97,8 +97,8 @@
 	return all
 }
 
-// changed is a fleet after some changes, in another order.
-func changed(t *rapid.T, all []Member, step int) []Member {
+// randomChanges returns a fleet after some random changes, in another order.
+func randomChanges(t *rapid.T, all []Member, step int) []Member {
 	all = slices.Clone(all)
 	for n := range rapid.IntRange(0, 4).Draw(t, "changes") {
 		what := rapid.IntRange(0, 5).Draw(t, "what")
@@ -126,18 +126,18 @@
 	return rapid.Permutation(all).Draw(t, "order")
 }
 
-// Whatever changes: what is worked out from the change is what is worked out anew, in each region
-// a partition has as many owners as there can be, all different and in zones apart as far as there
-// are zones, and with one owner in a region, a partition passes only from one whose region, zone
-// or weight is another or who is gone, or to such a one.
-func TestMembershipsAgree(t *testing.T) {
+// For any change, the incremental result equals that of a new membership. In each region a
+// partition has as many owners as possible, all different and in as many zones as possible. With
+// one owner per region, a partition changes its owner only if the old or the new owner joined, left
+// or changed its region, zone or weight.
+func TestIncrementalMembership(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := drawn(t)
+		all := randomFleet(t)
 		copies := rapid.IntRange(1, 4).Draw(t, "copies")
 		const partitions = 64
 		m := membership(t, partitions, copies, all)
 		for step := range rapid.IntRange(1, 4).Draw(t, "steps") {
-			next := changed(t, all, step)
+			next := randomChanges(t, all, step)
 			after, err := m.With(next)
 			require.NoError(t, err)
 			anew := membership(t, partitions, copies, next)
@@ -165,13 +165,13 @@
 					}
 					require.Len(t, own, min(copies, n), "owners of %d in %s: %v", p, r, where)
 					require.Len(t, in, min(copies, len(zones[r])), "zones of %d in %s", p, r)
-					require.Len(t, where, len(own), "one owner twice")
+					require.Len(t, where, len(own), "a member is listed twice as an owner")
 					if copies > 1 {
 						continue
 					}
 					for _, was := range m.Owners(p, "r0") {
 						if was.Region == r && was.Name != where[0] {
-							require.True(t, !same[was.Name] || !same[where[0]], "%d passed from %s to %s for nothing", p, was.Name, where[0])
+							require.True(t, !same[was.Name] || !same[where[0]], "%d moved from %s to %s without need", p, was.Name, where[0])
 						}
 					}
 				}
@@ -181,8 +181,9 @@
 	})
 }
 
-// A member in a zone of its own is an owner next to two that share one, also with the lowest score.
-func TestZoneThatCame(t *testing.T) {
+// A member in its own zone becomes an owner next to members that share a zone, even with the lowest
+// score.
+func TestMemberInNewZone(t *testing.T) {
 	all := fleet(16, 1, 1)
 	before := membership(t, 256, 2, all)
 	all = append(all, Member{Name: "far", Addr: "127.1.0.1:1", Region: "r0", Zone: "other"})
@@ -191,7 +192,8 @@
 	assert.Len(t, after.Owned("far"), 256)
 }
 
-// The courier's own region comes first, and of the others one in turn.
+// The owners of the courier's own region come first; which other region follows differs by
+// partition.
 func TestNearOwnersFirst(t *testing.T) {
 	m := membership(t, 64, 2, fleet(30, 3, 5))
 	firsts := map[string]int{}
@@ -209,8 +211,9 @@
 	assert.Len(t, firsts, 2)
 }
 
-// Who weighs more owns more. Names and hash are fixed: so are the counts.
-func TestOwnershipGoesByWeight(t *testing.T) {
+// Members own partitions in proportion to their weight. The names and the hash are fixed, and
+// therefore the counts are too.
+func TestOwnershipByWeight(t *testing.T) {
 	all := fleet(40, 1, 4)
 	sum := 0.0
 	for i := range all {
@@ -229,9 +232,9 @@
 	assert.Equal(t, partitions, owned)
 }
 
-// Of 3,400 members in three regions one that leaves, or comes back, moves the partitions that it
-// owns and no other: about a 3,400th of the 3 x 16,384 places.
-func TestOneOf3400(t *testing.T) {
+// One of 3,400 members in three regions that leaves or returns moves only the partitions that it
+// owns: about 1/3,400 of the 3 x 16,384 copies.
+func TestMemberLeavesLargeFleet(t *testing.T) {
 	const partitions = 1 << 14
 	all := fleet(3400, 3, 4)
 	before := membership(t, partitions, 1, all)
@@ -241,8 +244,8 @@
 	require.NoError(t, err)
 	assert.Equal(t, before.regions, again.regions)
 	own := before.Owned(all[1700].Name)
-	assert.Equal(t, own, moved(before, after))
-	assert.Equal(t, own, moved(after, again))
+	assert.Equal(t, own, movedPartitions(before, after))
+	assert.Equal(t, own, movedPartitions(after, again))
 	mean := 3 * partitions / 3400.0
 	assert.InDelta(t, mean, len(own), 4*math.Sqrt(mean))
 	places := 0
@@ -252,8 +255,8 @@
 	assert.Equal(t, 3*partitions, places)
 }
 
-// moved are the partitions that have other owners.
-func moved(a, b *Membership) (out []int) {
+// movedPartitions returns the partitions whose owners differ.
+func movedPartitions(a, b *Membership) (out []int) {
 	for p := range a.partitions {
 		if !slices.Equal(names(a.Owners(p, "")), names(b.Owners(p, ""))) {
 			out = append(out, p)
@@ -262,7 +265,7 @@
 	return out
 }
 
-// Destinations are spread evenly.
+// Destinations are distributed evenly over the partitions.
 func TestDestinationsSpread(t *testing.T) {
 	const partitions, each = 256, 400
 	var n [partitions]int
--- a/internal/partition/router.go
+++ b/internal/partition/router.go
@@ -5,179 +5,186 @@
 	"time"
 )
 
-// Options are what a Router goes by.
+// Options configure a Router.
 type Options struct {
+	// Self is this courier's name.
 	Self     string
-	Region   string        // where this courier stands, if it is no member itself
-	Linger   time.Duration // that what is no longer owned is served on, for those that do not know yet
+	Region   string        // region of this courier if it is not a member itself
+	Linger   time.Duration // how long partitions are served after they are no longer owned, for couriers that do not know yet
 	Longest  time.Duration // the longest deadline of a class that keeps order
-	Rest     time.Duration // after a message's time: that it is on its way, and that a key rests after an attempt
-	PinsMost int           // keys that are remembered with the courier that has their last message; 0: pinsMost
+	Rest     time.Duration // added to a message's deadline: its time in transit, and the delay of its key after an attempt
+	PinsMost int           // keys whose last courier is remembered; zero means defaultMaxPins
 }
 
 const (
-	pinsMost  = 1 << 16
-	downFirst = 500 * time.Millisecond // that one is passed over which could not be reached
-	downMost  = 4 * time.Second
+	defaultMaxPins = 1 << 16
+	firstSkip      = 500 * time.Millisecond // how long a courier is skipped after it was unreachable for the first time
+	maxSkip        = 4 * time.Second
 )
 
-// Message is what the way of a message goes by.
+// Message holds the properties of a message that decide where it goes.
 type Message struct {
 	Destination uint32
-	Key         uint64 // 0: it keeps no order
-	Forwarded   bool   // by another courier
-	Left        time.Duration
+	Key         uint64        // zero: the message has no ordering key
+	Forwarded   bool          // by another courier
+	Left        time.Duration // time until the deadline
 }
 
-// Way is where a message goes.
+// Way is the kind of decision on a message.
 type Way int
 
-// The ways.
+// The kinds of decisions.
 const (
+	// Here means that this courier handles the message.
 	Here    Way = iota
 	Forward     // to another courier
-	Busy        // nobody who may have it can be reached: it may be handed in again
-	Moved       // another courier has taken this one for an owner, which it is not
+	Busy        // no permitted courier is reachable: the client may resubmit the message
+	Moved       // another courier took this one for an owner, which it is not
 )
 
-// Route is what becomes of a message.
+// Route is the decision on a message.
 type Route struct {
 	Way   Way
 	To    Member        // with Forward
-	After time.Duration // with Busy: when to come back
+	After time.Duration // with Busy: the delay until a retry makes sense
 }
 
-// Router decides where messages go, and which partitions this courier reads the list of.
-// Times are on one clock that never goes back.
+// Router decides where messages go, and which partitions of the list this courier reads. All times
+// are on one monotonic clock.
 type Router struct {
-	o      Options
-	m      *Membership
-	before *Membership // until settled
-	until  time.Duration
-	begun  time.Duration
-	region string
-	parts  map[int]*part // owned, and those that linger
-	down   map[string]*down
-	pins   [2]map[uint64]pin // of the present and of the last span
-	turned time.Duration
-	lost   time.Duration // until then a courier may have a message whose key is not among the pins: no room
-	owners [2][]int32    // of the message at hand, in both memberships
+	options       Options
+	membership    *Membership
+	previous      *Membership   // the previous membership; nil once the change is complete
+	previousUntil time.Duration // when previous is dropped
+	startedAt     time.Duration // when the router was created
+	region        string
+	partitions    map[int]*partitionState // partitions that are owned, or still served
+	unreachable   map[string]*unreachablePeer
+	pins          [2]map[uint64]pin // of the current and of the previous period
+	periodStart   time.Duration     // when the current period of pins began
+	unpinnedUntil time.Duration     // until then a courier may have a message whose key could not be pinned for lack of room
+	owners        [2][]int32        // buffers for the owners of the current message, in both memberships
 }
 
-// part is a partition that is owned, or was.
-type part struct {
-	owned, held bool
-	kept        bool          // messages of it were left by an earlier life
-	until       time.Duration // not owned: it lingers
+// partitionState is the state of a partition that is owned, or was.
+type partitionState struct {
+	// hasList is set once the list of the partition was received.
+	owned, hasList bool
+	retained       bool          // a previous process run left messages of this partition
+	servedUntil    time.Duration // if it is not owned: served at least until then
 }
 
-type down struct {
-	until time.Duration
-	pause time.Duration
+// unreachablePeer is the state of an unreachable courier: skipped until a time, with a pause that doubles.
+type unreachablePeer struct {
+	skipUntil time.Duration
+	skipFor   time.Duration
 }
 
+// pin records which courier has the last message of a key, and until when that message may be held.
 type pin struct {
-	to    string
-	until time.Duration
+	courier string
+	until   time.Duration
 }
 
-// NewRouter returns a router that holds no list yet.
+// NewRouter returns a router that has received no list yet.
 func NewRouter(o Options, m *Membership, now time.Duration) *Router {
 	if o.PinsMost == 0 {
-		o.PinsMost = pinsMost
+		o.PinsMost = defaultMaxPins
 	}
-	r := &Router{o: o, begun: now, turned: now, parts: map[int]*part{}, down: map[string]*down{}}
+	r := &Router{options: o, startedAt: now, periodStart: now, partitions: map[int]*partitionState{}, unreachable: map[string]*unreachablePeer{}}
 	r.pins = [2]map[uint64]pin{{}, {}}
 	r.adopt(m, m.Owned(o.Self))
 	return r
 }
 
 func (r *Router) adopt(m *Membership, owned []int) {
-	r.m, r.region = m, r.o.Region
-	if x, ok := m.Member(r.o.Self); ok {
+	r.membership, r.region = m, r.options.Region
+	if x, ok := m.Member(r.options.Self); ok {
 		r.region = x.Region
 	}
 	for _, p := range owned {
-		if r.parts[p] == nil {
-			r.parts[p] = &part{}
+		if r.partitions[p] == nil {
+			r.partitions[p] = &partitionState{}
 		}
-		r.parts[p].owned, r.parts[p].until = true, 0
+		r.partitions[p].owned, r.partitions[p].servedUntil = true, 0
 	}
 }
 
-// Adopt takes another membership. What this courier owned and owns no more it serves on for a
-// while; what it owns from now on it serves once it holds the list of it (Held).
+// Adopt sets a new membership. Partitions that this courier no longer owns are still served for
+// Options.Linger; partitions that it now owns are served once their list was received (Held).
 func (r *Router) Adopt(m *Membership, now time.Duration) {
-	r.before, r.until = r.m, now+r.o.Linger
-	owned := m.Owned(r.o.Self)
-	for p, x := range r.parts {
+	r.previous, r.previousUntil = r.membership, now+r.options.Linger
+	owned := m.Owned(r.options.Self)
+	for p, x := range r.partitions {
 		if _, still := slices.BinarySearch(owned, p); x.owned && !still {
-			x.owned, x.until = false, now+r.o.Linger
-			if !x.held && !x.kept {
-				delete(r.parts, p)
+			x.owned, x.servedUntil = false, now+r.options.Linger
+			if !x.hasList && !x.retained {
+				delete(r.partitions, p)
 			}
 		}
 	}
 	r.adopt(m, owned)
-	for name := range r.down {
-		if _, is := m.find(name); !is {
-			if _, was := r.before.find(name); !was {
-				delete(r.down, name)
+	for name := range r.unreachable {
+		if _, is := m.indexOf(name); !is {
+			if _, was := r.previous.indexOf(name); !was {
+				delete(r.unreachable, name)
 			}
 		}
 	}
 }
 
-// Keep tells that an earlier life of this courier left messages of a partition: whoever owns it,
-// its list is read until Expire finds it unused.
+// Keep records that a previous process run of this courier left messages of a partition: its list
+// is read, whoever owns it, until Expire finds the partition unused.
 func (r *Router) Keep(p int) {
-	if r.parts[p] == nil {
-		r.parts[p] = &part{}
+	if r.partitions[p] == nil {
+		r.partitions[p] = &partitionState{}
 	}
-	r.parts[p].kept = true
+	r.partitions[p].retained = true
 }
 
-// Expire forgets what has lingered for long enough, unless used says of a partition that it is
-// still needed, and returns it. It is then no longer among Listed.
+// Expire drops the partitions that are not owned and whose time is over, unless used reports that
+// they are still needed, and returns them. They are then no longer in Listed.
 func (r *Router) Expire(now time.Duration, used func(p int) bool) (gone []int) {
-	for p, x := range r.parts {
-		if !x.owned && now >= x.until && !used(p) {
-			delete(r.parts, p)
+	for p, x := range r.partitions {
+		if !x.owned && now >= x.servedUntil && !used(p) {
+			delete(r.partitions, p)
 			gone = append(gone, p)
 		}
 	}
-	if r.before != nil && now >= r.until {
-		r.before = nil
+	if r.previous != nil && now >= r.previousUntil {
+		r.previous = nil
 	}
 	slices.Sort(gone)
 	return gone
 }
 
-// Lingers tells whether something waits for Expire.
+// Lingers reports whether there is something for Expire to drop, now or later.
 func (r *Router) Lingers() bool {
-	for _, x := range r.parts {
+	for _, x := range r.partitions {
 		if !x.owned {
 			return true
 		}
 	}
-	return r.before != nil
+	return r.previous != nil
 }
 
-// Self is this courier's name.
-func (r *Router) Self() string { return r.o.Self }
+// Self returns this courier's name.
+func (r *Router) Self() string { return r.options.Self }
 
-// Membership is the one that holds.
-func (r *Router) Membership() *Membership { return r.m }
+// Membership returns the current membership.
+func (r *Router) Membership() *Membership { return r.membership }
 
-// Listed are the partitions whose list this courier reads, in order: those that it owns, and
-// those that linger.
-func (r *Router) Listed() []int { return r.where(func(*part) bool { return true }) }
+// Listed returns the partitions whose list this courier reads, in ascending order: those that it
+// owns and those that it still serves.
+func (r *Router) Listed() []int { return r.partitionsWhere(func(*partitionState) bool { return true }) }
 
-// Wanted are those of them whose list has not come yet.
-func (r *Router) Wanted() []int { return r.where(func(x *part) bool { return !x.held }) }
+// Wanted returns the partitions in Listed whose list has not been received yet.
+func (r *Router) Wanted() []int {
+	return r.partitionsWhere(func(x *partitionState) bool { return !x.hasList })
+}
 
-func (r *Router) where(has func(*part) bool) (out []int) {
-	for p, x := range r.parts {
+func (r *Router) partitionsWhere(has func(*partitionState) bool) (out []int) {
+	for p, x := range r.partitions {
 		if has(x) {
 			out = append(out, p)
 		}
@@ -186,109 +193,109 @@
 	return out
 }
 
-// Lists tells whether a destination's endpoints are among what this courier reads.
+// Lists reports whether this courier reads the endpoints of a destination.
 func (r *Router) Lists(destination uint32) bool {
-	return r.parts[Of(destination, r.m.partitions)] != nil
+	return r.partitions[Of(destination, r.membership.partitions)] != nil
 }
 
-// Held tells that the list of partitions has come whole.
+// Held records that the list of partitions was received completely.
 func (r *Router) Held(parts []int) {
 	for _, p := range parts {
-		if x := r.parts[p]; x != nil {
-			x.held = true
+		if x := r.partitions[p]; x != nil {
+			x.hasList = true
 		}
 	}
 }
 
-// Figures are how things stand with a router.
+// Figures are the state of a router in numbers.
 type Figures struct {
 	Owned, Listed int // partitions
-	Wanted        int // of the listed ones, without a list
+	Wanted        int // listed partitions without a list
 	Pins          int // keys that are remembered
-	Unreached     int // couriers that are passed over
+	Unreached     int // couriers that are skipped
 }
 
-// Figures counts them.
+// Figures returns the router's state in numbers.
 func (r *Router) Figures(now time.Duration) Figures {
-	f := Figures{Listed: len(r.parts), Pins: len(r.pins[0]) + len(r.pins[1])}
-	for _, x := range r.parts {
+	f := Figures{Listed: len(r.partitions), Pins: len(r.pins[0]) + len(r.pins[1])}
+	for _, x := range r.partitions {
 		if x.owned {
 			f.Owned++
 		}
-		if !x.held {
+		if !x.hasList {
 			f.Wanted++
 		}
 	}
-	for _, d := range r.down {
-		if now < d.until {
+	for _, d := range r.unreachable {
+		if now < d.skipUntil {
 			f.Unreached++
 		}
 	}
 	return f
 }
 
-// Share is the part of all destinations that this courier lists, over 0.
+// Share returns the share of all destinations that this courier lists, which is always positive.
 func (r *Router) Share() float64 {
-	return max(1, float64(len(r.parts))) / float64(r.m.partitions)
+	return max(1, float64(len(r.partitions))) / float64(r.membership.partitions)
 }
 
-// Route decides where a message goes. Tried are those that it has been with already, in vain:
-// they were not reached, or said that they do not own it.
+// Route decides where a message goes. tried are the couriers that were tried for it without
+// success: they were unreachable, or answered that they do not own its partition.
 func (r *Router) Route(m Message, tried []string, now time.Duration) Route {
-	r.turn(now)
-	p := Of(m.Destination, r.m.partitions)
-	mine := r.parts[p]
-	here := mine != nil && mine.held
+	r.rotatePins(now)
+	p := Of(m.Destination, r.membership.partitions)
+	state := r.partitions[p]
+	servedHere := state != nil && state.hasList
 	if m.Forwarded {
-		if here {
+		if servedHere {
 			return Route{Way: Here}
 		}
 		return Route{Way: Moved}
 	}
 	mayFailOver := true
 	if m.Key != 0 {
-		switch to, pinned := r.pinned(m.Key, now); {
+		switch to, pinned := r.pinnedCourier(m.Key, now); {
 		case !pinned:
-		case to != r.o.Self:
-			return r.only(to, tried, now)
-		case here:
+		case to != r.options.Self:
+			return r.pinnedRoute(to, tried, now)
+		case servedHere:
 			return Route{Way: Here}
-		case mine != nil: // it waits for its list, as the last one does
-			return Route{Way: Busy, After: downFirst}
-		} // nothing is held of a partition that is not listed any more
+		case state != nil: // it waits for the list of the partition, like the previous message of its key
+			return Route{Way: Busy, After: firstSkip}
+		} // a partition that is no longer listed has no messages here
 		mayFailOver = r.mayFailOver(now)
 	}
-	if here && mine.owned {
+	if servedHere && state.owned {
 		return Route{Way: Here}
 	}
-	owners := r.m.owners(r.owners[0][:0], p, r.region)
+	owners := r.membership.ownerIndexes(r.owners[0][:0], p, r.region)
 	r.owners[0] = owners
 	var former []int32
 	switch {
-	case !mayFailOver && mine != nil && mine.owned: // its own list is on its way
-		return Route{Way: Busy, After: downFirst}
+	case !mayFailOver && state != nil && state.owned: // this courier is an owner and waits for the list
+		return Route{Way: Busy, After: firstSkip}
 	case !mayFailOver:
 		owners = owners[:min(1, len(owners))]
-	case r.before != nil: // who has owned it serves it on, where the new owners are not there yet
-		former = r.before.owners(r.owners[1][:0], p, r.region)
+	case r.previous != nil: // former owners still serve the partition until the new ones are ready
+		former = r.previous.ownerIndexes(r.owners[1][:0], p, r.region)
 		r.owners[1] = former
 	}
-	after := downFirst
+	after := firstSkip
 	for k := range len(owners) + len(former) {
 		var o *Member
 		if k < len(owners) {
-			o = &r.m.members[owners[k]]
+			o = &r.membership.members[owners[k]]
 		} else {
-			o = &r.before.members[former[k-len(owners)]]
+			o = &r.previous.members[former[k-len(owners)]]
 		}
-		switch d := r.down[o.Name]; {
-		case o.Name == r.o.Self:
-			if here {
+		switch d := r.unreachable[o.Name]; {
+		case o.Name == r.options.Self:
+			if servedHere {
 				return Route{Way: Here}
 			}
 		case slices.Contains(tried, o.Name):
-		case d != nil && now < d.until:
-			after = min(after, d.until-now)
+		case d != nil && now < d.skipUntil:
+			after = min(after, d.skipUntil-now)
 		default:
 			return Route{Way: Forward, To: *o}
 		}
@@ -296,39 +303,39 @@
 	return Route{Way: Busy, After: after}
 }
 
-// only is the way of a message of a key whose last one may still be with another courier: to any
-// other it could come out of order.
-func (r *Router) only(to string, tried []string, now time.Duration) Route {
-	x, member := r.m.Member(to)
-	if !member && r.before != nil {
-		x, member = r.before.Member(to)
+// pinnedRoute decides about a message of a key whose previous message may still be held by another
+// courier: sent anywhere else it could be delivered out of order.
+func (r *Router) pinnedRoute(to string, tried []string, now time.Duration) Route {
+	x, member := r.membership.Member(to)
+	if !member && r.previous != nil {
+		x, member = r.previous.Member(to)
 	}
-	if d := r.down[to]; !member || slices.Contains(tried, to) || d != nil && now < d.until {
-		return Route{Way: Busy, After: downFirst}
+	if d := r.unreachable[to]; !member || slices.Contains(tried, to) || d != nil && now < d.skipUntil {
+		return Route{Way: Busy, After: firstSkip}
 	}
 	return Route{Way: Forward, To: x}
 }
 
-// mayFailOver tells whether a message that keeps order may go to another than its first owner:
-// not while an earlier life of this courier may have left one of its key there, nor while there
-// may be one there that there was no room to remember.
+// mayFailOver reports whether an ordered message may go to an owner other than the first. It may
+// not while a previous process run of this courier may have left a message of its key at the first
+// owner, or while a message may be there whose key could not be remembered for lack of room.
 func (r *Router) mayFailOver(now time.Duration) bool {
-	return now-r.begun >= r.o.Longest+r.o.Rest && now >= r.lost && len(r.pins[0])+len(r.pins[1]) < r.o.PinsMost
+	return now-r.startedAt >= r.options.Longest+r.options.Rest && now >= r.unpinnedUntil && len(r.pins[0])+len(r.pins[1]) < r.options.PinsMost
 }
 
-func (r *Router) pinned(key uint64, now time.Duration) (string, bool) {
+func (r *Router) pinnedCourier(key uint64, now time.Duration) (string, bool) {
 	for _, pins := range r.pins {
 		if x, ok := pins[key]; ok && now < x.until {
-			return x.to, true
+			return x.courier, true
 		}
 	}
 	return "", false
 }
 
-// turn begins a new span of pins. What is in the last but one is over but for what lasts longer
-// than a span.
-func (r *Router) turn(now time.Duration) {
-	if now-r.turned < max(r.o.Longest+r.o.Rest, time.Second) {
+// rotatePins starts a new period of pins. Pins from two periods ago have expired, except those that
+// outlast a period.
+func (r *Router) rotatePins(now time.Duration) {
+	if now-r.periodStart < max(r.options.Longest+r.options.Rest, time.Second) {
 		return
 	}
 	next := map[uint64]pin{}
@@ -337,44 +344,44 @@
 			next[key] = x
 		}
 	}
-	r.pins, r.turned = [2]map[uint64]pin{next, r.pins[0]}, now
+	r.pins, r.periodStart = [2]map[uint64]pin{next, r.pins[0]}, now
 }
 
-// Took tells that a courier, or this one, may have taken a message on: the next of its key
-// follows it there.
+// Took records that a courier (or this one) may have accepted a message: the next message of its
+// key goes to the same courier.
 func (r *Router) Took(m Message, by string, now time.Duration) {
 	if m.Key == 0 || m.Forwarded {
 		return
 	}
-	r.turn(now)
-	until := now + m.Left + r.o.Rest
-	for _, pins := range r.pins { // an earlier one may be held for longer
-		if x, ok := pins[m.Key]; ok && x.to == by {
+	r.rotatePins(now)
+	until := now + m.Left + r.options.Rest
+	for _, pins := range r.pins { // an earlier message may be held for longer
+		if x, ok := pins[m.Key]; ok && x.courier == by {
 			until = max(until, x.until)
 		}
 	}
 	delete(r.pins[1], m.Key)
-	if _, known := r.pins[0][m.Key]; !known && len(r.pins[0])+len(r.pins[1]) >= r.o.PinsMost {
-		r.lost = max(r.lost, until)
+	if _, known := r.pins[0][m.Key]; !known && len(r.pins[0])+len(r.pins[1]) >= r.options.PinsMost {
+		r.unpinnedUntil = max(r.unpinnedUntil, until)
 		return
 	}
 	r.pins[0][m.Key] = pin{by, until}
 }
 
-// Reached tells that a courier has answered.
-func (r *Router) Reached(name string) { delete(r.down, name) }
+// Reached records that a courier answered.
+func (r *Router) Reached(name string) { delete(r.unreachable, name) }
 
-// Unreached tells that a courier could not be reached: it is passed over for a while, longer each
-// time.
+// Unreached records that a courier was unreachable: it is skipped for a time that doubles with each
+// failure.
 func (r *Router) Unreached(name string, now time.Duration) {
-	d := r.down[name]
+	d := r.unreachable[name]
 	if d == nil {
-		d = &down{}
-		r.down[name] = d
+		d = &unreachablePeer{}
+		r.unreachable[name] = d
 	}
-	if now < d.until {
-		return // of connections that were dialled together
+	if now < d.skipUntil {
+		return // several connections dialled together count as one failure
 	}
-	d.pause = min(max(2*d.pause, downFirst), downMost)
-	d.until = now + d.pause
+	d.skipFor = min(max(2*d.skipFor, firstSkip), maxSkip)
+	d.skipUntil = now + d.skipFor
 }
--- a/internal/partition/world_test.go
+++ b/internal/partition/world_test.go
@@ -9,28 +9,28 @@
 	"pgregory.net/rapid"
 )
 
-// world is couriers with views of their own, between some of which nothing passes.
-type world struct {
-	t       *rapid.T
-	now     time.Duration
-	members []Member
-	views   []*Membership
-	routers map[string]*Router
-	dead    map[string]bool
-	cut     bool              // no region reaches another
-	holds   map[string][]held // by who holds
+// simulation simulates couriers with different views, some of which cannot reach each other.
+type simulation struct {
+	t          *rapid.T
+	now        time.Duration
+	members    []Member
+	views      []*Membership
+	routers    map[string]*Router
+	dead       map[string]bool
+	regionsCut bool                         // no region reaches another
+	accepted   map[string][]acceptedMessage // by the courier that holds the messages
 }
 
-// held is a message that a courier has taken on.
-type held struct {
-	client string // the courier that a client handed it to
-	key    uint64
-	p      int
-	until  time.Duration
+// acceptedMessage is a message that a courier has accepted.
+type acceptedMessage struct {
+	client    string // the courier that the client sent it to
+	key       uint64
+	partition int
+	until     time.Duration
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{t: t, now: late, members: fleet(9, 3, 2), routers: map[string]*Router{}, dead: map[string]bool{}, holds: map[string][]held{}}
+func newSimulation(t *rapid.T) *simulation {
+	w := &simulation{t: t, now: longAfterStart, members: fleet(9, 3, 2), routers: map[string]*Router{}, dead: map[string]bool{}, accepted: map[string][]acceptedMessage{}}
 	copies := rapid.IntRange(1, 2).Draw(t, "copies")
 	for range 3 {
 		gone := rapid.SliceOfN(rapid.IntRange(0, 8), 0, 4).Draw(t, "gone")
@@ -40,73 +40,73 @@
 				some = append(some, x)
 			}
 		}
-		w.views = append(w.views, membership(t, parts, copies, some))
+		w.views = append(w.views, membership(t, partitionCount, copies, some))
 	}
 	for _, name := range append(names(w.members), "x") {
-		r := NewRouter(Options{Self: name, Region: "r0", Linger: linger, Longest: longest, PinsMost: 6}, w.view(), 0)
+		r := NewRouter(Options{Self: name, Region: "r0", Linger: serveAfterLoss, Longest: maxDeadline, PinsMost: 6}, w.anyView(), 0)
 		r.Held(r.Wanted())
 		w.routers[name] = r
 	}
 	return w
 }
 
-func (w *world) view() *Membership { return rapid.SampledFrom(w.views).Draw(w.t, "view") }
+func (w *simulation) anyView() *Membership { return rapid.SampledFrom(w.views).Draw(w.t, "view") }
 
-func (w *world) one() string {
+func (w *simulation) anyCourier() string {
 	return rapid.SampledFrom(append(names(w.members), "x")).Draw(w.t, "courier")
 }
 
-func (w *world) reaches(a, b string) bool {
-	return !w.dead[b] && (!w.cut || w.routers[a].region == w.routers[b].region)
+func (w *simulation) reaches(a, b string) bool {
+	return !w.dead[b] && (!w.regionsCut || w.routers[a].region == w.routers[b].region)
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	switch rapid.IntRange(0, 11).Draw(w.t, "step") {
 	case 0:
-		w.routers[w.one()].Adopt(w.view(), w.now)
+		w.routers[w.anyCourier()].Adopt(w.anyView(), w.now)
 	case 1:
-		r := w.routers[w.one()]
+		r := w.routers[w.anyCourier()]
 		want := r.Wanted()
 		r.Held(want[:rapid.IntRange(0, len(want)).Draw(w.t, "come")])
 	case 2:
-		w.now += rapid.SampledFrom([]time.Duration{time.Millisecond, time.Second, 5 * time.Second, linger}).Draw(w.t, "time")
+		w.now += rapid.SampledFrom([]time.Duration{time.Millisecond, time.Second, 5 * time.Second, serveAfterLoss}).Draw(w.t, "time")
 	case 3:
-		name := w.one()
+		name := w.anyCourier()
 		r := w.routers[name]
-		for _, p := range r.Expire(w.now, func(p int) bool { return w.holding(name, p) }) {
-			require.False(w.t, w.holding(name, p), "%d has gone and is used", p)
-			require.NotContains(w.t, r.m.Owned(name), p)
+		for _, p := range r.Expire(w.now, func(p int) bool { return w.holdsMessage(name, p) }) {
+			require.False(w.t, w.holdsMessage(name, p), "%d was dropped while in use", p)
+			require.NotContains(w.t, r.membership.Owned(name), p)
 		}
 	case 4:
-		name := w.one()
+		name := w.anyCourier()
 		w.dead[name] = !w.dead[name]
 	case 5:
-		w.cut = !w.cut
+		w.regionsCut = !w.regionsCut
 	default:
 		w.send()
 	}
 }
 
-func (w *world) holding(name string, p int) bool {
-	return slices.ContainsFunc(w.holds[name], func(x held) bool { return x.p == p && x.until > w.now })
+func (w *simulation) holdsMessage(name string, p int) bool {
+	return slices.ContainsFunc(w.accepted[name], func(x acceptedMessage) bool { return x.partition == p && x.until > w.now })
 }
 
-// send has a client hand a message to a courier, and the couriers do with it what they do.
-func (w *world) send() {
-	x := w.one()
+// send submits a message of a client to a courier, and forwards it as the couriers decide.
+func (w *simulation) send() {
+	x := w.anyCourier()
 	if w.dead[x] {
 		return
 	}
 	r := w.routers[x]
-	m := Message{Destination: uint32(rapid.IntRange(0, 20).Draw(w.t, "destination")), Left: longest}
+	m := Message{Destination: uint32(rapid.IntRange(0, 20).Draw(w.t, "destination")), Left: maxDeadline}
 	if m.Key = uint64(rapid.IntRange(0, 8).Draw(w.t, "key")); m.Key != 0 {
 		m.Destination = uint32(m.Key)
 		m.Left = time.Duration(rapid.IntRange(1, 12).Draw(w.t, "left")) * time.Second
 	}
-	p := Of(m.Destination, parts)
-	ways := len(r.m.Owners(p, ""))
-	if r.before != nil {
-		ways += len(r.before.Owners(p, ""))
+	p := Of(m.Destination, partitionCount)
+	ways := len(r.membership.Owners(p, ""))
+	if r.previous != nil {
+		ways += len(r.previous.Owners(p, ""))
 	}
 	var tried []string
 	for {
@@ -117,7 +117,7 @@
 			require.Positive(w.t, way.After)
 			return
 		case Here:
-			w.take(x, x, m)
+			w.accept(x, x, m)
 			r.Took(m, x, w.now)
 			return
 		case Moved:
@@ -137,7 +137,7 @@
 		at := w.routers[y].Route(forwarded, nil, w.now)
 		require.Contains(w.t, []Way{Here, Moved}, at.Way, "never forwarded again")
 		switch {
-		case fate == "lost": // its bytes left, and nobody knows: the client's connection ends
+		case fate == "lost": // the request was sent and got no answer: the client's connection is closed
 			r.Took(m, y, w.now)
 			return
 		case at.Way == Moved:
@@ -147,36 +147,36 @@
 			r.Reached(y)
 			return
 		}
-		w.take(y, x, m)
+		w.accept(y, x, m)
 		r.Took(m, y, w.now)
 		return
 	}
 }
 
-// take has a courier take a message on: it lists its destination, and nobody else may still hold
-// one that the same client handed in before it for the same key.
-func (w *world) take(by, client string, m Message) {
-	p := Of(m.Destination, parts)
-	require.True(w.t, w.routers[by].Lists(m.Destination), "%s takes what it does not list", by)
+// accept has a courier accept a message. The courier must list its destination, and no other courier
+// may still hold an earlier message of the same client and key.
+func (w *simulation) accept(by, client string, m Message) {
+	p := Of(m.Destination, partitionCount)
+	require.True(w.t, w.routers[by].Lists(m.Destination), "%s accepts a message that it does not list", by)
 	require.Contains(w.t, w.routers[by].Listed(), p)
-	require.NotContains(w.t, w.routers[by].Wanted(), p, "served before its list came")
-	for other, holds := range w.holds {
+	require.NotContains(w.t, w.routers[by].Wanted(), p, "served before its list was received")
+	for other, holds := range w.accepted {
 		for _, h := range holds {
 			if m.Key != 0 && other != by && h.key == m.Key && h.client == client {
-				require.LessOrEqual(w.t, h.until, w.now, "%s takes a message of key %d while %s may hold the last", by, m.Key, other)
+				require.LessOrEqual(w.t, h.until, w.now, "%s accepts a message of key %d while %s may hold the previous one", by, m.Key, other)
 			}
 		}
 	}
-	w.holds[by] = append(w.holds[by], held{client, m.Key, p, w.now + m.Left})
+	w.accepted[by] = append(w.accepted[by], acceptedMessage{client, m.Key, p, w.now + m.Left})
 }
 
-// Whatever couriers know of each other, and whoever reaches whom: a message that a client hands in
-// ends with one courier, with BUSY, or unknown, after each owner of both views has been tried once
-// at most; what was forwarded is not forwarded again; keys keep their order; nothing is served
-// without its list, and nothing that is used is let go of.
+// For any views of the couriers and any connectivity: a client's message ends at one courier, with
+// BUSY, or with an unknown result, after each owner of both views was tried at most once. Forwarded
+// messages are not forwarded again, the order of keys is kept, partitions are only served with
+// their list, and no partition in use is dropped.
 func TestRouters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		for range rapid.IntRange(10, 150).Draw(t, "steps") {
 			w.step()
 		}
