--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// changeDeadline is when a change counts as known to couriers after the directory had it and was
-	// reachable (the page of the standing test).
+	// changeDeadline is when a change counts as known to couriers after the directory had it and
+	// was reachable (the page of the standing test).
 	changeDeadline = 6 * time.Second
 	// ConnectTimeout bounds the setup of a connection.
 	ConnectTimeout = time.Second
@@ -47,8 +47,8 @@
 	MaxPause = 4 * time.Second
 	// smallFleet is the fleet size up to which couriers do not spread their first requests.
 	smallFleet = 4
-	// maxFirstDelay bounds the delay of first requests if no grace is configured: half of a grace of
-	// one second.
+	// maxFirstDelay bounds the delay of first requests if no grace is configured: half of a grace
+	// of one second.
 	maxFirstDelay = 500 * time.Millisecond
 )
 
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// requests returns how many requests the couriers of a fleet send in a minute if all are rejected from
-// the start, each after the given time.
+// requests returns how many requests the couriers of a fleet send in a minute if all are rejected
+// from the start, each after the given time.
 func requests(fleet int, took time.Duration) (n int) {
 	for i := range fleet {
 		b := New(fleet, uint64(i))
@@ -202,7 +202,7 @@
 		most  int
 	}{
 		"refused":       {func(b *Backoff) time.Duration { return b.Refused(0, 0) }, answered},
-		"told to wait":  {func(b *Backoff) time.Duration { return b.Refused(30*time.Second, 0) }, answered},
+		"retry-after":   {func(b *Backoff) time.Duration { return b.Refused(30*time.Second, 0) }, answered},
 		"broken":        {func(b *Backoff) time.Duration { return b.Disconnected(0) }, answered},
 		"unreadable":    {func(b *Backoff) time.Duration { return b.Unreadable(0) }, answered},
 		"silent":        {func(b *Backoff) time.Duration { return b.AskTimeout() + b.TimedOut(b.AskTimeout()) }, fleet},
--- a/internal/distrust/distrust.go
+++ b/internal/distrust/distrust.go
@@ -65,10 +65,10 @@
 }
 
 // View compares a full list with the one in use.
-type View struct { // Ready endpoints in use
-	Held    int // of these, endpoints that the list does not name
-	Omitted int // Ready endpoints in the list
-	Listed  int // Ready in the list
+type View struct {
+	Held    int // Ready endpoints in use
+	Omitted int // of these, endpoints that the list does not name
+	Listed  int // Ready endpoints in the list
 	Sum     uint64
 }
 
--- a/internal/dormancy/dormancy.go
+++ b/internal/dormancy/dormancy.go
@@ -1,14 +1,14 @@
-// Package dormancy decides when a destination goes to sleep, what is kept of it
-// and for how long, and with what caution it wakes. It does no I/O, reads no
-// clock and starts no goroutine: times are handed in, as the time since a moment
-// of the caller's choice.
+// Package dormancy decides when an idle destination is unloaded, how much of its state is kept and
+// for how long, and how cautiously calls start when it is loaded again. It does no I/O, reads no
+// clock and starts no goroutine: times are passed in, as the time since a moment of the caller's
+// choice.
 //
-// A destination that has neither a flow nor a call is idle. Idle for long
-// enough, or longest among too many that are awake, it goes to sleep: the caller
-// has the decision module hand out its state, and Keep holds that as a memento.
-// Mementos take a bounded memory. What a rule still needs, a told wait, a ledger
-// in use, an outage or a cold return, binds: it is never dropped. Of the others
-// those that have slept longest go first.
+// A destination without a flow and without a call is idle. It is unloaded after it was idle for
+// long enough, or if it is the longest idle one while too many are loaded: the caller takes a
+// snapshot of its state from the decision module, and Keep stores the encoded snapshot. Snapshots
+// take a bounded amount of memory. A snapshot that a rule still needs (a retry-after delay, a retry
+// budget in use, an outage or a recovery with slow start) is binding and never dropped. Of the
+// others, those unloaded longest ago are dropped first.
 package dormancy
 
 import (
@@ -20,31 +20,31 @@
 	"snowjunction/internal/memento"
 )
 
-// Destination is the number of one.
+// Destination is the number of a destination.
 type Destination = snowjunction.DestinationID
 
-// Config bounds what is kept and for how long.
+// Config limits what is kept and for how long.
 type Config struct {
-	After  time.Duration // idle for so long, a destination goes to sleep
-	Awake  int           // more than so many, and the longest idle go before that
-	Memory int           // bytes of mementos
+	After  time.Duration // idle time after which a destination is unloaded
+	Awake  int           // if more destinations are loaded, the longest idle ones are unloaded earlier
+	Memory int           // bytes of all snapshots
 
-	HalfLife time.Duration // an old limit is worth half after it
-	Forget   time.Duration // nothing that binds no more is believed after it
-	Careful  time.Duration // a woken destination's pace stays low for so long
-	First    bool          // destinations of which nothing is known wake with caution too
+	HalfLife time.Duration // a stored limit loses half of its value in this time
+	Forget   time.Duration // age at which a snapshot that is not binding is no longer used
+	Careful  time.Duration // how long the pacing rate of a loaded destination stays low
+	First    bool          // destinations without a snapshot start cautiously too
 
-	Ledger time.Duration // the module's window: repeats in it bind
-	Warm   time.Duration // a cold return binds for so long
-	Outage time.Duration // an outage binds for so long: waking is cautious anyway
+	Ledger time.Duration // the module's retry budget window: retries within it are binding
+	Warm   time.Duration // how long a recovery with slow start is binding
+	Outage time.Duration // how long an outage is binding; after that, the cautious start suffices
 
-	// After a restart within Brisk all goes on as it was; later what is known is
-	// weighed as that of a destination that slept.
+	// After a restart within Brisk, state is used unchanged. After a longer one it is aged like
+	// that of an unloaded destination.
 	Brisk time.Duration
 }
 
-// Default are the bounds where no operator file names others. Binding ones hold
-// for the settings given.
+// Default returns the limits that apply without an operator file. Binding times follow the given
+// settings.
 func Default(s snowjunction.Settings) Config {
 	return Config{
 		After: time.Minute, Awake: 4096, Memory: 1 << 20,
@@ -54,106 +54,106 @@
 	}
 }
 
-// Book is the record of who is awake, idle or asleep.
+// Book tracks which destinations are loaded, idle or unloaded.
 type Book struct {
 	cfg              Config
-	awake            int
+	loaded           int
 	idle             *list.List // of Destination, the longest idle first
-	spot             map[Destination]*list.Element
-	since            map[Destination]time.Duration
-	kept             map[Destination]*keep
-	oldest, youngest *keep // in the order of falling asleep
+	idleElement      map[Destination]*list.Element
+	idleSince        map[Destination]time.Duration
+	entries          map[Destination]*entry
+	oldest, youngest *entry // in the order of unloading
 	bytes            int
 	Counts           Counts
 }
 
-// Counts tell what the book has done.
+// Counts are the totals of a Book since its start.
 type Counts struct {
-	Slept, Woke, Known uint64 // Known: wakings with a memento
-	Dropped            uint64 // mementos for which there was no room
-	Full               uint64 // destinations kept awake as all mementos bind
+	Slept, Woke, Known uint64 // Known: loaded with a snapshot
+	Dropped            uint64 // snapshots dropped for lack of room
+	Full               uint64 // idle destinations not unloaded because all snapshots are binding
 }
 
-type keep struct {
-	dest       Destination
-	at         time.Duration
-	restart    bool          // it was awake, or asleep, when the process ended
-	handed     bool          // it was awake when another process handed it over
-	binds      time.Duration // until then it binds
-	text       []byte
-	prev, next *keep
+type entry struct {
+	dest            Destination
+	unloadedAt      time.Duration
+	fromPreviousRun bool // restored from a previous process run
+	handedOver      bool // loaded in another process, which handed it over
+	bindingUntil    time.Duration
+	encoded         []byte
+	prev, next      *entry
 }
 
-// keepCost is what a memento takes besides its text: its record, its places in
-// map and order.
-const keepCost = 128
+// entryOverhead is the memory that a snapshot takes besides its encoded bytes: its record and its
+// places in the map and the order.
+const entryOverhead = 128
 
-// New returns an empty book.
+// New returns an empty Book.
 func New(cfg Config) *Book {
 	return &Book{
-		cfg: cfg, idle: list.New(), spot: map[Destination]*list.Element{}, since: map[Destination]time.Duration{},
-		kept: map[Destination]*keep{},
+		cfg: cfg, idle: list.New(), idleElement: map[Destination]*list.Element{}, idleSince: map[Destination]time.Duration{},
+		entries: map[Destination]*entry{},
 	}
 }
 
-// Awake is the number of destinations that are awake.
-func (b *Book) Awake() int { return b.awake }
+// Awake returns the number of loaded destinations.
+func (b *Book) Awake() int { return b.loaded }
 
-// Over tells that too many are awake and some of them idle.
-func (b *Book) Over() bool { return b.awake > b.cfg.Awake && b.idle.Len() > 0 }
+// Over reports whether too many destinations are loaded and some of them are idle.
+func (b *Book) Over() bool { return b.loaded > b.cfg.Awake && b.idle.Len() > 0 }
 
-// Asleep is the number of mementos, Bytes about what they take.
-func (b *Book) Asleep() int { return len(b.kept) }
+// Asleep returns the number of snapshots.
+func (b *Book) Asleep() int { return len(b.entries) }
 
-// Bytes is about what the mementos take.
+// Bytes returns the approximate memory size of the snapshots.
 func (b *Book) Bytes() int { return b.bytes }
 
-// Busy tells that an awake destination has something to do.
+// Busy records that a loaded destination has something to do.
 func (b *Book) Busy(d Destination) {
-	if e := b.spot[d]; e != nil {
+	if e := b.idleElement[d]; e != nil {
 		b.idle.Remove(e)
-		delete(b.spot, d)
-		delete(b.since, d)
+		delete(b.idleElement, d)
+		delete(b.idleSince, d)
 	}
 }
 
-// Idle tells that an awake destination has nothing to do from now on.
+// Idle records that a loaded destination has nothing to do from now on.
 func (b *Book) Idle(d Destination, now time.Duration) {
-	if b.spot[d] == nil {
-		b.spot[d], b.since[d] = b.idle.PushBack(d), now
+	if b.idleElement[d] == nil {
+		b.idleElement[d], b.idleSince[d] = b.idle.PushBack(d), now
 	}
 }
 
-// Due returns the destination that is to go to sleep now, or when to ask again;
-// wait is negative where nothing is idle.
+// Due returns the destination to unload now, or how long to wait before the next call. wait is
+// negative if no destination is idle.
 func (b *Book) Due(now time.Duration) (d Destination, due bool, wait time.Duration) {
 	front := b.idle.Front()
 	if front == nil {
 		return 0, false, -1
 	}
 	d = front.Value.(Destination)
-	if left := b.since[d] + b.cfg.After - now; left > 0 && b.awake <= b.cfg.Awake {
+	if left := b.idleSince[d] + b.cfg.After - now; left > 0 && b.loaded <= b.cfg.Awake {
 		return 0, false, left
 	}
-	if free, at := b.room(now); !free {
+	if free, at := b.hasRoom(now); !free {
 		b.Counts.Full++
 		return 0, false, max(at-now, time.Millisecond)
 	}
 	return d, true, 0
 }
 
-// room tells whether a further memento can be held, if need be in place of one
-// that does not bind, or when one will not bind any more.
-func (b *Book) room(now time.Duration) (bool, time.Duration) {
-	if b.bytes+typical <= b.cfg.Memory {
+// hasRoom reports whether another snapshot can be stored, if necessary in place of one that is not
+// binding, or when the first binding one expires.
+func (b *Book) hasRoom(now time.Duration) (bool, time.Duration) {
+	if b.bytes+typicalEntryBytes <= b.cfg.Memory {
 		return true, 0
 	}
 	first := time.Duration(math.MaxInt64)
 	for k := b.oldest; k != nil; k = k.next {
-		if k.binds <= now {
+		if k.bindingUntil <= now {
 			return true, 0
 		}
-		first = min(first, k.binds)
+		first = min(first, k.bindingUntil)
 	}
 	if first == math.MaxInt64 {
 		first = now + time.Second
@@ -161,33 +161,33 @@
 	return false, first
 }
 
-// typical is a usual memento with its cost.
-const typical = keepCost + 96
+// typicalEntryBytes is the usual size of a snapshot with its overhead.
+const typicalEntryBytes = entryOverhead + 96
 
-// Room tells whether a further destination may wake, and if not, in how long.
+// Room reports whether another destination can be loaded, and if not, when to try again.
 func (b *Book) Room(now time.Duration) (bool, time.Duration) {
-	if b.awake < b.cfg.Awake {
+	if b.loaded < b.cfg.Awake {
 		return true, 0
 	}
-	free, at := b.room(now)
+	free, at := b.hasRoom(now)
 	if free && b.idle.Len() > 0 {
 		return true, 0
 	}
 	return false, max(at-now, time.Second)
 }
 
-// Keep holds the state of a destination that has gone to sleep, and returns what
-// it holds, for whoever keeps a copy. What no longer fits is dropped.
+// Keep stores the snapshot of a destination that is unloaded, and returns the encoded snapshot for
+// callers that store a copy. Snapshots that no longer fit are dropped.
 func (b *Book) Keep(d Destination, m *memento.Memento, now time.Duration) (text []byte) {
 	b.Busy(d)
-	b.awake--
+	b.loaded--
 	b.Counts.Slept++
 	text = memento.Encode(nil, m)
-	b.put(&keep{dest: d, at: now, binds: now + b.binds(&m.State), text: text})
+	b.addEntry(&entry{dest: d, unloadedAt: now, bindingUntil: now + b.bindingFor(&m.State), encoded: text})
 	for k := b.oldest; k != nil && b.bytes > b.cfg.Memory; {
 		next := k.next
-		if k.binds <= now {
-			b.remove(k)
+		if k.bindingUntil <= now {
+			b.removeEntry(k)
 			b.Counts.Dropped++
 		}
 		k = next
@@ -195,9 +195,9 @@
 	return text
 }
 
-func (b *Book) put(k *keep) {
-	if old := b.kept[k.dest]; old != nil {
-		b.remove(old)
+func (b *Book) addEntry(k *entry) {
+	if old := b.entries[k.dest]; old != nil {
+		b.removeEntry(old)
 	}
 	if k.prev = b.youngest; k.prev != nil {
 		k.prev.next = k
@@ -205,11 +205,11 @@
 		b.oldest = k
 	}
 	b.youngest = k
-	b.kept[k.dest] = k
-	b.bytes += len(k.text) + keepCost
+	b.entries[k.dest] = k
+	b.bytes += len(k.encoded) + entryOverhead
 }
 
-func (b *Book) remove(k *keep) {
+func (b *Book) removeEntry(k *entry) {
 	if k.prev != nil {
 		k.prev.next = k.next
 	} else {
@@ -220,12 +220,12 @@
 	} else {
 		b.youngest = k.prev
 	}
-	delete(b.kept, k.dest)
-	b.bytes -= len(k.text) + keepCost
+	delete(b.entries, k.dest)
+	b.bytes -= len(k.encoded) + entryOverhead
 }
 
-// binds is for how long a rule needs what s says.
-func (b *Book) binds(s *snowjunction.State) (t time.Duration) {
+// bindingFor returns for how long a rule needs the state s.
+func (b *Book) bindingFor(s *snowjunction.State) (t time.Duration) {
 	if s.Repeats > 0 {
 		t = b.cfg.Ledger
 	}
@@ -246,46 +246,46 @@
 	return t
 }
 
-// Woken is what a destination wakes with.
+// Woken is the state with which a destination is loaded.
 type Woken struct {
-	Memento *memento.Memento // nil: nothing is known
+	Memento *memento.Memento // nil if nothing is known
 	Slept   time.Duration
 	Caution snowjunction.Caution
 }
 
-// Wake takes a destination's memento, weighed by its age. It counts as awake
-// and busy from now on.
+// Wake loads a destination: it removes its snapshot and returns it, aged by the time since the
+// destination was unloaded. The destination counts as loaded and busy from now on.
 func (b *Book) Wake(d Destination, now time.Duration) Woken {
-	k := b.kept[d]
+	k := b.entries[d]
 	if k == nil {
-		return b.wake(nil, 0)
+		return b.load(nil, 0)
 	}
-	b.remove(k)
-	m, err := memento.Decode(k.text)
-	if err != nil { // it was written here: never
+	b.removeEntry(k)
+	m, err := memento.Decode(k.encoded)
+	if err != nil { // cannot happen: this package encoded the snapshot
 		m = nil
 	}
-	if k.handed && m != nil {
-		b.awake++
+	if k.handedOver && m != nil {
+		b.loaded++
 		b.Counts.Woke++
 		b.Counts.Known++
-		return Woken{Memento: m, Slept: now - k.at}
+		return Woken{Memento: m, Slept: now - k.unloadedAt}
 	}
-	if k.restart && m != nil {
-		b.awake++
+	if k.fromPreviousRun && m != nil {
+		b.loaded++
 		b.Counts.Woke++
 		b.Counts.Known++
-		return Woken{Memento: m, Slept: now - k.at, Caution: b.resume(&m.State, now-k.at)}
+		return Woken{Memento: m, Slept: now - k.unloadedAt, Caution: b.adjustAfterRestart(&m.State, now-k.unloadedAt)}
 	}
-	return b.wake(m, now-k.at)
+	return b.load(m, now-k.unloadedAt)
 }
 
-// Recall takes a memento that an earlier life has left, from so long ago; under 0
-// tells that it cannot be known, as after a clock was set back. It returns false for
-// what is no memento, and where there is no room.
+// Recall adds a snapshot of the given age from a previous process run. A negative age means that it
+// is unknown, as after a clock was set back. Recall returns false if the text is not a snapshot or
+// there is no room.
 func (b *Book) Recall(d Destination, text []byte, age, now time.Duration) bool {
 	m, err := memento.Decode(text)
-	if err != nil || b.bytes+len(text)+keepCost > b.cfg.Memory {
+	if err != nil || b.bytes+len(text)+entryOverhead > b.cfg.Memory {
 		return false
 	}
 	if age < 0 {
@@ -294,36 +294,37 @@
 	if b.cfg.Forget > 0 && age >= b.cfg.Forget {
 		return false
 	}
-	b.put(&keep{dest: d, at: now - age, binds: now - age + b.binds(&m.State), text: text, restart: true})
+	b.addEntry(&entry{dest: d, unloadedAt: now - age, bindingUntil: now - age + b.bindingFor(&m.State), encoded: text, fromPreviousRun: true})
 	return true
 }
 
-// Hand takes a memento that another process of this courier has made a moment ago: it counts
-// as this one's own knowledge, told waits included. An awake destination's is taken as it was.
+// Hand adds a snapshot that another process of this courier took a moment ago. It is used like this
+// process's own state, retry-after delays included. A destination that was loaded is taken over
+// unchanged.
 func (b *Book) Hand(d Destination, text []byte, at, now time.Duration, awake, restart bool) bool {
 	m, err := memento.Decode(text)
-	if err != nil || b.bytes+len(text)+keepCost > b.cfg.Memory {
+	if err != nil || b.bytes+len(text)+entryOverhead > b.cfg.Memory {
 		return false
 	}
-	b.put(&keep{dest: d, at: at, binds: at + b.binds(&m.State), text: text, handed: awake, restart: restart})
+	b.addEntry(&entry{dest: d, unloadedAt: at, bindingUntil: at + b.bindingFor(&m.State), encoded: text, handedOver: awake, fromPreviousRun: restart})
 	return true
 }
 
-// Each calls f with what is kept of those asleep.
+// Each calls f for every stored snapshot.
 func (b *Book) Each(f func(d Destination, text []byte, at time.Duration, restart bool)) {
-	for d, k := range b.kept {
-		f(d, k.text, k.at, k.restart)
+	for d, k := range b.entries {
+		f(d, k.encoded, k.unloadedAt, k.fromPreviousRun)
 	}
 }
 
-// resume weighs what was known before a restart. The restart has ended told waits;
-// what paces calls stays. An outage is neither forgotten nor believed in when long
-// over: then its endpoints count as back and cold.
-func (b *Book) resume(s *snowjunction.State, age time.Duration) snowjunction.Caution {
+// adjustAfterRestart adjusts state from before a restart. The restart ends retry-after delays, but
+// pacing stays. An outage is not forgotten, but one that ended long ago is not assumed to last: its
+// endpoints count as recovering and cold.
+func (b *Book) adjustAfterRestart(s *snowjunction.State, age time.Duration) snowjunction.Caution {
 	for i := range s.Routes {
 		s.Routes[i].Wait = 0
 	}
-	besideTheFailed(s, age)
+	assumeSiblingsFailed(s, age)
 	if age <= b.cfg.Brisk {
 		return snowjunction.Caution{}
 	}
@@ -331,19 +332,19 @@
 		e := &s.EndpointsSeen[i]
 		if e.Condition == snowjunction.Held && age > b.cfg.Outage {
 			e.DownFor = max(e.DownFor, e.For)
-			e.Condition, e.Fails, e.For, e.Backoff = snowjunction.Warming, 0, -age, 0 // warms from the waking on
+			e.Condition, e.Fails, e.For, e.Backoff = snowjunction.Warming, 0, -age, 0 // the warm-up starts when the destination is loaded
 		}
 	}
-	return b.weigh(s, age)
+	return b.ageState(s, age)
 }
 
-// WakeWith is Wake for a memento that was kept elsewhere.
+// WakeWith is like Wake for a snapshot that was stored elsewhere.
 func (b *Book) WakeWith(m *memento.Memento, slept time.Duration) Woken {
-	return b.wake(m, max(slept, 0))
+	return b.load(m, max(slept, 0))
 }
 
-func (b *Book) wake(m *memento.Memento, slept time.Duration) Woken {
-	b.awake++
+func (b *Book) load(m *memento.Memento, slept time.Duration) Woken {
+	b.loaded++
 	b.Counts.Woke++
 	if m == nil {
 		w := Woken{}
@@ -353,41 +354,41 @@
 		return w
 	}
 	b.Counts.Known++
-	return Woken{Memento: m, Slept: slept, Caution: b.weigh(&m.State, slept)}
+	return Woken{Memento: m, Slept: slept, Caution: b.ageState(&m.State, slept)}
 }
 
-// weigh ages what is known: an old limit is worth less and less, and nothing
-// after a time; of a good latency the best is believed, the window starts anew.
-func (b *Book) weigh(s *snowjunction.State, slept time.Duration) snowjunction.Caution {
-	worth := 0.0
+// ageState ages a snapshot: an old limit loses its value over time and is dropped in the end; the
+// best latency is kept while it is recent; the window starts anew.
+func (b *Book) ageState(s *snowjunction.State, slept time.Duration) snowjunction.Caution {
+	value := 0.0
 	if slept < b.cfg.Forget {
-		worth = math.Exp2(-float64(slept) / float64(max(b.cfg.HalfLife, time.Second)))
+		value = math.Exp2(-float64(slept) / float64(max(b.cfg.HalfLife, time.Second)))
 	}
 	known := false
 	for i := range s.Routes {
 		r := &s.Routes[i]
-		if worth == 0 {
+		if value == 0 {
 			r.Limit, r.Gap, r.Fulls = 0, 0, 0
 		}
-		r.Limit *= max(worth, leastWorth)
-		r.Pace = 0 // it starts from the limit that is believed
-		r.Left = 1 // what was left then says nothing
+		r.Limit *= max(value, minLimitValue)
+		r.Pace = 0 // pacing starts from the aged limit
+		r.Left = 1 // the remaining quota of that time is no longer valid
 		known = known || r.Limit > 0
 	}
-	if worth == 0 {
+	if value == 0 {
 		s.Recent, s.Best, s.Peak = 0, 0, 0
 		for i := range s.EndpointsSeen {
 			s.EndpointsSeen[i].Latency = 0
 		}
 	}
-	s.Peak *= worth
+	s.Peak *= value
 	return snowjunction.Caution{Window: 1, Cold: known, Careful: b.cfg.Careful}
 }
 
-// besideTheFailed has endpoints that were never called count as back from an outage
-// where a sibling on their route failed or is warming: outages mostly take all of a
-// destination, and the calls of the life before are not there to show it.
-func besideTheFailed(s *snowjunction.State, age time.Duration) {
+// assumeSiblingsFailed marks endpoints that were never called as recovering from an outage if
+// another endpoint on their route failed or is warming up: most outages affect all endpoints of a
+// destination, and the calls of the previous process run that would show it are missing.
+func assumeSiblingsFailed(s *snowjunction.State, age time.Duration) {
 	worst := map[int]snowjunction.EndpointState{}
 	for _, e := range s.EndpointsSeen {
 		if e.Condition != snowjunction.Serving {
@@ -409,25 +410,25 @@
 	}
 }
 
-// leastWorth is the least part of an old limit that is believed until it is
-// forgotten: the first answer tells the true one.
-const leastWorth = 0.25
+// minLimitValue is the minimum share of an old limit that is used until the limit is dropped: the
+// first answer contains the current one.
+const minLimitValue = 0.25
 
-// Keeping tells whether a memento is kept of a destination.
-func (b *Book) Keeping(d Destination) bool { return b.kept[d] != nil }
+// Keeping reports whether there is a snapshot of a destination.
+func (b *Book) Keeping(d Destination) bool { return b.entries[d] != nil }
 
-// Stale drops up to n of the longest asleep that are past belief, and tells
-// whether there may be more.
+// Stale drops up to n of the oldest snapshots that are too old to be used, and reports whether
+// there may be more.
 func (b *Book) Stale(now time.Duration, n int) bool {
 	for ; n > 0; n-- {
 		k := b.oldest
 		if k == nil {
 			return false
 		}
-		if now-k.at < b.cfg.Forget || k.binds > now {
+		if now-k.unloadedAt < b.cfg.Forget || k.bindingUntil > now {
 			return false
 		}
-		b.remove(k)
+		b.removeEntry(k)
 		b.Counts.Dropped++
 	}
 	return true
--- a/internal/dormancy/dormancy_test.go
+++ b/internal/dormancy/dormancy_test.go
@@ -13,80 +13,81 @@
 
 func config() Config {
 	return Config{
-		After: time.Minute, Awake: 10, Memory: 100 * typical, HalfLife: 10 * time.Minute, Forget: time.Hour,
+		After: time.Minute, Awake: 10, Memory: 100 * typicalEntryBytes, HalfLife: 10 * time.Minute, Forget: time.Hour,
 		Careful: 14 * time.Second, Ledger: 10 * time.Second, Warm: 14 * time.Second, Outage: 10 * time.Minute,
 		Brisk: 20 * time.Second,
 	}
 }
 
-// plain is a state in which nothing binds; told has a wait.
-func plain() *memento.Memento {
+// unboundSnapshot returns a snapshot that is not binding; told returns one with a retry-after
+// delay.
+func unboundSnapshot() *memento.Memento {
 	return &memento.Memento{State: snowjunction.State{
 		Recent: 0.2, Best: 0.1, Peak: 3, Window: 6,
 		Routes: []snowjunction.RouteState{{Limit: 8, Left: 0.1, Pace: 8}},
 	}}
 }
 
-func told(wait time.Duration) *memento.Memento {
-	m := plain()
+func withRetryAfter(wait time.Duration) *memento.Memento {
+	m := unboundSnapshot()
 	m.State.Routes[0].Wait = wait
 	return m
 }
 
-// sleep has a destination wake, be idle and go to sleep at once.
-func sleep(b *Book, d Destination, now time.Duration, m *memento.Memento) {
+// unload loads a destination, marks it idle and unloads it at once.
+func unload(b *Book, d Destination, now time.Duration, m *memento.Memento) {
 	b.Wake(d, now)
 	b.Idle(d, now)
 	b.Keep(d, m, now)
 }
 
-func TestIdleLongEnough(t *testing.T) {
+func TestDueAfterIdleTimeout(t *testing.T) {
 	b := New(config())
 	b.Wake(1, 0)
 	_, due, wait := b.Due(0)
 	assert.False(t, due)
-	assert.Negative(t, int64(wait), "nothing is idle")
+	assert.Negative(t, int64(wait), "no destination is idle")
 	b.Idle(1, time.Second)
 	_, due, wait = b.Due(2 * time.Second)
 	assert.False(t, due)
 	assert.Equal(t, 59*time.Second, wait)
 	b.Busy(1)
 	_, due, _ = b.Due(2 * time.Minute)
-	assert.False(t, due, "it has something to do")
+	assert.False(t, due, "it is busy")
 	b.Idle(1, 2*time.Minute)
 	d, due, _ := b.Due(3 * time.Minute)
 	assert.True(t, due)
 	assert.Equal(t, Destination(1), d)
 }
 
-// With too many awake the longest idle goes at once.
-func TestTooManyAwake(t *testing.T) {
+// With too many destinations loaded, the longest idle one is unloaded at once.
+func TestTooManyLoaded(t *testing.T) {
 	b := New(config())
 	for d := range Destination(11) {
 		b.Wake(d, 0)
 	}
-	assert.False(t, b.Over(), "none is idle")
+	assert.False(t, b.Over(), "no destination is idle")
 	b.Idle(4, time.Second)
 	b.Idle(2, 2*time.Second)
 	assert.True(t, b.Over())
 	d, due, _ := b.Due(2 * time.Second)
 	require.True(t, due)
 	assert.Equal(t, Destination(4), d)
-	b.Keep(d, plain(), 2*time.Second)
+	b.Keep(d, unboundSnapshot(), 2*time.Second)
 	_, due, _ = b.Due(2 * time.Second)
-	assert.False(t, due, "ten are awake")
+	assert.False(t, due, "only ten are loaded")
 }
 
-// What was known comes back, worth less the older it is; the pace, what was left
-// and the window begin anew.
-func TestWakesWithCaution(t *testing.T) {
+// A snapshot is restored with a limit that is lower the older it is. The pacing rate, the remaining
+// quota and the window start anew.
+func TestLoadAgesSnapshot(t *testing.T) {
 	for _, tc := range []struct {
 		slept time.Duration
 		limit float64
 		cold  bool
 	}{{0, 8, true}, {10 * time.Minute, 4, true}, {20 * time.Minute, 2, true}, {50 * time.Minute, 2, true}, {time.Hour, 0, false}} {
 		b := New(config())
-		sleep(b, 1, 0, plain())
+		unload(b, 1, 0, unboundSnapshot())
 		assert.Equal(t, 1, b.Asleep())
 		w := b.Wake(1, tc.slept)
 		require.NotNil(t, w.Memento)
@@ -97,12 +98,13 @@
 		assert.Equal(t, snowjunction.Caution{Window: 1, Cold: tc.cold, Careful: 14 * time.Second}, w.Caution)
 		assert.Zero(t, b.Asleep())
 		assert.Zero(t, b.Bytes())
-		assert.Nil(t, b.Wake(1, tc.slept).Memento, "once")
+		assert.Nil(t, b.Wake(1, tc.slept).Memento, "a snapshot is used only once")
 	}
 }
 
-// One of which nothing is known wakes as before, unless the operator wants care.
-func TestFirstTime(t *testing.T) {
+// A destination without a snapshot starts normally, unless the operator configured a cautious
+// start.
+func TestLoadWithoutSnapshot(t *testing.T) {
 	b := New(config())
 	assert.Equal(t, Woken{}, b.Wake(1, 0))
 	cfg := config()
@@ -110,33 +112,33 @@
 	assert.Equal(t, snowjunction.Caution{Window: 1, Careful: 14 * time.Second}, New(cfg).Wake(1, 0).Caution)
 }
 
-// When memory is full the longest asleep that binds nothing goes first.
-func TestWhatIsDroppedFirst(t *testing.T) {
+// If the memory is full, the oldest snapshot that is not binding is dropped first.
+func TestOldestUnboundIsDropped(t *testing.T) {
 	cfg := config()
-	one := len(memento.Encode(nil, plain())) + keepCost
+	one := len(memento.Encode(nil, unboundSnapshot())) + entryOverhead
 	cfg.Memory = 3*one + 8
 	b := New(cfg)
-	sleep(b, 1, 0, told(time.Minute))
-	sleep(b, 2, time.Second, plain())
-	sleep(b, 3, 2*time.Second, plain())
-	sleep(b, 4, 3*time.Second, plain())
+	unload(b, 1, 0, withRetryAfter(time.Minute))
+	unload(b, 2, time.Second, unboundSnapshot())
+	unload(b, 3, 2*time.Second, unboundSnapshot())
+	unload(b, 4, 3*time.Second, unboundSnapshot())
 	assert.Equal(t, []bool{true, false, true, true}, []bool{b.Keeping(1), b.Keeping(2), b.Keeping(3), b.Keeping(4)})
-	sleep(b, 5, 2*time.Minute, plain())
-	assert.False(t, b.Keeping(1), "its wait is over")
+	unload(b, 5, 2*time.Minute, unboundSnapshot())
+	assert.False(t, b.Keeping(1), "its retry-after delay is over")
 	assert.LessOrEqual(t, b.Bytes(), cfg.Memory)
 	assert.EqualValues(t, 2, b.Counts.Dropped)
 }
 
-// Every memento binds and there is no memory left: none is dropped, nothing more
-// goes to sleep, and a further destination is told when there may be room.
-func TestAllBind(t *testing.T) {
+// If every snapshot is binding and the memory is full, none is dropped, no further destination is
+// unloaded, and a destination to be loaded gets the time until there may be room.
+func TestAllSnapshotsBinding(t *testing.T) {
 	cfg := config()
 	cfg.Awake = 2
-	cfg.Memory = 4 * typical
+	cfg.Memory = 4 * typicalEntryBytes
 	b := New(cfg)
 	n := Destination(0)
-	for ; b.Bytes()+typical <= cfg.Memory; n++ {
-		sleep(b, n, 0, told(time.Minute+time.Duration(n)*time.Second))
+	for ; b.Bytes()+typicalEntryBytes <= cfg.Memory; n++ {
+		unload(b, n, 0, withRetryAfter(time.Minute+time.Duration(n)*time.Second))
 	}
 	b.Wake(100, time.Second)
 	b.Wake(101, time.Second)
@@ -144,7 +146,7 @@
 	b.Idle(100, time.Second)
 	_, due, wait := b.Due(2 * time.Minute / 4)
 	assert.False(t, due)
-	assert.Equal(t, 30*time.Second, wait, "the first wait ends then")
+	assert.Equal(t, 30*time.Second, wait, "the first retry-after delay ends then")
 	room, after := b.Room(30 * time.Second)
 	assert.False(t, room)
 	assert.Equal(t, 30*time.Second, after)
@@ -158,12 +160,12 @@
 	assert.Equal(t, Destination(100), d)
 }
 
-func TestWhatBinds(t *testing.T) {
+func TestBindingFor(t *testing.T) {
 	b := New(config())
 	with := func(change func(s *snowjunction.State)) time.Duration {
-		m := plain()
+		m := unboundSnapshot()
 		change(&m.State)
-		return b.binds(&m.State)
+		return b.bindingFor(&m.State)
 	}
 	ep := func(e snowjunction.EndpointState) func(s *snowjunction.State) {
 		return func(s *snowjunction.State) { s.EndpointsSeen = []snowjunction.EndpointState{e} }
@@ -177,11 +179,11 @@
 	assert.Equal(t, 11*time.Second, with(ep(snowjunction.EndpointState{Condition: snowjunction.Warming, For: 3 * time.Second})))
 }
 
-// What is past belief goes in slices, the oldest first.
-func TestStale(t *testing.T) {
+// Snapshots that are too old are dropped in batches, the oldest first.
+func TestDropOldSnapshots(t *testing.T) {
 	b := New(config())
 	for d := range Destination(5) {
-		sleep(b, d, time.Duration(d)*time.Second, plain())
+		unload(b, d, time.Duration(d)*time.Second, unboundSnapshot())
 	}
 	assert.True(t, b.Stale(time.Hour+2*time.Second, 2))
 	assert.Equal(t, 3, b.Asleep())
@@ -189,10 +191,10 @@
 	assert.Equal(t, 2, b.Asleep())
 }
 
-// After a restart soon all goes on as it was, but told waits; later what is known is
-// weighed, and an outage that is long over counts as a cold return.
-func TestRecall(t *testing.T) {
-	held := plain()
+// After a quick restart everything is restored except retry-after delays. After a longer one the
+// state is aged, and endpoints in an outage long ago count as recovering.
+func TestSnapshotOfPreviousRun(t *testing.T) {
+	held := unboundSnapshot()
 	held.Names = []memento.Name{1}
 	held.State.EndpointsSeen = []snowjunction.EndpointState{{
 		Condition: snowjunction.Held, Fails: 4, For: 3 * time.Second, Failed: 4 * time.Second, Backoff: time.Second, Trial: time.Second,
@@ -210,24 +212,24 @@
 	assert.Equal(t, snowjunction.Caution{}, w.Caution)
 	assert.Equal(t, 2*time.Second, w.Slept)
 	r, e := w.Memento.State.Routes[0], w.Memento.State.EndpointsSeen[0]
-	assert.Zero(t, r.Wait, "the restart ends a told wait")
-	assert.Equal(t, 3.0, r.Pace, "pacing is not forgotten")
+	assert.Zero(t, r.Wait, "the restart ends a retry-after delay")
+	assert.Equal(t, 3.0, r.Pace, "pacing is restored")
 	assert.Equal(t, snowjunction.Held, e.Condition)
 
 	w, ok = wake(time.Minute)
 	require.True(t, ok)
 	assert.NotZero(t, w.Caution.Window)
-	assert.Equal(t, snowjunction.Held, w.Memento.State.EndpointsSeen[0].Condition, "an outage is not forgotten")
+	assert.Equal(t, snowjunction.Held, w.Memento.State.EndpointsSeen[0].Condition, "a recent outage is restored")
 	assert.Less(t, w.Memento.State.Routes[0].Limit, held.State.Routes[0].Limit)
 
 	w, ok = wake(20 * time.Minute)
 	require.True(t, ok)
 	e = w.Memento.State.EndpointsSeen[0]
-	assert.Equal(t, snowjunction.Warming, e.Condition, "nor believed in when it is long over")
-	assert.Equal(t, w.Slept, -e.For, "it warms from now on")
+	assert.Equal(t, snowjunction.Warming, e.Condition, "an outage of long ago counts as a recovery")
+	assert.Equal(t, w.Slept, -e.For, "the warm-up starts now")
 
 	w, ok = wake(-1)
-	require.True(t, ok, "an age that is not known is neither young nor too old")
+	require.True(t, ok, "an unknown age is neither recent nor too old")
 	assert.Equal(t, snowjunction.Held, w.Memento.State.EndpointsSeen[0].Condition)
 	assert.NotZero(t, w.Caution.Window)
 
@@ -236,9 +238,9 @@
 	text = memento.Encode(nil, held)
 	w, _ = wake(time.Second)
 	seen := w.Memento.State.EndpointsSeen
-	assert.Equal(t, snowjunction.Serving, seen[1].Condition, "it has served beside the failed one")
-	assert.Equal(t, snowjunction.Warming, seen[2].Condition, "it was never called: who knows?")
-	assert.Equal(t, 5*time.Second, seen[2].DownFor, "for as long as that has failed, up to now")
+	assert.Equal(t, snowjunction.Serving, seen[1].Condition, "it served while the other one failed")
+	assert.Equal(t, snowjunction.Warming, seen[2].Condition, "it was never called and may have failed too")
+	assert.Equal(t, 5*time.Second, seen[2].DownFor, "as long as the other one has failed, up to now")
 
 	_, ok = wake(config().Forget)
 	assert.False(t, ok)
--- a/internal/idlestore/idlestore.go
+++ b/internal/idlestore/idlestore.go
@@ -1,10 +1,9 @@
-// Package idlestore keeps mementos of destinations that sleep beyond memory, in
-// a bbolt file that an operator file names and bounds.
+// Package idlestore stores snapshots of unloaded destinations beyond memory, in a bbolt file whose
+// path and size an operator file sets.
 //
-// A goroutine of its own does all reading and writing: whoever hands something
-// over never waits. What it holds is knowledge and nothing more. A file that is
-// damaged is set aside, one that cannot be used costs what was in it, and when
-// more is handed over than can be written some of it is dropped.
+// One goroutine does all reading and writing, so callers never wait. The file only holds learned
+// state that can be lost. A damaged file is moved aside, an unusable one loses its contents, and
+// entries that are added faster than they can be written are dropped.
 package idlestore
 
 import (
@@ -21,61 +20,60 @@
 	"go.etcd.io/bbolt"
 )
 
-// Options name and bound a store.
+// Options configure a Store.
 type Options struct {
 	Path   string
-	Bytes  int64         // of the file, about: the oldest go first
-	Forget time.Duration // older ones are dropped at the start
-	Post   func(func())  // runs what Take answers
+	Bytes  int64         // approximate size of the file; the oldest entries are dropped first
+	Forget time.Duration // older entries are dropped when the store is opened
+	Post   func(func())  // runs the callbacks of Take
 	Log    *slog.Logger
 	Now    func() time.Time
 }
 
 // Store is an open store.
 type Store struct {
-	o    Options
-	db   *bbolt.DB
-	work chan any
-	done chan struct{}
+	options  Options
+	db       *bbolt.DB
+	requests chan any
+	done     chan struct{}
 
 	mu      sync.Mutex
-	has     map[uint32]struct{}
+	stored  map[uint32]struct{}
 	dropped uint64
-	broken  bool
+	failed  bool
 }
 
-type put struct {
-	dest uint32
-	at   time.Time
-	text []byte
+type putRequest struct {
+	dest    uint32
+	at      time.Time
+	encoded []byte
 }
 
-type take struct {
+type takeRequest struct {
 	dest uint32
 	done func(text []byte, at time.Time, ok bool)
 }
 
 var (
-	mementos = []byte("mementos") // destination -> checksum, time in ms, memento
-	ages     = []byte("ages")     // time in ms, destination -> nothing
+	snapshotBucket = []byte("mementos") // destination -> checksum, time in ms, snapshot
+	ageBucket      = []byte("ages")     // time in ms, destination -> empty
 )
 
 const (
-	queueMost = 4096
-	batchMost = 512
-	entryCost = 256 // bytes of file for one, about
+	queueCapacity = 4096
+	maxBatch      = 512
+	entryBytes    = 256 // approximate bytes of file per entry
 )
 
-// Open opens the store, or makes one. A file that is no store, or a damaged
-// one, is set aside under the same name with .damaged behind it. An error means
-// that there is none: the caller goes on without.
+// Open opens the store, or creates it. A file that is not a store, or is damaged, is renamed with
+// the suffix .damaged. On an error the caller continues without a store.
 func Open(o Options) (*Store, error) {
 	s, err := open(o)
 	if errors.Is(err, errLocked) {
 		return nil, err
 	}
 	if err != nil {
-		o.Log.Warn("idle store set aside", "path", o.Path, "err", err)
+		o.Log.Warn("idle store cannot be used; renaming the file and starting with an empty one", "path", o.Path, "err", err)
 		if err := os.Rename(o.Path, o.Path+".damaged"); err != nil {
 			return nil, fmt.Errorf("idle store: %w", err)
 		}
@@ -90,10 +88,10 @@
 var errLocked = errors.New("idle store: another process has it open")
 
 func open(o Options) (s *Store, err error) {
-	s = &Store{o: o, work: make(chan any, queueMost), done: make(chan struct{}), has: map[uint32]struct{}{}}
-	err = guarded(func() error {
-		// The list of free pages is kept in the file: without it bbolt looks for
-		// them on a goroutine of its own, where a damaged page ends the process.
+	s = &Store{options: o, requests: make(chan any, queueCapacity), done: make(chan struct{}), stored: map[uint32]struct{}{}}
+	err = recoverPanic(func() error {
+		// The free list is kept in the file: without it bbolt searches for free pages on its own
+		// goroutine, where a damaged page would end the process.
 		db, err := bbolt.Open(o.Path, 0o600, &bbolt.Options{
 			Timeout: time.Second, NoSync: true, FreelistType: bbolt.FreelistMapType,
 		})
@@ -107,14 +105,14 @@
 		return nil, errLocked
 	}
 	if err != nil && s.db != nil {
-		_ = guarded(s.db.Close)
+		_ = recoverPanic(s.db.Close)
 	}
 	return s, err
 }
 
-// guarded turns a panic into an error. bbolt panics on damaged pages, and a
-// file that is cut short faults where its mapping is read.
-func guarded(f func() error) (err error) {
+// recoverPanic turns a panic into an error. bbolt panics on damaged pages, and reading the mapping
+// of a truncated file causes a fault.
+func recoverPanic(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
@@ -124,15 +122,16 @@
 	return f()
 }
 
-// load makes the buckets, drops what is too old and notes what there is.
+// load creates the buckets, drops entries that are too old and records which destinations have an
+// entry.
 func (s *Store) load() error {
-	oldest := s.o.Now().Add(-s.o.Forget)
+	oldest := s.options.Now().Add(-s.options.Forget)
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		m, err := tx.CreateBucketIfNotExists(mementos)
+		m, err := tx.CreateBucketIfNotExists(snapshotBucket)
 		if err != nil {
 			return err
 		}
-		if _, err = tx.CreateBucketIfNotExists(ages); err != nil {
+		if _, err = tx.CreateBucketIfNotExists(ageBucket); err != nil {
 			return err
 		}
 		if err := s.prune(tx, func(at time.Time, _ int) bool { return at.Before(oldest) }); err != nil {
@@ -140,16 +139,16 @@
 		}
 		return m.ForEach(func(k, v []byte) error {
 			if _, _, ok := decode(k, v); ok {
-				s.has[binary.BigEndian.Uint32(k)] = struct{}{}
+				s.stored[binary.BigEndian.Uint32(k)] = struct{}{}
 			}
 			return nil
 		})
 	})
 }
 
-// prune drops the oldest while old says so; n is how many there are.
+// prune drops the oldest entries while old returns true; n is the number of entries.
 func (s *Store) prune(tx *bbolt.Tx, old func(at time.Time, n int) bool) error {
-	m, a, n := tx.Bucket(mementos), tx.Bucket(ages), s.Len()
+	m, a, n := tx.Bucket(snapshotBucket), tx.Bucket(ageBucket), s.Len()
 	c := a.Cursor()
 	for k, _ := c.First(); k != nil; k, _ = c.First() {
 		if len(k) == 12 && !old(time.UnixMilli(int64(binary.BigEndian.Uint64(k))), n) {
@@ -160,8 +159,8 @@
 				return err
 			}
 			s.mu.Lock()
-			delete(s.has, binary.BigEndian.Uint32(k[8:]))
-			n = len(s.has)
+			delete(s.stored, binary.BigEndian.Uint32(k[8:]))
+			n = len(s.stored)
 			s.mu.Unlock()
 		}
 		if err := a.Delete(k); err != nil {
@@ -174,11 +173,11 @@
 func encode(k []byte, at time.Time, text []byte) []byte {
 	b := binary.BigEndian.AppendUint64(make([]byte, 8, 16+len(text)), uint64(at.UnixMilli()))
 	b = append(b, text...)
-	binary.BigEndian.PutUint64(b, sum(k, b[8:]))
+	binary.BigEndian.PutUint64(b, checksum(k, b[8:]))
 	return b
 }
 
-func sum(k, b []byte) uint64 {
+func checksum(k, b []byte) uint64 {
 	d := xxhash.New()
 	_, _ = d.Write(k)
 	_, _ = d.Write(b)
@@ -186,40 +185,40 @@
 }
 
 func decode(k, v []byte) (text []byte, at time.Time, ok bool) {
-	if len(k) != 4 || len(v) < 16 || binary.BigEndian.Uint64(v) != sum(k, v[8:]) {
+	if len(k) != 4 || len(v) < 16 || binary.BigEndian.Uint64(v) != checksum(k, v[8:]) {
 		return nil, time.Time{}, false
 	}
 	return append([]byte(nil), v[16:]...), time.UnixMilli(int64(binary.BigEndian.Uint64(v[8:]))), true
 }
 
-// Has tells whether there is a memento of a destination.
+// Has reports whether there is a snapshot of a destination.
 func (s *Store) Has(dest uint32) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, ok := s.has[dest]
-	return ok && !s.broken
+	_, ok := s.stored[dest]
+	return ok && !s.failed
 }
 
-// Len is the number of mementos, Dropped how many could not be written.
+// Len returns the number of snapshots.
 func (s *Store) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.has)
+	return len(s.stored)
 }
 
-// Dropped is how many could not be written.
+// Dropped returns the number of snapshots that could not be written.
 func (s *Store) Dropped() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.dropped
 }
 
-// Put hands a memento over. It never waits.
+// Put queues a snapshot for writing. It never waits.
 func (s *Store) Put(dest uint32, at time.Time, text []byte) {
 	select {
-	case s.work <- put{dest, at, text}:
+	case s.requests <- putRequest{dest, at, text}:
 		s.mu.Lock()
-		s.has[dest] = struct{}{}
+		s.stored[dest] = struct{}{}
 		s.mu.Unlock()
 	default:
 		s.mu.Lock()
@@ -228,31 +227,30 @@
 	}
 }
 
-// Take asks for a memento; done is posted with it, or with ok false. It never
-// waits. done is not called where the store has too much to do: it returns
-// false then.
+// Take requests a snapshot. done is posted with it, or with ok false if there is none. Take never
+// waits: if the queue is full it returns false, and done is not called.
 func (s *Store) Take(dest uint32, done func(text []byte, at time.Time, ok bool)) bool {
 	select {
-	case s.work <- take{dest, done}:
+	case s.requests <- takeRequest{dest, done}:
 		return true
 	default:
 		return false
 	}
 }
 
-// Close writes what has been handed over and closes the file.
+// Close writes the queued snapshots and closes the file.
 func (s *Store) Close() {
-	close(s.work)
+	close(s.requests)
 	<-s.done
 }
 
 func (s *Store) run() {
 	defer close(s.done)
-	for first := range s.work {
+	for first := range s.requests {
 		batch := []any{first}
-		for more := true; more && len(batch) < batchMost; {
+		for more := true; more && len(batch) < maxBatch; {
 			select {
-			case x, ok := <-s.work:
+			case x, ok := <-s.requests:
 				if more = ok; ok {
 					batch = append(batch, x)
 				}
@@ -260,84 +258,84 @@
 				more = false
 			}
 		}
-		s.do(batch)
+		s.process(batch)
 	}
-	_ = guarded(s.db.Close)
+	_ = recoverPanic(s.db.Close)
 }
 
-// do carries a batch out in order: writes in a row share a transaction.
-func (s *Store) do(batch []any) {
+// process processes a batch in order: consecutive writes share a transaction.
+func (s *Store) process(batch []any) {
 	for len(batch) > 0 {
-		var puts []put
+		var puts []putRequest
 		for len(batch) > 0 {
-			p, ok := batch[0].(put)
+			p, ok := batch[0].(putRequest)
 			if !ok {
 				break
 			}
 			puts, batch = append(puts, p), batch[1:]
 		}
 		if len(puts) > 0 {
-			s.guard(func() error { return s.write(puts) })
+			s.withFile(func() error { return s.write(puts) })
 		}
 		if len(batch) > 0 {
-			t := batch[0].(take)
+			t := batch[0].(takeRequest)
 			batch = batch[1:]
 			var text []byte
 			var at time.Time
 			var ok bool
-			s.guard(func() error {
+			s.withFile(func() error {
 				return s.db.View(func(tx *bbolt.Tx) error {
 					k := key(t.dest)
-					text, at, ok = decode(k, tx.Bucket(mementos).Get(k))
+					text, at, ok = decode(k, tx.Bucket(snapshotBucket).Get(k))
 					return nil
 				})
 			})
-			s.o.Post(func() { t.done(text, at, ok) })
+			s.options.Post(func() { t.done(text, at, ok) })
 		}
 	}
 }
 
-// guard does something with the file. After a failure the store holds nothing
-// any more until the next start.
-func (s *Store) guard(f func() error) {
+// withFile runs an operation on the file. After a failure the store holds nothing until the next
+// start.
+func (s *Store) withFile(f func() error) {
 	s.mu.Lock()
-	broken := s.broken
+	failed := s.failed
 	s.mu.Unlock()
-	if broken {
+	if failed {
 		return
 	}
-	if err := guarded(f); err != nil {
-		s.o.Log.Warn("idle store given up until the next start", "path", s.o.Path, "err", err)
+	if err := recoverPanic(f); err != nil {
+		s.options.Log.Warn("idle store failed; not used until the next start", "path", s.options.Path, "err", err)
 		s.mu.Lock()
-		s.broken = true
+		s.failed = true
 		s.mu.Unlock()
 	}
 }
 
 func key(dest uint32) []byte { return binary.BigEndian.AppendUint32(nil, dest) }
 
-func (s *Store) write(puts []put) error {
+func (s *Store) write(puts []putRequest) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		m, a := tx.Bucket(mementos), tx.Bucket(ages)
+		m, a := tx.Bucket(snapshotBucket), tx.Bucket(ageBucket)
 		for _, p := range puts {
 			k := key(p.dest)
 			if _, at, ok := decode(k, m.Get(k)); ok {
-				if err := a.Delete(age(at, k)); err != nil {
+				if err := a.Delete(ageKey(at, k)); err != nil {
 					return err
 				}
 			}
-			if err := m.Put(k, encode(k, p.at, p.text)); err != nil {
+			if err := m.Put(k, encode(k, p.at, p.encoded)); err != nil {
 				return err
 			}
-			if err := a.Put(age(p.at, k), nil); err != nil {
+			if err := a.Put(ageKey(p.at, k), nil); err != nil {
 				return err
 			}
 		}
-		most := int(s.o.Bytes / entryCost)
+		most := int(s.options.Bytes / entryBytes)
 		return s.prune(tx, func(_ time.Time, n int) bool { return n > most })
 	})
 }
 
-func age(at time.Time, k []byte) []byte {
+func ageKey(at time.Time, k []byte) []byte {
 	return append(binary.BigEndian.AppendUint64(nil, uint64(at.UnixMilli())), k...)
 }
--- a/internal/idlestore/idlestore_test.go
+++ b/internal/idlestore/idlestore_test.go
@@ -25,22 +25,22 @@
 	f := &fixture{t: t, posts: make(chan func(), 100)}
 	var err error
 	f.Store, err = Open(Options{
-		Path: path, Bytes: 64 * entryCost, Forget: time.Hour, Post: func(g func()) { f.posts <- g },
+		Path: path, Bytes: 64 * entryBytes, Forget: time.Hour, Post: func(g func()) { f.posts <- g },
 		Log: slog.New(slog.NewTextHandler(&f.log, nil)), Now: func() time.Time { return now },
 	})
 	require.NoError(t, err)
 	return f
 }
 
-// ask waits for what the store answers, and so for all that was handed over.
+// ask waits for the store's answer, and therefore for all earlier writes.
 func (f *fixture) ask(dest uint32) (text []byte, at time.Time, ok bool) {
 	require.True(f.t, f.Take(dest, func(b []byte, when time.Time, found bool) { text, at, ok = b, when, found }))
 	(<-f.posts)()
 	return
 }
 
-// What is handed over outlasts the process, with its time.
-func TestOutlasts(t *testing.T) {
+// Entries survive a restart, with their times.
+func TestEntriesSurviveRestart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "idle.db")
 	s := newStore(t, path, noon)
 	assert.False(t, s.Has(7))
@@ -63,8 +63,8 @@
 	s.Close()
 }
 
-// The oldest make room.
-func TestBounded(t *testing.T) {
+// The oldest entries make room for new ones.
+func TestOldestEntriesAreDropped(t *testing.T) {
 	s := newStore(t, filepath.Join(t.TempDir(), "idle.db"), noon)
 	for i := range uint32(200) {
 		s.Put(i, noon.Add(time.Duration(i)*time.Millisecond), []byte("text"))
@@ -77,9 +77,9 @@
 	s.Close()
 }
 
-// A file that is no store, is cut short or has rotten pages costs what was in
-// it, never a start; it is set aside.
-func TestDamaged(t *testing.T) {
+// A file that is not a store, is truncated or has damaged pages only loses its contents and never
+// prevents a start; it is moved aside.
+func TestDamagedFile(t *testing.T) {
 	for name, spoil := range map[string]func(b []byte) []byte{
 		"no store":  func([]byte) []byte { return []byte("these are no mementos") },
 		"empty":     func([]byte) []byte { return nil },
@@ -106,7 +106,7 @@
 
 			s = newStore(t, path, noon)
 			for i := range uint32(60) {
-				if text, _, ok := s.ask(i); ok { // what still stands is whole
+				if text, _, ok := s.ask(i); ok { // remaining entries are complete
 					assert.Equal(t, bytes.Repeat([]byte("x"), 2000), text)
 				}
 			}
@@ -120,13 +120,13 @@
 	}
 }
 
-// A single memento whose bytes have changed is none.
+// An entry whose bytes have changed is rejected.
 func TestChecksum(t *testing.T) {
 	b := encode(key(7), noon, []byte("memento"))
 	_, _, ok := decode(key(7), b)
 	assert.True(t, ok)
 	_, _, ok = decode(key(8), b)
-	assert.False(t, ok, "another's")
+	assert.False(t, ok, "the key of another destination")
 	for i := range b {
 		b[i] ^= 1
 		_, _, ok = decode(key(7), b)
@@ -135,16 +135,16 @@
 	}
 }
 
-// Where the file cannot be used there is no store, and an error that says why.
-func TestNoStore(t *testing.T) {
+// If the file cannot be used, Open returns an error.
+func TestUnusablePath(t *testing.T) {
 	_, err := Open(Options{
 		Path: filepath.Join(t.TempDir(), "no", "such", "folder"), Log: slog.New(slog.DiscardHandler), Now: time.Now,
 	})
 	assert.Error(t, err)
 }
 
-// Nobody waits for the file: what is too much is dropped and counted.
-func TestDropsWhatIsTooMuch(t *testing.T) {
+// Callers never wait for the file: entries beyond the queue's capacity are dropped and counted.
+func TestFullQueueDrops(t *testing.T) {
 	held, entered := make(chan struct{}), make(chan struct{})
 	s, err := Open(Options{
 		Path: filepath.Join(t.TempDir(), "idle.db"), Bytes: 1 << 20, Forget: time.Hour, Log: slog.New(slog.DiscardHandler),
@@ -152,8 +152,8 @@
 	})
 	require.NoError(t, err)
 	require.True(t, s.Take(1, nil))
-	<-entered // the store is held up
-	for i := range uint32(queueMost + 10) {
+	<-entered // the store's goroutine is blocked
+	for i := range uint32(queueCapacity + 10) {
 		s.Put(i, noon, []byte("x"))
 	}
 	assert.EqualValues(t, 10, s.Dropped())
--- a/internal/learnt/budget.go
+++ b/internal/learnt/budget.go
@@ -1,31 +1,30 @@
 package learnt
 
-// Budget bounds what is written beside the journal to shares of the journal's own
-// writes and of their bytes. It does no I/O.
+// Budget limits what is written next to the journal to shares of the journal's own writes and
+// bytes. It does no I/O.
 type Budget struct {
-	Writes float64 // share of the number
+	Writes float64 // share of the number of writes
 	Bytes  float64 // share of the bytes
-	// WriteMost is the most bytes of one write: with less saved up than that, none is
-	// begun.
+	// WriteMost is the size in bytes that must be available before a write is started.
 	WriteMost int
 
-	writes, bytes uint64 // spent
+	usedWrites, usedBytes uint64 // used so far
 }
 
-// May tells whether one more write may be made, and of how many bytes.
+// May reports whether another write is allowed, and how many bytes it may have.
 func (b *Budget) May(j Journal) (room int, ok bool) {
-	if float64(b.writes+1) > b.Writes*float64(j.Writes) {
+	if float64(b.usedWrites+1) > b.Writes*float64(j.Writes) {
 		return 0, false
 	}
-	left := b.Bytes*float64(j.Bytes) - float64(b.bytes)
+	left := b.Bytes*float64(j.Bytes) - float64(b.usedBytes)
 	if left < float64(b.WriteMost) {
 		return 0, false
 	}
 	return int(min(left, float64(1<<20))), true
 }
 
-// Spend books a write.
+// Spend records a write.
 func (b *Budget) Spend(bytes int) {
-	b.writes++
-	b.bytes += uint64(max(bytes, 0))
+	b.usedWrites++
+	b.usedBytes += uint64(max(bytes, 0))
 }
--- a/internal/learnt/learnt.go
+++ b/internal/learnt/learnt.go
@@ -1,10 +1,10 @@
-// Package learnt keeps what the decision module has learnt of its destinations in the
-// folder that outlasts the process: limits, paces, outages and cold returns, the
-// ledger and latencies, as mementos, for the courier's next life.
+// Package learnt stores what the decision module has learned about its destinations in the state
+// directory, for the courier's next process run: limits, pacing rates, outages and recoveries, the
+// retry budget and latencies, as encoded snapshots.
 //
-// Records are appended to a segment as they change; the youngest of a destination
-// counts. A full segment is followed by another that begins with all that is live,
-// and is removed once that is written. budget.go bounds how much is written.
+// Records are appended to a segment as they change; the latest record of a destination counts. A
+// full segment is followed by another that begins with all live records, and is removed once these
+// are written. budget.go limits how much is written.
 package learnt
 
 import (
@@ -24,31 +24,31 @@
 	"snowjunction/internal/record"
 )
 
-// Version is that of the records; the mementos in them have their own.
+// Version is the version of the records; the snapshots in them have their own.
 const Version = 1
 
-// Record is what was known of a destination at a time.
+// Record is the state of a destination at a point in time.
 type Record struct {
 	Destination uint32
-	At          time.Time // to the millisecond
-	Text        []byte    // a memento
+	At          time.Time // with millisecond precision
+	Text        []byte    // an encoded snapshot
 }
 
-// Options set the place and the bounds.
+// Options configure a Store.
 type Options struct {
 	Dir   string
 	Bytes int // of all segments together
 	Log   *slog.Logger
 }
 
-// The form of a record on disk, behind the frame of package record: version, time in
-// Unix milliseconds as a varint, destination as a uvarint, and the memento.
+// The format of a record on disk, after the frame of package record: version, time in Unix
+// milliseconds as a varint, destination as a uvarint, and the snapshot.
 const (
-	recordMost = 1 << 16
-	prefix     = "learnt-"
+	maxRecordBytes = 1 << 16
+	segmentPrefix  = "learnt-"
 )
 
-// Append appends a record's form to b.
+// Append appends the encoded record to b.
 func Append(b []byte, r Record) []byte {
 	at := len(b)
 	b = append(b, make([]byte, record.Frame)...)
@@ -60,10 +60,10 @@
 	return b
 }
 
-// Next reads the record at the start of b and returns what is behind it. A record of
-// a version that is not known is skipped: ok is false, and there is no error.
+// Next decodes the record at the start of b and returns the rest of b. A record of an unknown
+// version is skipped: ok is false, and there is no error.
 func Next(b []byte) (r Record, ok bool, rest []byte, err error) {
-	body, rest, err := record.Open(b, recordMost)
+	body, rest, err := record.Open(b, maxRecordBytes)
 	if err != nil || body[0] != Version {
 		return r, false, rest, err
 	}
@@ -76,17 +76,17 @@
 	return r, true, rest, nil
 }
 
-// Load reads what is in a folder: the youngest record of each destination, in order
-// of writing. What cannot be read is told and left out.
+// Load reads the records in a directory: the latest record of each destination, in the order of
+// writing. wrong is called for files and parts of files that cannot be read; these are omitted.
 func Load(dir string, wrong func(file string, err error)) []Record {
-	files, err := aside.Files(dir, prefix)
+	files, err := aside.Files(dir, segmentPrefix)
 	if err != nil {
 		wrong(dir, err)
 		return nil
 	}
 	var all []Record
 	for _, name := range files {
-		b, err := read(name)
+		b, err := readSegment(name)
 		if err != nil {
 			wrong(filepath.Base(name), err)
 			continue
@@ -94,7 +94,7 @@
 		for size := len(b); len(b) > 0; {
 			r, ok, rest, err := Next(b)
 			if err != nil {
-				wrong(filepath.Base(name), fmt.Errorf("%w at %d: %d bytes are left out", err, size-len(b), len(b)))
+				wrong(filepath.Base(name), fmt.Errorf("%w at %d: %d bytes are skipped", err, size-len(b), len(b)))
 				break
 			}
 			if b = rest; ok {
@@ -115,27 +115,29 @@
 	return out
 }
 
-const sizeMost = 64 << 20
+// maxSegmentBytes is the largest segment in bytes that Load reads.
+const maxSegmentBytes = 64 << 20
 
-func read(path string) ([]byte, error) {
+func readSegment(path string) ([]byte, error) {
 	if i, err := os.Stat(path); err != nil {
 		return nil, err
-	} else if i.Size() > sizeMost {
-		return nil, fmt.Errorf("%d bytes are too many", i.Size())
+	} else if i.Size() > maxSegmentBytes {
+		return nil, fmt.Errorf("file of %d bytes is too large", i.Size())
 	}
 	return os.ReadFile(path)
 }
 
-// Store writes records. Nobody waits for the disk.
+// Store writes records in the background. Its callers never wait for the disk.
 type Store struct {
-	o    Options
-	most int // of one segment
-	no   uint64
-	file *os.File
-	size int
-	held *list.List               // of Record, the oldest first: what the next segment begins with
-	by   map[uint32]*list.Element // of held
-	live int                      // bytes that held takes on disk
+	options    Options
+	maxSegment int // maximum size of one segment in bytes
+	// segmentNumber is the number of the current segment.
+	segmentNumber uint64
+	segment       *os.File
+	segmentSize   int
+	records       *list.List               // of Record, the oldest first; the next segment begins with these
+	byDestination map[uint32]*list.Element // elements of records by destination
+	liveBytes     int                      // bytes on disk of all records
 
 	writer *aside.Writer[[]Record]
 
@@ -143,115 +145,117 @@
 	counts Counts
 }
 
-// Counts tell what the store has done.
+// Counts are the totals of a Store since it was opened.
 type Counts struct {
 	Writes, Bytes, Records, Failed uint64
-	Dropped                        uint64 // records for which there was no room
+	Dropped                        uint64 // records dropped for lack of room
 }
 
-// liveOf is the share of a segment that may be live: the next one must gain.
-const liveOf = 0.7
+// maxLiveShare is the maximum share of live records in a segment, so that each new segment has room
+// for more.
+const maxLiveShare = 0.7
 
-// Open begins a segment with the records that are known and removes the older ones.
+// Open starts a segment with the known records and removes the older segments.
 func Open(o Options, known []Record) (*Store, error) {
 	s := &Store{
-		o: o, most: o.Bytes/2 - aside.Block, held: list.New(), by: map[uint32]*list.Element{},
+		options: o, maxSegment: o.Bytes/2 - aside.Block, records: list.New(), byDestination: map[uint32]*list.Element{},
 	}
 	s.writer = &aside.Writer[[]Record]{
-		Merge: func(waiting, come []Record) []Record { return append(waiting, come...) }, Write: s.write, Log: o.Log, What: "what was learnt",
+		Merge: func(waiting, come []Record) []Record { return append(waiting, come...) }, Write: s.write, Log: o.Log, What: "learned state",
 	}
-	if s.most < 1024 {
-		return nil, fmt.Errorf("open what was learnt: %d bytes are too few", o.Bytes)
+	if s.maxSegment < 1024 {
+		return nil, fmt.Errorf("open learned state: %d bytes are not enough", o.Bytes)
 	}
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
-		return nil, fmt.Errorf("open what was learnt: %w", err)
+		return nil, fmt.Errorf("open learned state: %w", err)
 	}
-	old, err := aside.Files(o.Dir, prefix)
+	old, err := aside.Files(o.Dir, segmentPrefix)
 	if err != nil {
-		return nil, fmt.Errorf("open what was learnt: %w", err)
+		return nil, fmt.Errorf("open learned state: %w", err)
 	}
 	if len(old) > 0 {
-		s.no = aside.Number(old[len(old)-1], prefix)
+		s.segmentNumber = aside.Number(old[len(old)-1], segmentPrefix)
 	}
 	for _, r := range known {
-		s.hold(r)
+		s.remember(r)
 	}
-	// What does not fit beside an older, larger segment waits for its end.
+	// If the records do not fit next to older, larger segments, these are removed first.
 	total := 0
 	for _, name := range old {
 		if i, err := os.Stat(name); err == nil {
 			total += int(i.Size())
 		}
 	}
-	if total > o.Bytes-s.live-2*aside.Block {
+	if total > o.Bytes-s.liveBytes-2*aside.Block {
 		for _, name := range old {
 			if err := os.Remove(name); err != nil {
-				return nil, fmt.Errorf("open what was learnt: %w", err)
+				return nil, fmt.Errorf("open learned state: %w", err)
 			}
 		}
 	}
-	if err := s.roll(); err != nil {
-		return nil, fmt.Errorf("open what was learnt: %w", err)
+	if err := s.startSegment(); err != nil {
+		return nil, fmt.Errorf("open learned state: %w", err)
 	}
 	return s, nil
 }
 
-func sizeOf(r Record) int { return record.Frame + 16 + len(r.Text) } // at the most
+// sizeOf returns the maximum size of a record on disk in bytes.
+func sizeOf(r Record) int { return record.Frame + 16 + len(r.Text) }
 
-// hold keeps a record as the youngest of its destination, in the place of the oldest
-// ones if there is no room.
-func (s *Store) hold(r Record) (dropped uint64) {
-	if e := s.by[r.Destination]; e != nil {
-		s.live -= sizeOf(s.held.Remove(e).(Record))
+// remember keeps a record as the latest of its destination. If there is no room, it drops the
+// oldest records and returns their number.
+func (s *Store) remember(r Record) (dropped uint64) {
+	if e := s.byDestination[r.Destination]; e != nil {
+		s.liveBytes -= sizeOf(s.records.Remove(e).(Record))
 	}
-	s.by[r.Destination] = s.held.PushBack(r)
-	s.live += sizeOf(r)
-	for s.live > int(liveOf*float64(s.most)) {
-		old := s.held.Remove(s.held.Front()).(Record)
-		s.live -= sizeOf(old)
-		delete(s.by, old.Destination)
+	s.byDestination[r.Destination] = s.records.PushBack(r)
+	s.liveBytes += sizeOf(r)
+	for s.liveBytes > int(maxLiveShare*float64(s.maxSegment)) {
+		old := s.records.Remove(s.records.Front()).(Record)
+		s.liveBytes -= sizeOf(old)
+		delete(s.byDestination, old.Destination)
 		dropped++
 	}
 	return dropped
 }
 
-// roll begins a segment with what is live, then removes all before it.
-func (s *Store) roll() error {
+// startSegment starts a segment with the live records, then removes all earlier segments.
+func (s *Store) startSegment() error {
 	var b []byte
-	for e := s.held.Front(); e != nil; e = e.Next() {
+	for e := s.records.Front(); e != nil; e = e.Next() {
 		b = Append(b, e.Value.(Record))
 	}
-	path := aside.Path(s.o.Dir, prefix, s.no+1)
+	path := aside.Path(s.options.Dir, segmentPrefix, s.segmentNumber+1)
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return err
 	}
 	if _, err := f.Write(b); err != nil {
 		f.Close()
-		_ = os.Remove(path) // the segment before it has all of that
+		_ = os.Remove(path) // the previous segment contains all of these records
 		return err
 	}
-	if s.file != nil {
-		s.file.Close()
+	if s.segment != nil {
+		s.segment.Close()
 	}
-	s.file, s.size, s.no = f, len(b), s.no+1
-	old, err := aside.Files(s.o.Dir, prefix)
+	s.segment, s.segmentSize, s.segmentNumber = f, len(b), s.segmentNumber+1
+	old, err := aside.Files(s.options.Dir, segmentPrefix)
 	for _, name := range old {
-		if aside.Number(name, prefix) < s.no {
+		if aside.Number(name, segmentPrefix) < s.segmentNumber {
 			err = errors.Join(err, os.Remove(name))
 		}
 	}
 	return err
 }
 
-// Put has records written together, soon.
+// Put writes the given records together, in the background.
 func (s *Store) Put(batch []Record) {
 	if len(batch) > 0 {
 		s.writer.Put(batch)
 	}
 }
 
-// Counts are those up to now.
+// Counts returns the current totals.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -264,10 +268,10 @@
 	var b []byte
 	dropped := uint64(0)
 	for _, r := range batch {
-		dropped += s.hold(r)
+		dropped += s.remember(r)
 		b = Append(b, r)
 	}
-	n, err := s.put(b)
+	n, err := s.appendEncoded(b)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.counts.Dropped += dropped; err == nil {
@@ -278,21 +282,22 @@
 	return err
 }
 
-// put writes what has been put in form, or begins the next segment, which has it.
-func (s *Store) put(b []byte) (n int, err error) {
-	if s.size+len(b) > s.most {
-		return s.live, s.roll()
+// appendEncoded appends encoded records to the segment, or starts the next one, which contains
+// them.
+func (s *Store) appendEncoded(b []byte) (n int, err error) {
+	if s.segmentSize+len(b) > s.maxSegment {
+		return s.liveBytes, s.startSegment()
 	}
-	n, err = s.file.Write(b)
-	s.size += n
-	if err != nil && n > 0 { // a part of a record would hide all that is written behind it
-		err = errors.Join(err, s.roll())
+	n, err = s.segment.Write(b)
+	s.segmentSize += n
+	if err != nil && n > 0 { // a partial record would hide all that is written after it
+		err = errors.Join(err, s.startSegment())
 	}
 	return n, err
 }
 
-// Close waits until what was put is written.
+// Close waits until pending records are written.
 func (s *Store) Close() {
 	s.writer.Close()
-	s.file.Close()
+	s.segment.Close()
 }
--- a/internal/learnt/learnt_test.go
+++ b/internal/learnt/learnt_test.go
@@ -24,7 +24,7 @@
 	return s
 }
 
-func rec(dest, ms int, text string) Record {
+func newRecord(dest, ms int, text string) Record {
 	return Record{uint32(dest), time.UnixMilli(int64(ms)), []byte(text)}
 }
 
@@ -36,9 +36,9 @@
 	return out
 }
 
-// size is what the files of a folder take.
+// size returns the disk space that the files of a directory take.
 func size(t require.TestingT, dir string) (n int) {
-	names, err := aside.Files(dir, prefix)
+	names, err := aside.Files(dir, segmentPrefix)
 	require.NoError(t, err)
 	for _, name := range names {
 		i, err := os.Stat(name)
@@ -48,9 +48,9 @@
 	return n
 }
 
-// Whatever is put, over any number of lives, the youngest of each destination is
-// there, as far as there is room for it, and the folder keeps its bound.
-func TestLives(t *testing.T) {
+// For any records and any number of process runs, the latest record of each destination is stored
+// as far as there is room, and the directory stays within its limit.
+func TestRecordsSurviveRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "learnt")
 		require.NoError(t, err)
@@ -64,7 +64,7 @@
 				var batch []Record
 				for range rapid.IntRange(1, 6).Draw(t, "records") {
 					ms++
-					r := rec(rapid.IntRange(0, 15).Draw(t, "dest"), ms, fmt.Sprintf("%d %s", ms, bytes.Repeat([]byte("x"), rapid.IntRange(0, 60).Draw(t, "len"))))
+					r := newRecord(rapid.IntRange(0, 15).Draw(t, "dest"), ms, fmt.Sprintf("%d %s", ms, bytes.Repeat([]byte("x"), rapid.IntRange(0, 60).Draw(t, "len"))))
 					batch = append(batch, r)
 					model[r.Destination] = string(r.Text)
 				}
@@ -77,12 +77,12 @@
 	})
 }
 
-// Where there is no room for all, the youngest stay.
-func TestOldestGo(t *testing.T) {
+// If there is not enough room, the latest records are kept.
+func TestOldestRecordsAreDropped(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir, 4<<10, nil)
 	for i := range 500 {
-		s.Put([]Record{rec(i, i, "0123456789012345678901234567890123456789")})
+		s.Put([]Record{newRecord(i, i, "0123456789012345678901234567890123456789")})
 	}
 	s.Close()
 	got := load(t, dir)
@@ -93,12 +93,12 @@
 	assert.NotZero(t, s.Counts().Dropped)
 }
 
-// A write cut short hides nothing but itself; what is damaged, and what a later version
-// has written, costs only that.
+// A truncated write only loses its own records; damage, or a record of a later version, loses only
+// what it affects.
 func TestDamage(t *testing.T) {
 	var b []byte
 	for i := range 3 {
-		b = Append(b, rec(i, i, "text"))
+		b = Append(b, newRecord(i, i, "text"))
 	}
 	one := len(b) / 3
 	for name, tc := range map[string]struct {
@@ -112,44 +112,44 @@
 		"length":    {func(b []byte) []byte { b[one+3] = 0xff; return b }, 1, 1},
 		"empty":     {func([]byte) []byte { return nil }, 0, 0},
 		"future": {func(b []byte) []byte {
-			x := Append(nil, rec(7, 7, "new"))
+			x := Append(nil, newRecord(7, 7, "new"))
 			x[record.Frame] = Version + 1
 			record.Seal(x)
 			return append(x, b...)
 		}, 3, 0},
 	} {
 		dir := t.TempDir()
-		require.NoError(t, os.WriteFile(filepath.Join(dir, prefix+"000000000001"), tc.change(bytes.Clone(b)), 0o600))
+		require.NoError(t, os.WriteFile(filepath.Join(dir, segmentPrefix+"000000000001"), tc.change(bytes.Clone(b)), 0o600))
 		wrong := 0
 		known := Load(dir, func(string, error) { wrong++ })
 		assert.Len(t, known, tc.want, name)
 		assert.Equal(t, tc.wrong, wrong, name)
 		s := open(t, dir, 8<<10, known)
-		s.Put([]Record{rec(9, 9, "goes on")})
+		s.Put([]Record{newRecord(9, 9, "goes on")})
 		s.Close()
 		assert.Len(t, load(t, dir), tc.want+1, name)
 	}
 }
 
-// A folder that takes nothing more costs what would be kept.
+// A directory that accepts no further files loses new records only until it is usable again.
 func TestNoRoom(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir, 4<<10, nil)
-	require.NoError(t, os.Mkdir(filepath.Join(dir, prefix+"000000000002"), 0o700)) // where the next segment would be
+	require.NoError(t, os.Mkdir(filepath.Join(dir, segmentPrefix+"000000000002"), 0o700)) // the path of the next segment
 	for i := range 200 {
-		s.Put([]Record{rec(1, i, "0123456789012345678901234567890123456789")})
+		s.Put([]Record{newRecord(1, i, "0123456789012345678901234567890123456789")})
 		for n := s.Counts(); n.Writes+n.Failed <= uint64(i); n = s.Counts() {
 			time.Sleep(time.Millisecond / 10)
 		}
 	}
 	assert.NotZero(t, s.Counts().Failed)
-	require.NoError(t, os.Remove(filepath.Join(dir, prefix+"000000000002")))
-	s.Put([]Record{rec(1, 1000, "last")})
+	require.NoError(t, os.Remove(filepath.Join(dir, segmentPrefix+"000000000002")))
+	s.Put([]Record{newRecord(1, 1000, "last")})
 	s.Close()
 	assert.Equal(t, map[uint32]string{1: "last"}, load(t, dir))
 }
 
-// No more is written than the share, in number and in bytes, whatever is asked for.
+// Writes stay within the shares of the journal, in number and in bytes.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := Budget{Writes: 0.02, Bytes: 0.1, WriteMost: 256}
@@ -169,9 +169,9 @@
 	})
 }
 
-// What changes little is not worth writing, until some time has passed; what a restart
-// must know is, at once.
-func TestMarks(t *testing.T) {
+// A state with small changes is not written again until some time has passed; changes that a
+// restart depends on are written at once.
+func TestMarkDiffers(t *testing.T) {
 	at := time.UnixMilli(1e12)
 	state := func(change func(s *snowjunction.State)) Mark {
 		s := &snowjunction.State{
@@ -197,12 +197,12 @@
 		assert.True(t, state(change).Differs(was), name)
 	}
 	m := state(func(*snowjunction.State) {})
-	m.at = at.Add(markAge)
+	m.at = at.Add(maxMarkAge)
 	assert.True(t, m.Differs(was))
 }
 
 func FuzzNext(f *testing.F) {
-	f.Add(Append(nil, rec(1, 2, "text")), false)
+	f.Add(Append(nil, newRecord(1, 2, "text")), false)
 	f.Add([]byte{9, 0, 0, 0}, true)
 	f.Fuzz(func(t *testing.T, b []byte, sealed bool) {
 		if sealed && len(b) > record.Frame {
@@ -225,13 +225,13 @@
 	})
 }
 
-// Whatever changes, is asked about, answers late or goes to sleep: no turn's write passes
-// the shares, nothing is lost that has room, and what has none waits.
+// For any order of changes, requests, late answers and unloadings: no write exceeds the shares, no
+// record is lost that has room, and records without room wait.
 func TestPicker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, j := NewPicker(), Journal{}
 		writes, size, at := 0, 0, time.UnixMilli(1e12)
-		var out []uint32 // asked, and not answered
+		var out []uint32 // requested and not answered
 		waiting := map[uint32]bool{}
 		form := func(s *snowjunction.State) []byte { return make([]byte, 20+int(s.Recent*100)) }
 		for range 200 {
@@ -244,7 +244,7 @@
 				waiting[d] = true
 			case 1:
 				picked := p.Pick(j)
-				require.True(t, len(out) == 0 || len(picked) == 0, "one round of questions at a time")
+				require.True(t, len(out) == 0 || len(picked) == 0, "only one round of requests at a time")
 				for _, d := range picked {
 					require.True(t, waiting[d])
 					delete(waiting, d)
@@ -260,8 +260,8 @@
 					}
 					before := len(p.batch)
 					p.Answered(d, s, at, form, j)
-					if waiting[d] = waiting[d] || p.marked[d]; s != nil && len(p.batch) == before {
-						require.True(t, p.marked[d] || p.Same > 0, "it waits, or was not worth it")
+					if waiting[d] = waiting[d] || p.queued[d]; s != nil && len(p.batch) == before {
+						require.True(t, p.queued[d] || p.Same > 0, "it waits, or had changed too little")
 					}
 				}
 				out = nil
@@ -274,14 +274,14 @@
 			}
 			require.LessOrEqual(t, float64(writes), writesShare*float64(j.Writes))
 			require.LessOrEqual(t, float64(size), bytesShare*float64(j.Bytes))
-			require.Equal(t, len(p.dirty) > 0, p.Waiting())
+			require.Equal(t, len(p.changed) > 0, p.Waiting())
 		}
 	})
 }
 
-// At a planned stop all that are awake go into one write, whatever the budget says, and
-// the next write keeps it again.
-func TestPickAll(t *testing.T) {
+// At a planned stop, all loaded destinations go into one write, whatever the budget allows, and the
+// next write respects the budget again.
+func TestPlannedStop(t *testing.T) {
 	p := NewPicker()
 	for _, d := range p.All([]uint32{1, 2, 3}) {
 		p.Answered(d, &snowjunction.State{}, time.UnixMilli(1), func(*snowjunction.State) []byte { return []byte("x") }, Journal{})
--- a/internal/learnt/mark.go
+++ b/internal/learnt/mark.go
@@ -7,28 +7,28 @@
 	"snowjunction"
 )
 
-// Mark is what of a destination's state decides whether it is worth writing again.
+// Mark is the part of a destination's state that decides whether it is written again.
 type Mark struct {
-	at     time.Time
-	state  uint64 // conditions of the endpoints, and which routes refuse
-	limit  float64
-	pace   float64
-	gap    float64
-	ledger float64
-	recent float64
+	at      time.Time
+	state   uint64 // conditions of the endpoints, and the number of consecutive rejections per route
+	limit   float64
+	pace    float64
+	gap     float64
+	retries float64
+	latency float64
 }
 
-// markAge is after how long a state is written again that has changed little, and
-// ledgerAge that for repeats, which the ledger forgets within its span.
+// maxMarkAge is the time after which a state with small changes is written again, and
+// retriesMarkAge that for retries, which leave the retry budget window soon.
 const (
-	latencyLeast = 0.01 // seconds: differences under it say nothing
-	markAge      = 30 * time.Second
-	ledgerAge    = 2 * time.Second
+	minLatency     = 0.01 // seconds: smaller latencies are treated as equal
+	maxMarkAge     = 30 * time.Second
+	retriesMarkAge = 2 * time.Second
 )
 
-// MarkOf is the mark of a state at a time.
+// MarkOf returns the mark of a state at a time.
 func MarkOf(s *snowjunction.State, at time.Time) Mark {
-	m := Mark{at: at, ledger: s.Repeats, recent: math.Max(s.Recent, latencyLeast)}
+	m := Mark{at: at, retries: s.Repeats, latency: math.Max(s.Recent, minLatency)}
 	for _, r := range s.Routes {
 		m.limit += r.Limit
 		m.pace += r.Pace
@@ -45,19 +45,19 @@
 	return m
 }
 
-// Differs tells whether a state has changed enough since another was written.
+// Differs reports whether the state differs enough from one that was written before.
 func (m Mark) Differs(was Mark) bool {
 	age := m.at.Sub(was.at)
 	switch {
-	case m.state != was.state, age >= markAge:
+	case m.state != was.state, age >= maxMarkAge:
 		return true
-	case far(m.limit, was.limit, 0.1), far(m.pace, was.pace, 0.25), far(m.gap, was.gap, 0.5), far(m.recent, was.recent, 0.5):
+	case differs(m.limit, was.limit, 0.1), differs(m.pace, was.pace, 0.25), differs(m.gap, was.gap, 0.5), differs(m.latency, was.latency, 0.5):
 		return true
 	}
-	return age >= ledgerAge && far(m.ledger, was.ledger, 0.5)
+	return age >= retriesMarkAge && differs(m.retries, was.retries, 0.5)
 }
 
-// far tells that a has moved from b by over a share of the larger.
-func far(a, b, share float64) bool {
+// differs reports whether a differs from b by more than the given share of the larger one.
+func differs(a, b, share float64) bool {
 	return math.Abs(a-b) > share*math.Max(math.Abs(a), math.Abs(b))
 }
--- a/internal/learnt/picker.go
+++ b/internal/learnt/picker.go
@@ -7,90 +7,90 @@
 	"snowjunction"
 )
 
-// The bounds of what is kept: batches of so many destinations at the most, each one
-// write, and shares of the journal's writes and bytes.
+// Limits of what is written: the number of destinations per batch, each batch being one write, and
+// shares of the journal's writes and bytes.
 const (
-	pickMost    = 32
-	allMost     = 4096 // at a planned stop
-	writesShare = 0.02
-	bytesShare  = 0.10
-	leastRoom   = 256 // bytes saved up before a write begins
+	maxPicked     = 32
+	maxAtStop     = 4096 // at a planned stop
+	writesShare   = 0.02
+	bytesShare    = 0.10
+	minWriteBytes = 256 // bytes that must be available before a write is started
 )
 
-// Every is how often Pick is worth calling while Waiting.
+// Every is the interval at which to call Pick while Waiting returns true.
 const Every = 250 * time.Millisecond
 
-// Journal is how much the journal has written.
+// Journal is the number of writes and bytes that the journal has written.
 type Journal struct{ Writes, Bytes uint64 }
 
-// Picker decides which destinations' states are written when. It does no I/O, reads no
-// clock and starts no goroutine. Its caller asks the module about those that it picks
-// and hands it every answer; Flush ends each turn.
+// Picker decides which destinations' states are written, and when. It does no I/O, reads no clock
+// and starts no goroutine. The caller requests the states of the picked destinations from the
+// decision module and passes every answer to Answered; Flush ends each round.
 type Picker struct {
-	Same uint64 // states that were not worth writing again
-
-	budget Budget
-	dirty  []uint32 // in order of change
-	marked map[uint32]bool
-	last   map[uint32]Mark // what was written of those awake
-	asked  int             // answers that are to come
-	all    bool            // a planned stop: one write, whatever the budget says
-	batch  []Record
-	room   int // bytes that the batch may still take
+	Same uint64 // states that were not written again because they had changed too little
+
+	budget      Budget
+	changed     []uint32 // in the order of change
+	queued      map[uint32]bool
+	written     map[uint32]Mark // last written mark of each loaded destination
+	pending     int             // answers that are still missing
+	plannedStop bool            // planned stop: one write, whatever the budget allows
+	batch       []Record
+	room        int // bytes that the batch may still take
 }
 
-// NewPicker returns one that has picked nothing.
+// NewPicker returns an empty Picker.
 func NewPicker() *Picker {
 	return &Picker{
-		budget: Budget{Writes: writesShare, Bytes: bytesShare, WriteMost: leastRoom},
-		marked: map[uint32]bool{}, last: map[uint32]Mark{},
+		budget: Budget{Writes: writesShare, Bytes: bytesShare, WriteMost: minWriteBytes},
+		queued: map[uint32]bool{}, written: map[uint32]Mark{},
 	}
 }
 
-// Changed tells that something new may be known of a destination.
+// Changed records that a destination's state may have changed.
 func (p *Picker) Changed(d uint32) {
-	if !p.marked[d] {
-		p.marked[d] = true
-		p.dirty = append(p.dirty, d)
+	if !p.queued[d] {
+		p.queued[d] = true
+		p.changed = append(p.changed, d)
 	}
 }
 
-// Waiting tells that some wait to be picked.
-func (p *Picker) Waiting() bool { return len(p.dirty) > 0 }
+// Waiting reports whether destinations wait to be picked.
+func (p *Picker) Waiting() bool { return len(p.changed) > 0 }
 
-// Pick returns the destinations to ask about now, as far as the budget goes.
+// Pick returns the destinations whose state to request now, as far as the budget allows.
 func (p *Picker) Pick(j Journal) []uint32 {
-	if _, ok := p.budget.May(j); !ok || p.asked > 0 {
+	if _, ok := p.budget.May(j); !ok || p.pending > 0 {
 		return nil
 	}
-	n := min(len(p.dirty), pickMost)
-	picked := slices.Clone(p.dirty[:n])
-	p.dirty = slices.Delete(p.dirty, 0, n)
+	n := min(len(p.changed), maxPicked)
+	picked := slices.Clone(p.changed[:n])
+	p.changed = slices.Delete(p.changed, 0, n)
 	for _, d := range picked {
-		delete(p.marked, d)
+		delete(p.queued, d)
 	}
-	p.asked = n
+	p.pending = n
 	return picked
 }
 
-// All returns those to ask about of all that are awake, at a planned stop.
+// All returns the loaded destinations whose state to request at a planned stop.
 func (p *Picker) All(awake []uint32) []uint32 {
-	p.all = true
-	awake = awake[:min(len(awake), allMost)]
-	p.asked += len(awake)
+	p.plannedStop = true
+	awake = awake[:min(len(awake), maxAtStop)]
+	p.pending += len(awake)
 	return awake
 }
 
-// Answered takes what the module knows of one that was asked about; nil: nothing, or
-// it was not asked after all. What differs little from what was written last is not
-// written again, and what has no room waits.
+// Answered handles the state of a destination that was requested, or nil if there is none or it was
+// not requested after all. A state that differs little from the last written one is not written
+// again, and one without room waits.
 func (p *Picker) Answered(d uint32, s *snowjunction.State, at time.Time, form func(*snowjunction.State) []byte, j Journal) {
-	p.asked = max(p.asked-1, 0)
+	p.pending = max(p.pending-1, 0)
 	if s == nil {
 		return
 	}
 	m := MarkOf(s, at)
-	if was, ok := p.last[d]; ok && !p.all && !m.Differs(was) {
+	if was, ok := p.written[d]; ok && !p.plannedStop && !m.Differs(was) {
 		p.Same++
 		return
 	}
@@ -98,17 +98,17 @@
 		p.Changed(d)
 		return
 	}
-	p.last[d] = m
+	p.written[d] = m
 }
 
-// Asleep takes what is kept of a destination that has gone to sleep, if there is room.
+// Asleep adds the snapshot of a destination that was unloaded, if there is room.
 func (p *Picker) Asleep(d uint32, at time.Time, text []byte, j Journal) {
-	delete(p.last, d)
+	delete(p.written, d)
 	p.add(Record{d, at, text}, j)
 }
 
 func (p *Picker) add(r Record, j Journal) bool {
-	if !p.all {
+	if !p.plannedStop {
 		if len(p.batch) == 0 {
 			room, ok := p.budget.May(j)
 			if !ok {
@@ -124,10 +124,10 @@
 	return true
 }
 
-// Flush returns what is to be written together, if anything.
+// Flush returns the records to write together, if any.
 func (p *Picker) Flush() []Record {
-	if p.asked == 0 {
-		p.all = false
+	if p.pending == 0 {
+		p.plannedStop = false
 	}
 	if len(p.batch) == 0 {
 		return nil
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -135,15 +135,15 @@
 // Pools reports whether the owner divides the capacity of a cold destination among the couriers.
 func (h *Holder) Pools(now time.Duration) bool { return now < h.coldUntil && !h.withoutOwner }
 
-// Idle reports whether there is no request to send, withdraw or answer and no call to return.
+// Idle reports whether there is no request to send or withdraw and no call to return.
 func (h *Holder) Idle() bool {
 	return !h.wanted && h.requestedAt == 0 && h.balance == 0 && h.granted == 0
 }
 
-// Ask returns the request to send now, if any: peer is the owner to send it to, back the number of
-// calls to return, ask whether to send it, and next when to check again. n is the number of waiting
-// messages; zero withdraws an open request.
-func (h *Holder) Ask(now time.Duration, dest uint32, n int, l *Line) (peer, back int, ask bool, next time.Duration) {
+// Ask returns the request to send now, if any: peer is the owner to send it to, returned the number
+// of calls to return, send whether to send it, and next when to check again. n is the number of
+// waiting messages; zero withdraws an open request.
+func (h *Holder) Ask(now time.Duration, dest uint32, n int, l *Line) (peer, returned int, send bool, next time.Duration) {
 	h.expire(now)
 	wanted := h.wanted && h.granted == 0
 	h.wanted = false
@@ -151,11 +151,11 @@
 		n = max(n, 1)
 	}
 	if n == 0 {
-		if ask = h.requestedAt > 0 && h.unanswered == 0 || h.balance > 0; ask {
-			peer, back = h.owner, h.balance
+		if send = h.requestedAt > 0 && h.unanswered == 0 || h.balance > 0; send {
+			peer, returned = h.owner, h.balance
 		}
 		h.requestedAt, h.requested, h.balance = 0, 0, 0
-		return peer, back, ask, 0
+		return peer, returned, send, 0
 	}
 	if !wanted {
 		return 0, 0, false, 0
@@ -183,12 +183,12 @@
 	if peer != h.owner || h.requestedAt == 0 {
 		h.unanswered = 0
 	}
-	back = h.balance
+	returned = h.balance
 	h.owner, h.requestedAt, h.requested, h.balance = peer, max(now, 1), n, 0
 	if peer == l.Self {
 		h.unanswered, h.renewAt, h.withoutOwner = 0, now+renewInterval, false
-		return peer, back, true, h.renewAt
+		return peer, returned, true, h.renewAt
 	}
 	h.unanswered++
-	return peer, back, true, now + answerTimeout
+	return peer, returned, true, now + answerTimeout
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -73,15 +73,15 @@
 func TestLedgerAfterRejections(t *testing.T) {
 	l := NewLedger(Slow{})
 	l.Report(0, 100)
-	sound := rateOf(l, 0)
-	require.Positive(t, sound)
+	fullRate := rateOf(l, 0)
+	require.Positive(t, fullRate)
 	for at := time.Second; at < 3*time.Second; at += 200 * ms {
 		l.Refused(at)
 	}
 	assert.Empty(t, grants(l, 2900*ms))
-	assert.Less(t, rateOf(l, 3*time.Second), sound*95/100)
+	assert.Less(t, rateOf(l, 3*time.Second), fullRate*95/100)
 	l.Ask(4*time.Second, 2, 0, 0, -50)
-	assert.LessOrEqual(t, rateOf(l, 4*time.Second), sound-40)
+	assert.LessOrEqual(t, rateOf(l, 4*time.Second), fullRate-40)
 }
 
 // A request that is not renewed expires, as its courier may have ended.
@@ -100,51 +100,51 @@
 // charge those calls. A candidate that sends a message again is used again, also by a courier
 // without a waiting message.
 func TestHolderWithoutOwner(t *testing.T) {
-	line, h, asked := NewLine(80, 99), Holder{}, []int{}
+	view, h, asked := NewLine(80, 99), Holder{}, []int{}
 	now := ms
 	for ; now < time.Second; now += ms {
 		assert.Equal(t, len(asked) > 2, h.May(now))
-		if peer, _, ask, _ := h.Ask(now, 7, 1, line); ask {
+		if peer, _, ask, _ := h.Ask(now, 7, 1, view); ask {
 			asked = append(asked, peer)
 		}
 	}
 	first := asked[0]
 	assert.Equal(t, []int{first, first, first + 1, first + 1, first + 2, first + 2}, asked)
 	h.Called()
-	line.Heard(first + 1)
-	assert.True(t, h.Lost(line), "the preferred owner is still unreachable")
+	view.Heard(first + 1)
+	assert.True(t, h.Lost(view), "the preferred owner is still unreachable")
 	assert.True(t, h.May(now))
-	peer, back, ask, _ := h.Ask(now, 7, 0, line)
+	peer, back, ask, _ := h.Ask(now, 7, 0, view)
 	assert.True(t, ask)
 	assert.Equal(t, first+1, peer)
 	assert.Zero(t, back)
-	lost := h
+	copied := h
 	h.Granted(now, peer, 0, false)
 	assert.False(t, h.May(now))
-	line.Heard(first)
-	assert.False(t, lost.Lost(line), "the preferred owner grants calls again")
-	assert.False(t, lost.May(now))
+	view.Heard(first)
+	assert.False(t, copied.Lost(view), "the preferred owner grants calls again")
+	assert.False(t, copied.May(now))
 }
 
 // A grant expires, and calls that were not made are returned.
 func TestGrantExpires(t *testing.T) {
-	line, h := NewLine(80, 99), Holder{}
+	view, h := NewLine(80, 99), Holder{}
 	assert.False(t, h.May(ms))
-	peer, _, ask, _ := h.Ask(ms, 7, 2, line)
+	peer, _, ask, _ := h.Ask(ms, 7, 2, view)
 	require.True(t, ask)
 	h.Granted(20*ms, peer, 0, false)
 	h.May(30 * ms)
-	_, _, ask, next := h.Ask(30*ms, 7, 2, line)
+	_, _, ask, next := h.Ask(30*ms, 7, 2, view)
 	assert.False(t, ask, "the request is already open")
 	assert.Equal(t, 20*ms+renewInterval, next)
 	h.Granted(40*ms, peer, 2, false)
 	assert.True(t, h.May(50*ms))
 	h.Called()
 	assert.False(t, h.May(40*ms+grantLifetime))
-	_, back, ask, _ := h.Ask(40*ms+grantLifetime, 7, 1, line)
+	_, back, ask, _ := h.Ask(40*ms+grantLifetime, 7, 1, view)
 	assert.True(t, ask)
 	assert.Equal(t, 1, back)
-	_, _, ask, _ = h.Ask(400*ms, 7, 0, line)
+	_, _, ask, _ = h.Ask(400*ms, 7, 0, view)
 	assert.False(t, ask, "the request is unanswered and expires by itself")
 }
 
@@ -152,17 +152,17 @@
 // grants start low and grow. If few couriers had failing calls, it does not.
 func TestLedgerOfColdDestination(t *testing.T) {
 	slow := Slow{Share: 0.2, Over: 1.8, Warm: 14 * time.Second, Least: 10}
-	for saw, want := range map[int][]int{9: {97, 97, 97}, 40: {44, 66, 104}} {
+	for observers, want := range map[int][]int{9: {97, 97, 97}, 40: {44, 66, 104}} {
 		l := NewLedger(slow)
 		l.Report(0, 100)
-		for peer := range saw {
+		for peer := range observers {
 			l.Failing(time.Second, peer)
 		}
-		assert.Len(t, l.Serves(2*time.Second), saw)
+		assert.Len(t, l.Serves(2*time.Second), observers)
 		for i, at := range []time.Duration{2 * time.Second, 4 * time.Second, 9 * time.Second} {
-			assert.InDelta(t, want[i], rateOf(l, at), 14, "%d couriers, at %v", saw, at)
+			assert.InDelta(t, want[i], rateOf(l, at), 14, "%d couriers, at %v", observers, at)
 		}
-		assert.Equal(t, saw == 40, l.Cold(9*time.Second))
+		assert.Equal(t, observers == 40, l.Cold(9*time.Second))
 		assert.False(t, l.Cold(16*time.Second))
 	}
 }
--- a/internal/lease/ledger.go
+++ b/internal/lease/ledger.go
@@ -42,7 +42,8 @@
 	// utilization is the share of the limit that the fleet uses.
 	utilization float64
 	tokens      float64 // calls that may be granted now
-	// refilledAt is when tokens was last updated, utilizationCutAt when utilization was last lowered.
+	// refilledAt is when tokens was last updated, utilizationCutAt when utilization was last
+	// lowered.
 	refilledAt       time.Duration
 	utilizationCutAt time.Duration
 	lastUsed         time.Duration // last request or report
@@ -63,9 +64,9 @@
 	Least int           // number of couriers that must have seen the outage
 }
 
-// grantableShare returns the share of the limit that may be granted now. For a destination that is down,
-// calls are granted as if it had recovered at this moment, because the next call may find that it
-// has.
+// grantableShare returns the share of the limit that may be granted now. For a destination that is
+// down, calls are granted as if it had recovered at this moment, because the next call may find
+// that it has.
 func (l *Ledger) grantableShare(now time.Duration) float64 {
 	least := math.Min(1, l.slowStart.Over*l.slowStart.Share)
 	switch {
@@ -100,8 +101,8 @@
 type Grant struct{ Peer, Calls int }
 
 // NewLedger returns the ledger of a destination whose limit is not known yet.
-func NewLedger(s Slow) *Ledger {
-	return &Ledger{utilization: initialUtilization, byPeer: map[int]*request{}, slowStart: s}
+func NewLedger(slowStart Slow) *Ledger {
+	return &Ledger{utilization: initialUtilization, byPeer: map[int]*request{}, slowStart: slowStart}
 }
 
 // Rate returns the known limit in calls per second. Zero means unknown.
@@ -174,12 +175,12 @@
 }
 
 // Ask records a courier's request for n calls, the first of which has the given rank. It replaces
-// the courier's previous request. back is the number of granted calls that were not made, minus
+// the courier's previous request. returned is the number of granted calls that were not made, minus
 // calls made without a grant.
-func (l *Ledger) Ask(now time.Duration, peer, n, rank, back int) {
+func (l *Ledger) Ask(now time.Duration, peer, n, rank, returned int) {
 	l.refill(now)
 	l.lastUsed = now
-	l.tokens = math.Min(l.tokens+float64(back), l.maxTokens())
+	l.tokens = math.Min(l.tokens+float64(returned), l.maxTokens())
 	a := l.byPeer[peer]
 	switch {
 	case n <= 0:
--- a/internal/lease/ramp.go
+++ b/internal/lease/ramp.go
@@ -12,8 +12,8 @@
 // of each may already be too much.
 
 const (
-	outageLoadFactor = 2.0 // calls sent during an outage, as a multiple of the capacity, with retries and other clients' calls
-	chanceDeviations = 2.0 // standard deviations that count as chance (STANDING.md)
+	outageLoadFactor = 2.0 // calls sent during an outage, as a multiple of the capacity; includes retries, also by clients
+	chanceDeviations = 2.0 // square roots of n that the rule attributes to chance (STANDING.md)
 	chanceAllowance  = 2.0 // calls that are allowed on top
 )
 
--- a/internal/memento/memento.go
+++ b/internal/memento/memento.go
@@ -1,12 +1,11 @@
-// Package memento writes what is kept of a destination in a compact binary form
-// and reads it back. It does no I/O.
+// Package memento encodes the state of an unloaded destination in a compact binary form and decodes
+// it. It does no I/O.
 //
-// The form is versioned: a byte with the version, then the fields in order.
-// Numbers are 32-bit floats, big-endian; times are signed varints in
-// milliseconds; counts are varints. An endpoint is known by the 64-bit hash of
-// its name, as numbers change each time a destination wakes. A reader refuses
-// versions that it does not know, what is cut short and what is left over; it takes
-// the older version 1, which ends before Served, RepeatGap and Small.
+// The format is versioned: a byte with the version, then the fields in order. Numbers are 32-bit
+// floats, big-endian; times are signed varints in milliseconds; counts are varints. An endpoint is
+// identified by the 64-bit hash of its name, because endpoint numbers change each time a
+// destination is loaded. Decode rejects unknown versions, truncated data and trailing bytes; it
+// accepts the older version 1, which ends before Served, RepeatGap and Small.
 package memento
 
 import (
@@ -22,54 +21,54 @@
 	"snowjunction/internal/record"
 )
 
-// Version is the one that Encode writes.
+// Version is the format version that Encode writes.
 const Version = 2
 
-const oldest = 1
+const minVersion = 1
 
-// Bounds of what Decode takes; Encode leaves out what is beyond them.
+// Limits of what Decode accepts; Encode omits entries above them.
 const (
 	RoutesMost    = 64
 	EndpointsMost = 64
 )
 
-// ErrForm wraps what is wrong with a memento.
-var ErrForm = errors.New("no memento")
+// ErrForm wraps all errors of Decode.
+var ErrForm = errors.New("invalid destination snapshot")
 
-// Name is an endpoint's name in a memento.
+// Name identifies an endpoint by the hash of its name.
 type Name uint64
 
-// NameOf returns that of an endpoint's name in its list.
+// NameOf returns the Name of an endpoint of the given name.
 func NameOf(name string) Name { return Name(xxhash.Sum64String(name)) }
 
-// Memento is a destination's state with its endpoints' names, in the order of
-// State.EndpointsSeen, whose numbers mean nothing here.
+// Memento is a destination's state with the names of its endpoints, in the order of
+// State.EndpointsSeen, whose endpoint numbers are not used.
 type Memento struct {
 	State snowjunction.State
 	Names []Name
 }
 
-type writer []byte
+type encoder []byte
 
-func (w *writer) float(v float64) {
+func (w *encoder) float(v float64) {
 	*w = binary.BigEndian.AppendUint32(*w, math.Float32bits(float32(v)))
 }
-func (w *writer) count(n int) { *w = binary.AppendUvarint(*w, uint64(max(n, 0))) }
-func (w *writer) time(d time.Duration) {
+func (w *encoder) count(n int) { *w = binary.AppendUvarint(*w, uint64(max(n, 0))) }
+func (w *encoder) time(d time.Duration) {
 	*w = binary.AppendVarint(*w, int64(d.Round(time.Millisecond)/time.Millisecond))
 }
 
-// wait rounds up: a told one must not end early.
-func (w *writer) wait(d time.Duration) {
+// wait rounds up, because a retry-after delay must not end early.
+func (w *encoder) wait(d time.Duration) {
 	if d > 0 {
 		d += time.Millisecond - 1
 	}
 	*w = binary.AppendVarint(*w, int64(d/time.Millisecond))
 }
 
-// Encode appends the form of m to b.
+// Encode appends the encoded form of m to b.
 func Encode(b []byte, m *Memento) []byte {
-	w, s := writer(b), &m.State
+	w, s := encoder(b), &m.State
 	w = append(w, Version)
 	for _, v := range []float64{s.Recent, s.Best, s.Peak, s.Window, s.First, s.Repeats} {
 		w.float(v)
@@ -95,7 +94,7 @@
 		}
 		plain := e.Condition == snowjunction.Serving && e.Fails == 0
 		if plain {
-			flags |= 8 // nothing more to tell
+			flags |= 8 // no further fields
 		}
 		w = append(w, flags)
 		w.count(e.Route)
@@ -114,9 +113,9 @@
 	return w
 }
 
-type reader struct{ record.Reader }
+type decoder struct{ record.Reader }
 
-func (r *reader) float() float64 {
+func (r *decoder) float() float64 {
 	b := r.Take(4)
 	if b == nil {
 		return 0
@@ -128,9 +127,9 @@
 	return v
 }
 
-func (r *reader) count(most int) int { return int(r.Uint(uint64(most))) }
+func (r *decoder) count(most int) int { return int(r.Uint(uint64(most))) }
 
-func (r *reader) name() Name {
+func (r *decoder) name() Name {
 	b := r.Take(8)
 	if b == nil {
 		return 0
@@ -138,24 +137,24 @@
 	return Name(binary.BigEndian.Uint64(b))
 }
 
-// timeMost bounds the times that are believed: ten years.
-const timeMost = 10 * 365 * 24 * time.Hour
+// maxTime is the longest time that is accepted: ten years.
+const maxTime = 10 * 365 * 24 * time.Hour
 
-func (r *reader) time() time.Duration {
+func (r *decoder) time() time.Duration {
 	v := r.Int()
-	if most := int64(timeMost / time.Millisecond); v > most || v < -most {
+	if most := int64(maxTime / time.Millisecond); v > most || v < -most {
 		r.Bad = true
 		return 0
 	}
 	return time.Duration(v) * time.Millisecond
 }
 
-// Decode reads what Encode has written. Its errors wrap ErrForm.
+// Decode decodes a snapshot that Encode has written. Its errors wrap ErrForm.
 func Decode(b []byte) (*Memento, error) {
-	if len(b) == 0 || b[0] < oldest || b[0] > Version {
+	if len(b) == 0 || b[0] < minVersion || b[0] > Version {
 		return nil, fmt.Errorf("%w: unknown version", ErrForm)
 	}
-	r, m := &reader{record.Reader{B: b[1:]}}, &Memento{}
+	r, m := &decoder{record.Reader{B: b[1:]}}, &Memento{}
 	s := &m.State
 	for _, v := range []*float64{&s.Recent, &s.Best, &s.Peak, &s.Window, &s.First, &s.Repeats} {
 		*v = r.float()
@@ -190,7 +189,7 @@
 		s.Served, s.RepeatGap, s.Small = r.float(), r.time(), r.time()
 	}
 	if r.Bad || len(r.B) > 0 {
-		return nil, fmt.Errorf("%w: cut short or spoilt", ErrForm)
+		return nil, fmt.Errorf("%w: truncated or damaged", ErrForm)
 	}
 	return m, nil
 }
--- a/internal/memento/memento_test.go
+++ b/internal/memento/memento_test.go
@@ -12,7 +12,7 @@
 	"snowjunction"
 )
 
-func draw(t *rapid.T) *Memento {
+func randomSnapshot(t *rapid.T) *Memento {
 	float := func() float64 { return float64(rapid.Float32Range(0, 1e6).Draw(t, "float")) }
 	span := func(from int) time.Duration {
 		return time.Duration(rapid.IntRange(from, 1e9).Draw(t, "ms")) * time.Millisecond
@@ -43,14 +43,14 @@
 	return m
 }
 
-func TestThereAndBack(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := draw(t)
+		m := randomSnapshot(t)
 		b := Encode(nil, m)
 		got, err := Decode(b)
 		require.NoError(t, err)
 		require.Equal(t, m, got)
-		for n := range b { // cut short, it is none
+		for n := range b { // truncated data is rejected
 			_, err := Decode(b[:n])
 			require.ErrorIs(t, err, ErrForm)
 		}
@@ -59,7 +59,7 @@
 	})
 }
 
-// A told wait may become longer on its way, by under a millisecond, not shorter.
+// A retry-after delay may get longer by less than a millisecond, but not shorter.
 func TestWaitsRoundUp(t *testing.T) {
 	m := &Memento{State: snowjunction.State{Routes: []snowjunction.RouteState{{Wait: 1500*time.Microsecond + 1}}}}
 	got, err := Decode(Encode(nil, m))
@@ -67,7 +67,7 @@
 	assert.Equal(t, 2*time.Millisecond, got.State.Routes[0].Wait)
 }
 
-func TestOtherVersions(t *testing.T) {
+func TestUnknownVersion(t *testing.T) {
 	b := Encode(nil, &Memento{})
 	b[0] = Version + 1
 	_, err := Decode(b)
@@ -76,7 +76,7 @@
 	assert.ErrorIs(t, err, ErrForm)
 }
 
-// A sleeping destination of two endpoints that served takes under 90 bytes.
+// The snapshot of a destination with two endpoints that served takes less than 90 bytes.
 func TestSize(t *testing.T) {
 	m := &Memento{Names: []Name{1, 2}, State: snowjunction.State{
 		Recent: .2, Best: .2, Peak: 3, Window: 4, First: 1, Routes: []snowjunction.RouteState{{Limit: 4, Left: 1, Pace: 4}},
@@ -99,7 +99,7 @@
 		s := m.State
 		for _, v := range []float64{s.Recent, s.Best, s.Peak, s.Window, s.First, s.Repeats} {
 			if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
-				t.Fatalf("%v is no such value", v)
+				t.Fatalf("%v is out of range", v)
 			}
 		}
 		again, err := Decode(Encode(nil, m))
@@ -110,7 +110,7 @@
 	})
 }
 
-// What the first version wrote is read: it ends before what the second added.
+// Version 1 is accepted: it ends before the fields that version 2 added.
 func TestFirstVersion(t *testing.T) {
 	m := &Memento{Names: []Name{7}, State: snowjunction.State{
 		Recent: 0.5, Window: 4, Served: 9, RepeatGap: time.Second, Small: time.Minute,
--- a/internal/notes/notes.go
+++ b/internal/notes/notes.go
@@ -71,11 +71,11 @@
 	b = binary.AppendUvarint(b, uint64(n.Destination))
 	at := len(b)
 	b = append(b, 0)
-	flag := func(holds bool, f byte) bool {
-		if holds {
+	flag := func(set bool, f byte) bool {
+		if set {
 			b[at] |= f
 		}
-		return holds
+		return set
 	}
 	flag(n.Failing, flagFailing)
 	flag(n.Serves, flagRecovered)
--- a/internal/partition/membership.go
+++ b/internal/partition/membership.go
@@ -124,8 +124,8 @@
 	return n, nil
 }
 
-// assignOwners computes a region's owners. A partition keeps its owners if no new or changed member wins
-// it and none of its owners left or changed.
+// assignOwners computes a region's owners. A partition keeps its owners if no new or changed member
+// wins it and none of its owners left or changed.
 func (m *Membership) assignOwners(r *region, before *Membership) {
 	r.owners = make([]int32, m.partitions*m.copies)
 	var old *region     // members that are new or changed
@@ -162,9 +162,9 @@
 	}
 }
 
-// keepOwners copies a partition's owners from the old region and reports whether they are still valid:
-// none has left, and no new member has a higher score or, if owners share a zone, is in another
-// zone.
+// keepOwners copies a partition's owners from the old region and reports whether they are still
+// valid: none has left, and no new member has a higher score or, if owners share a zone, is in
+// another zone.
 func (m *Membership) keepOwners(r, old *region, p int, newIndex map[int32]int32, changed []int32) bool {
 	own := r.owners[p*m.copies : (p+1)*m.copies]
 	for i, was := range old.owners[p*m.copies : (p+1)*m.copies] {
@@ -195,8 +195,8 @@
 	return !slices.ContainsFunc(owners, func(o int32) bool { return o >= 0 && m.members[o].Zone == m.members[i].Zone })
 }
 
-// electOwners computes a partition's owners from all members of a region: those with the highest scores,
-// preferring zones without an owner of the partition.
+// electOwners computes a partition's owners from all members of a region: those with the highest
+// scores, preferring zones without an owner of the partition.
 func (m *Membership) electOwners(r *region, p int) {
 	own := r.owners[p*m.copies : (p+1)*m.copies]
 	for n := range own {
--- a/internal/partition/router.go
+++ b/internal/partition/router.go
@@ -74,7 +74,8 @@
 	servedUntil    time.Duration // if it is not owned: served at least until then
 }
 
-// unreachablePeer is the state of an unreachable courier: skipped until a time, with a pause that doubles.
+// unreachablePeer is the state of an unreachable courier: skipped until a time, with a pause that
+// doubles.
 type unreachablePeer struct {
 	skipUntil time.Duration
 	skipFor   time.Duration
--- a/internal/partition/world_test.go
+++ b/internal/partition/world_test.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// accept has a courier accept a message. The courier must list its destination, and no other courier
-// may still hold an earlier message of the same client and key.
+// accept has a courier accept a message. The courier must list its destination, and no other
+// courier may still hold an earlier message of the same client and key.
 func (w *simulation) accept(by, client string, m Message) {
 	p := Of(m.Destination, partitionCount)
 	require.True(w.t, w.routers[by].Lists(m.Destination), "%s accepts a message that it does not list", by)
