--- a/internal/belief/belief.go
+++ b/internal/belief/belief.go
@@ -74,10 +74,10 @@
 
 // The kinds of evidence.
 const (
-	None      Evidence = iota
-	Answered           // it accepted a call, or rejected one as the protocol specifies
-	Unreached          // no connection could be set up
-	Elsewhere          // it answered that it is not the endpoint that was called
+	NoEvidence  Evidence = iota
+	Answered             // it accepted a call, or rejected one as the protocol specifies
+	Unreachable          // no connection could be set up
+	Elsewhere            // it answered that it is not the endpoint that was called
 )
 
 // EvidenceOf returns what an outcome shows. Errors show nothing, because a process that reuses the
@@ -88,9 +88,9 @@
 	case snowjunction.OK, snowjunction.Full:
 		return Answered
 	case snowjunction.ConnectFailed:
-		return Unreached
+		return Unreachable
 	}
-	return None
+	return NoEvidence
 }
 
 // endpointState is the state of one endpoint, as calls have shown it.
@@ -229,7 +229,7 @@
 // after, with the reason of a change.
 func (b *Book) Heard(dest snowjunction.DestinationID, name string, e Evidence, now time.Duration) (was, is Standing, why string) {
 	m := b.states[name]
-	if e == None || b.live && m == nil {
+	if e == NoEvidence || b.live && m == nil {
 		return b.Standing(name), b.Standing(name), ""
 	}
 	if m == nil {
@@ -244,7 +244,7 @@
 	case e == Answered:
 		m.fails = 0
 		b.setLevel(m, Confirmed, "it answered a call", now)
-	case e == Unreached:
+	case e == Unreachable:
 		if m.fails++; m.fails == 1 {
 			m.failedAt = now
 		}
--- a/internal/belief/belief_test.go
+++ b/internal/belief/belief_test.go
@@ -42,11 +42,11 @@
 	b := newBook(Cached, time.Hour)
 	assert.Equal(t, Confirmed, record(b, "a", Answered, 1))
 	assert.Equal(t, Doubtful, b.Standing("b"))
-	assert.Equal(t, Confirmed, record(b, "a", Unreached, 2), "an endpoint in an outage is not gone")
+	assert.Equal(t, Confirmed, record(b, "a", Unreachable, 2), "an endpoint in an outage is not gone")
 	for i := range 3 {
-		assert.Equal(t, Doubtful, record(b, "b", Unreached, time.Duration(i)*time.Second), "too few failures, or over too short a time")
+		assert.Equal(t, Doubtful, record(b, "b", Unreachable, time.Duration(i)*time.Second), "too few failures, or over too short a time")
 	}
-	assert.Equal(t, Refuted, record(b, "b", Unreached, 5*time.Second))
+	assert.Equal(t, Refuted, record(b, "b", Unreachable, 5*time.Second))
 	assert.Equal(t, Refuted, record(b, "b", Answered, 6*time.Second), "only the directory ends this state")
 	assert.Equal(t, Refuted, record(b, "c", Elsewhere, 6*time.Second))
 	_, is, why := b.Heard(2, "d", Answered, 7*time.Second)
@@ -57,7 +57,7 @@
 	for _, n := range []string{"a", "b", "c", "d"} {
 		assert.Equal(t, Told, b.Standing(n))
 	}
-	assert.Equal(t, Told, record(b, "a", Unreached, 9*time.Second), "calls show nothing while the directory answers")
+	assert.Equal(t, Told, record(b, "a", Unreachable, 9*time.Second), "calls show nothing while the directory answers")
 }
 
 // If no endpoint of a destination answers, none is refuted: either it is an outage, or all are
@@ -65,10 +65,10 @@
 func TestNotRefutedWithoutConfirmedSibling(t *testing.T) {
 	b := newBook(Cached, time.Minute)
 	for i := range 1000 {
-		require.NotEqual(t, Refuted, record(b, fmt.Sprint(i%3), Unreached, time.Duration(i)*time.Second))
+		require.NotEqual(t, Refuted, record(b, fmt.Sprint(i%3), Unreachable, time.Duration(i)*time.Second))
 	}
 	_, _, _ = b.Heard(2, "other", Answered, 0)
-	require.NotEqual(t, Refuted, record(b, "0", Unreached, 1001*time.Second), "endpoints of other destinations do not count")
+	require.NotEqual(t, Refuted, record(b, "0", Unreachable, 1001*time.Second), "endpoints of other destinations do not count")
 }
 
 func TestSilentDirectory(t *testing.T) {
--- a/internal/exclusions/exclusions.go
+++ b/internal/exclusions/exclusions.go
@@ -15,25 +15,25 @@
 
 // Limits of the set.
 const (
-	Most     = 128 // endpoints that are excluded or were included again recently
-	NameMost = 128 // bytes of an endpoint name
-	Bytes    = Most * (record.Frame + 2*binary.MaxVarintLen64 + 2 + NameMost)
+	MaxEndpoints = 128 // endpoints that are excluded or were included again recently
+	MaxNameBytes = 128 // bytes of an endpoint name
+	MaxBytes     = MaxEndpoints * (record.Frame + 2*binary.MaxVarintLen64 + 2 + MaxNameBytes)
 )
 
-// ErrMany is returned if no further endpoint can be excluded.
-var ErrMany = errors.New("too many endpoints are excluded")
+// ErrTooMany is returned if no further endpoint can be excluded.
+var ErrTooMany = errors.New("too many endpoints are excluded")
 
-// Stay is the exclusion of an endpoint. Back is zero while the endpoint is excluded.
-type Stay struct{ Out, Back time.Time }
+// Exclusion is the exclusion of an endpoint. Back is zero while the endpoint is excluded.
+type Exclusion struct{ Out, Back time.Time }
 
 // Set holds the exclusions by endpoint name.
 type Set struct {
-	exclusions map[string]Stay
+	exclusions map[string]Exclusion
 	coldFor    time.Duration
 }
 
 // New returns an empty set. It remembers for the duration cold that an endpoint was included again.
-func New(cold time.Duration) *Set { return &Set{exclusions: map[string]Stay{}, coldFor: cold} }
+func New(cold time.Duration) *Set { return &Set{exclusions: map[string]Exclusion{}, coldFor: cold} }
 
 // Exclude excludes an endpoint. It has no effect on an endpoint that is excluded already.
 func (s *Set) Exclude(name string, now time.Time) error {
@@ -41,10 +41,10 @@
 		return nil
 	}
 	s.removeOld(now)
-	if _, known := s.exclusions[name]; !known && len(s.exclusions) >= Most || len(name) > NameMost {
-		return ErrMany
+	if _, known := s.exclusions[name]; !known && len(s.exclusions) >= MaxEndpoints || len(name) > MaxNameBytes {
+		return ErrTooMany
 	}
-	s.exclusions[name] = Stay{Out: now}
+	s.exclusions[name] = Exclusion{Out: now}
 	return nil
 }
 
@@ -54,7 +54,7 @@
 	if !known || !stay.Back.IsZero() {
 		return false
 	}
-	s.exclusions[name] = Stay{Out: stay.Out, Back: now}
+	s.exclusions[name] = Exclusion{Out: stay.Out, Back: now}
 	return true
 }
 
@@ -86,7 +86,7 @@
 
 // removeOld removes endpoints that were included again long ago.
 func (s *Set) removeOld(now time.Time) {
-	maps.DeleteFunc(s.exclusions, func(_ string, stay Stay) bool {
+	maps.DeleteFunc(s.exclusions, func(_ string, stay Exclusion) bool {
 		return !stay.Back.IsZero() && now.Sub(stay.Back) >= s.coldFor
 	})
 }
@@ -109,14 +109,14 @@
 // Decode adds the records in b to the set and returns the number of bytes that cannot be read.
 func (s *Set) Decode(b []byte) (lost int) {
 	for len(b) > 0 {
-		payload, rest, err := record.Open(b, Bytes)
+		payload, rest, err := record.Open(b, MaxBytes)
 		r := record.Reader{B: payload}
 		out, back := r.Int(), r.Int()
-		name := r.Text(NameMost)
-		if err != nil || r.Bad || name == "" || len(s.exclusions) >= Most {
+		name := r.Text(MaxNameBytes)
+		if err != nil || r.Bad || name == "" || len(s.exclusions) >= MaxEndpoints {
 			return len(b)
 		}
-		stay := Stay{Out: time.UnixMilli(out)}
+		stay := Exclusion{Out: time.UnixMilli(out)}
 		if back != 0 {
 			stay.Back = time.UnixMilli(back)
 		}
--- a/internal/exclusions/exclusions_test.go
+++ b/internal/exclusions/exclusions_test.go
@@ -46,13 +46,13 @@
 // The set is bounded, and endpoints that were included again long ago make room.
 func TestSetIsBounded(t *testing.T) {
 	s := New(cold)
-	for i := range Most {
+	for i := range MaxEndpoints {
 		require.NoError(t, s.Exclude(fmt.Sprint("s-", i), noon))
 	}
-	assert.ErrorIs(t, s.Exclude("more", noon), ErrMany)
-	assert.LessOrEqual(t, len(s.Encode(noon)), Bytes)
+	assert.ErrorIs(t, s.Exclude("more", noon), ErrTooMany)
+	assert.LessOrEqual(t, len(s.Encode(noon)), MaxBytes)
 	s.Include("s-1", noon)
-	assert.ErrorIs(t, s.Exclude("more", noon), ErrMany, "the included endpoint may still be cold")
+	assert.ErrorIs(t, s.Exclude("more", noon), ErrTooMany, "the included endpoint may still be cold")
 	assert.NoError(t, s.Exclude("more", noon.Add(cold)))
 }
 
@@ -106,7 +106,7 @@
 	f.Add(s.Encode(noon))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s := New(cold)
-		if lost := s.Decode(b); lost < 0 || lost > len(b) || len(s.exclusions) > Most {
+		if lost := s.Decode(b); lost < 0 || lost > len(b) || len(s.exclusions) > MaxEndpoints {
 			t.Fatal(lost)
 		}
 	})
--- a/internal/exclusions/file.go
+++ b/internal/exclusions/file.go
@@ -15,7 +15,7 @@
 const fileName = "excluded"
 
 // Room returns the disk space in bytes that the file needs, including the copy that replaces it.
-func Room() int64 { return 2 * (Bytes/aside.Block + 1) * aside.Block }
+func Room() int64 { return 2 * (MaxBytes/aside.Block + 1) * aside.Block }
 
 // Read adds the exclusions that a previous process run stored in a directory. Damaged records are
 // logged, the others are kept.
--- a/internal/learnt/learnt.go
+++ b/internal/learnt/learnt.go
@@ -60,9 +60,9 @@
 	return b
 }
 
-// Next decodes the record at the start of b and returns the rest of b. A record of an unknown
+// ReadRecord decodes the record at the start of b and returns the rest of b. A record of an unknown
 // version is skipped: ok is false, and there is no error.
-func Next(b []byte) (r Record, ok bool, rest []byte, err error) {
+func ReadRecord(b []byte) (r Record, ok bool, rest []byte, err error) {
 	body, rest, err := record.Open(b, maxRecordBytes)
 	if err != nil || body[0] != Version {
 		return r, false, rest, err
@@ -92,7 +92,7 @@
 			continue
 		}
 		for size := len(b); len(b) > 0; {
-			r, ok, rest, err := Next(b)
+			r, ok, rest, err := ReadRecord(b)
 			if err != nil {
 				wrong(filepath.Base(name), fmt.Errorf("%w at %d: %d bytes are skipped", err, size-len(b), len(b)))
 				break
--- a/internal/learnt/learnt_test.go
+++ b/internal/learnt/learnt_test.go
@@ -152,12 +152,12 @@
 // Writes stay within the shares of the journal, in number and in bytes.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := Budget{Writes: 0.02, Bytes: 0.1, WriteMost: 256}
+		b := Budget{Writes: 0.02, Bytes: 0.1, MinAvailable: 256}
 		writes, size, mine, myBytes := uint64(0), uint64(0), 0, 0
 		for range 300 {
 			writes += uint64(rapid.IntRange(0, 40).Draw(t, "writes"))
 			size += uint64(rapid.IntRange(0, 9000).Draw(t, "bytes"))
-			if room, ok := b.May(Journal{writes, size}); ok {
+			if room, ok := b.Allow(Journal{writes, size}); ok {
 				n := rapid.IntRange(1, room).Draw(t, "size")
 				b.Spend(n)
 				mine++
@@ -208,13 +208,13 @@
 		if sealed && len(b) > record.Frame {
 			record.Seal(b)
 		}
-		r, ok, rest, err := Next(b)
+		r, ok, rest, err := ReadRecord(b)
 		if err != nil {
 			return
 		}
 		assert.Less(t, len(rest), len(b))
 		if ok {
-			again, ok, rest, err := Next(Append(nil, r))
+			again, ok, rest, err := ReadRecord(Append(nil, r))
 			require.NoError(t, err)
 			assert.True(t, ok)
 			assert.Empty(t, rest)
--- a/internal/learnt/picker.go
+++ b/internal/learnt/picker.go
@@ -42,7 +42,7 @@
 // NewPicker returns an empty Picker.
 func NewPicker() *Picker {
 	return &Picker{
-		budget: Budget{Writes: writesShare, Bytes: bytesShare, WriteMost: minWriteBytes},
+		budget: Budget{Writes: writesShare, Bytes: bytesShare, MinAvailable: minWriteBytes},
 		queued: map[uint32]bool{}, written: map[uint32]Mark{},
 	}
 }
@@ -60,7 +60,7 @@
 
 // Pick returns the destinations whose state to request now, as far as the budget allows.
 func (p *Picker) Pick(j Journal) []uint32 {
-	if _, ok := p.budget.May(j); !ok || p.pending > 0 {
+	if _, ok := p.budget.Allow(j); !ok || p.pending > 0 {
 		return nil
 	}
 	n := min(len(p.changed), maxPicked)
@@ -110,7 +110,7 @@
 func (p *Picker) add(r Record, j Journal) bool {
 	if !p.plannedStop {
 		if len(p.batch) == 0 {
-			room, ok := p.budget.May(j)
+			room, ok := p.budget.Allow(j)
 			if !ok {
 				return false
 			}
--- a/internal/memento/memento.go
+++ b/internal/memento/memento.go
@@ -28,12 +28,12 @@
 
 // Limits of what Decode accepts; Encode omits entries above them.
 const (
-	RoutesMost    = 64
-	EndpointsMost = 64
+	MaxRoutes    = 64
+	MaxEndpoints = 64
 )
 
-// ErrForm wraps all errors of Decode.
-var ErrForm = errors.New("invalid destination snapshot")
+// ErrFormat wraps all errors of Decode.
+var ErrFormat = errors.New("invalid destination snapshot")
 
 // Name identifies an endpoint by the hash of its name.
 type Name uint64
@@ -73,7 +73,7 @@
 	for _, v := range []float64{s.Recent, s.Best, s.Peak, s.Window, s.First, s.Repeats} {
 		w.float(v)
 	}
-	routes := s.Routes[:min(len(s.Routes), RoutesMost)]
+	routes := s.Routes[:min(len(s.Routes), MaxRoutes)]
 	w.count(len(routes))
 	for _, r := range routes {
 		for _, v := range []float64{r.Limit, r.Left, r.Pace, r.ColdSends} {
@@ -84,7 +84,7 @@
 		w.count(r.Fulls)
 		w.time(r.FullAgo)
 	}
-	eps := s.EndpointsSeen[:min(len(s.EndpointsSeen), len(m.Names), EndpointsMost)]
+	eps := s.EndpointsSeen[:min(len(s.EndpointsSeen), len(m.Names), MaxEndpoints)]
 	w.count(len(eps))
 	for i, e := range eps {
 		w = binary.BigEndian.AppendUint64(w, uint64(m.Names[i]))
@@ -152,14 +152,14 @@
 // Decode decodes a snapshot that Encode has written. Its errors wrap ErrForm.
 func Decode(b []byte) (*Memento, error) {
 	if len(b) == 0 || b[0] < minVersion || b[0] > Version {
-		return nil, fmt.Errorf("%w: unknown version", ErrForm)
+		return nil, fmt.Errorf("%w: unknown version", ErrFormat)
 	}
 	r, m := &decoder{record.Reader{B: b[1:]}}, &Memento{}
 	s := &m.State
 	for _, v := range []*float64{&s.Recent, &s.Best, &s.Peak, &s.Window, &s.First, &s.Repeats} {
 		*v = r.float()
 	}
-	for n := r.count(RoutesMost); n > 0 && !r.Bad; n-- {
+	for n := r.count(MaxRoutes); n > 0 && !r.Bad; n-- {
 		var x snowjunction.RouteState
 		for _, v := range []*float64{&x.Limit, &x.Left, &x.Pace, &x.ColdSends} {
 			*v = r.float()
@@ -167,12 +167,12 @@
 		x.Gap, x.Wait, x.Fulls, x.FullAgo = r.time(), r.time(), r.count(math.MaxInt32), r.time()
 		s.Routes = append(s.Routes, x)
 	}
-	for n := r.count(EndpointsMost); n > 0 && !r.Bad; n-- {
+	for n := r.count(MaxEndpoints); n > 0 && !r.Bad; n-- {
 		m.Names = append(m.Names, r.name())
 		flags := r.Byte()
 		e := snowjunction.EndpointState{
 			Condition: snowjunction.Condition(flags & 3), Vouched: flags&4 != 0,
-			Route: r.count(RoutesMost), Latency: r.float(),
+			Route: r.count(MaxRoutes), Latency: r.float(),
 		}
 		if e.Condition > snowjunction.Warming || flags > 15 {
 			r.Bad = true
@@ -189,7 +189,7 @@
 		s.Served, s.RepeatGap, s.Small = r.float(), r.time(), r.time()
 	}
 	if r.Bad || len(r.B) > 0 {
-		return nil, fmt.Errorf("%w: truncated or damaged", ErrForm)
+		return nil, fmt.Errorf("%w: truncated or damaged", ErrFormat)
 	}
 	return m, nil
 }
--- a/internal/memento/memento_test.go
+++ b/internal/memento/memento_test.go
@@ -52,10 +52,10 @@
 		require.Equal(t, m, got)
 		for n := range b { // truncated data is rejected
 			_, err := Decode(b[:n])
-			require.ErrorIs(t, err, ErrForm)
+			require.ErrorIs(t, err, ErrFormat)
 		}
 		_, err = Decode(append(b, 0))
-		require.ErrorIs(t, err, ErrForm)
+		require.ErrorIs(t, err, ErrFormat)
 	})
 }
 
@@ -71,9 +71,9 @@
 	b := Encode(nil, &Memento{})
 	b[0] = Version + 1
 	_, err := Decode(b)
-	assert.ErrorIs(t, err, ErrForm)
+	assert.ErrorIs(t, err, ErrFormat)
 	_, err = Decode(nil)
-	assert.ErrorIs(t, err, ErrForm)
+	assert.ErrorIs(t, err, ErrFormat)
 }
 
 // The snapshot of a destination with two endpoints that served takes less than 90 bytes.
@@ -126,5 +126,5 @@
 	m.State.Served, m.State.RepeatGap, m.State.Small = 0, 0, 0
 	assert.Equal(t, m, got)
 	_, err = Decode(first[:len(first)-1])
-	assert.ErrorIs(t, err, ErrForm)
+	assert.ErrorIs(t, err, ErrFormat)
 }
--- a/internal/notes/notes.go
+++ b/internal/notes/notes.go
@@ -47,8 +47,8 @@
 
 // Errors returned by Read.
 var (
-	ErrForm = errors.New("peer message has an unknown format")
-	ErrItem = errors.New("peer message is truncated or has a value out of range")
+	ErrFormat = errors.New("peer message has an unknown format")
+	ErrItem   = errors.New("peer message is truncated or has a value out of range")
 )
 
 // Write encodes items as one or more messages. Without items it returns one empty message, which
@@ -102,7 +102,7 @@
 // Read decodes a message. A message with any invalid item is rejected as a whole.
 func Read(b []byte) (items []snowjunction.Note, err error) {
 	if len(b) == 0 || len(b) > Most || b[0] != formatVersion {
-		return nil, ErrForm
+		return nil, ErrFormat
 	}
 	for r := (record.Reader{B: b[1:]}); len(r.B) > 0; {
 		n := snowjunction.Note{Destination: snowjunction.DestinationID(r.Uint(math.MaxUint32))}
--- a/internal/partition/membership.go
+++ b/internal/partition/membership.go
@@ -21,7 +21,7 @@
 // Limits of a membership.
 const (
 	Most       = 1 << 16 // maximum number of partitions
-	MembersMax = 1 << 14
+	MaxMembers = 1 << 14
 	CopiesMax  = 4
 )
 
@@ -82,8 +82,8 @@
 		return bad("%d partitions are not between 1 and %d", partitions, Most)
 	case copies < 1 || copies > CopiesMax:
 		return bad("%d copies are not between 1 and %d", copies, CopiesMax)
-	case len(members) > MembersMax:
-		return bad("%d members are more than %d", len(members), MembersMax)
+	case len(members) > MaxMembers:
+		return bad("%d members are more than %d", len(members), MaxMembers)
 	}
 	n := &Membership{partitions: partitions, copies: copies, members: slices.Clone(members)}
 	slices.SortFunc(n.members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/partition/partition_test.go
+++ b/internal/partition/partition_test.go
@@ -66,7 +66,7 @@
 		"65537 partitions are not between 1 and 65536": {Most + 1, 1, []Member{one}},
 		"0 copies are not between 1 and 4":             {8, 0, []Member{one}},
 		"5 copies are not between 1 and 4":             {8, 5, []Member{one}},
-		"16385 members are more than 16384":            {8, 1, make([]Member, MembersMax+1)},
+		"16385 members are more than 16384":            {8, 1, make([]Member, MaxMembers+1)},
 		"a member has no name":                         {8, 1, []Member{one, {Addr: "127.0.0.1:2"}}},
 		`"a" is named twice`:                           {8, 1, []Member{one, {Name: "a", Addr: "127.0.0.1:2"}}},
 		`"a" and "b" have one address, 127.0.0.1:1`:    {8, 1, []Member{{Name: "b", Addr: one.Addr}, one}},
