--- a/internal/belief/belief.go
+++ b/internal/belief/belief.go
@@ -3,15 +3,15 @@
 // does no I/O, reads no clock and starts no goroutine: times are passed in, as the time since a
 // moment of the caller's choice.
 //
-// While the directory answers, only its list counts: every listed endpoint is Told. Otherwise the
-// confidence in an endpoint starts from the age of the last confirmation, and the results of calls
-// change it:
+// While the directory answers, only its list counts: every listed endpoint is at level told.
+// Otherwise the confidence in an endpoint starts from the age of the last confirmation, and the
+// results of calls change it:
 //
-//	Told       the directory confirms it
-//	Confirmed  a call to it was answered since the directory's last answer
-//	Probable   the last confirmation is recent
-//	Doubtful   the last confirmation is old, or the endpoint was unreachable
-//	Refuted    the endpoint is gone, while another of its destination is not
+//	told       the directory confirms it
+//	confirmed  a call to it was answered since the directory's last answer
+//	probable   the last confirmation is recent
+//	doubtful   the last confirmation is old, or the endpoint was unreachable
+//	refuted    the endpoint is gone, while another of its destination is not
 //
 // As soon as the directory answers, these results are discarded: a call shows that somebody answers
 // at an address, not who.
@@ -111,12 +111,12 @@
 	confirmedAt time.Duration // when the directory last confirmed the list
 	since       time.Duration // when source became current
 	live        bool
-	stale       bool // the confirmation is older than Fresh, as found by Look
+	stale       bool // the confirmation is too old for the level probable
 	states      map[string]*endpointState
 	confirmed   map[snowjunction.DestinationID]int
 }
 
-// New returns a Book without a list.
+// New returns a tracker without a list.
 func New(cfg Config) *Book {
 	return &Book{cfg: cfg, states: map[string]*endpointState{}, confirmed: map[snowjunction.DestinationID]int{}}
 }
@@ -133,8 +133,8 @@
 }
 
 // Spoken records that the directory has confirmed the list. It returns true if this changes the
-// confidence: all endpoints are Told from now on, except those that are retained although the list
-// omits them.
+// confidence: all endpoints are at level told from now on, except those that are retained although
+// the list omits them.
 func (b *Book) Spoken(now time.Duration) (changed bool) {
 	changed = !b.live
 	b.confirmedAt = now
@@ -156,7 +156,7 @@
 // Change is a change of confidence in all endpoints at once.
 type Change int
 
-// The changes that Look finds.
+// The changes that the passage of time causes.
 const (
 	Same Change = iota
 	Silent
@@ -276,7 +276,7 @@
 }
 
 // Keep retains an endpoint that a list omits: it is Doubtful, even while the directory answers,
-// until a call confirms it or Drop removes it.
+// until a call confirms it or it is removed.
 func (b *Book) Keep(dest snowjunction.DestinationID, name, why string, now time.Duration) {
 	m := b.states[name]
 	if m == nil {
--- a/internal/belief/belief_test.go
+++ b/internal/belief/belief_test.go
@@ -105,9 +105,9 @@
 	assert.Equal(t, Told, b.Standing("a"))
 }
 
-// For any order of events: while the directory answers, every endpoint that is not retained is
-// Told; an endpoint that it has not confirmed is never Told; Refuted lasts until the directory
-// answers; the number of confirmed endpoints per destination matches the marks.
+// For any order of events: while the directory answers, every endpoint that is not retained is at
+// level told; an endpoint that it has not confirmed never is; level refuted lasts until the
+// directory answers; the number of confirmed endpoints per destination matches the marks.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(Default())
--- a/internal/distrust/distrust.go
+++ b/internal/distrust/distrust.go
@@ -2,12 +2,12 @@
 // an entry and an exit threshold apart from each other (hysteresis). It does no I/O, reads no clock
 // and starts no goroutine: times are passed in, as the time since a moment of the caller's choice.
 //
-//	Collapsed  a full list omits more than LossMost of the endpoints that were Ready.
-//	           Left when a list omits less than LossBack of them, when lists agree
-//	           (Agree identical lists over AgreeFor), or after KeepMost.
-//	Flapping   lists alternate between two answers, FlapTurns times within FlapWithin.
-//	           Left after FlapRest without such a change.
-//	Ambiguous  a list cannot be used: it names something twice, or one address for
+//	collapsed  a full list omits more than a share of the endpoints that were Ready.
+//	           Left when a list omits less than a smaller share of them, when several
+//	           lists in a row are identical over some time, or after a maximum time.
+//	flapping   lists alternate between two answers several times within a window.
+//	           Left after a time without such a change.
+//	ambiguous  a list cannot be used: it names something twice, or one address for
 //	           several endpoints. Left with the first list that can be used.
 //
 // Endpoints that a list names as draining or gone are always taken as listed: conditions only
@@ -23,17 +23,17 @@
 type Config struct {
 	Keep bool // retain the endpoints that a collapsed list omits, with reduced confidence; otherwise the list is accepted as it is
 
-	Least    int     // minimum number of Ready endpoints for a loss to count
-	LossMost float64 // share of the Ready endpoints
-	LossBack float64
-	Agree    int
-	AgreeFor time.Duration
-	KeepMost time.Duration
-	Recheck  time.Duration // interval between requests for the full list while Collapsed
-
-	FlapTurns  int
-	FlapWithin time.Duration
-	FlapRest   time.Duration
+	Least    int           // minimum number of Ready endpoints for a loss to count
+	LossMost float64       // a collapse begins when a larger share of the Ready endpoints is omitted
+	LossBack float64       // and ends when a smaller share than this is omitted,
+	Agree    int           // after this many identical lists in a row,
+	AgreeFor time.Duration // if they span at least this time,
+	KeepMost time.Duration // or after this time
+	Recheck  time.Duration // interval between requests for the full list during a collapse
+
+	FlapTurns  int           // flapping begins after this many changes back to the list before the previous one
+	FlapWithin time.Duration // within this time
+	FlapRest   time.Duration // and ends after this time without such a change
 }
 
 // Default returns the thresholds that apply without an operator file.
@@ -86,7 +86,7 @@
 	reversals      []time.Duration // when a list was the same as the one before the previous
 }
 
-// New returns a Judge that has seen no list.
+// New returns a checker that has seen no list.
 func New(cfg Config) *Judge { return &Judge{cfg: cfg} }
 
 // In reports whether a condition holds.
@@ -107,7 +107,8 @@
 	return 0
 }
 
-// Next returns when Look may find a change. Zero means that only a new list can change something.
+// Next returns when the passage of time may change a condition. Zero means that only a new list
+// can.
 func (j *Judge) Next() (at time.Duration) {
 	soonest := func(t time.Duration) {
 		if at == 0 || t < at {
--- a/internal/distrust/distrust_test.go
+++ b/internal/distrust/distrust_test.go
@@ -91,7 +91,7 @@
 }
 
 // For any order of lists, conditions are entered and left alternately, each collapse ends within
-// its maximum duration, and Next is in the future after Look.
+// its maximum duration, and the time that Next returns is in the future.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		j := newRetainingJudge()
--- a/internal/dormancy/dormancy.go
+++ b/internal/dormancy/dormancy.go
@@ -5,10 +5,10 @@
 //
 // A destination without a flow and without a call is idle. It is unloaded after it was idle for
 // long enough, or if it is the longest idle one while too many are loaded: the caller takes a
-// snapshot of its state from the decision module, and Keep stores the encoded snapshot. Snapshots
-// take a bounded amount of memory. A snapshot that a rule still needs (a retry-after delay, a retry
-// budget in use, an outage or a recovery with slow start) is binding and never dropped. Of the
-// others, those unloaded longest ago are dropped first.
+// snapshot of its state from the decision module, and this package stores its encoded form.
+// Snapshots take a bounded amount of memory. A snapshot that a rule still needs (a retry-after
+// delay, a retry budget in use, an outage or a recovery with slow start) is binding and never
+// dropped. Of the others, those unloaded longest ago are dropped first.
 package dormancy
 
 import (
@@ -38,7 +38,7 @@
 	Warm   time.Duration // how long a recovery with slow start is binding
 	Outage time.Duration // how long an outage is binding; after that, the cautious start suffices
 
-	// After a restart within Brisk, state is used unchanged. After a longer one it is aged like
+	// After a restart within this time, state is used unchanged. After a longer one it is aged like
 	// that of an unloaded destination.
 	Brisk time.Duration
 }
@@ -67,9 +67,9 @@
 	Counts           Counts
 }
 
-// Counts are the totals of a Book since its start.
+// Counts are the totals since its start.
 type Counts struct {
-	Slept, Woke, Known uint64 // Known: loaded with a snapshot
+	Slept, Woke, Known uint64 // the last one: loaded with a snapshot
 	Dropped            uint64 // snapshots dropped for lack of room
 	Full               uint64 // idle destinations not unloaded because all snapshots are binding
 }
@@ -88,7 +88,7 @@
 // places in the map and the order.
 const entryOverhead = 128
 
-// New returns an empty Book.
+// New returns an empty tracker.
 func New(cfg Config) *Book {
 	return &Book{
 		cfg: cfg, idle: list.New(), idleElement: map[Destination]*list.Element{}, idleSince: map[Destination]time.Duration{},
@@ -281,7 +281,7 @@
 }
 
 // Recall adds a snapshot of the given age from a previous process run. A negative age means that it
-// is unknown, as after a clock was set back. Recall returns false if the text is not a snapshot or
+// is unknown, as after a clock was set back. It returns false if the text is not a snapshot or
 // there is no room.
 func (b *Book) Recall(d Destination, text []byte, age, now time.Duration) bool {
 	m, err := memento.Decode(text)
@@ -338,7 +338,7 @@
 	return b.ageState(s, age)
 }
 
-// WakeWith is like Wake for a snapshot that was stored elsewhere.
+// WakeWith loads a destination from a snapshot that was stored elsewhere.
 func (b *Book) WakeWith(m *memento.Memento, slept time.Duration) Woken {
 	return b.load(m, max(slept, 0))
 }
--- a/internal/learnt/picker.go
+++ b/internal/learnt/picker.go
@@ -25,7 +25,7 @@
 
 // Picker decides which destinations' states are written, and when. It does no I/O, reads no clock
 // and starts no goroutine. The caller requests the states of the picked destinations from the
-// decision module and passes every answer to Answered; Flush ends each round.
+// decision module and passes back every answer; Flush ends each round.
 type Picker struct {
 	Same uint64 // states that were not written again because they had changed too little
 
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -55,7 +55,7 @@
 	return marked
 }
 
-// Pass marks a courier unreachable for PassedFor.
+// Pass marks a courier unreachable for a fixed time.
 func (l *Line) Pass(peer int, now time.Duration) { l.unreachableUntil[peer] = now + PassedFor }
 
 // Holder holds the calls that one courier is granted for one destination, and the state of its
--- a/internal/partition/membership.go
+++ b/internal/partition/membership.go
@@ -44,8 +44,7 @@
 	return m.Weight
 }
 
-// Membership is one courier's view of which members own which partitions. It is immutable; With
-// returns a changed copy.
+// Membership is one courier's view of which members own which partitions. It is immutable.
 type Membership struct {
 	partitions      int
 	copies          int
--- a/internal/partition/router.go
+++ b/internal/partition/router.go
@@ -112,7 +112,7 @@
 }
 
 // Adopt sets a new membership. Partitions that this courier no longer owns are still served for
-// Options.Linger; partitions that it now owns are served once their list was received (Held).
+// a while; partitions that it now owns are served once their list was received.
 func (r *Router) Adopt(m *Membership, now time.Duration) {
 	r.previous, r.previousUntil = r.membership, now+r.options.Linger
 	owned := m.Owned(r.options.Self)
--- a/internal/partition/router_test.go
+++ b/internal/partition/router_test.go
@@ -251,7 +251,7 @@
 	assert.Equal(t, Busy, r.Route(k, nil, longAfterStart+6*time.Second-1).Way, "the courier that has it is unknown")
 	assert.Equal(t, owners[0], r.Route(k, nil, longAfterStart+6*time.Second).To.Name)
 
-	hour := Message{Destination: d, Key: 9, Left: time.Hour} // longer than Longest: a client may request that
+	hour := Message{Destination: d, Key: 9, Left: time.Hour} // longer than the maximum deadline of the classes: a client may request that
 	r.Took(hour, owners[0], longAfterStart)
 	for now := longAfterStart; now < longAfterStart+time.Hour; now += 7 * time.Second {
 		require.Equal(t, Busy, r.Route(hour, owners[:1], now).Way, "at %v", now-longAfterStart)
@@ -347,7 +347,7 @@
 	assert.Contains(t, r.unreachable, "n4")
 }
 
-// Lingers reports true from a change of membership until Expire has dropped everything.
+// Something waits for Expire from a change of membership until Expire has dropped everything.
 func TestExpiryPending(t *testing.T) {
 	both, err := New(8, 1, fleet(2, 1, 1))
 	require.NoError(t, err)
