--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -33,12 +33,12 @@
 
 // Couriers that are rejected together do not retry together.
 func TestPausesSpread(t *testing.T) {
-	pauses, least, most := map[time.Duration]bool{}, MaxPause, time.Duration(0)
+	distinct, least, most := map[time.Duration]bool{}, MaxPause, time.Duration(0)
 	for i := range 80 {
 		d := New(80, uint64(i)).Refused(0, 0)
-		pauses[d], least, most = true, min(least, d), max(most, d)
+		distinct[d], least, most = true, min(least, d), max(most, d)
 	}
-	assert.Greater(t, len(pauses), 70)
+	assert.Greater(t, len(distinct), 70)
 	assert.GreaterOrEqual(t, least, time.Second)
 	assert.LessOrEqual(t, most, 2*time.Second)
 	assert.Greater(t, most-least, 800*time.Millisecond)
--- a/internal/belief/belief.go
+++ b/internal/belief/belief.go
@@ -36,6 +36,7 @@
 	Refuted
 )
 
+// String returns the name of the level.
 func (s Standing) String() string {
 	return [...]string{"told", "confirmed", "probable", "doubtful", "refuted"}[s]
 }
@@ -51,6 +52,7 @@
 	Known                 // the list of the configuration
 )
 
+// String returns the name of the source.
 func (s Source) String() string { return [...]string{"nothing", "live", "cached", "known"}[s] }
 
 // Config holds the thresholds.
@@ -165,7 +167,7 @@
 
 // Look returns what has changed through the passage of time alone, and how long to wait before the
 // next call. A wait of zero means that only new information can change something.
-func (b *Book) Look(now time.Duration) (c Change, again time.Duration) {
+func (b *Book) Look(now time.Duration) (c Change, wait time.Duration) {
 	if b.source == Nothing {
 		return Same, 0
 	}
--- a/internal/distrust/distrust.go
+++ b/internal/distrust/distrust.go
@@ -55,6 +55,7 @@
 	conditionCount
 )
 
+// String returns the name of the condition.
 func (c Condition) String() string { return [...]string{"collapsed", "flapping", "ambiguous"}[c] }
 
 // Turn is the entry into or exit from a condition.
--- a/internal/dormancy/dormancy.go
+++ b/internal/dormancy/dormancy.go
@@ -148,17 +148,17 @@
 	if b.bytes+typicalEntryBytes <= b.cfg.Memory {
 		return true, 0
 	}
-	first := time.Duration(math.MaxInt64)
+	firstExpiry := time.Duration(math.MaxInt64)
 	for k := b.oldest; k != nil; k = k.next {
 		if k.bindingUntil <= now {
 			return true, 0
 		}
-		first = min(first, k.bindingUntil)
+		firstExpiry = min(firstExpiry, k.bindingUntil)
 	}
-	if first == math.MaxInt64 {
-		first = now + time.Second
+	if firstExpiry == math.MaxInt64 {
+		firstExpiry = now + time.Second
 	}
-	return false, first
+	return false, firstExpiry
 }
 
 // typicalEntryBytes is the usual size of a snapshot with its overhead.
@@ -178,12 +178,12 @@
 
 // Keep stores the snapshot of a destination that is unloaded, and returns the encoded snapshot for
 // callers that store a copy. Snapshots that no longer fit are dropped.
-func (b *Book) Keep(d Destination, m *memento.Memento, now time.Duration) (text []byte) {
+func (b *Book) Keep(d Destination, m *memento.Memento, now time.Duration) (encoded []byte) {
 	b.Busy(d)
 	b.loaded--
 	b.Counts.Slept++
-	text = memento.Encode(nil, m)
-	b.addEntry(&entry{dest: d, unloadedAt: now, bindingUntil: now + b.bindingFor(&m.State), encoded: text})
+	encoded = memento.Encode(nil, m)
+	b.addEntry(&entry{dest: d, unloadedAt: now, bindingUntil: now + b.bindingFor(&m.State), encoded: encoded})
 	for k := b.oldest; k != nil && b.bytes > b.cfg.Memory; {
 		next := k.next
 		if k.bindingUntil <= now {
@@ -192,7 +192,7 @@
 		}
 		k = next
 	}
-	return text
+	return encoded
 }
 
 func (b *Book) addEntry(k *entry) {
@@ -283,9 +283,9 @@
 // Recall adds a snapshot of the given age from a previous process run. A negative age means that it
 // is unknown, as after a clock was set back. It returns false if the text is not a snapshot or
 // there is no room.
-func (b *Book) Recall(d Destination, text []byte, age, now time.Duration) bool {
-	m, err := memento.Decode(text)
-	if err != nil || b.bytes+len(text)+entryOverhead > b.cfg.Memory {
+func (b *Book) Recall(d Destination, encoded []byte, age, now time.Duration) bool {
+	m, err := memento.Decode(encoded)
+	if err != nil || b.bytes+len(encoded)+entryOverhead > b.cfg.Memory {
 		return false
 	}
 	if age < 0 {
@@ -294,19 +294,19 @@
 	if b.cfg.Forget > 0 && age >= b.cfg.Forget {
 		return false
 	}
-	b.addEntry(&entry{dest: d, unloadedAt: now - age, bindingUntil: now - age + b.bindingFor(&m.State), encoded: text, fromPreviousRun: true})
+	b.addEntry(&entry{dest: d, unloadedAt: now - age, bindingUntil: now - age + b.bindingFor(&m.State), encoded: encoded, fromPreviousRun: true})
 	return true
 }
 
 // Hand adds a snapshot that another process of this courier took a moment ago. It is used like this
 // process's own state, retry-after delays included. A destination that was loaded is taken over
 // unchanged.
-func (b *Book) Hand(d Destination, text []byte, at, now time.Duration, awake, restart bool) bool {
-	m, err := memento.Decode(text)
-	if err != nil || b.bytes+len(text)+entryOverhead > b.cfg.Memory {
+func (b *Book) Hand(d Destination, encoded []byte, at, now time.Duration, loaded, fromPreviousRun bool) bool {
+	m, err := memento.Decode(encoded)
+	if err != nil || b.bytes+len(encoded)+entryOverhead > b.cfg.Memory {
 		return false
 	}
-	b.addEntry(&entry{dest: d, unloadedAt: at, bindingUntil: at + b.bindingFor(&m.State), encoded: text, handedOver: awake, fromPreviousRun: restart})
+	b.addEntry(&entry{dest: d, unloadedAt: at, bindingUntil: at + b.bindingFor(&m.State), encoded: encoded, handedOver: loaded, fromPreviousRun: fromPreviousRun})
 	return true
 }
 
@@ -339,11 +339,11 @@
 }
 
 // WakeWith loads a destination from a snapshot that was stored elsewhere.
-func (b *Book) WakeWith(m *memento.Memento, slept time.Duration) Woken {
-	return b.load(m, max(slept, 0))
+func (b *Book) WakeWith(m *memento.Memento, unloadedFor time.Duration) Woken {
+	return b.load(m, max(unloadedFor, 0))
 }
 
-func (b *Book) load(m *memento.Memento, slept time.Duration) Woken {
+func (b *Book) load(m *memento.Memento, unloadedFor time.Duration) Woken {
 	b.loaded++
 	b.Counts.Woke++
 	if m == nil {
@@ -354,15 +354,15 @@
 		return w
 	}
 	b.Counts.Known++
-	return Woken{Memento: m, Slept: slept, Caution: b.ageState(&m.State, slept)}
+	return Woken{Memento: m, Slept: unloadedFor, Caution: b.ageState(&m.State, unloadedFor)}
 }
 
 // ageState ages a snapshot: an old limit loses its value over time and is dropped in the end; the
 // best latency is kept while it is recent; the window starts anew.
-func (b *Book) ageState(s *snowjunction.State, slept time.Duration) snowjunction.Caution {
+func (b *Book) ageState(s *snowjunction.State, unloadedFor time.Duration) snowjunction.Caution {
 	value := 0.0
-	if slept < b.cfg.Forget {
-		value = math.Exp2(-float64(slept) / float64(max(b.cfg.HalfLife, time.Second)))
+	if unloadedFor < b.cfg.Forget {
+		value = math.Exp2(-float64(unloadedFor) / float64(max(b.cfg.HalfLife, time.Second)))
 	}
 	known := false
 	for i := range s.Routes {
--- a/internal/dormancy/dormancy_test.go
+++ b/internal/dormancy/dormancy_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// unboundSnapshot returns a snapshot that is not binding; told returns one with a retry-after
-// delay.
+// unboundSnapshot returns a snapshot that is not binding; withRetryAfter returns one with a
+// retry-after delay.
 func unboundSnapshot() *memento.Memento {
 	return &memento.Memento{State: snowjunction.State{
 		Recent: 0.2, Best: 0.1, Peak: 3, Window: 6,
@@ -200,14 +200,14 @@
 		Condition: snowjunction.Held, Fails: 4, For: 3 * time.Second, Failed: 4 * time.Second, Backoff: time.Second, Trial: time.Second,
 	}}
 	held.State.Routes[0].Wait, held.State.Routes[0].Pace = time.Second, 3
-	text := memento.Encode(nil, held)
-	wake := func(age time.Duration) (Woken, bool) {
+	encoded := memento.Encode(nil, held)
+	loadAfter := func(age time.Duration) (Woken, bool) {
 		b := New(config())
-		ok := b.Recall(1, text, age, time.Hour)
+		ok := b.Recall(1, encoded, age, time.Hour)
 		assert.Equal(t, ok, b.Keeping(1))
 		return b.Wake(1, time.Hour), ok
 	}
-	w, ok := wake(2 * time.Second)
+	w, ok := loadAfter(2 * time.Second)
 	require.True(t, ok)
 	assert.Equal(t, snowjunction.Caution{}, w.Caution)
 	assert.Equal(t, 2*time.Second, w.Slept)
@@ -216,33 +216,33 @@
 	assert.Equal(t, 3.0, r.Pace, "pacing is restored")
 	assert.Equal(t, snowjunction.Held, e.Condition)
 
-	w, ok = wake(time.Minute)
+	w, ok = loadAfter(time.Minute)
 	require.True(t, ok)
 	assert.NotZero(t, w.Caution.Window)
 	assert.Equal(t, snowjunction.Held, w.Memento.State.EndpointsSeen[0].Condition, "a recent outage is restored")
 	assert.Less(t, w.Memento.State.Routes[0].Limit, held.State.Routes[0].Limit)
 
-	w, ok = wake(20 * time.Minute)
+	w, ok = loadAfter(20 * time.Minute)
 	require.True(t, ok)
 	e = w.Memento.State.EndpointsSeen[0]
 	assert.Equal(t, snowjunction.Warming, e.Condition, "an outage of long ago counts as a recovery")
 	assert.Equal(t, w.Slept, -e.For, "the warm-up starts now")
 
-	w, ok = wake(-1)
+	w, ok = loadAfter(-1)
 	require.True(t, ok, "an unknown age is neither recent nor too old")
 	assert.Equal(t, snowjunction.Held, w.Memento.State.EndpointsSeen[0].Condition)
 	assert.NotZero(t, w.Caution.Window)
 
 	held.Names = append(held.Names, 2, 3)
 	held.State.EndpointsSeen = append(held.State.EndpointsSeen, snowjunction.EndpointState{Latency: 0.1}, snowjunction.EndpointState{})
-	text = memento.Encode(nil, held)
-	w, _ = wake(time.Second)
+	encoded = memento.Encode(nil, held)
+	w, _ = loadAfter(time.Second)
 	seen := w.Memento.State.EndpointsSeen
 	assert.Equal(t, snowjunction.Serving, seen[1].Condition, "it served while the other one failed")
 	assert.Equal(t, snowjunction.Warming, seen[2].Condition, "it was never called and may have failed too")
 	assert.Equal(t, 5*time.Second, seen[2].DownFor, "as long as the other one has failed, up to now")
 
-	_, ok = wake(config().Forget)
+	_, ok = loadAfter(config().Forget)
 	assert.False(t, ok)
 	b := New(config())
 	assert.False(t, b.Recall(1, []byte("rubbish"), 0, 0))
--- a/internal/learnt/learnt.go
+++ b/internal/learnt/learnt.go
@@ -77,24 +77,24 @@
 }
 
 // Load reads the records in a directory: the latest record of each destination, in the order of
-// writing. wrong is called for files and parts of files that cannot be read; these are omitted.
-func Load(dir string, wrong func(file string, err error)) []Record {
+// writing. onError is called for files and parts of files that cannot be read; these are omitted.
+func Load(dir string, onError func(file string, err error)) []Record {
 	files, err := aside.Files(dir, segmentPrefix)
 	if err != nil {
-		wrong(dir, err)
+		onError(dir, err)
 		return nil
 	}
 	var all []Record
 	for _, name := range files {
 		b, err := readSegment(name)
 		if err != nil {
-			wrong(filepath.Base(name), err)
+			onError(filepath.Base(name), err)
 			continue
 		}
 		for size := len(b); len(b) > 0; {
 			r, ok, rest, err := ReadRecord(b)
 			if err != nil {
-				wrong(filepath.Base(name), fmt.Errorf("%w at %d: %d bytes are skipped", err, size-len(b), len(b)))
+				onError(filepath.Base(name), fmt.Errorf("%w at %d: %d bytes are skipped", err, size-len(b), len(b)))
 				break
 			}
 			if b = rest; ok {
@@ -266,15 +266,15 @@
 
 func (s *Store) write(batch []Record) error {
 	var b []byte
-	dropped := uint64(0)
+	droppedRecords := uint64(0)
 	for _, r := range batch {
-		dropped += s.remember(r)
+		droppedRecords += s.remember(r)
 		b = Append(b, r)
 	}
 	n, err := s.appendEncoded(b)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.counts.Dropped += dropped; err == nil {
+	if s.counts.Dropped += droppedRecords; err == nil {
 		s.counts.Writes++
 		s.counts.Bytes += uint64(n)
 		s.counts.Records += uint64(len(batch))
--- a/internal/learnt/learnt_test.go
+++ b/internal/learnt/learnt_test.go
@@ -231,9 +231,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p, j := NewPicker(), Journal{}
 		writes, size, at := 0, 0, time.UnixMilli(1e12)
-		var out []uint32 // requested and not answered
+		var requested []uint32 // requested and not answered
 		waiting := map[uint32]bool{}
-		form := func(s *snowjunction.State) []byte { return make([]byte, 20+int(s.Recent*100)) }
+		encode := func(s *snowjunction.State) []byte { return make([]byte, 20+int(s.Recent*100)) }
 		for range 200 {
 			j.Writes += uint64(rapid.IntRange(0, 60).Draw(t, "writes"))
 			j.Bytes += uint64(rapid.IntRange(0, 6000).Draw(t, "bytes"))
@@ -244,27 +244,27 @@
 				waiting[d] = true
 			case 1:
 				picked := p.Pick(j)
-				require.True(t, len(out) == 0 || len(picked) == 0, "only one round of requests at a time")
+				require.True(t, len(requested) == 0 || len(picked) == 0, "only one round of requests at a time")
 				for _, d := range picked {
 					require.True(t, waiting[d])
 					delete(waiting, d)
 				}
-				out = append(out, picked...)
+				requested = append(requested, picked...)
 			case 2:
 				p.Asleep(d, at, make([]byte, rapid.IntRange(20, 200).Draw(t, "text")), j)
 			default:
-				for _, d := range out {
+				for _, d := range requested {
 					var s *snowjunction.State
 					if rapid.Bool().Draw(t, "known") {
 						s = &snowjunction.State{Recent: float64(rapid.IntRange(1, 9).Draw(t, "recent"))}
 					}
 					before := len(p.batch)
-					p.Answered(d, s, at, form, j)
+					p.Answered(d, s, at, encode, j)
 					if waiting[d] = waiting[d] || p.queued[d]; s != nil && len(p.batch) == before {
 						require.True(t, p.queued[d] || p.Same > 0, "it waits, or had changed too little")
 					}
 				}
-				out = nil
+				requested = nil
 			}
 			if batch := p.Flush(); len(batch) > 0 {
 				writes++
--- a/internal/learnt/picker.go
+++ b/internal/learnt/picker.go
@@ -74,17 +74,17 @@
 }
 
 // All returns the loaded destinations whose state to request at a planned stop.
-func (p *Picker) All(awake []uint32) []uint32 {
+func (p *Picker) All(loaded []uint32) []uint32 {
 	p.plannedStop = true
-	awake = awake[:min(len(awake), maxAtStop)]
-	p.pending += len(awake)
-	return awake
+	loaded = loaded[:min(len(loaded), maxAtStop)]
+	p.pending += len(loaded)
+	return loaded
 }
 
 // Answered handles the state of a destination that was requested, or nil if there is none or it was
 // not requested after all. A state that differs little from the last written one is not written
 // again, and one without room waits.
-func (p *Picker) Answered(d uint32, s *snowjunction.State, at time.Time, form func(*snowjunction.State) []byte, j Journal) {
+func (p *Picker) Answered(d uint32, s *snowjunction.State, at time.Time, encode func(*snowjunction.State) []byte, j Journal) {
 	p.pending = max(p.pending-1, 0)
 	if s == nil {
 		return
@@ -94,7 +94,7 @@
 		p.Same++
 		return
 	}
-	if !p.add(Record{d, at, form(s)}, j) {
+	if !p.add(Record{d, at, encode(s)}, j) {
 		p.Changed(d)
 		return
 	}
@@ -102,9 +102,9 @@
 }
 
 // Asleep adds the snapshot of a destination that was unloaded, if there is room.
-func (p *Picker) Asleep(d uint32, at time.Time, text []byte, j Journal) {
+func (p *Picker) Asleep(d uint32, at time.Time, encoded []byte, j Journal) {
 	delete(p.written, d)
-	p.add(Record{d, at, text}, j)
+	p.add(Record{d, at, encoded}, j)
 }
 
 func (p *Picker) add(r Record, j Journal) bool {
--- a/internal/lease/capacity_test.go
+++ b/internal/lease/capacity_test.go
@@ -45,9 +45,9 @@
 }
 
 // allLost reports whether all candidate owners, starting with the preferred one, are lost.
-func allLost(fleet, first int, lost func(int) bool) bool {
+func allLost(fleet, first int, isLost func(int) bool) bool {
 	for i := range min(maxCandidates, fleet) {
-		if !lost((first + i) % fleet) {
+		if !isLost((first + i) % fleet) {
 			return false
 		}
 	}
@@ -61,7 +61,7 @@
 	for _, failing := range []int{0, 120} {
 		b.Run(fmt.Sprintf("failing=%d", failing), func(b *testing.B) {
 			gauge.Held(b, n, "account", func() any {
-				kept := map[uint32]*Ledger{}
+				ledgers := map[uint32]*Ledger{}
 				for dest := range uint32(n) {
 					l := NewLedger(Slow{Share: 0.2, Over: 1.8, Warm: 14 * time.Second, Least: 425})
 					l.Report(0, 12)
@@ -73,9 +73,9 @@
 					for p := range failing {
 						l.Failing(12*time.Second, p)
 					}
-					kept[dest] = l
+					ledgers[dest] = l
 				}
-				return kept
+				return ledgers
 			})
 		})
 	}
--- a/internal/lease/ledger.go
+++ b/internal/lease/ledger.go
@@ -33,7 +33,7 @@
 	utilizationCutInterval = 200 * time.Millisecond  //
 	requestLifetime        = 1200 * time.Millisecond // a request that is not renewed in this time was served or its courier has ended
 	maxRequesters          = 4096
-	recoveryNoticeWindow   = 30 * time.Second // how long after its report a courier is told that the destination recovered
+	recoveryNoticeWindow   = 30 * time.Second // how long after its report a courier is notified that the destination recovered
 )
 
 // Ledger is the owner's quota ledger of one destination.
--- a/internal/notes/notes_test.go
+++ b/internal/notes/notes_test.go
@@ -73,12 +73,12 @@
 		if err != nil {
 			return
 		}
-		var again []snowjunction.Note
+		var decoded []snowjunction.Note
 		for _, x := range Write(items) {
 			more, err := Read(x)
 			require.NoError(t, err)
-			again = append(again, more...)
+			decoded = append(decoded, more...)
 		}
-		require.Equal(t, items, again)
+		require.Equal(t, items, decoded)
 	})
 }
--- a/internal/partition/capacity_test.go
+++ b/internal/partition/capacity_test.go
@@ -61,7 +61,7 @@
 func BenchmarkPartitionsMoved(b *testing.B) {
 	all := fleet(plannedMembers, plannedRegions, 4)
 	before := membership(b, partitions, 1, all)
-	n, gone := 0, 0
+	n, removed := 0, 0
 	for b.Loop() {
 		for i := 0; i < plannedMembers; i += 100 {
 			after, err := before.With(slices.Delete(slices.Clone(all), i, i+1))
@@ -69,10 +69,10 @@
 				b.Fatal(err)
 			}
 			n += len(movedPartitions(before, after))
-			gone++
+			removed++
 		}
 	}
-	b.ReportMetric(float64(n)/float64(gone), "partitions/member")
+	b.ReportMetric(float64(n)/float64(removed), "partitions/member")
 }
 
 // BenchmarkRoute measures the routing of an event at a courier of the planned fleet, which forwards
--- a/internal/partition/partition_test.go
+++ b/internal/partition/partition_test.go
@@ -43,12 +43,12 @@
 	require.NoError(t, err)
 	after, err := before.With(append(all[:7:7], all[8:]...))
 	require.NoError(t, err)
-	anew, err := New(512, 2, append(all[:7:7], all[8:]...))
+	fromScratch, err := New(512, 2, append(all[:7:7], all[8:]...))
 	require.NoError(t, err)
 	for p := range 512 {
 		for _, near := range []string{"r0", "r1"} {
 			was, is := before.Owners(p, near), after.Owners(p, near)
-			require.Equal(t, anew.Owners(p, near), is)
+			require.Equal(t, fromScratch.Owners(p, near), is)
 			if assert.Len(t, is, len(was)); !slices.Contains(names(was), "n7") {
 				require.Equal(t, was, is)
 			}
@@ -140,9 +140,9 @@
 			next := randomChanges(t, all, step)
 			after, err := m.With(next)
 			require.NoError(t, err)
-			anew := membership(t, partitions, copies, next)
-			require.Equal(t, anew.regions, after.regions)
-			require.Equal(t, anew.members, after.members)
+			fromScratch := membership(t, partitions, copies, next)
+			require.Equal(t, fromScratch.regions, after.regions)
+			require.Equal(t, fromScratch.members, after.members)
 
 			members, zones, same := map[string]int{}, map[string]map[string]bool{}, map[string]bool{}
 			for _, x := range next {
@@ -240,12 +240,12 @@
 	before := membership(t, partitions, 1, all)
 	after, err := before.With(slices.Delete(slices.Clone(all), 1700, 1701))
 	require.NoError(t, err)
-	again, err := after.With(all)
+	restored, err := after.With(all)
 	require.NoError(t, err)
-	assert.Equal(t, before.regions, again.regions)
+	assert.Equal(t, before.regions, restored.regions)
 	own := before.Owned(all[1700].Name)
 	assert.Equal(t, own, movedPartitions(before, after))
-	assert.Equal(t, own, movedPartitions(after, again))
+	assert.Equal(t, own, movedPartitions(after, restored))
 	mean := 3 * partitions / 3400.0
 	assert.InDelta(t, mean, len(own), 4*math.Sqrt(mean))
 	places := 0
--- a/internal/partition/router.go
+++ b/internal/partition/router.go
@@ -145,18 +145,18 @@
 
 // Expire drops the partitions that are not owned and whose time is over, unless used reports that
 // they are still needed, and returns them. They are then no longer in Listed.
-func (r *Router) Expire(now time.Duration, used func(p int) bool) (gone []int) {
+func (r *Router) Expire(now time.Duration, used func(p int) bool) (dropped []int) {
 	for p, x := range r.partitions {
 		if !x.owned && now >= x.servedUntil && !used(p) {
 			delete(r.partitions, p)
-			gone = append(gone, p)
+			dropped = append(dropped, p)
 		}
 	}
 	if r.previous != nil && now >= r.previousUntil {
 		r.previous = nil
 	}
-	slices.Sort(gone)
-	return gone
+	slices.Sort(dropped)
+	return dropped
 }
 
 // Lingers reports whether there is something for Expire to drop, now or later.
--- a/internal/partition/world_test.go
+++ b/internal/partition/world_test.go
@@ -104,17 +104,17 @@
 		m.Left = time.Duration(rapid.IntRange(1, 12).Draw(w.t, "left")) * time.Second
 	}
 	p := Of(m.Destination, partitionCount)
-	ways := len(r.membership.Owners(p, ""))
+	maxTries := len(r.membership.Owners(p, ""))
 	if r.previous != nil {
-		ways += len(r.previous.Owners(p, ""))
+		maxTries += len(r.previous.Owners(p, ""))
 	}
 	var tried []string
 	for {
-		require.LessOrEqual(w.t, len(tried), ways, "%v", tried)
-		way := r.Route(m, tried, w.now)
-		switch way.Way {
+		require.LessOrEqual(w.t, len(tried), maxTries, "%v", tried)
+		route := r.Route(m, tried, w.now)
+		switch route.Way {
 		case Busy:
-			require.Positive(w.t, way.After)
+			require.Positive(w.t, route.After)
 			return
 		case Here:
 			w.accept(x, x, m)
@@ -123,7 +123,7 @@
 		case Moved:
 			require.Fail(w.t, "a client's message is never answered MOVED")
 		}
-		y := way.To.Name
+		y := route.To.Name
 		require.NotEqual(w.t, x, y, "forwarded to itself")
 		require.NotContains(w.t, tried, y, "tried twice")
 		tried = append(tried, y)
@@ -131,19 +131,19 @@
 			r.Unreached(y, w.now)
 			continue
 		}
-		fate := rapid.SampledFrom([]string{"answered", "busy", "silent", "lost"}).Draw(w.t, "fate")
+		result := rapid.SampledFrom([]string{"answered", "busy", "silent", "lost"}).Draw(w.t, "fate")
 		forwarded := m
 		forwarded.Forwarded = true
-		at := w.routers[y].Route(forwarded, nil, w.now)
-		require.Contains(w.t, []Way{Here, Moved}, at.Way, "never forwarded again")
+		received := w.routers[y].Route(forwarded, nil, w.now)
+		require.Contains(w.t, []Way{Here, Moved}, received.Way, "never forwarded again")
 		switch {
-		case fate == "lost": // the request was sent and got no answer: the client's connection is closed
+		case result == "lost": // the request was sent and got no answer: the client's connection is closed
 			r.Took(m, y, w.now)
 			return
-		case at.Way == Moved:
+		case received.Way == Moved:
 			r.Reached(y)
 			continue
-		case fate == "busy":
+		case result == "busy":
 			r.Reached(y)
 			return
 		}
