--- a/internal/front/console/console.go
+++ b/internal/front/console/console.go
@@ -1,7 +1,6 @@
-// Package console is the second address: staff ask there how the courier does. Each
-// connection carries one call and gets one answer, done or error, whatever the load: it
-// is made of counts that are there, and waits for nothing but the disk, where what staff
-// wants is to last.
+// Package console is the front for operators, on an address of its own. Each connection carries one
+// call and gets one answer, done or error, whatever the load: answers consist of counters that are
+// at hand, and wait for nothing but the disk if a change has to be persisted.
 package console
 
 import (
@@ -15,72 +14,73 @@
 )
 
 const (
-	silentFor   = 5 * time.Second // that a caller may take for its line
-	readMost    = oneline.Most + 4
-	callersMost = 32 // beyond, the one goes that has been there for longest without its call
+	callTimeout  = 5 * time.Second // from connecting to the end of the call's line
+	maxCallBytes = oneline.Most + 4
+	maxCallers   = 32 // at the limit, the oldest caller without a complete call is evicted
 )
 
-// Config is what the front needs.
+// Config holds the front's dependencies and settings.
 type Config struct {
 	Loop    *core.Loop
 	Engine  *net.Engine
 	Listen  string
-	Ready   func() bool                   // whether messages are taken
-	Figures func(done func(core.Figures)) // what is counted
-	// Exclude takes an endpoint out, or lets it serve again. done is called once that
-	// lasts, or with why it is not so.
+	Ready   func() bool                   // whether messages are accepted
+	Figures func(done func(core.Figures)) // returns the courier's figures
+	// Exclude takes an endpoint out of service or back in. It calls done once the change is
+	// persisted, or with the error.
 	Exclude func(id string, out bool, done func(error))
 }
 
-// Front is the second address. It belongs to the loop's goroutine.
+// Front is the console front. It belongs to the loop's goroutine.
 type Front struct {
 	Config
 	addr    string
-	callers []*caller // the oldest first
-	hushed  bool      // calls wait for whoever goes on
+	callers []*caller // oldest first
+	paused  bool      // calls are left to the next process
 }
 
-// Start listens; an error says why it cannot.
+// Start starts to listen.
 func Start(cfg Config) (*Front, error) {
 	f := &Front{Config: cfg}
 	var err error
 	cfg.Engine.Halves(ListenerKind)
-	f.addr, err = cfg.Engine.Listen(ListenerKind, cfg.Listen, f.accept, f.spare)
+	f.addr, err = cfg.Engine.Listen(ListenerKind, cfg.Listen, f.accept, f.evictCaller)
 	return f, err
 }
 
-// Addr is where it listens.
+// Addr returns the address that the front listens on.
 func (f *Front) Addr() string { return f.addr }
 
 type caller struct {
-	front  *Front
-	conn   *net.Conn
-	parser oneline.Parser
-	read   []byte // of a call that is not answered
-	asked  bool   // a whole call has come
-	limit  *core.Timer
+	front    *Front
+	conn     *net.Conn
+	parser   oneline.Parser
+	received []byte // received bytes of an unanswered call
+	complete bool   // the call is complete
+	timer    *core.Timer
 }
 
 func (f *Front) accept(conn *net.Conn) net.Handler {
 	c := &caller{front: f, conn: conn}
-	if len(f.callers) >= callersMost && !f.spare() {
+	if len(f.callers) >= maxCallers && !f.evictCaller() {
 		conn.Close(net.Limit)
 		return c
 	}
-	f.join(c)
+	f.addCaller(c)
 	return c
 }
 
-func (f *Front) join(c *caller) {
-	c.limit = f.Loop.After(silentFor, func() { c.end(net.Idle) })
+func (f *Front) addCaller(c *caller) {
+	c.timer = f.Loop.After(callTimeout, func() { c.closeConn(net.Idle) })
 	f.callers = append(f.callers, c)
 }
 
-// spare ends the caller that has been there for longest, of those whose call has not come.
-func (f *Front) spare() bool {
+// evictCaller closes the oldest connection whose call is incomplete. It returns false if there is
+// none.
+func (f *Front) evictCaller() bool {
 	for _, c := range f.callers {
-		if !c.asked && !c.conn.Unread() {
-			c.end(net.Spared)
+		if !c.complete && !c.conn.Unread() {
+			c.closeConn(net.Spared)
 			return true
 		}
 	}
@@ -89,53 +89,53 @@
 
 func (c *caller) Opened() {}
 
-func (c *caller) Closed(net.Code) { c.leave() }
+func (c *caller) Closed(net.Code) { c.remove() }
 
 // Data reads the call and answers it.
 func (c *caller) Data(b []byte) {
-	if c.read = append(c.read, b[:min(len(b), readMost)]...); c.front.hushed {
+	if c.received = append(c.received, b[:min(len(b), maxCallBytes)]...); c.front.paused {
 		return
 	}
-	if len(c.read) > readMost {
-		c.read = c.read[:readMost]
+	if len(c.received) > maxCallBytes {
+		c.received = c.received[:maxCallBytes]
 	}
 	call, ok, err := c.parser.Feed(b)
 	if !ok && err == nil {
 		return
 	}
-	c.asked = true
+	c.complete = true
 	if err != nil {
 		c.answer("", err)
 		return
 	}
-	c.front.ask(call, c.answer)
+	c.front.dispatch(call, c.answer)
 }
 
-// HalfClosed leaves a caller that has sent its call, and ends one that has not.
+// HalfClosed keeps a caller whose call is complete, and closes any other.
 func (c *caller) HalfClosed() {
-	if !c.asked && !c.front.hushed {
-		c.end(net.PeerClosed)
+	if !c.complete && !c.front.paused {
+		c.closeConn(net.PeerClosed)
 	}
 }
 
-// answer answers the call. A caller that has gone meanwhile hears nothing.
+// answer answers the call. A caller that has disconnected gets no answer.
 func (c *caller) answer(text string, err error) {
 	if err != nil {
 		c.conn.Write([]byte("error " + err.Error() + "\n"))
-		c.end(net.Protocol)
+		c.closeConn(net.Protocol)
 		return
 	}
 	c.conn.Write([]byte(text))
-	c.end(net.Finished)
+	c.closeConn(net.Finished)
 }
 
-func (c *caller) end(code net.Code) {
+func (c *caller) closeConn(code net.Code) {
 	c.conn.Close(code)
-	c.leave()
+	c.remove()
 }
 
-func (c *caller) leave() {
-	c.limit.Stop()
+func (c *caller) remove() {
+	c.timer.Stop()
 	for i, x := range c.front.callers {
 		if x == c {
 			c.front.callers = append(c.front.callers[:i], c.front.callers[i+1:]...)
@@ -145,17 +145,17 @@
 }
 
 var (
-	errReady = errors.New("not ready")
-	errCall  = errors.New("unknown call")
-	errID    = errors.New("the endpoint's id is wanted")
+	errNotReady    = errors.New("not ready")
+	errUnknownCall = errors.New("unknown call")
+	errMissingID   = errors.New("the endpoint's id is wanted")
 )
 
-// ask carries a call out. Those that change something are answered once that lasts.
-func (f *Front) ask(c oneline.Call, answer func(string, error)) {
+// dispatch executes a call. Calls that change something are answered once the change is persisted.
+func (f *Front) dispatch(c oneline.Call, answer func(string, error)) {
 	switch out := c.Word == "exclude"; {
 	case c.Word == "readyz" && c.Arg == "":
 		if !f.Ready() {
-			answer("", errReady)
+			answer("", errNotReady)
 			return
 		}
 		answer("done\n", nil)
@@ -165,10 +165,10 @@
 			answer(string(b)+"\nend\n", err)
 		})
 	case (out || c.Word == "include") && c.Arg == "":
-		answer("", errID)
+		answer("", errMissingID)
 	case out || c.Word == "include":
 		f.Exclude(c.Arg, out, func(err error) { answer("done\n", err) })
 	default:
-		answer("", errCall)
+		answer("", errUnknownCall)
 	}
 }
--- a/internal/front/platform/discovery.go
+++ b/internal/front/platform/discovery.go
@@ -14,129 +14,128 @@
 	"snowjunction/internal/proto/listing"
 )
 
-// discovery watches the target group. One watch is always open: the next
-// follows its answer at once.
+// discovery watches the target group. A watch (long poll) is always open: the next one follows the
+// answer at once.
 type discovery struct {
-	front      *Front
-	generation uint64
-	known      bool   // what is newer than generation can be asked for
-	held       bool   // a list is held
-	agent      string // who has told it
-	conn       *net.Conn
-	parser     http1.Parser
-	limit      *core.Timer
-	closed     bool
-	reader     *listing.Reader // of the answer that comes
-	news       *groups.List
-	watching   bool      // the answer that comes is to a watch
-	since      time.Time // the last step began: what the directory had to tell before is held
-	backoff    *backoff.Backoff
-	parts      partitions
+	front       *Front
+	generation  uint64
+	incremental bool   // changes after generation may be requested
+	hasList     bool   // there is a list
+	agent       string // address of the agent that sent it
+	conn        *net.Conn
+	parser      http1.Parser
+	timer       *core.Timer
+	closed      bool
+	reader      *listing.Reader // reads the current answer
+	incoming    *groups.List
+	watching    bool      // the current request is a watch
+	stepStart   time.Time // start of the current step; the list covers everything before it
+	backoff     *backoff.Backoff
+	partitions  partitionState
 }
 
-// askNow is the wait of a watch that is to be answered at once.
-const askNow = time.Millisecond
+// immediateWait is the wait of a watch that is to be answered at once.
+const immediateWait = time.Millisecond
 
-// watch asks for what is newer than the list held, on the connection there is
-// or a new one.
+// watch requests the changes since the current list, on the open connection or a new one.
 func (d *discovery) watch() {
 	if d.closed {
 		return
 	}
 	if d.conn == nil {
-		d.parser = http1.Parser{MaxBody: maxAnswer, Sink: d.piece}
+		d.parser = http1.Parser{MaxBody: maxAnswerBytes, Sink: d.readBody}
 		d.conn = d.front.Engine.Dial(WatchKind, d.front.Discovery, d)
-		if d.parts.mayGain = false; !d.parts.gained {
-			d.since = d.front.Loop.Now()
+		if d.partitions.mayGain = false; !d.partitions.gained {
+			d.stepStart = d.front.Loop.Now()
 		}
-		d.await(backoff.ConnectTimeout, net.DialTimeout)
+		d.setTimeout(backoff.ConnectTimeout, net.DialTimeout)
 		return
 	}
-	d.ask()
+	d.request()
 }
 
-// await gives the connection up after a time. Each step has its own: a watch
-// may be silent for long, but a connection that does not come up would leave
-// the courier without a list for as long.
-func (d *discovery) await(t time.Duration, code net.Code) {
-	d.limit.Stop()
-	d.limit = d.front.Loop.After(t, func() {
-		d.heed()
-		d.later(code, d.backoff.TimedOut(d.ago()))
+// setTimeout closes the connection after a time. Each step has its own timeout: a watch may be
+// silent for long, but a connection that does not open would leave the courier without a list for
+// as long.
+func (d *discovery) setTimeout(t time.Duration, code net.Code) {
+	d.timer.Stop()
+	d.timer = d.front.Loop.After(t, func() {
+		d.applyLeaving()
+		d.retryAfter(code, d.backoff.TimedOut(d.stepAge()))
 	})
 }
 
-// ago is how long ago the last step began.
-func (d *discovery) ago() time.Duration { return d.front.Loop.Now().Sub(d.since) }
+// stepAge returns the time since the current step began.
+func (d *discovery) stepAge() time.Duration { return d.front.Loop.Now().Sub(d.stepStart) }
 
-func (d *discovery) ask() {
-	d.expect()
+func (d *discovery) request() {
+	d.prepareReader()
 	path := "/discovery/hosts"
-	of := d.next()
+	partitionQuery := d.nextQuery()
 	limit := d.backoff.AskTimeout()
-	if d.parts.gained { // one step with the ask before: what is news has waited since then
-		limit -= d.ago()
+	if d.partitions.gained { // one step with the previous request, for which changes have waited too
+		limit -= d.stepAge()
 	} else {
-		d.since = d.front.Loop.Now()
+		d.stepStart = d.front.Loop.Now()
 	}
-	d.await(min(backoff.AnswerTimeout, limit), net.CallTimeout)
-	d.watching = d.known && !d.parts.gaining
+	d.setTimeout(min(backoff.AnswerTimeout, limit), net.CallTimeout)
+	d.watching = d.incremental && !d.partitions.gaining
 	switch {
 	case d.watching:
 		wait := d.backoff.WatchWait()
 		if _, _, live := d.front.core.Word(d.front.Number); !live {
-			wait = askNow // an agent that is up says so, though nothing may be new
+			wait = immediateWait // a live agent answers at once even without changes
 		}
-		if again := d.front.core.Recheck(d.front.Number); again > 0 {
-			wait = min(wait, again)
+		if recheck := d.front.core.Recheck(d.front.Number); recheck > 0 {
+			wait = min(wait, recheck)
 		}
-		if d.hurries() {
-			wait = askNow
+		if d.pollNow() {
+			wait = immediateWait
 		}
-		d.await(limit, net.CallTimeout)
+		d.setTimeout(limit, net.CallTimeout)
 		path += "?after=" + strconv.FormatUint(d.generation, 10) +
 			"&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
-		if of != "" {
-			path += "&" + of
+		if partitionQuery != "" {
+			path += "&" + partitionQuery
 		}
-	case of != "":
-		path += "?" + of
+	case partitionQuery != "":
+		path += "?" + partitionQuery
 	}
-	d.parts.gained = false
+	d.partitions.gained = false
 	d.conn.Write(http1.Request("GET", path, d.front.Discovery, nil))
 }
 
-// Opened asks on a new connection.
-func (d *discovery) Opened() { d.ask() }
+// Opened sends a request on a new connection.
+func (d *discovery) Opened() { d.request() }
 
-// Closed begins anew.
+// Closed reconnects after a pause.
 func (d *discovery) Closed(net.Code) {
 	d.conn = nil
-	d.heed()
-	d.later(net.PeerClosed, d.backoff.Disconnected(d.ago()))
+	d.applyLeaving()
+	d.retryAfter(net.PeerClosed, d.backoff.Disconnected(d.stepAge()))
 }
 
-// heed takes from an answer that will not come whole what it has said of endpoints that drain or
-// go: what has been written is told.
-func (d *discovery) heed() {
-	if d.news != nil && len(d.news.Leaving) > 0 {
-		d.front.core.Heed(d.front.Number, d.news)
+// applyLeaving applies the draining and removed endpoints of an incomplete answer: whatever the
+// agent has written counts.
+func (d *discovery) applyLeaving() {
+	if d.incoming != nil && len(d.incoming.Leaving) > 0 {
+		d.front.core.Heed(d.front.Number, d.incoming)
 	}
 }
 
-// later gives the connection up and watches anew after a pause.
-func (d *discovery) later(code net.Code, pause time.Duration) {
+// retryAfter closes the connection and watches again after a pause.
+func (d *discovery) retryAfter(code net.Code, pause time.Duration) {
 	if d.conn != nil {
 		d.conn.Close(code)
 		d.conn = nil
 	}
-	d.news, d.parts.gained = nil, false
-	d.limit.Stop()
-	d.limit = d.front.Loop.After(pause, d.watch)
+	d.incoming, d.partitions.gained = nil, false
+	d.timer.Stop()
+	d.timer = d.front.Loop.After(pause, d.watch)
 }
 
-// after is how long an answer asks to stay away, in whole seconds; 0: it does not say.
-func after(r *http1.Response) time.Duration {
+// retryAfterHeader returns the delay of a Retry-After header in whole seconds; zero if it has none.
+func retryAfterHeader(r *http1.Response) time.Duration {
 	n, err := strconv.ParseUint(r.Get("Retry-After"), 10, 16)
 	if err != nil {
 		return 0
@@ -144,54 +143,54 @@
 	return time.Duration(n) * time.Second
 }
 
-// move begins anew at another address. Its agent may count generations on its
-// own, so the whole list is asked for; the one held stays until it comes.
-func (d *discovery) move() {
+// restart starts again at another address. The agent there may have its own generation numbers, so
+// the full list is requested; the current list stays in use until that arrives.
+func (d *discovery) restart() {
 	if d.closed {
 		return
 	}
-	d.known, d.parts.gained = false, false
-	d.backoff.Reset() // another agent: what the old one refused says nothing of it
+	d.incremental, d.partitions.gained = false, false
+	d.backoff.Reset() // a different agent: the old one's refusals do not count for it
 	if d.conn != nil {
 		d.conn.Close(net.Moved)
 		d.conn = nil
 	}
-	d.limit.Stop()
+	d.timer.Stop()
 	d.watch()
 }
 
-// expect makes ready for an answer.
-func (d *discovery) expect() {
-	news := groups.NewList(false)
-	size, entries := d.bounds()
-	d.news = news
+// prepareReader sets up the reader for the next answer.
+func (d *discovery) prepareReader() {
+	list := groups.NewList(false)
+	size, entries := d.readerLimits()
+	d.incoming = list
 	d.reader = &listing.Reader{MaxSize: size, MaxList: entries, Entry: func(v *fastjson.Value) error {
 		e, err := d.front.Names.Target(v)
-		if err != nil || !d.lists(&e, news) {
+		if err != nil || !d.keepEntry(&e, list) {
 			return err
 		}
-		if err := d.room(news); err != nil {
+		if err := d.checkRoom(list); err != nil {
 			return err
 		}
-		return news.Add(e)
+		return list.Add(e)
 	}}
 }
 
-// piece reads a part of an answer's body. However long the list is, what is
-// read of it lies in a table of its own until it has come whole.
-func (d *discovery) piece(b []byte) error { return d.reader.Feed(b) }
+// readBody reads a part of an answer's body. Entries go to a separate list until the answer is
+// complete.
+func (d *discovery) readBody(b []byte) error { return d.reader.Feed(b) }
 
-// Data reads an answer and watches on.
+// Data reads an answer and watches again.
 func (d *discovery) Data(b []byte) {
 	d.parser.Feed(b)
 	r, err := d.parser.Next()
 	switch {
 	case err != nil:
-		d.refuse(err)
+		d.rejectList(err)
 		return
 	case r == nil:
-		if d.reader.Size() > 0 { // it comes: what is long may take long, but not for ever
-			d.await(d.backoff.RestOfAnswer(d.ago(), d.reader.Size()), net.CallTimeout)
+		if d.reader.Size() > 0 { // data is arriving: a long list may take long, but not forever
+			d.setTimeout(d.backoff.RestOfAnswer(d.stepAge(), d.reader.Size()), net.CallTimeout)
 		}
 		return
 	}
@@ -200,66 +199,66 @@
 		d.conn = nil
 	}
 	if r.Status != 200 {
-		pause := d.backoff.Refused(after(r), d.ago())
+		pause := d.backoff.Refused(retryAfterHeader(r), d.stepAge())
 		d.front.Log.Warn("discovery answers with an error", "status", r.Status, "pause_ms", pause.Milliseconds())
-		d.later(net.Finished, pause)
+		d.retryAfter(net.Finished, pause)
 		return
 	}
-	d.front.Log.Debug("discovery answers", "generation", d.reader.Generation, "full", d.reader.Full, "entries", d.reader.Entries)
+	d.front.Log.Debug("received an answer from discovery", "generation", d.reader.Generation, "full", d.reader.Full, "entries", d.reader.Entries)
 	err = d.reader.End()
 	if err == nil {
-		err = d.fits()
+		err = d.checkPartitions()
 	}
 	if err != nil {
-		d.refuse(err)
+		d.rejectList(err)
 		return
 	}
-	d.news.Full = d.reader.Full
-	if (!d.news.Full && d.watching || d.parts.gaining) && d.reader.Generation < d.generation {
-		// Changes to an older list than the one held: what they name as leaving is
-		// heeded, and the whole list is asked for.
+	d.incoming.Full = d.reader.Full
+	if (!d.incoming.Full && d.watching || d.partitions.gaining) && d.reader.Generation < d.generation {
+		// These are changes to an older list than the current one: draining and removed endpoints
+		// are applied, and the full list is requested.
 		d.front.Log.Warn("discovery's list goes back", "generation", d.reader.Generation, "held", d.generation)
-		d.front.core.Heed(d.front.Number, d.news)
-		d.known, d.parts.gained = false, d.parts.gaining
+		d.front.core.Heed(d.front.Number, d.incoming)
+		d.incremental, d.partitions.gained = false, d.partitions.gaining
 		d.watch()
 		return
 	}
-	if d.parts.gaining {
-		d.gain()
+	if d.partitions.gaining {
+		d.mergeGained()
 		return
 	}
-	if d.news.Full && d.front.sweeping != nil {
-		d.front.sweepNow()
+	if d.incoming.Full && d.front.activeSweep != nil {
+		d.front.finishSweep()
 	}
-	if err := d.front.core.Listed(d.front.Number, d.news); err != nil {
-		d.refuse(err)
+	if err := d.front.core.Listed(d.front.Number, d.incoming); err != nil {
+		d.rejectList(err)
 		return
 	}
-	d.came(d.news.Full || !d.watching)
+	d.listReceived(d.incoming.Full || !d.watching)
 	d.backoff.Reset()
-	d.news = nil
-	d.generation, d.known, d.held, d.agent = d.reader.Generation, true, true, d.front.Discovery
+	d.incoming = nil
+	d.generation, d.incremental, d.hasList, d.agent = d.reader.Generation, true, true, d.front.Discovery
 	d.front.core.Spoken(d.front.Number)
 	if d.watching && d.front.core.Recheck(d.front.Number) > 0 {
-		d.known = false // the whole list again: what it leaves out is in doubt
+		d.incremental = false // request the full list, to recheck the entries left out here
 	}
-	d.front.becomeReady()
+	d.front.markReady()
 	d.watch()
 }
 
-// refuse leaves a list that cannot be taken: the one held stays, but for what
-// the other says of endpoints that drain or go. The whole list is asked for
-// next, less and less often while that is no better.
-func (d *discovery) refuse(err error) {
-	d.front.Log.Warn("discovery's list cannot be read", "err", err, "entries", d.reader.Entries, "bytes", d.reader.Size())
-	d.front.core.Refused(d.front.Number, d.news, err)
-	d.known = false
-	d.later(net.Protocol, d.backoff.Unreadable(d.ago()))
+// rejectList rejects a list. The current list stays in use, but the draining and removed endpoints
+// of the rejected one are applied. The full list is requested next, with growing pauses while the
+// lists remain invalid.
+func (d *discovery) rejectList(err error) {
+	d.front.Log.Warn("rejected the list from discovery", "err", err, "entries", d.reader.Entries, "bytes", d.reader.Size())
+	d.front.core.Refused(d.front.Number, d.incoming, err)
+	d.incremental = false
+	d.retryAfter(net.Protocol, d.backoff.Unreadable(d.stepAge()))
 }
 
 func (d *discovery) close() {
 	d.closed = true
-	d.limit.Stop()
+	d.timer.Stop()
 	if d.conn != nil {
 		d.conn.Close(net.Shutdown)
 	}
--- a/internal/front/platform/forward.go
+++ b/internal/front/platform/forward.go
@@ -14,365 +14,372 @@
 	"snowjunction/internal/store"
 )
 
-// ForwardKind is the kind of the connections on which messages go to the couriers that own them.
+// ForwardKind is the kind of the connections that carry messages to the couriers that own them.
 const ForwardKind = "forward"
 
 const (
-	// patience is a client's own, from its command to its answer.
-	patience = 400 * time.Millisecond
-	// dialWithin leaves time for another owner, where one is silent. Farther than that none could
-	// answer in time.
-	dialWithin = patience / 2
-	// restFor is how long a connection may sit idle and still be used: the other side ends it
-	// after idleMost, and a command that crosses that has no outcome.
-	restFor = 5 * time.Second
-	// forwardShare of all connections may be to other couriers, and half of these to one.
-	forwardShare = 0.25
-	// forwardAgain is when a client may come back whose message had no connection to go on.
-	forwardAgain = 200 * time.Millisecond
+	// clientTimeout is the client's own timeout from command to answer.
+	clientTimeout = 400 * time.Millisecond
+	// forwardDialTimeout leaves time to try another owner if one does not respond. An owner
+	// that takes longer to connect could not answer in time either.
+	forwardDialTimeout = clientTimeout / 2
+	// forwardIdleTimeout is how long an idle connection is reused. The other courier closes it
+	// after its clientIdleTimeout, and a command that crosses that close has an unknown outcome.
+	forwardIdleTimeout = 5 * time.Second
+	// forwardConnShare is the share of all connections that may go to other couriers. At most half
+	// of these go to a single courier.
+	forwardConnShare = 0.25
+	// forwardRetryAfter is the retry-after delay sent to a client if no connection is free to
+	// forward its message.
+	forwardRetryAfter = 200 * time.Millisecond
 )
 
-// forwards are the messages that are on their way to other couriers, and the connections there.
-type forwards struct {
-	front  *Front
-	hops   map[*hop]bool     // all connections
-	toward map[string]int    // of these, by address
-	idle   map[string][]*hop // of these, by address; the last used at the end
-	out    int               // messages that have begun their way and have no answer
-	queued int               // messages that wait to begin it
-	held   bool              // no further message begins it
-	turns  map[uint64]*turn
-	rested *list.List  // the idle ones of all addresses, the one that has been idle for longest first
-	expiry *core.Timer // while any connection is idle
-}
-
-// turn keeps a key's messages in their order until it is known which courier has the last one:
-// on two connections they could overtake each other.
-type turn struct {
-	here  int // being taken in by this courier, which keeps their order itself
-	out   *forward
-	queue []*forward
-}
-
-// forward is a message on its way to the courier that takes it, this one or another.
-type forward struct {
-	front  *Front
-	r      core.Request
-	m      partition.Message
-	until  time.Time // its time is over
-	tried  []string
-	to     partition.Member
-	hop    *hop // that carries it; nil: none
-	begun  bool // it is being forwarded
-	queued bool // it waits for that
-	here   bool // the core answers
-	limit  *core.Timer
-	answer func(text []byte) bool // nil: answered, or nobody waits
-}
-
-// hop is a connection to another courier. It carries one command at a time.
-type hop struct {
-	front   *Front
-	addr    string
-	conn    *net.Conn
-	parser  resp.ReplyParser
-	carries *forward // nil: it is idle
-	sent    bool     // its bytes may have left
-	used    time.Time
-	rest    *list.Element // among those that are idle; nil: it is not
-	limit   *core.Timer   // while it comes up
-}
-
-func newForwards(f *Front) forwards {
-	return forwards{
-		front: f, hops: map[*hop]bool{}, toward: map[string]int{}, idle: map[string][]*hop{}, rested: list.New(), turns: map[uint64]*turn{},
-	}
-}
-
-// HandIn does what a client's command does, without a connection: the message is taken in here
-// or forwarded, and answer is called once, with the text that a client is sent, perhaps within
-// the call. A text of nil says that the outcome is not known: a client's connection is closed
-// then. An error says what is wrong with the message, which gets no other answer.
+// forwarder holds the messages that are being forwarded to other couriers, and the connections to
+// these couriers.
+type forwarder struct {
+	front       *Front
+	conns       map[*forwardConn]bool     // all connections
+	connsByAddr map[string]int            // number of connections by address
+	idleByAddr  map[string][]*forwardConn // idle connections by address, most recently used last
+	inFlight    int                       // messages that are being forwarded and have no answer yet
+	queued      int                       // messages that wait to be forwarded
+	paused      bool                      // no further message is forwarded
+	keyQueues   map[uint64]*keyQueue
+	idleList    *list.List  // idle connections of all addresses, longest idle first
+	expiryTimer *core.Timer // runs while any connection is idle
+}
+
+// keyQueue orders the messages of a key until it is known which courier has the last one. On two
+// connections they could overtake each other.
+type keyQueue struct {
+	local      int // messages being submitted to this courier's core, which keeps their order itself
+	forwarding *forwardedMessage
+	waiting    []*forwardedMessage
+}
+
+// forwardedMessage is a message on its way to the courier that accepts it, this one or another.
+type forwardedMessage struct {
+	front    *Front
+	request  core.Request
+	routing  partition.Message
+	deadline time.Time // when its time is over
+	tried    []string
+	owner    partition.Member
+	conn     *forwardConn // the connection that carries it; nil if none
+	inFlight bool         // it is being forwarded
+	queued   bool         // it waits to be forwarded
+	local    bool         // the local core answers
+	timer    *core.Timer
+	answer   func(text []byte) bool // nil once answered or if nobody waits
+}
+
+// forwardConn is a connection to another courier. It carries one command at a time.
+type forwardConn struct {
+	front       *Front
+	addr        string
+	conn        *net.Conn
+	parser      resp.ReplyParser
+	current     *forwardedMessage // nil while idle
+	sent        bool              // bytes of the command may have left this process
+	lastUsed    time.Time
+	idleElement *list.Element // in idleList; nil if not idle
+	dialTimer   *core.Timer   // runs while connecting
+}
+
+func newForwarder(f *Front) forwarder {
+	return forwarder{
+		front: f, conns: map[*forwardConn]bool{}, connsByAddr: map[string]int{}, idleByAddr: map[string][]*forwardConn{}, idleList: list.New(), keyQueues: map[uint64]*keyQueue{},
+	}
+}
+
+// HandIn submits a message like a client's command does, but without a client connection: the
+// message is accepted here or forwarded. It calls answer once, possibly before it returns, with the
+// text that a client would be sent. A nil text means that the outcome is unknown; a client's
+// connection would be closed. HandIn returns an error if the message is invalid; answer is then not
+// called.
 func (f *Front) HandIn(r core.Request, answer func(text []byte)) error {
-	_, err := f.handIn(r, func(text []byte) bool {
+	_, err := f.submit(r, func(text []byte) bool {
 		answer(text)
 		return true
 	})
 	return err
 }
 
-// handIn is HandIn for those who may go before the answer. answer tells whether it was heard.
-func (f *Front) handIn(r core.Request, answer func(text []byte) bool) (*forward, error) {
+// submit is HandIn for callers that may disconnect before the answer. The answer function returns
+// whether the answer was delivered.
+func (f *Front) submit(r core.Request, answer func(text []byte) bool) (*forwardedMessage, error) {
 	if f.Router == nil || !f.core.Taking() {
-		return nil, f.takeIn(r, answer)
+		return nil, f.submitLocal(r, answer)
 	}
 	class, err := f.core.Check(r)
 	if err != nil {
 		f.core.Counters.Malformed++
 		return nil, err
 	}
-	w := &forward{
-		front: f, r: r, until: f.Loop.Now().Add(r.Left), answer: answer,
-		m: partition.Message{Destination: r.Destination, Forwarded: r.Forwarded, Left: r.Left},
+	m := &forwardedMessage{
+		front: f, request: r, deadline: f.Loop.Now().Add(r.Left), answer: answer,
+		routing: partition.Message{Destination: r.Destination, Forwarded: r.Forwarded, Left: r.Left},
 	}
-	if class.InOrder && !r.Forwarded { // what others forward comes in their order
-		w.m.Key = r.Key
+	if class.InOrder && !r.Forwarded { // messages forwarded by another courier arrive in order
+		m.routing.Key = r.Key
 	}
-	if w.m.Key == 0 {
-		w.route()
+	if m.routing.Key == 0 {
+		m.route()
 	} else {
-		t := f.forwards.turns[r.Key]
-		if t == nil {
-			t = &turn{}
-			f.forwards.turns[r.Key] = t
+		queue := f.forwarder.keyQueues[r.Key]
+		if queue == nil {
+			queue = &keyQueue{}
+			f.forwarder.keyQueues[r.Key] = queue
 		}
-		t.queue = append(t.queue, w)
-		f.forwards.next(r.Key)
+		queue.waiting = append(queue.waiting, m)
+		f.forwarder.advance(r.Key)
 	}
-	if w.answer == nil || w.here {
-		return w, nil
+	if m.answer == nil || m.local {
+		return m, nil
 	}
-	w.limit = f.Loop.After(patience, w.expire)
-	if !w.begun { // behind others of its key, or in a handover: as many as may be out
-		w.queued = true
-		if f.forwards.queued++; f.forwards.queued > f.forwards.most() {
-			w.refuse(forwardAgain)
+	m.timer = f.Loop.After(clientTimeout, m.expire)
+	if !m.inFlight { // waits for its key or a handover; bounded like those in flight
+		m.queued = true
+		if f.forwarder.queued++; f.forwarder.queued > f.forwarder.maxConns() {
+			m.refuse(forwardRetryAfter)
 		}
 	}
-	return w, nil
+	return m, nil
 }
 
-// takeIn hands a message to this courier's own core.
-func (f *Front) takeIn(r core.Request, answer func(text []byte) bool) error {
-	return f.core.TakeIn(r, func(x core.Answer, _ *store.Message) bool { return answer(render(x)) })
+// submitLocal submits a message to this courier's own core.
+func (f *Front) submitLocal(r core.Request, answer func(text []byte) bool) error {
+	return f.core.TakeIn(r, func(x core.Answer, _ *store.Message) bool { return answer(renderAnswer(x)) })
 }
 
-// next has a key's waiting messages go on, as far as their order allows.
-func (p *forwards) next(key uint64) {
-	t := p.turns[key]
-	if t == nil {
+// advance routes the waiting messages of a key as far as their order allows.
+func (f *forwarder) advance(key uint64) {
+	queue := f.keyQueues[key]
+	if queue == nil {
 		return
 	}
-	for t.out == nil && len(t.queue) > 0 {
-		w := t.queue[0]
-		t.queue = t.queue[1:]
-		if t.here > 0 {
-			w.take()
+	for queue.forwarding == nil && len(queue.waiting) > 0 {
+		m := queue.waiting[0]
+		queue.waiting = queue.waiting[1:]
+		if queue.local > 0 {
+			m.acceptHere()
 			continue
 		}
-		t.out = w
-		w.route()
+		queue.forwarding = m
+		m.route()
 	}
-	if t.out == nil && t.here == 0 && len(t.queue) == 0 && p.turns[key] == t {
-		delete(p.turns, key)
+	if queue.forwarding == nil && queue.local == 0 && len(queue.waiting) == 0 && f.keyQueues[key] == queue {
+		delete(f.keyQueues, key)
 	}
 }
 
-// route finds the message's next way. Nothing of it has left.
-func (w *forward) route() {
-	f := w.front
-	if f.forwards.held && !w.begun {
-		return // it is handed over, or given up
+// route decides where the message goes next. Nothing of it has been sent so far.
+func (m *forwardedMessage) route() {
+	f := m.front
+	if f.forwarder.paused && !m.inFlight {
+		return // it will be handed over or time out
 	}
-	if w.m.Left = w.until.Sub(f.Loop.Now()); w.m.Left <= 0 {
-		w.finish(render(core.Answer{Verdict: core.Failed}))
+	if m.routing.Left = m.deadline.Sub(f.Loop.Now()); m.routing.Left <= 0 {
+		m.finish(renderAnswer(core.Answer{Verdict: core.Failed}))
 		return
 	}
 	if !f.core.Taking() {
-		w.take()
+		m.acceptHere()
 		return
 	}
-	switch x := f.Router.Route(w.m, w.tried, f.since()); x.Way {
+	switch x := f.Router.Route(m.routing, m.tried, f.routerTime()); x.Way {
 	case partition.Here:
-		w.take()
+		m.acceptHere()
 	case partition.Forward:
-		w.send(x.To)
+		m.send(x.To)
 	case partition.Moved:
 		f.core.Counters.Moved++
-		w.finish(resp.Error("MOVED"))
+		m.finish(resp.Error("MOVED"))
 	default:
-		w.refuse(x.After)
+		m.refuse(x.After)
 	}
 }
 
-// refuse answers that the message may be handed in again.
-func (w *forward) refuse(after time.Duration) {
-	w.front.core.Counters.Unrouted++
-	w.finish(render(core.Answer{Verdict: core.Fixed, After: after}))
+// refuse answers that the message may be submitted again after a delay.
+func (m *forwardedMessage) refuse(after time.Duration) {
+	m.front.core.Counters.Unrouted++
+	m.finish(renderAnswer(core.Answer{Verdict: core.Fixed, After: after}))
 }
 
-// take has this courier take the message in.
-func (w *forward) take() {
-	f := w.front
-	w.rest()
-	w.here = true
-	t := f.forwards.turns[w.m.Key]
-	if w.m.Key != 0 {
-		if t.out == w {
-			t.out = nil
+// acceptHere submits the message to this courier's core.
+func (m *forwardedMessage) acceptHere() {
+	f := m.front
+	m.clearInFlight()
+	m.local = true
+	queue := f.forwarder.keyQueues[m.routing.Key]
+	if m.routing.Key != 0 {
+		if queue.forwarding == m {
+			queue.forwarding = nil
 		}
-		t.here++
+		queue.local++
 	}
-	leave := func() {
-		if w.m.Key != 0 {
-			t.here--
-			f.forwards.next(w.m.Key)
+	done := func() {
+		if m.routing.Key != 0 {
+			queue.local--
+			f.forwarder.advance(m.routing.Key)
 		}
 	}
-	if w.r.Left = w.until.Sub(f.Loop.Now()); w.r.Left <= 0 {
-		w.say(render(core.Answer{Verdict: core.Failed}))
-		leave()
+	if m.request.Left = m.deadline.Sub(f.Loop.Now()); m.request.Left <= 0 {
+		m.reply(renderAnswer(core.Answer{Verdict: core.Failed}))
+		done()
 		return
 	}
-	err := f.core.TakeIn(w.r, func(x core.Answer, _ *store.Message) bool {
+	err := f.core.TakeIn(m.request, func(x core.Answer, _ *store.Message) bool {
 		if x.Verdict == core.Taken {
-			w.m.Left = w.until.Sub(f.Loop.Now())
-			f.Router.Took(w.m, f.Router.Self(), f.since())
+			m.routing.Left = m.deadline.Sub(f.Loop.Now())
+			f.Router.Took(m.routing, f.Router.Self(), f.routerTime())
 		}
-		heard := w.say(render(x))
-		leave()
-		return heard
+		delivered := m.reply(renderAnswer(x))
+		done()
+		return delivered
 	})
-	if err != nil { // it has been checked: no other is known
-		w.say(resp.Error("ERR " + err.Error()))
-		leave()
+	if err != nil { // the message was checked before, so no error is expected
+		m.reply(resp.Error("ERR " + err.Error()))
+		done()
 	}
 }
 
-// say answers, once, and tells whether that was heard.
-func (w *forward) say(text []byte) bool {
-	answer := w.answer
-	w.answer = nil
+// reply answers the message, at most once, and reports whether the answer was delivered.
+func (m *forwardedMessage) reply(text []byte) bool {
+	answer := m.answer
+	m.answer = nil
 	return answer != nil && answer(text)
 }
 
-// begin counts that the message's way to others has begun.
-func (w *forward) begin() {
-	if w.begun {
+// markInFlight counts the message as being forwarded.
+func (m *forwardedMessage) markInFlight() {
+	if m.inFlight {
 		return
 	}
-	if w.begun = true; w.queued {
-		w.queued = false
-		w.front.forwards.queued--
+	if m.inFlight = true; m.queued {
+		m.queued = false
+		m.front.forwarder.queued--
 	}
-	w.front.forwards.out++
+	m.front.forwarder.inFlight++
 }
 
-// rest ends that way.
-func (w *forward) rest() {
-	w.limit.Stop()
-	w.begin()
-	w.hop, w.begun = nil, false
-	w.front.forwards.out--
+// clearInFlight ends the forwarding of the message.
+func (m *forwardedMessage) clearInFlight() {
+	m.timer.Stop()
+	m.markInFlight()
+	m.conn, m.inFlight = nil, false
+	m.front.forwarder.inFlight--
 }
 
-// finish answers and has the next of its key go on.
-func (w *forward) finish(text []byte) {
-	w.rest()
-	w.say(text)
-	w.leave()
+// finish answers the message and lets the next one of its key proceed.
+func (m *forwardedMessage) finish(text []byte) {
+	m.clearInFlight()
+	m.reply(text)
+	m.leaveQueue()
 }
 
-// leave takes the message out of its key's order.
-func (w *forward) leave() {
-	p := &w.front.forwards
-	if t := p.turns[w.m.Key]; w.m.Key != 0 && t != nil {
-		if t.out == w {
-			t.out = nil
+// leaveQueue removes the message from its key queue.
+func (m *forwardedMessage) leaveQueue() {
+	p := &m.front.forwarder
+	if queue := p.keyQueues[m.routing.Key]; m.routing.Key != 0 && queue != nil {
+		if queue.forwarding == m {
+			queue.forwarding = nil
 		}
-		t.queue = slices.DeleteFunc(t.queue, func(x *forward) bool { return x == w })
-		p.next(w.m.Key)
+		queue.waiting = slices.DeleteFunc(queue.waiting, func(x *forwardedMessage) bool { return x == m })
+		p.advance(m.routing.Key)
 	}
 }
 
-// abandon ends the way of a message whose client has gone. The courier that it may have reached
-// sees the connection end, as it would its own client's.
-func (w *forward) abandon() {
-	if w.answer == nil {
+// abandon stops forwarding a message whose client has disconnected. The courier that may have
+// received it sees its connection close, as it would for its own client.
+func (m *forwardedMessage) abandon() {
+	if m.answer == nil {
 		return
 	}
-	w.answer = nil
-	if w.here {
-		return // the core hears of that as it answers
+	m.answer = nil
+	if m.local {
+		return // the core notices when it answers
 	}
-	if h := w.hop; h != nil {
-		if h.sent {
-			w.took()
+	if c := m.conn; c != nil {
+		if c.sent {
+			m.recordOwner()
 		}
-		h.carries = nil
-		h.end(net.ClientGone)
+		c.current = nil
+		c.closeConn(net.ClientGone)
 	}
-	w.rest()
-	w.leave()
+	m.clearInFlight()
+	m.leaveQueue()
 }
 
-// took has it remembered that the courier which the message went to may have taken it.
-func (w *forward) took() {
-	w.front.Router.Took(w.m, w.to.Name, w.front.since())
+// recordOwner records that the courier the message was sent to may have accepted it.
+func (m *forwardedMessage) recordOwner() {
+	m.front.Router.Took(m.routing, m.owner.Name, m.front.routerTime())
 }
 
-// expire gives the message up: its client does so now.
-func (w *forward) expire() {
-	if h := w.hop; h != nil {
-		if h.sent { // who is silent to one would swallow the next too
-			w.front.Router.Unreached(w.to.Name, w.front.since())
-			h.lost(net.CallTimeout)
+// expire gives up on the message when the client's timeout is over.
+func (m *forwardedMessage) expire() {
+	if c := m.conn; c != nil {
+		if c.sent { // a courier that does not respond would not answer the next command either
+			m.front.Router.Unreached(m.owner.Name, m.front.routerTime())
+			c.failSent(net.CallTimeout)
 			return
 		}
-		h.carries = nil
-		h.end(net.DialTimeout)
+		c.current = nil
+		c.closeConn(net.DialTimeout)
 	}
-	if !w.front.Loop.Now().Before(w.until) {
-		w.finish(render(core.Answer{Verdict: core.Failed}))
+	if !m.front.Loop.Now().Before(m.deadline) {
+		m.finish(renderAnswer(core.Answer{Verdict: core.Failed}))
 		return
 	}
-	w.refuse(forwardAgain)
+	m.refuse(forwardRetryAfter)
 }
 
-// vain goes on to another courier: the last one has surely not taken the message.
-func (w *forward) vain() {
-	w.front.core.Counters.Vain++
-	w.hop = nil
-	w.tried = append(w.tried, w.to.Name)
-	w.route()
+// tryNextOwner routes the message to another courier. The last one has certainly not accepted it.
+func (m *forwardedMessage) tryNextOwner() {
+	m.front.core.Counters.Vain++
+	m.conn = nil
+	m.tried = append(m.tried, m.owner.Name)
+	m.route()
 }
 
-// send forwards the message on an idle connection, or a new one.
-func (w *forward) send(to partition.Member) {
-	f := w.front
-	p := &f.forwards
-	w.to = to
-	w.begin()
-	for h := p.fit(to.Addr); h != nil; h = p.fit(to.Addr) {
-		if w.hop, h.carries = h, w; h.write() {
+// send forwards the message on an idle connection or on a new one.
+func (m *forwardedMessage) send(to partition.Member) {
+	f := m.front
+	p := &f.forwarder
+	m.owner = to
+	m.markInFlight()
+	for c := p.takeIdle(to.Addr); c != nil; c = p.takeIdle(to.Addr) {
+		if m.conn, c.current = c, m; c.writeCommand() {
 			return
 		}
-		h.carries, w.hop = nil, nil
-		h.end(net.Stale)
+		c.current, m.conn = nil, nil
+		c.closeConn(net.Stale)
 	}
-	most := p.most()
-	if p.toward[to.Addr] >= most/2 {
-		w.vain()
+	maxConns := p.maxConns()
+	if p.connsByAddr[to.Addr] >= maxConns/2 {
+		m.tryNextOwner()
 		return
 	}
-	if len(p.hops) >= most && !p.spare() {
-		w.refuse(forwardAgain)
+	if len(p.conns) >= maxConns && !p.closeOldestIdle() {
+		m.refuse(forwardRetryAfter)
 		return
 	}
-	h := &hop{front: f, addr: to.Addr, carries: w}
-	w.hop = h
-	p.hops[h] = true
-	p.toward[to.Addr]++
-	h.limit = f.Loop.After(dialWithin, h.silent)
-	h.conn = f.Engine.Dial(ForwardKind, to.Addr, h)
+	c := &forwardConn{front: f, addr: to.Addr, current: m}
+	m.conn = c
+	p.conns[c] = true
+	p.connsByAddr[to.Addr]++
+	c.dialTimer = f.Loop.After(forwardDialTimeout, c.dialTimedOut)
+	c.conn = f.Engine.Dial(ForwardKind, to.Addr, c)
 }
 
-// most is how many connections there may be to other couriers.
-func (p *forwards) most() int { return max(2, int(forwardShare*float64(p.front.Engine.Most()))) }
+// maxConns returns how many connections to other couriers are allowed.
+func (f *forwarder) maxConns() int {
+	return max(2, int(forwardConnShare*float64(f.front.Engine.Most())))
+}
 
-// command is the client's, as another courier gets it.
-func (w *forward) command(left time.Duration) []byte {
-	r := &w.r
+// encode returns the client's command in the form sent to another courier.
+func (m *forwardedMessage) encode(left time.Duration) []byte {
+	r := &m.request
 	names := "c=" + r.Class
 	if r.Tenant != "" {
 		names += ",t=" + r.Tenant
@@ -389,208 +396,209 @@
 	return resp.Command([]byte("OUT.ADD"), strconv.AppendUint(nil, r.Key, 16), []byte(r.ID), []byte(names), r.Body)
 }
 
-// fit takes the idle connection to an address that was last used. One that its other side has
-// ended, or sent something on, would swallow a command.
-func (p *forwards) fit(addr string) *hop {
+// takeIdle returns the most recently used idle connection to an address. It closes connections that
+// the other courier has closed or sent unsolicited bytes on, because a command on these would be
+// lost.
+func (f *forwarder) takeIdle(addr string) *forwardConn {
 	for {
-		all := p.idle[addr]
-		if len(all) == 0 {
+		idle := f.idleByAddr[addr]
+		if len(idle) == 0 {
 			return nil
 		}
-		h := all[len(all)-1]
-		p.busy(h)
-		if p.front.Loop.Now().Sub(h.used) >= restFor {
-			h.end(net.Idle)
-		} else if bytes, ended := h.conn.Look(); bytes || ended {
-			h.end(net.Stale)
+		c := idle[len(idle)-1]
+		f.removeIdle(c)
+		if f.front.Loop.Now().Sub(c.lastUsed) >= forwardIdleTimeout {
+			c.closeConn(net.Idle)
+		} else if bytes, ended := c.conn.Look(); bytes || ended {
+			c.closeConn(net.Stale)
 		} else {
-			return h
+			return c
 		}
 	}
 }
 
-// busy takes a connection out of the idle ones.
-func (p *forwards) busy(h *hop) {
-	if h.rest == nil {
+// removeIdle removes a connection from the idle ones.
+func (f *forwarder) removeIdle(c *forwardConn) {
+	if c.idleElement == nil {
 		return
 	}
-	p.rested.Remove(h.rest)
-	h.rest = nil
-	all := slices.DeleteFunc(p.idle[h.addr], func(x *hop) bool { return x == h })
-	if p.idle[h.addr] = all; len(all) == 0 {
-		delete(p.idle, h.addr)
+	f.idleList.Remove(c.idleElement)
+	c.idleElement = nil
+	idle := slices.DeleteFunc(f.idleByAddr[c.addr], func(x *forwardConn) bool { return x == c })
+	if f.idleByAddr[c.addr] = idle; len(idle) == 0 {
+		delete(f.idleByAddr, c.addr)
 	}
 }
 
-// oldest is the connection that has been idle for longest; nil: none is.
-func (p *forwards) oldest() *hop {
-	if p.rested.Len() == 0 {
+// oldestIdle returns the connection that has been idle longest, or nil.
+func (f *forwarder) oldestIdle() *forwardConn {
+	if f.idleList.Len() == 0 {
 		return nil
 	}
-	return p.rested.Front().Value.(*hop)
+	return f.idleList.Front().Value.(*forwardConn)
 }
 
-// spare ends that connection, and tells whether there was one.
-func (p *forwards) spare() bool {
-	h := p.oldest()
-	if h != nil {
-		h.end(net.Spared)
+// closeOldestIdle closes that connection. It returns false if none is idle.
+func (f *forwarder) closeOldestIdle() bool {
+	c := f.oldestIdle()
+	if c != nil {
+		c.closeConn(net.Spared)
 	}
-	return h != nil
+	return c != nil
 }
 
-// sweep ends the connections that have been idle for too long to be used.
-func (p *forwards) sweep() {
-	p.expiry = nil
-	for h := p.oldest(); h != nil; h = p.oldest() {
-		if left := restFor - p.front.Loop.Now().Sub(h.used); left > 0 {
-			p.expiry = p.front.Loop.After(left, p.sweep)
+// closeExpired closes the connections that have been idle for too long to be reused.
+func (f *forwarder) closeExpired() {
+	f.expiryTimer = nil
+	for c := f.oldestIdle(); c != nil; c = f.oldestIdle() {
+		if left := forwardIdleTimeout - f.front.Loop.Now().Sub(c.lastUsed); left > 0 {
+			f.expiryTimer = f.front.Loop.After(left, f.closeExpired)
 			return
 		}
-		h.end(net.Idle)
+		c.closeConn(net.Idle)
 	}
 }
 
-// drop ends all idle connections to an address.
-func (p *forwards) drop(addr string) {
-	for _, h := range slices.Clone(p.idle[addr]) {
-		h.end(net.Dropped)
+// closeIdleTo closes all idle connections to an address.
+func (f *forwarder) closeIdleTo(addr string) {
+	for _, c := range slices.Clone(f.idleByAddr[addr]) {
+		c.closeConn(net.Dropped)
 	}
 }
 
-func (p *forwards) close() {
-	p.expiry.Stop()
-	for h := range p.hops {
-		h.limit.Stop()
-		h.conn.Close(net.Shutdown)
+func (f *forwarder) close() {
+	f.expiryTimer.Stop()
+	for c := range f.conns {
+		c.dialTimer.Stop()
+		c.conn.Close(net.Shutdown)
 	}
 }
 
-// forget takes a connection that has ended off the books.
-func (h *hop) forget() {
-	p := &h.front.forwards
-	h.limit.Stop()
-	if !p.hops[h] {
+// untrack removes a closed connection from the bookkeeping.
+func (c *forwardConn) untrack() {
+	p := &c.front.forwarder
+	c.dialTimer.Stop()
+	if !p.conns[c] {
 		return
 	}
-	delete(p.hops, h)
-	if p.toward[h.addr]--; p.toward[h.addr] == 0 {
-		delete(p.toward, h.addr)
+	delete(p.conns, c)
+	if p.connsByAddr[c.addr]--; p.connsByAddr[c.addr] == 0 {
+		delete(p.connsByAddr, c.addr)
 	}
-	p.busy(h)
+	p.removeIdle(c)
 }
 
-func (h *hop) end(code net.Code) {
-	h.forget()
-	h.conn.Close(code)
+func (c *forwardConn) closeConn(code net.Code) {
+	c.untrack()
+	c.conn.Close(code)
 }
 
-// Opened lets the command go on a new connection.
-func (h *hop) Opened() {
-	h.limit.Stop()
-	h.write() // else Closed follows
+// Opened sends the command on a new connection.
+func (c *forwardConn) Opened() {
+	c.dialTimer.Stop()
+	c.writeCommand() // if this fails, Closed follows
 }
 
-// write lets the command go, and tells whether the connection took it. One whose time is over
-// does not go.
-func (h *hop) write() bool {
-	w := h.carries
-	left := w.until.Sub(h.front.Loop.Now())
+// writeCommand sends the command and reports whether the connection accepted it. A command whose
+// time is over is not sent.
+func (c *forwardConn) writeCommand() bool {
+	m := c.current
+	left := m.deadline.Sub(c.front.Loop.Now())
 	if left < time.Microsecond {
-		h.carries = nil
-		h.rests()
-		w.finish(render(core.Answer{Verdict: core.Failed}))
+		c.current = nil
+		c.markIdle()
+		m.finish(renderAnswer(core.Answer{Verdict: core.Failed}))
 		return true
 	}
-	text := w.command(left)
-	if h.sent = h.conn.Write(text); h.sent {
-		h.front.core.Counters.ForwardedBytes += uint64(len(text))
+	text := m.encode(left)
+	if c.sent = c.conn.Write(text); c.sent {
+		c.front.core.Counters.ForwardedBytes += uint64(len(text))
 	}
-	return h.sent
+	return c.sent
 }
 
-// rests has the connection wait for the next command.
-func (h *hop) rests() {
-	p := &h.front.forwards
-	h.sent, h.used = false, h.front.Loop.Now()
-	p.idle[h.addr] = append(p.idle[h.addr], h)
-	h.rest = p.rested.PushBack(h)
-	if p.expiry == nil {
-		p.expiry = h.front.Loop.After(restFor, p.sweep)
+// markIdle makes the connection available to the next command.
+func (c *forwardConn) markIdle() {
+	p := &c.front.forwarder
+	c.sent, c.lastUsed = false, c.front.Loop.Now()
+	p.idleByAddr[c.addr] = append(p.idleByAddr[c.addr], c)
+	c.idleElement = p.idleList.PushBack(c)
+	if p.expiryTimer == nil {
+		p.expiryTimer = c.front.Loop.After(forwardIdleTimeout, p.closeExpired)
 	}
 }
 
-// silent gives up a connection that does not come up.
-func (h *hop) silent() {
-	h.end(net.DialTimeout)
-	h.unreached(net.DialTimeout)
+// dialTimedOut gives up on a connection that does not open.
+func (c *forwardConn) dialTimedOut() {
+	c.closeConn(net.DialTimeout)
+	c.failUnsent(net.DialTimeout)
 }
 
-func (h *hop) unreached(code net.Code) {
-	w := h.carries
-	h.carries = nil
-	if code != net.Limit { // no room here: it says nothing of the other
-		h.front.Router.Unreached(w.to.Name, h.front.since())
+func (c *forwardConn) failUnsent(code net.Code) {
+	m := c.current
+	c.current = nil
+	if code != net.Limit { // a local connection limit: says nothing about the other courier
+		c.front.Router.Unreached(m.owner.Name, c.front.routerTime())
 	}
-	w.vain()
+	m.tryNextOwner()
 }
 
-// Closed ends the way of the command that is out, if any.
-func (h *hop) Closed(code net.Code) {
-	h.forget()
+// Closed ends the command in flight, if any.
+func (c *forwardConn) Closed(code net.Code) {
+	c.untrack()
 	switch {
-	case h.carries == nil:
-	case h.sent:
-		h.lost(code)
+	case c.current == nil:
+	case c.sent:
+		c.failSent(code)
 	default:
-		h.unreached(code)
+		c.failUnsent(code)
 	}
 }
 
-// lost ends a connection whose command has left and gets no answer: what became of it is not
-// known. What is idle to the same courier would only swallow further ones.
-func (h *hop) lost(code net.Code) {
-	w := h.carries
-	h.carries = nil
-	h.end(code)
-	h.front.forwards.drop(h.addr)
-	h.front.core.Counters.Unknown++
-	w.took()
-	w.finish(nil)
+// failSent ends a connection whose command was sent and got no answer: the outcome is unknown. Idle
+// connections to the same courier are closed, because further commands on them would be lost too.
+func (c *forwardConn) failSent(code net.Code) {
+	m := c.current
+	c.current = nil
+	c.closeConn(code)
+	c.front.forwarder.closeIdleTo(c.addr)
+	c.front.core.Counters.Unknown++
+	m.recordOwner()
+	m.finish(nil)
 }
 
 // Data reads the answer.
-func (h *hop) Data(b []byte) {
-	h.parser.Feed(b)
-	w := h.carries
-	if w == nil || !h.sent { // nothing was asked
-		h.end(net.Protocol)
+func (c *forwardConn) Data(b []byte) {
+	c.parser.Feed(b)
+	m := c.current
+	if m == nil || !c.sent { // unsolicited bytes
+		c.closeConn(net.Protocol)
 		return
 	}
-	reply, err := h.parser.Next()
+	reply, err := c.parser.Next()
 	if reply == nil && err == nil {
 		return
 	}
 	word, _, _ := bytes.Cut(bytes.TrimRight(reply, "\r\n"), []byte(" "))
 	answer := string(word)
 	if err != nil || answer != "+OK" && answer != "-BUSY" && answer != "-ERR" && answer != "-MOVED" {
-		h.lost(net.Protocol)
+		c.failSent(net.Protocol)
 		return
 	}
-	h.front.Router.Reached(w.to.Name)
-	h.carries = nil
-	if h.parser.Idle() {
-		h.rests()
-	} else { // more than was asked for
-		h.end(net.Protocol)
+	c.front.Router.Reached(m.owner.Name)
+	c.current = nil
+	if c.parser.Idle() {
+		c.markIdle()
+	} else { // more bytes than the answer
+		c.closeConn(net.Protocol)
 	}
 	if answer == "-MOVED" {
-		w.vain()
+		m.tryNextOwner()
 		return
 	}
 	if answer == "+OK" {
-		w.took()
+		m.recordOwner()
 	}
-	h.front.core.Counters.Forwarded++
-	w.finish(reply)
+	c.front.core.Counters.Forwarded++
+	m.finish(reply)
 }
--- a/internal/front/platform/handover.go
+++ b/internal/front/platform/handover.go
@@ -12,25 +12,26 @@
 	"snowjunction/internal/store"
 )
 
-// ListenerKind is the front's listener, in a handover.
+// ListenerKind is the kind of the front's listener in a handover.
 const ListenerKind = "client"
 
-// Hush begins no further request to discovery for notices, and forwards no further message: those
-// that come from now on are handed over. Hushed tells that none is out.
-func (f *Front) Hush() { f.notices.held, f.forwards.held = true, true }
+// Hush stops sending notices and forwarding messages; those that come from now on are handed over.
+// Hushed reports when none is in flight.
+func (f *Front) Hush() { f.notices.paused, f.forwarder.paused = true, true }
 
-// Hushed tells that no notice and no message that is being forwarded waits for its answer.
-func (f *Front) Hushed() bool { return f.notices.out == 0 && f.forwards.out == 0 }
+// Hushed reports whether no notice and no forwarded message waits for an answer.
+func (f *Front) Hushed() bool { return f.notices.inFlight == 0 && f.forwarder.inFlight == 0 }
 
-// Hand takes the clients' connections from the engine. What they have sent and not been
-// answered goes along. One that cannot be handed over is ended with the front, as is one of which
-// a message is being forwarded: to be taken in anew it must have no other end. The function
-// returned adds what the engine had read meanwhile, once that has come to a halt.
+// Hand detaches the clients' connections from the engine, together with their unanswered requests.
+// A connection that cannot be handed over is closed with the front, and so is one with a message
+// that is being forwarded: such a message must not be submitted again while its outcome is open.
+// The returned function adds the bytes that the engine read in the meantime; call it after the
+// engine has stopped.
 func (f *Front) Hand() func() []handover.Client {
 	var handed []*client
 	var out []handover.Client
 	for c := range f.clients {
-		if c.quit || c.forwarding() {
+		if c.closing || c.forwarding() {
 			continue
 		}
 		conn, ok := c.conn.Detach()
@@ -38,13 +39,13 @@
 			continue
 		}
 		delete(f.clients, c)
-		x := handover.Client{Conn: conn, Served: c.served, Changed: c.since}
-		for _, a := range c.due {
+		x := handover.Client{Conn: conn, Served: c.validCommand, Changed: c.lastActive}
+		for _, a := range c.pending {
 			d := handover.Due{Text: a.text}
-			if r := a.asked; a.text == nil {
+			if r := a.request; a.text == nil {
 				d.Request = &handover.Request{
 					ID: r.ID, IdempotencyKey: r.IdempotencyKey, Key: r.Key, Class: r.Class, Tenant: r.Tenant,
-					Destination: r.Destination, Deadline: a.until, Again: r.Again, Forwarded: r.Forwarded, Order: a.no, Body: r.Body,
+					Destination: r.Destination, Deadline: a.deadline, Again: r.Again, Forwarded: r.Forwarded, Order: a.sequence, Body: r.Body,
 				}
 			}
 			x.Due = append(x.Due, d)
@@ -59,26 +60,26 @@
 	}
 }
 
-// TakeOver goes on with clients of another process of this courier. Their descriptors are the
-// front's from then on.
+// TakeOver continues with the clients of the previous process run of this courier. The front owns
+// their file descriptors from then on.
 func (f *Front) TakeOver(clients []handover.Client) {
 	type handed struct {
 		c *client
-		a *answer
+		a *pendingAnswer
 		r *handover.Request
 	}
 	var requests []handed
 	var taken []*client
 	var bytes [][]byte
 	for _, x := range clients {
-		c := &client{front: f, opened: x.Since, since: x.Changed, served: x.Served, handed: x.Served, taking: true}
+		c := &client{front: f, openedAt: x.Since, lastActive: x.Changed, validCommand: x.Served, submitted: x.Served, restoring: true}
 		if c.conn = f.Engine.Adopt("client", true, x.Conn, c); c.conn == nil {
 			continue
 		}
 		f.clients[c] = true
 		for _, d := range x.Due {
-			a := &answer{text: d.Text}
-			if c.due = append(c.due, a); d.Request != nil {
+			a := &pendingAnswer{text: d.Text}
+			if c.pending = append(c.pending, a); d.Request != nil {
 				a.text = nil
 				requests = append(requests, handed{c, a, d.Request})
 			}
@@ -89,48 +90,48 @@
 	for _, x := range requests {
 		left := x.r.Deadline.Sub(f.Loop.Now())
 		if left <= 0 {
-			x.a.text = render(core.Answer{Verdict: core.Failed})
+			x.a.text = renderAnswer(core.Answer{Verdict: core.Failed})
 			continue
 		}
-		x.c.take(x.a, core.Request{
+		x.c.submit(x.a, core.Request{
 			Origin: f.Number, ID: x.r.ID, IdempotencyKey: x.r.IdempotencyKey, Key: x.r.Key, Class: x.r.Class, Tenant: x.r.Tenant,
 			Destination: x.r.Destination, Left: left, Again: x.r.Again, Forwarded: x.r.Forwarded, Body: x.r.Body,
 		})
 	}
 	for i, c := range taken {
-		c.taking = false
+		c.restoring = false
 		c.Data(bytes[i])
 	}
 }
 
-// Hand takes the connection of a call whose request has left from the engine.
-func (l *link) Hand() (handover.Call, bool) {
-	if !l.sent || l.done == nil {
+// Hand detaches the connection of a call whose request was sent from the engine.
+func (c *targetConn) Hand() (handover.Call, bool) {
+	if !c.sent || c.done == nil {
 		return handover.Call{}, false
 	}
-	conn, ok := l.conn.Detach()
+	conn, ok := c.conn.Detach()
 	if !ok {
 		return handover.Call{}, false
 	}
-	l.rest.Stop()
-	l.done = nil
-	return handover.Call{Conn: conn, Kept: l.kept, WholeWants: l.whole}, true
+	c.answerTimer.Stop()
+	c.done = nil
+	return handover.Call{Conn: conn, Kept: c.idleBefore, WholeWants: c.wantWhole}, true
 }
 
-// Rest is what had been read of a call's answer when it was handed over.
-func (l *link) Rest() []byte { return append(l.read, l.conn.Rest()...) }
+// Rest returns what had been read of a call's answer when it was handed over.
+func (c *targetConn) Rest() []byte { return append(c.received, c.conn.Rest()...) }
 
-// Adopt goes on with a call of another process of this courier. done is called once with its
-// result, unless it is given up, and never within Adopt.
+// Adopt continues a call of the previous process run of this courier. It calls done once with the
+// result, unless the call is given up, and never before Adopt returns.
 func (t *target) Adopt(m *store.Message, from handover.Call, done func(core.Result)) core.Call {
-	l := &link{target: t, parser: http1.Parser{MaxBody: maxAnswer}, id: m.ID, sent: true, whole: from.WholeWants, done: done, kept: from.Kept, used: time.Now()}
+	l := &targetConn{target: t, parser: http1.Parser{MaxBody: maxAnswerBytes}, messageID: m.ID, sent: true, wantWhole: from.WholeWants, done: done, idleBefore: from.Kept, lastUsed: time.Now()}
 	l.conn = t.front.Engine.Adopt("target", false, from.Conn, l)
 	if l.conn == nil {
 		t.front.Loop.Post(func() { l.Closed(net.PeerReset) })
 		return l
 	}
-	if l.read = from.Bytes; len(l.read) > 0 { // what comes next comes behind it
-		l.parser.Feed(l.read)
+	if l.received = from.Bytes; len(l.received) > 0 { // bytes that arrive later are appended to these
+		l.parser.Feed(l.received)
 		t.front.Loop.Post(func() {
 			if l.done != nil {
 				l.Data(nil)
--- a/internal/front/platform/listener.go
+++ b/internal/front/platform/listener.go
@@ -14,110 +14,113 @@
 	"snowjunction/internal/proto/resp"
 )
 
-// client is a listener's connection. Answers go out in the order of requests,
-// as RESP2 clients may send several at once.
+// client is an accepted connection. Answers are sent in the order of the requests, because RESP2
+// clients may pipeline several.
 type client struct {
-	front  *Front
-	conn   *net.Conn
-	parser resp.Parser
-	due    []*answer // in the order of the requests
-	taking bool      // it is being taken over: no answer goes yet
-	quit   bool      // ends after the answers that are due
-	opened time.Time
-	served bool      // has sent a command that makes sense
-	handed bool      // has handed a message in
-	since  time.Time // the last command began, or was answered
+	front        *Front
+	conn         *net.Conn
+	parser       resp.Parser
+	pending      []*pendingAnswer // in the order of the requests
+	restoring    bool             // it is being restored after a handover: no answer is sent yet
+	closing      bool             // close after the pending answers
+	openedAt     time.Time
+	validCommand bool      // has sent a valid command
+	submitted    bool      // has submitted a message
+	lastActive   time.Time // when the last command began or was answered
 }
 
-type answer struct {
-	text  []byte       // nil: not known yet
-	asked core.Request // until then
-	until time.Time    // its deadline
-	no    uint64       // of the front's requests
-	way   *forward     // of the request, where a router finds it
+type pendingAnswer struct {
+	text      []byte            // nil until known
+	request   core.Request      // until answered
+	deadline  time.Time         // deadline of the request
+	sequence  uint64            // position among all requests of the front
+	forwarded *forwardedMessage // the forwarded message, if a router is used
 }
 
-// pipelineMost bounds the answers one connection may be waiting for.
-const pipelineMost = 256
+// maxPipelined bounds the unanswered requests of one connection.
+const maxPipelined = 256
 
-// A connection between requests may be ended: clients open another at need.
-// Without a bound those that are kept for nothing would use up the descriptors.
+// Connections between requests may be closed: clients open another one when they need it. Without
+// these limits, idle connections would use up the file descriptors.
 const (
-	senseWithin = 2 * time.Second        // from its opening, to the first command that makes sense
-	wholeWithin = 2 * time.Second        // from a command's first byte to its last
-	idleMost    = 10 * time.Second       // between commands
-	spareAfter  = 100 * time.Millisecond // between commands, where others need the room
-	sweepEvery  = 250 * time.Millisecond
-	crowdShare  = 0.25 // of all connections: with more clients, idle ones make room already
+	firstCommandTimeout = 2 * time.Second        // from opening to the first valid command
+	commandTimeout      = 2 * time.Second        // from the first byte of a command to its last
+	clientIdleTimeout   = 10 * time.Second       // between commands
+	evictableAfter      = 100 * time.Millisecond // between commands, if other connections need the room
+	idleCheckInterval   = 250 * time.Millisecond
+	evictionShare       = 0.25 // of all connections; above it, new clients evict idle ones
 )
 
-// idle tells for how long a client has had no open request, and how long it
-// may; a client with one has no limit.
-func (c *client) idle(now time.Time) (idle, most time.Duration) {
+// idleTime returns how long a client has had no open request, and how long it may have none. A
+// client with an open request has no limit.
+func (c *client) idleTime(now time.Time) (idle, limit time.Duration) {
 	switch {
-	case len(c.due) > 0:
-		return 0, idleMost
-	case !c.served:
-		return now.Sub(c.opened), senseWithin
+	case len(c.pending) > 0:
+		return 0, clientIdleTimeout
+	case !c.validCommand:
+		return now.Sub(c.openedAt), firstCommandTimeout
 	case !c.parser.Idle():
-		return now.Sub(c.since), wholeWithin
+		return now.Sub(c.lastActive), commandTimeout
 	}
-	return now.Sub(c.since), idleMost
+	return now.Sub(c.lastActive), clientIdleTimeout
 }
 
-// sweep ends the connections that are kept for nothing.
-func (f *Front) sweep() {
+// closeIdleClients closes the connections that exceed their idle limit.
+func (f *Front) closeIdleClients() {
 	now := f.Loop.Now()
 	for c := range f.clients {
-		if idle, most := c.idle(now); idle >= most && !c.conn.Unread() {
-			c.end(net.Idle)
+		if idle, limit := c.idleTime(now); idle >= limit && !c.conn.Unread() {
+			c.closeConn(net.Idle)
 		}
 	}
-	f.Loop.After(sweepEvery, f.sweep)
+	f.Loop.After(idleCheckInterval, f.closeIdleClients)
 }
 
-// spareClient makes room for another: of those that can be spared the one goes that is farthest
-// over its time. A request that crosses this is sent again; to turn a new client away fails its
-// request. Who has sent nothing that makes sense goes first, and of these who has sent nothing at
-// all: those who connect at need send at once, and a flood of silent ones would keep them out.
-// Where it is full those go before their time who have handed nothing in, or they would shut the
-// others out where they come faster than it passes. Whose message has been answered just now is
-// left: a close could take the answer with it.
-func (f *Front) spareClient(full bool) bool {
+// evictClient closes a client connection to make room for another: among those that may be closed,
+// the one idle longest. A request that crosses this close is sent again by its client, while
+// rejecting a new client fails that client's request.
+//
+// Connections without a valid command go first, and among these the ones that have sent nothing at
+// all: clients that connect on demand send at once, and a flood of silent connections would keep
+// them out. If full is true, connections that have not submitted a message are closed regardless of
+// their idle time; otherwise they would block new clients if they come faster than the idle time
+// passes. A client whose message was answered just now is kept, because the close could discard the
+// answer.
+func (f *Front) evictClient(full bool) bool {
 	now := f.Loop.Now()
-	var spare *client
-	var over time.Duration
+	var oldest *client
+	var longest time.Duration
 	for c := range f.clients {
-		if len(c.due) > 0 {
+		if len(c.pending) > 0 {
 			continue
 		}
-		idle, _ := c.idle(now)
-		may := idle >= spareAfter || full && !c.handed
-		if !c.served {
-			idle += idleMost
+		idle, _ := c.idleTime(now)
+		evictable := idle >= evictableAfter || full && !c.submitted
+		if !c.validCommand {
+			idle += clientIdleTimeout
 		}
-		if !c.served && c.parser.Idle() {
-			idle += senseWithin
+		if !c.validCommand && c.parser.Idle() {
+			idle += firstCommandTimeout
 		}
-		if may && idle >= over && !c.conn.Unread() {
-			spare, over = c, idle
+		if evictable && idle >= longest && !c.conn.Unread() {
+			oldest, longest = c, idle
 		}
 	}
-	if spare == nil {
+	if oldest == nil {
 		return false
 	}
-	spare.end(net.Spared)
+	oldest.closeConn(net.Spared)
 	return true
 }
 
 func (f *Front) accept(conn *net.Conn) net.Handler {
-	// Clients hold a third of the descriptors at most: those that ask once and
-	// stay for a while would use that up, and no further request could come.
-	if float64(len(f.clients)) >= crowdShare*float64(f.Engine.Most()) {
-		f.spareClient(false)
+	// Clients hold a third of the file descriptors at most. Clients that send one request and
+	// stay connected would otherwise use them up, and no further request could be accepted.
+	if float64(len(f.clients)) >= evictionShare*float64(f.Engine.Most()) {
+		f.evictClient(false)
 	}
 	now := f.Loop.Now()
-	c := &client{front: f, conn: conn, opened: now, since: now}
+	c := &client{front: f, conn: conn, openedAt: now, lastActive: now}
 	f.clients[c] = true
 	return c
 }
@@ -129,33 +132,33 @@
 	c.abandon()
 }
 
-// abandon ends the ways of the requests that nobody waits for any more, the last first: an
-// earlier one that ends has the next of its key go on.
+// abandon stops the requests that nobody waits for any more, the last one first: stopping an
+// earlier one lets the next of its key proceed.
 func (c *client) abandon() {
-	due := c.due
-	c.due = nil
-	for _, a := range slices.Backward(due) {
-		if a.way != nil {
-			a.way.abandon()
+	pending := c.pending
+	c.pending = nil
+	for _, a := range slices.Backward(pending) {
+		if a.forwarded != nil {
+			a.forwarded.abandon()
 		}
 	}
 }
 
-// forwarding tells that a request of it is being forwarded.
+// forwarding reports whether a request of the client is being forwarded.
 func (c *client) forwarding() bool {
-	return slices.ContainsFunc(c.due, func(a *answer) bool { return a.way != nil && a.way.begun })
+	return slices.ContainsFunc(c.pending, func(a *pendingAnswer) bool { return a.forwarded != nil && a.forwarded.inFlight })
 }
 
 func (c *client) Data(b []byte) {
 	if c.parser.Idle() {
-		c.since = c.front.Loop.Now()
+		c.lastActive = c.front.Loop.Now()
 	}
 	c.parser.Feed(b)
-	for !c.quit {
+	for !c.closing {
 		args, err := c.parser.Next()
 		if err != nil {
-			c.say(resp.Error("ERR " + err.Error()))
-			c.quit = true
+			c.reply(resp.Error("ERR " + err.Error()))
+			c.closing = true
 			break
 		}
 		if args == nil {
@@ -168,67 +171,67 @@
 
 func (c *client) command(args [][]byte) {
 	switch name := strings.ToUpper(string(args[0])); {
-	case len(c.due) >= pipelineMost:
-		c.say(resp.Error("BUSY"))
+	case len(c.pending) >= maxPipelined:
+		c.reply(resp.Error("BUSY"))
 	case name == "OUT.ADD":
-		c.add(args[1:])
+		c.submitArgs(args[1:])
 	case name == "PING" && (!c.front.ready || c.front.draining):
-		c.say(resp.Error("LOADING not ready"))
+		c.reply(resp.Error("LOADING not ready"))
 	case name == "PING" && len(args) == 1:
-		c.served = true
-		c.say(resp.Simple("PONG"))
+		c.validCommand = true
+		c.reply(resp.Simple("PONG"))
 	case name == "PING" && len(args) == 2:
-		c.say(resp.Bulk(args[1]))
+		c.reply(resp.Bulk(args[1]))
 	case name == "QUIT":
-		c.say(resp.Simple("OK"))
-		c.quit = true
+		c.reply(resp.Simple("OK"))
+		c.closing = true
 	default:
-		c.say(resp.Error(fmt.Sprintf("ERR unknown command or wrong number of arguments for '%.32s'", name)))
+		c.reply(resp.Error(fmt.Sprintf("ERR unknown command or wrong number of arguments for '%.32s'", name)))
 	}
 }
 
-func (c *client) say(text []byte) { c.due = append(c.due, &answer{text: text}) }
+func (c *client) reply(text []byte) { c.pending = append(c.pending, &pendingAnswer{text: text}) }
 
-// add hands a message in: key, id, names and values, body.
-func (c *client) add(args [][]byte) {
-	r, err := parseAdd(args)
+// submitArgs submits a message. The arguments are key, id, names and values, body.
+func (c *client) submitArgs(args [][]byte) {
+	r, err := parseOutAdd(args)
 	if err != nil {
 		c.front.core.Counters.Malformed++
-		c.say(resp.Error("ERR " + err.Error()))
+		c.reply(resp.Error("ERR " + err.Error()))
 		return
 	}
 	r.Origin = c.front.Number
-	c.hand(r)
+	c.enqueue(r)
 }
 
-func (c *client) hand(r core.Request) {
-	a := &answer{}
-	c.due = append(c.due, a)
-	c.take(a, r)
+func (c *client) enqueue(r core.Request) {
+	a := &pendingAnswer{}
+	c.pending = append(c.pending, a)
+	c.submit(a, r)
 }
 
-// take hands a message in whose answer has its place already.
-func (c *client) take(a *answer, r core.Request) {
-	c.front.requests++
-	a.asked, a.until, a.no = r, c.front.Loop.Now().Add(r.Left), c.front.requests
-	served, handed := c.served, c.handed
-	c.served, c.handed = true, true // already: what it has to make room for may be decided within
+// submit submits a message whose answer already has its place in pending.
+func (c *client) submit(a *pendingAnswer, r core.Request) {
+	c.front.requestCount++
+	a.request, a.deadline, a.sequence = r, c.front.Loop.Now().Add(r.Left), c.front.requestCount
+	validCommand, submitted := c.validCommand, c.submitted
+	c.validCommand, c.submitted = true, true // set first: the call may evict a client
 	var err error
-	a.way, err = c.front.handIn(r, func(text []byte) bool {
-		if text == nil { // as at a courier that has died
-			c.end(net.Unknown)
+	a.forwarded, err = c.front.submit(r, func(text []byte) bool {
+		if text == nil { // unknown outcome: same as a courier that crashed
+			c.closeConn(net.Unknown)
 			return false
 		}
-		a.text, a.asked = text, core.Request{}
+		a.text, a.request = text, core.Request{}
 		return c.conn.Up() && c.flush()
 	})
 	if err != nil {
 		a.text = resp.Error("ERR " + err.Error())
-		c.served, c.handed = served, handed
+		c.validCommand, c.submitted = validCommand, submitted
 	}
 }
 
-func render(x core.Answer) []byte {
+func renderAnswer(x core.Answer) []byte {
 	switch {
 	case x.Verdict == core.Taken:
 		return resp.Simple("OK")
@@ -240,58 +243,58 @@
 	return resp.Error("BUSY")
 }
 
-// flush sends the answers that are known, up to the first that is not, and tells whether the
-// socket took them. That the connection ends behind them is no reason to think them unheard.
+// flush sends the known answers, up to the first unknown one, and reports whether the socket
+// accepted them. Closing the connection after them does not mean that they were not delivered.
 func (c *client) flush() (sent bool) {
-	if c.taking {
+	if c.restoring {
 		return true
 	}
 	n := 0
 	var out []byte
-	for ; n < len(c.due) && c.due[n].text != nil; n++ {
-		out = append(out, c.due[n].text...)
+	for ; n < len(c.pending) && c.pending[n].text != nil; n++ {
+		out = append(out, c.pending[n].text...)
 	}
-	c.due = c.due[n:]
+	c.pending = c.pending[n:]
 	if sent = true; len(out) > 0 {
-		c.since = c.front.Loop.Now()
+		c.lastActive = c.front.Loop.Now()
 		sent = c.conn.Write(out)
 	}
-	if c.quit && len(c.due) == 0 {
-		c.end(net.Finished)
+	if c.closing && len(c.pending) == 0 {
+		c.closeConn(net.Finished)
 	} else if c.front.draining {
-		c.release()
+		c.closeIfIdle()
 	}
 	return sent
 }
 
-// release ends a connection that is between requests. One whose next request has come already
-// is read first, and answered.
-func (c *client) release() {
+// closeIfIdle closes a connection that is between requests. A request that has already arrived is
+// read and answered first.
+func (c *client) closeIfIdle() {
 	if !c.unanswered() {
-		c.end(net.Shutdown)
+		c.closeConn(net.Shutdown)
 	}
 }
 
-// unanswered tells that a request has come, or begun to come, and has no answer yet.
+// unanswered reports whether a request has arrived, completely or in part, and has no answer yet.
 func (c *client) unanswered() bool {
-	if len(c.due) > 0 || !c.parser.Idle() {
+	if len(c.pending) > 0 || !c.parser.Idle() {
 		return true
 	}
 	bytes, _ := c.conn.Look()
 	return bytes
 }
 
-func (c *client) end(code net.Code) {
+func (c *client) closeConn(code net.Code) {
 	c.conn.Close(code)
 	delete(c.front.clients, c)
 	c.abandon()
 }
 
-var errAdd = errors.New("OUT.ADD wants a key, an id, names and values, and a body")
+var errOutAddArgs = errors.New("OUT.ADD wants a key, an id, names and values, and a body")
 
-func parseAdd(args [][]byte) (core.Request, error) {
+func parseOutAdd(args [][]byte) (core.Request, error) {
 	if len(args) != 4 {
-		return core.Request{}, errAdd
+		return core.Request{}, errOutAddArgs
 	}
 	key, err := strconv.ParseUint(string(args[0]), 16, 64)
 	if err != nil {
--- a/internal/front/platform/notices.go
+++ b/internal/front/platform/notices.go
@@ -10,73 +10,74 @@
 	"snowjunction/internal/store"
 )
 
-// notices tells the platform of ends that are no delivery. Each is repeated
-// until its 204: a notice that says the same again does no harm, one that is
-// lost loses the message.
-type notices struct {
-	front  *Front
-	queue  []*store.Message
-	out    int // of the queue's first, in the request that is out
-	single bool
-	conn   *net.Conn
-	up     bool
-	parser http1.Parser
-	limit  *core.Timer
-	pause  *core.Timer
-	closed bool
-	held   bool // no further request begins
-	silent int  // times in a row that no answer came
+// noticeQueue reports messages that ended without a delivery to the platform. Each notice is repeated
+// until it is answered with 204: a duplicate notice does no harm, but a lost one loses the message.
+type noticeQueue struct {
+	front      *Front
+	queue      []*store.Message
+	inFlight   int // number of notices at the head of the queue that are in flight
+	single     bool
+	conn       *net.Conn
+	up         bool
+	parser     http1.Parser
+	timeout    *core.Timer
+	retryTimer *core.Timer
+	closed     bool
+	paused     bool // no further request is sent
+	timeouts   int  // consecutive requests without an answer
 }
 
 const (
-	noticeMost  = 100 // in one request
-	noticeAgain = 20 * time.Millisecond
-	// The platform answers at once, and a notice is overdue 300 ms after its message's time: a
-	// connection that has fallen silent must not cost more than half of that. Where it is slow
-	// all the same, each silence has the next answer waited for longer.
-	noticeFirst = 120 * time.Millisecond
-	noticeLimit = 500 * time.Millisecond
+	noticeBatchSize  = 100 // in one request
+	noticeRetryDelay = 20 * time.Millisecond
+	// The platform answers at once, and a notice is overdue 300 ms after its message's deadline, so
+	// an unresponsive connection must not cost more than half of that. If the platform is merely
+	// slow, each timeout doubles the next one, up to noticeMaxTimeout.
+	noticeMinTimeout = 120 * time.Millisecond
+	noticeMaxTimeout = 500 * time.Millisecond
 )
 
-// within is how long an answer, or a connection, is waited for.
-func (n *notices) within() time.Duration { return min(noticeFirst<<min(n.silent, 4), noticeLimit) }
+// answerTimeout returns the timeout for an answer or for a new connection.
+func (n *noticeQueue) answerTimeout() time.Duration {
+	return min(noticeMinTimeout<<min(n.timeouts, 4), noticeMaxTimeout)
+}
 
-func (n *notices) add(m *store.Message) {
+func (n *noticeQueue) add(m *store.Message) {
 	n.queue = append(n.queue, m)
-	n.next()
+	n.sendNext()
 }
 
-// next sends what is queued, unless a request is out.
-func (n *notices) next() {
-	if n.out > 0 || len(n.queue) == 0 || n.pause != nil || n.closed || n.held {
+// sendNext sends queued notices unless a request is in flight.
+func (n *noticeQueue) sendNext() {
+	if n.inFlight > 0 || len(n.queue) == 0 || n.retryTimer != nil || n.closed || n.paused {
 		return
 	}
 	if n.conn == nil {
 		n.up = false
-		n.parser = http1.Parser{MaxBody: maxAnswer}
+		n.parser = http1.Parser{MaxBody: maxAnswerBytes}
 		n.conn = n.front.Engine.Dial(NoticeKind, n.front.Discovery, n)
-		n.limit = n.front.Loop.After(n.within(), func() { n.unanswered(net.DialTimeout) })
+		n.timeout = n.front.Loop.After(n.answerTimeout(), func() { n.timedOut(net.DialTimeout) })
 		return
 	}
 	if !n.up {
 		return
 	}
-	n.out = min(len(n.queue), noticeMost)
+	n.inFlight = min(len(n.queue), noticeBatchSize)
 	if n.single {
-		n.out = 1
+		n.inFlight = 1
 	}
 	var body []byte
-	for _, m := range n.queue[:n.out] {
+	for _, m := range n.queue[:n.inFlight] {
 		body = appendNotice(body, m)
 	}
-	n.limit.Stop()
-	n.limit = n.front.Loop.After(n.within(), func() { n.unanswered(net.CallTimeout) })
+	n.timeout.Stop()
+	n.timeout = n.front.Loop.After(n.answerTimeout(), func() { n.timedOut(net.CallTimeout) })
 	n.conn.Write(http1.Request("POST", "/v1/outcomes", n.front.Discovery, body,
 		"Content-Type", "application/x-ndjson"))
 }
 
 func appendNotice(b []byte, m *store.Message) []byte {
-	b = append(append(b, `{"id":"`...), m.ID...) // the id is plain: takein lets no other through
+	b = append(append(b, `{"id":"`...), m.ID...) // the id needs no escaping: the core accepts no other
 	b = append(append(b, `","state":"`...), m.State.String()...)
 	b = append(b, '"')
 	if m.State == store.Returned && m.After > 0 {
@@ -85,82 +86,82 @@
 	return append(b, "}\n"...)
 }
 
-// Opened sends on a new connection.
-func (n *notices) Opened() {
+// Opened sends notices on a new connection.
+func (n *noticeQueue) Opened() {
 	n.up = true
-	n.limit.Stop()
-	n.next()
+	n.timeout.Stop()
+	n.sendNext()
 }
 
-// Closed repeats what was out on a new connection.
-func (n *notices) Closed(net.Code) {
+// Closed repeats the notices in flight on a new connection.
+func (n *noticeQueue) Closed(net.Code) {
 	n.conn = nil
-	n.again(net.PeerClosed)
+	n.retryLater(net.PeerClosed)
 }
 
-// unanswered gives up what nothing has come of in its time.
-func (n *notices) unanswered(code net.Code) {
-	n.silent++
-	n.again(code)
+// timedOut abandons a connection or request that got no response in time.
+func (n *noticeQueue) timedOut(code net.Code) {
+	n.timeouts++
+	n.retryLater(code)
 }
 
-func (n *notices) again(code net.Code) {
+func (n *noticeQueue) retryLater(code net.Code) {
 	if n.conn != nil {
 		n.conn.Close(code)
 		n.conn = nil
 	}
-	n.limit.Stop()
-	if n.out = 0; n.pause == nil && len(n.queue) > 0 {
-		n.pause = n.front.Loop.After(noticeAgain, func() {
-			n.pause = nil
-			n.next()
+	n.timeout.Stop()
+	if n.inFlight = 0; n.retryTimer == nil && len(n.queue) > 0 {
+		n.retryTimer = n.front.Loop.After(noticeRetryDelay, func() {
+			n.retryTimer = nil
+			n.sendNext()
 		})
 	}
 }
 
 // Data reads the answer.
-func (n *notices) Data(b []byte) {
+func (n *noticeQueue) Data(b []byte) {
 	n.parser.Feed(b)
 	r, err := n.parser.Next()
-	if err != nil || r != nil && n.out == 0 {
-		n.again(net.Protocol)
+	if err != nil || r != nil && n.inFlight == 0 {
+		n.retryLater(net.Protocol)
 		return
 	}
 	if r == nil {
 		return
 	}
-	n.limit.Stop()
-	n.silent = 0
+	n.timeout.Stop()
+	n.timeouts = 0
 	if r.Close {
 		n.conn.Close(net.Finished)
 		n.conn = nil
 	}
-	told := n.queue[:n.out]
+	sent := n.queue[:n.inFlight]
 	switch {
 	case r.Status == 204 || r.Status == 200:
 		n.single = false
-	case r.Status == 400 && n.out > 1: // one of them cannot be read: find out which
+	case r.Status == 400 && n.inFlight > 1: // one notice is malformed: send them one by one to find it
 		n.single = true
-		n.again(net.Finished)
+		n.retryLater(net.Finished)
 		return
 	case r.Status == 400:
-		n.front.Log.Error("a notice cannot be read", "id", told[0].ID, "state", told[0].State.String())
+		n.front.Log.Error("discovery agent rejected a notice as malformed", "id", sent[0].ID, "state", sent[0].State.String())
 	default:
-		n.front.Log.Warn("notices are not taken", "status", r.Status)
-		n.again(net.Finished)
+		n.front.Log.Warn("discovery agent did not accept notices; sending them again", "status", r.Status)
+		n.retryLater(net.Finished)
 		return
 	}
-	n.queue, n.out = n.queue[n.out:], 0
-	for _, m := range told {
+	n.queue, n.inFlight = n.queue[n.inFlight:], 0
+	for _, m := range sent {
 		n.front.core.Settled(m)
 	}
-	n.next()
+	n.sendNext()
 }
 
-func (n *notices) close() {
+func (n *noticeQueue) close() {
 	n.closed = true
-	n.limit.Stop()
-	n.pause.Stop()
+	n.timeout.Stop()
+	n.retryTimer.Stop()
 	if n.conn != nil {
 		n.conn.Close(net.Shutdown)
 	}
--- a/internal/front/platform/partitions.go
+++ b/internal/front/platform/partitions.go
@@ -15,61 +15,63 @@
 	"snowjunction/internal/proto/listing"
 )
 
-// This file is discovery by partitions, where Config.Router is set. The watch names all that the
-// router lists. What has come to be listed since, and whose list is not held, is asked for whole
-// between two watches, some partitions at a time, and merged as changes; the watch goes on from
-// the generation before, and so misses nothing. What is listed no longer is taken out of the
-// table in slices.
+// This file implements discovery by partitions, which is used if Config.Router is set. The watch
+// names all partitions that the router lists. Newly listed partitions, whose list is not loaded
+// yet, are requested in full between two watches, a few at a time, and merged as changes. The watch
+// continues from the previous generation and so misses nothing. Entries of partitions that are no
+// longer listed are removed from the table in batches.
 
 const (
-	// gainSize is about how long, in bytes, the answer for newly listed partitions may be: news
-	// of the others wait behind it.
-	gainSize = 48 << 10
-	// gainGrowth is how many times as many partitions as the last time are asked for at the most.
-	gainGrowth = 4
-	// lingerLook is how often is looked whether what lingers may go.
-	lingerLook = time.Second
-	// sweepSlice is how many entries are looked through at once.
-	sweepSlice = 2048
+	// gainTargetBytes is the approximate size of an answer for newly listed partitions. Updates of
+	// the other partitions wait until it is complete.
+	gainTargetBytes = 48 << 10
+	// maxGainGrowth bounds how many times more partitions one request names than the request before
+	// it.
+	maxGainGrowth = 4
+	// lingerCheckInterval is how often lingering partitions are checked for removal.
+	lingerCheckInterval = time.Second
+	// sweepBatchSize is how many table entries are examined at once.
+	sweepBatchSize = 2048
 )
 
-// errPartitions tells that an answer is restricted otherwise than it was asked for.
-var errPartitions = errors.New("the list is of other partitions")
+// errPartitions means that an answer counts its partitions otherwise than the request.
+var errPartitions = errors.New("list covers a different number of partitions")
 
-// partitions is what discovery keeps of the ask that is out.
-type partitions struct {
-	asked   []int // named in it
-	listed  []int // when it left
-	lost    []int // that have been listed since, and are no longer
-	gaining bool  // it is for newly listed partitions
-	gained  bool  // the ask before it was, and has been answered: both are one step
-	mayGain bool  // the answer before it, on the same connection, has brought all that is news
-	some    int   // newly listed partitions that are asked for at once
+// partitionState is the partition-related state of discovery's current request.
+type partitionState struct {
+	requested     []int // partitions named in the request
+	listedThen    []int // partitions listed when it was sent
+	unlistedSince []int // listed when it was sent, and not any more
+	gaining       bool  // it requests newly listed partitions
+	gained        bool  // the previous, answered request was for these; both are one step
+	mayGain       bool  // the previous answer on this connection brought all changes
+	batchSize     int   // number of newly listed partitions to request at once
 }
 
-// sweep takes the entries of partitions out of the table.
-type sweep struct {
-	of map[int]bool
-	at int // entries from here on have been looked at
+// tableSweep removes the entries of partitions from the table.
+type tableSweep struct {
+	partitions map[int]bool
+	next       int // entries from this index on are done
 }
 
-// next chooses what the next ask is for, and names it; empty without a router.
-func (d *discovery) next() (parameters string) {
-	d.parts.gaining = false
+// nextQuery decides what the next request is for and returns its query parameters. It returns ""
+// without a router.
+func (d *discovery) nextQuery() (parameters string) {
+	d.partitions.gaining = false
 	r := d.front.Router
 	if r == nil {
 		return ""
 	}
-	p := &d.parts
-	p.listed, p.lost = r.Listed(), nil
-	p.asked = p.listed
-	if wanted := r.Wanted(); d.known && p.mayGain && len(wanted) > 0 && d.front.sweeping == nil {
-		p.asked = wanted[:min(len(wanted), max(p.some, 1))]
+	p := &d.partitions
+	p.listedThen, p.unlistedSince = r.Listed(), nil
+	p.requested = p.listedThen
+	if wanted := r.Wanted(); d.incremental && p.mayGain && len(wanted) > 0 && d.front.activeSweep == nil {
+		p.requested = wanted[:min(len(wanted), max(p.batchSize, 1))]
 		p.gaining, p.mayGain = true, false
 	}
 	b := strconv.AppendInt([]byte("partitions="), int64(r.Membership().Partitions()), 10)
 	b = append(b, "&of="...)
-	for i, n := range p.asked {
+	for i, n := range p.requested {
 		if i > 0 {
 			b = append(b, ',')
 		}
@@ -78,20 +80,22 @@
 	return string(b)
 }
 
-// hurries tells that a watch need not wait for news: others wait behind it, or have waited.
-func (d *discovery) hurries() bool {
-	return d.front.Router != nil && (d.parts.gained || len(d.front.Router.Wanted()) > 0)
+// pollNow reports whether the directory should answer a watch at once, because requests for
+// partitions wait behind it or it has waited behind one.
+func (d *discovery) pollNow() bool {
+	return d.front.Router != nil && (d.partitions.gained || len(d.front.Router.Wanted()) > 0)
 }
 
-// lists tells whether an entry that is read is to be kept. One of a destination that is not listed
-// takes no memory, unless its name is held: it has moved there, and is gone from here.
-func (d *discovery) lists(e *core.Entry, news *groups.List) bool {
+// keepEntry reports whether to keep an entry of an answer. An entry of an unlisted destination is
+// dropped to save memory, unless its name is in the table or earlier in the answer: then the
+// endpoint has moved to that destination, and the entry is turned into a removal.
+func (d *discovery) keepEntry(e *core.Entry, list *groups.List) bool {
 	r := d.front.Router
 	if r == nil || e.Phase != snowjunction.Gone && r.Lists(uint32(e.Destination)) {
 		return true
 	}
 	if _, held := d.front.core.Table(d.front.Number).Get(e.Name); !held {
-		if _, held = news.Entries.Get(e.Name); !held {
+		if _, held = list.Entries.Get(e.Name); !held {
 			return false
 		}
 	}
@@ -99,68 +103,70 @@
 	return true
 }
 
-// bounds are those of a reader of lists. With a router what is dropped does not count as an entry.
-func (d *discovery) bounds() (size, entries int) {
+// readerLimits returns the limits of a list reader. With a router, dropped entries do not count.
+func (d *discovery) readerLimits() (size, entries int) {
 	if d.front.Router != nil {
 		return d.front.Lists.Bytes, math.MaxInt
 	}
 	return d.front.Lists.Bytes, d.front.Lists.Entries
 }
 
-// room tells whether the news may grow by an entry.
-func (d *discovery) room(news *groups.List) error {
-	if d.front.Router != nil && news.Entries.Len() >= d.front.Lists.Entries {
-		return fmt.Errorf("%w: over %d entries", listing.ErrTooBig, d.front.Lists.Entries)
+// checkRoom returns an error if the list must not grow by another entry.
+func (d *discovery) checkRoom(list *groups.List) error {
+	if d.front.Router != nil && list.Entries.Len() >= d.front.Lists.Entries {
+		return fmt.Errorf("%w: more than %d entries", listing.ErrTooBig, d.front.Lists.Entries)
 	}
 	return nil
 }
 
-// fits tells whether an answer is restricted as it was asked for, or not at all.
-func (d *discovery) fits() error {
+// checkPartitions returns an error if an answer is restricted, but with another number of
+// partitions than the request.
+func (d *discovery) checkPartitions() error {
 	r := d.front.Router
 	if r == nil || d.reader.Partitions == 0 || d.reader.Partitions == r.Membership().Partitions() {
 		return nil
 	}
-	return fmt.Errorf("%w: of %d partitions, not of %d", errPartitions, d.reader.Partitions, r.Membership().Partitions())
+	return fmt.Errorf("%w: %d, expected %d", errPartitions, d.reader.Partitions, r.Membership().Partitions())
 }
 
-// came tells that an answer has been taken; whole: it has all that is listed of what it is about.
-func (d *discovery) came(whole bool) {
+// listReceived updates the state after an answer was applied. If whole is true, it was the full
+// list of the requested partitions.
+func (d *discovery) listReceived(whole bool) {
 	r := d.front.Router
 	if r == nil {
 		return
 	}
-	p := &d.parts
-	of := p.asked
-	if d.reader.Partitions == 0 { // not restricted: it has all that was listed as it came
-		of = p.listed
+	p := &d.partitions
+	of := p.requested
+	if d.reader.Partitions == 0 { // not restricted: has all that was listed at the request
+		of = p.listedThen
 	}
 	if whole {
-		r.Held(without(of, p.lost))
+		r.Held(without(of, p.unlistedSince))
 	}
-	d.front.sweepOut(p.lost) // entries may have been read before that
+	d.front.startSweep(p.unlistedSince) // entries may have been read before they were unlisted
 	p.gained, p.mayGain = p.gaining, !p.gaining
 }
 
-// gain merges the list of newly listed partitions. It is younger than what is held of the others,
-// which the next watch brings to its state, and may not fit with it: an endpoint has gone there,
-// and its address has come here. The whole list is asked for then.
-func (d *discovery) gain() {
-	d.news.Full = false
-	p := &d.parts
-	if err := d.front.core.Listed(d.front.Number, d.news); err != nil {
-		d.front.Log.Info("newly listed partitions do not fit with what is held", "err", err)
-		p.gained, d.known = true, false
+// mergeGained merges the list of newly listed partitions. It is newer than the list of the other
+// partitions, which the next watch updates, and may conflict with it: for example, a removed
+// endpoint's address may now belong to a new one. The full list is then requested.
+func (d *discovery) mergeGained() {
+	d.incoming.Full = false
+	p := &d.partitions
+	if err := d.front.core.Listed(d.front.Number, d.incoming); err != nil {
+		d.front.Log.Info("list of newly listed partitions conflicts with the current list; requesting the full list", "err", err)
+		p.gained, d.incremental = true, false
 	} else {
-		p.some = max(1, min(gainGrowth*len(p.asked), len(p.asked)*gainSize/max(d.reader.Size(), 1)))
-		d.came(true)
-		d.front.Log.Debug("partitions gained", "asked", len(p.asked), "wanted", len(d.front.Router.Wanted()), "entries", d.news.Entries.Len())
+		p.batchSize = max(1, min(maxGainGrowth*len(p.requested), len(p.requested)*gainTargetBytes/max(d.reader.Size(), 1)))
+		d.listReceived(true)
+		d.front.Log.Debug("merged the list of newly listed partitions", "asked", len(p.requested), "wanted", len(d.front.Router.Wanted()), "entries", d.incoming.Entries.Len())
 	}
-	d.news = nil
+	d.incoming = nil
 	d.watch()
 }
 
-// without is a without those of b.
+// without returns the elements of a that are not in b.
 func without(a, b []int) []int {
 	if len(b) == 0 {
 		return a
@@ -172,10 +178,10 @@
 	})
 }
 
-// Routing is what a courier's router goes by: the longest deadline of a class in order, and how
-// long a message may be on its way and its key rests after that.
+// Routing returns the options of a courier's router: the longest deadline of an in-order class, and
+// how long a message may be on its way plus the settle time of its key after that.
 func Routing(s snowjunction.Settings, self, region string, linger time.Duration) partition.Options {
-	o := partition.Options{Self: self, Region: region, Linger: linger, Rest: patience + s.OrderSettle}
+	o := partition.Options{Self: self, Region: region, Linger: linger, Rest: clientTimeout + s.OrderSettle}
 	for _, class := range s.Classes {
 		if class.InOrder {
 			o.Longest = max(o.Longest, class.Deadline)
@@ -184,113 +190,114 @@
 	return o
 }
 
-// Adopt takes another membership. What it has this courier list is asked for at the next ask,
-// and what it has it list no longer goes once it has lingered.
+// Adopt switches to another membership. Newly listed partitions are requested with the next
+// request; partitions that are no longer listed are removed after they have lingered.
 func (f *Front) Adopt(m *partition.Membership) {
-	was := f.Router.Listed()
-	f.Router.Adopt(m, f.since())
-	f.unlist(without(was, f.Router.Listed()))
-	f.linger()
+	listedBefore := f.Router.Listed()
+	f.Router.Adopt(m, f.routerTime())
+	f.removePartitions(without(listedBefore, f.Router.Listed()))
+	f.scheduleLingerCheck()
 }
 
-// linger looks now and then for what has lingered for long enough.
-func (f *Front) linger() {
-	f.lingers.Stop()
+// scheduleLingerCheck checks periodically whether lingering partitions can be removed.
+func (f *Front) scheduleLingerCheck() {
+	f.lingerTimer.Stop()
 	if !f.Router.Lingers() {
 		return
 	}
-	f.lingers = f.Loop.After(lingerLook, func() {
+	f.lingerTimer = f.Loop.After(lingerCheckInterval, func() {
 		calling := map[int]bool{}
 		for d := range f.core.Calling() {
 			calling[partition.Of(uint32(d), f.Router.Membership().Partitions())] = true
 		}
-		f.unlist(f.Router.Expire(f.since(), func(p int) bool { return calling[p] }))
-		f.linger()
+		f.removePartitions(f.Router.Expire(f.routerTime(), func(p int) bool { return calling[p] }))
+		f.scheduleLingerCheck()
 	})
 }
 
-// unlist takes out what was listed and is no longer.
-func (f *Front) unlist(lost []int) {
-	f.discovery.parts.lost = append(f.discovery.parts.lost, lost...)
-	f.sweepOut(lost)
+// removePartitions drops partitions that are no longer listed.
+func (f *Front) removePartitions(lost []int) {
+	f.discovery.partitions.unlistedSince = append(f.discovery.partitions.unlistedSince, lost...)
+	f.startSweep(lost)
 }
 
-// sweepOut has the entries of partitions taken out of the table, in slices.
-func (f *Front) sweepOut(lost []int) {
+// startSweep removes the entries of partitions from the table, in batches.
+func (f *Front) startSweep(lost []int) {
 	if len(lost) == 0 || f.core == nil {
 		return
 	}
-	begins := f.sweeping == nil
-	if begins {
-		f.sweeping = &sweep{of: map[int]bool{}}
+	idle := f.activeSweep == nil
+	if idle {
+		f.activeSweep = &tableSweep{partitions: map[int]bool{}}
 	}
 	for _, p := range lost {
-		f.sweeping.of[p] = true
+		f.activeSweep.partitions[p] = true
 	}
-	f.sweeping.at = math.MaxInt
-	if begins {
-		f.Loop.Slices(func() bool { return f.sweepSome(sweepSlice) })
+	f.activeSweep.next = math.MaxInt
+	if idle {
+		f.Loop.Slices(func() bool { return f.sweepBatch(sweepBatchSize) })
 	}
 }
 
-// sweepSome looks through so many entries, from the end of the table on: what takes the place of
-// one that is taken out has been looked at. It tells whether more are left.
-func (f *Front) sweepSome(n int) (more bool) {
-	s := f.sweeping
+// sweepBatch examines n entries, from the end of the table to its start: an entry that takes the
+// place of a removed one has been examined already. It reports whether entries are left.
+func (f *Front) sweepBatch(n int) (more bool) {
+	s := f.activeSweep
 	if s == nil {
 		return false
 	}
 	table := f.core.Table(f.Number)
-	s.at = min(s.at, table.Len())
-	news, from := groups.NewList(false), max(0, s.at-n)
-	for i := from; i < s.at; i++ {
-		if e := table.Nth(i); s.of[partition.Of(uint32(e.Destination), f.Router.Membership().Partitions())] {
-			_ = news.Add(core.Entry{Name: e.Name, Phase: snowjunction.Gone}) // names differ within a table
+	s.next = min(s.next, table.Len())
+	removals, from := groups.NewList(false), max(0, s.next-n)
+	for i := from; i < s.next; i++ {
+		if e := table.Nth(i); s.partitions[partition.Of(uint32(e.Destination), f.Router.Membership().Partitions())] {
+			_ = removals.Add(core.Entry{Name: e.Name, Phase: snowjunction.Gone}) // names are unique in a table
 		}
 	}
-	s.at = from
+	s.next = from
 	if from == 0 {
-		f.sweeping = nil
+		f.activeSweep = nil
 	}
-	if news.Entries.Len() > 0 {
-		_ = f.core.Listed(f.Number, news) // what goes always fits
+	if removals.Entries.Len() > 0 {
+		_ = f.core.Listed(f.Number, removals) // removals never conflict
 	}
-	return f.sweeping != nil
+	return f.activeSweep != nil
 }
 
-// sweepNow ends a sweep: a full list is judged against what is held, which must be of what is
-// still listed.
-func (f *Front) sweepNow() { f.sweepSome(math.MaxInt / 2) }
+// finishSweep completes a sweep at once. The plausibility check compares a full list with the
+// current one, which must only hold entries that are still listed.
+func (f *Front) finishSweep() { f.sweepBatch(math.MaxInt / 2) }
 
-// listed cuts the list that the front starts with to what the router lists, and tells of which
-// partitions it has all. A list of another number of partitions has nothing that can be used.
-func (f *Front) listed(known Begin) (Begin, []int) {
-	if f.Router == nil || !known.Held {
-		return known, nil
+// restrictToListed restricts the initial list to the partitions that the router lists, and returns
+// those that it covers completely. A list with a different number of partitions is unusable.
+func (f *Front) restrictToListed(initial Begin) (Begin, []int) {
+	if f.Router == nil || !initial.Held {
+		return initial, nil
 	}
-	n, of := f.Router.Membership().Partitions(), f.Router.Listed()
-	switch known.Partitions {
+	n, covered := f.Router.Membership().Partitions(), f.Router.Listed()
+	switch initial.Partitions {
 	case 0:
 	case n:
-		of = slices.DeleteFunc(of, func(p int) bool {
-			_, has := slices.BinarySearch(known.Of, p)
+		covered = slices.DeleteFunc(covered, func(p int) bool {
+			_, has := slices.BinarySearch(initial.Of, p)
 			return !has
 		})
 	default:
-		f.Log.Warn("the known list is of another number of partitions", "partitions", known.Partitions, "now", n)
+		f.Log.Warn("ignoring the saved list because it has a different number of partitions", "partitions", initial.Partitions, "now", n)
 		return Begin{}, nil
 	}
 	var targets []core.Entry
-	for _, e := range known.Targets {
-		if _, held := slices.BinarySearch(of, partition.Of(uint32(e.Destination), n)); held {
+	for _, e := range initial.Targets {
+		if _, held := slices.BinarySearch(covered, partition.Of(uint32(e.Destination), n)); held {
 			targets = append(targets, e)
 		}
 	}
-	known.Targets = targets
-	return known, of
+	initial.Targets = targets
+	return initial, covered
 }
 
-// Holds tells of which partitions, of how many, the list is held whole; of 0: it is not divided.
+// Holds returns the number of partitions and those whose list is loaded completely. The number is
+// zero if destinations are not partitioned.
 func (f *Front) Holds() (partitions int, of []int) {
 	if f.Router == nil {
 		return 0, nil
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is the platform's front, a thin one: RESP2 clients hand
-// messages in, targets are called by HTTP/1.1, discovery's target group is
-// watched, and ends that are no delivery go out as notices.
+// Package platform is the front for the platform. It accepts messages from RESP2 clients, calls
+// targets over HTTP/1.1, watches the target group at the discovery agent, and sends a notice for
+// each message that ends without a delivery.
 package platform
 
 import (
@@ -17,196 +17,202 @@
 	"snowjunction/internal/store"
 )
 
-// Config is what the front needs to know.
+// Config holds the front's dependencies and settings.
 type Config struct {
 	Loop      *core.Loop
 	Engine    *net.Engine
 	Log       *slog.Logger
-	Number    int    // of this front in the core
-	Listen    string // empty: messages come in otherwise, and nothing listens
+	Number    int    // index of this front in the core
+	Listen    string // address to listen on; empty means that the front does not listen
 	Discovery string
 	Names     config.Names
-	Columns   []string // of the load report
+	Columns   []string // names of the values of a load report
 	Settings  snowjunction.Settings
 	Lists     ListLimits
-	Started   func(Step) // nil: nobody asks
-	// Router divides the destinations among couriers; nil: this one lists and calls all.
+	Started   func(Step) // called at each step of the start; may be nil
+	// Router assigns destinations to couriers. If nil, this courier lists and calls all
+	// destinations.
 	Router *partition.Router
 }
 
-// Step is one of a front's start.
+// Step is a step of a front's start.
 type Step int
 
-// The steps, in their order. The first two are told within Start.
+// The steps in the order in which they happen. Listening and Listed are reported before Start
+// returns.
 const (
 	Listening Step = iota
-	Listed         // the known list is taken, if there is one
-	Ready          // messages are taken from now on
+	Listed         // the saved list, if any, is loaded
+	Ready          // messages are accepted from now on
 )
 
-// ListLimits bound a list that discovery may send.
+// ListLimits bounds the size of a list from discovery.
 type ListLimits struct {
 	Bytes, Entries int
 }
 
-// DefaultLists are the bounds where no operator file names others: a list of
-// so many entries takes about 5 MB.
+// DefaultLists are the limits used if the configuration sets none. A list of this many entries
+// takes about 5 MB of memory.
 var DefaultLists = ListLimits{Bytes: 16 << 20, Entries: 65536}
 
-// Front is the platform's front.
+// Front is the front for the platform. It belongs to the loop's goroutine.
 type Front struct {
 	Config
-	core      *core.Core
-	addr      string
-	ready     bool
-	draining  bool
-	clients   map[*client]bool
-	targets   map[*target]bool
-	discovery discovery
-	notices   notices
-	forwards  forwards
-	requests  uint64 // handed in by clients
-	begun     time.Time
-	sweeping  *sweep      // nil: nothing has to leave the table
-	lingers   *core.Timer // runs while partitions that are no longer owned are served on
-}
-
-// since is the time on the router's clock.
-func (f *Front) since() time.Duration { return f.Loop.Now().Sub(f.begun) }
-
-// Divided is how things stand with the partitions; false: destinations are not divided.
+	core         *core.Core
+	addr         string
+	ready        bool
+	draining     bool
+	clients      map[*client]bool
+	targets      map[*target]bool
+	discovery    discovery
+	notices      noticeQueue
+	forwarder    forwarder
+	requestCount uint64 // submitted by clients
+	createdAt    time.Time
+	activeSweep  *tableSweep // nil if no entries have to be removed from the table
+	lingerTimer  *core.Timer // runs while partitions that are no longer owned are still served
+}
+
+// routerTime returns the time on the router's clock, which starts at zero with the front.
+func (f *Front) routerTime() time.Duration { return f.Loop.Now().Sub(f.createdAt) }
+
+// Divided returns figures about the partitions. It returns false if destinations are not
+// partitioned.
 func (f *Front) Divided() (partition.Figures, bool) {
 	if f.Router == nil {
 		return partition.Figures{}, false
 	}
-	return f.Router.Figures(f.since()), true
+	return f.Router.Figures(f.routerTime()), true
 }
 
-// Ready tells whether messages are taken.
+// Ready reports whether the front accepts messages.
 func (f *Front) Ready() bool { return f.ready && !f.draining }
 
-// New returns a front that does nothing yet.
+// New returns a front that is not started yet.
 func New(cfg Config) *Front {
 	if cfg.Lists == (ListLimits{}) {
 		cfg.Lists = DefaultLists
 	}
-	f := &Front{Config: cfg, clients: map[*client]bool{}, targets: map[*target]bool{}, begun: cfg.Loop.Now()}
+	f := &Front{Config: cfg, clients: map[*client]bool{}, targets: map[*target]bool{}, createdAt: cfg.Loop.Now()}
 	f.discovery.front = f
 	f.discovery.backoff = backoff.New(cfg.Settings.Fleet, cfg.Settings.Seed).Within(cfg.Settings.DrainGrace)
 	f.notices.front = f
-	f.forwards = newForwards(f)
-	f.Engine.SpareIdle(f.spareTarget)
-	f.Engine.SpareIdle(f.forwards.spare)
+	f.forwarder = newForwarder(f)
+	f.Engine.SpareIdle(f.closeOldestIdleTarget)
+	f.Engine.SpareIdle(f.forwarder.closeOldestIdle)
 	return f
 }
 
-// The kinds of the connections to the platform's agent.
+// The kinds of the connections to the discovery agent.
 const (
 	WatchKind  = "discovery"
 	NoticeKind = "notices"
 )
 
-// readyAfter bounds how long a courier that knows no target group waits for
-// discovery before it calls itself ready.
+// readyAfter is how long a courier without a saved list waits for discovery before it reports
+// ready.
 const readyAfter = 2 * time.Second
 
 // Begin is the list that the front starts with.
 type Begin struct {
 	config.List
 	Source belief.Source
-	Age    time.Duration // since the directory vouched for it; under 0: not known
-	Watch  bool          // what is newer than its generation may be asked for
-	// The list has all of these of so many partitions, in order; of 0: all of everything.
+	Age    time.Duration // since the directory confirmed it; negative if unknown
+	Watch  bool          // changes after its generation may be requested
+	// The partitions for which the list is complete, sorted, and their total number. A total of zero
+	// means that the list is complete for all destinations.
 	Partitions int
 	Of         []int
 }
 
-// Start listens, takes the target group as last known and watches it.
-func (f *Front) Start(c *core.Core, known Begin) error {
+// Start starts to listen, loads the saved list and starts to watch the target group.
+func (f *Front) Start(c *core.Core, initial Begin) error {
 	f.core = c
 	if f.Listen != "" {
-		addr, err := f.Engine.Listen(ListenerKind, f.Listen, f.accept, func() bool { return f.spareClient(true) })
+		addr, err := f.Engine.Listen(ListenerKind, f.Listen, f.accept, func() bool { return f.evictClient(true) })
 		if err != nil {
 			return err
 		}
 		f.addr = addr
-		f.did(Listening)
-		f.sweep()
+		f.reportStep(Listening)
+		f.closeIdleClients()
 	}
-	known, held := f.listed(known)
-	if known.Held {
-		news, err := known.News()
+	initial, heldPartitions := f.restrictToListed(initial)
+	if initial.Held {
+		news, err := initial.News()
 		if err == nil {
 			news.Full = true
-			err = c.Begin(f.Number, news, known.Source, known.Age)
+			err = c.Begin(f.Number, news, initial.Source, initial.Age)
 		}
-		if err != nil { // it costs what is known, not the start
-			f.Log.Warn("the known list cannot be taken", "err", err)
-			known, held = Begin{}, nil
+		if err != nil { // a bad saved list must not prevent the start
+			f.Log.Warn("cannot use the saved list; starting without a list", "err", err)
+			initial, heldPartitions = Begin{}, nil
 		}
 	}
 	if f.Router != nil {
-		f.Router.Held(held)
-		f.linger() // an earlier life may have left messages of what is no longer owned
+		f.Router.Held(heldPartitions)
+		// The previous process run may have left messages of partitions that are no longer owned.
+		f.scheduleLingerCheck()
 	}
-	f.did(Listed)
-	if known.Held {
-		f.becomeReady()
+	f.reportStep(Listed)
+	if initial.Held {
+		f.markReady()
 	} else {
-		f.Loop.After(readyAfter, f.becomeReady)
+		f.Loop.After(readyAfter, f.markReady)
 	}
-	f.discovery.generation, f.discovery.known, f.discovery.held = known.Generation, known.Held && known.Watch, known.Held
+	f.discovery.generation, f.discovery.incremental, f.discovery.hasList = initial.Generation, initial.Held && initial.Watch, initial.Held
 	f.discovery.agent = f.Discovery
-	if first := f.discovery.backoff.Initial(); first > 0 && known.Held {
-		f.discovery.limit = f.Loop.After(first, f.discovery.watch)
+	if firstDelay := f.discovery.backoff.Initial(); firstDelay > 0 && initial.Held {
+		f.discovery.timer = f.Loop.After(firstDelay, f.discovery.watch)
 	} else {
 		f.discovery.watch()
 	}
 	return nil
 }
 
-func (f *Front) did(s Step) {
+func (f *Front) reportStep(s Step) {
 	if f.Started != nil {
 		f.Started(s)
 	}
 }
 
-// becomeReady has messages taken from now on.
-func (f *Front) becomeReady() {
+// markReady makes the front accept messages from now on.
+func (f *Front) markReady() {
 	if !f.ready {
 		f.ready = true
-		f.did(Ready)
+		f.reportStep(Ready)
 	}
 }
 
-// Move turns to the platform's new address: the watch begins anew there, and
-// the notices that are owed go there, also those that were on their way.
+// Move switches to a new discovery address. The watch starts again there, and all pending notices
+// are sent there, including those that were in flight.
 func (f *Front) Move(discovery string) {
 	if discovery == f.Discovery {
 		return
 	}
 	f.Discovery = discovery
 	f.core.Moved(f.Number)
-	f.discovery.move()
-	f.notices.again(net.Moved)
+	f.discovery.restart()
+	f.notices.retryLater(net.Moved)
 }
 
-// Told is which list is held, and who has told it; false: none is.
+// Told returns the generation of the current list and the agent that sent it. It returns false if
+// there is no list.
 func (f *Front) Told() (generation uint64, agent string, held bool) {
-	return f.discovery.generation, f.discovery.agent, f.discovery.held
+	return f.discovery.generation, f.discovery.agent, f.discovery.hasList
 }
 
-// Addr is the address that clients reach.
+// Addr returns the address that clients connect to.
 func (f *Front) Addr() string { return f.addr }
 
-// Target makes the target of an endpoint.
+// Target returns the target for an endpoint.
 func (f *Front) Target(e core.Entry) core.Target {
 	t := &target{front: f, entry: e}
 	f.targets[t] = true
 	return t
 }
 
-// Ended has a notice sent unless the end needs none.
+// Ended sends a notice if the final result of the message requires one.
 func (f *Front) Ended(m *store.Message) {
 	if m.State == store.Failed || m.State == store.Returned {
 		f.notices.add(m)
@@ -215,16 +221,16 @@
 	f.core.Settled(m)
 }
 
-// Drain lets the clients go: idle connections end now, the others after their
-// answers, so that the clients turn to other couriers.
+// Drain closes idle client connections now and the others after their answers, so that the clients
+// switch to other couriers.
 func (f *Front) Drain() {
 	f.draining = true
 	for c := range f.clients {
-		c.release()
+		c.closeIfIdle()
 	}
 }
 
-// Unanswered tells that the request of some client is being read, or waits for its answer.
+// Unanswered reports whether any client's request is being read or waits for its answer.
 func (f *Front) Unanswered() bool {
 	for c := range f.clients {
 		if c.unanswered() {
@@ -234,16 +240,16 @@
 	return false
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (f *Front) Close() {
-	f.lingers.Stop()
+	f.lingerTimer.Stop()
 	for c := range f.clients {
 		c.conn.Close(net.Shutdown)
 	}
 	f.discovery.close()
 	f.notices.close()
-	f.forwards.close()
+	f.forwarder.close()
 }
 
-// Quiet tells that no notice is on its way.
-func (f *Front) Quiet() bool { return len(f.notices.queue) == 0 && f.notices.out == 0 }
+// Quiet reports whether no notice is queued or in flight.
+func (f *Front) Quiet() bool { return len(f.notices.queue) == 0 && f.notices.inFlight == 0 }
--- a/internal/front/platform/target.go
+++ b/internal/front/platform/target.go
@@ -12,45 +12,44 @@
 	"snowjunction/internal/store"
 )
 
-// target is an endpoint with its connections. Each carries one call at a time.
+// target is an endpoint with its connections. Each connection carries one call at a time.
 type target struct {
-	front *Front
-	entry core.Entry
-	idle  []*link // the last used at the end
-	left  bool    // no longer in its group
+	front   *Front
+	entry   core.Entry
+	idle    []*targetConn // most recently used last
+	removed bool          // no longer in its target group
 }
 
-// link is a connection to a target. It is a core.Call too, as it carries one
-// at most.
-type link struct {
-	target *target
-	conn   *net.Conn
-	parser http1.Parser
-	out    []byte      // the request, until it leaves
-	id     string      // of its message
-	may    func() bool // whether the first request may leave
-	done   func(core.Result)
-	sent   bool        // the request may have left
-	whole  bool        // the answer is to come whole, if it does soon
-	rest   *core.Timer // runs while an answer has begun and is not whole
-	used   time.Time
-	kept   time.Duration // idle before the call that is out; 0: new
-	read   []byte        // of an answer that is not whole
+// targetConn is a connection to a target. It is also the core.Call in progress, because it carries
+// at most one.
+type targetConn struct {
+	target      *target
+	conn        *net.Conn
+	parser      http1.Parser
+	request     []byte      // the request, until it is written
+	messageID   string      // of the message
+	maySend     func() bool // whether the decision to send is still valid
+	done        func(core.Result)
+	sent        bool        // the request may have left this process
+	wantWhole   bool        // the caller wants the complete answer, if it comes soon
+	answerTimer *core.Timer // runs while an answer is incomplete
+	lastUsed    time.Time
+	idleBefore  time.Duration // idle time before the current call; zero for a new connection
+	received    []byte        // received bytes of an incomplete answer
 }
 
 const (
-	maxAnswer = 64 << 10
-	// reuseWithin is the share of the time a connection may sit idle within
-	// which it is used again: later the request could cross the other side's
-	// end of it, which would be a reset.
-	reuseWithin = 0.85
-	// restWithin is how long the rest of an answer may take: the length may be
-	// wrong, or the head have no end.
-	restWithin = 500 * time.Millisecond
+	maxAnswerBytes = 64 << 10
+	// reuseShare is the share of the target's idle timeout during which a connection is reused. A
+	// later request could cross the target's close of the connection and end in a reset.
+	reuseShare = 0.85
+	// answerRestTimeout is how long the rest of a started answer may take: its length may be wrong,
+	// or its header may never end.
+	answerRestTimeout = 500 * time.Millisecond
 )
 
-// Call makes an attempt on the connection last used, or a new one.
-func (t *target) Call(m *store.Message, shape core.Shape, timeout time.Duration, may func() bool, done func(core.Result)) core.Call {
+// Call makes an attempt on the most recently used idle connection, or on a new one.
+func (t *target) Call(m *store.Message, shape core.Shape, timeout time.Duration, maySend func() bool, done func(core.Result)) core.Call {
 	headers := []string{
 		front.HeaderID, m.ID,
 		front.HeaderTimeout, strconv.FormatInt(max(timeout.Milliseconds(), 1), 10),
@@ -66,71 +65,71 @@
 		headers = append(headers, h.Name, h.Value)
 	}
 	out := http1.Request("POST", front.InboxPath, t.entry.Addr, body, headers...)
-	t.expire()
-	if l := t.fit(); l != nil {
-		t.idle = append(t.idle, l)
-		if !may() {
+	t.closeExpired()
+	if c := t.takeIdle(); c != nil {
+		t.idle = append(t.idle, c)
+		if !maySend() {
 			return nil
 		}
-		if l = t.fit(); l != nil { // the attempt's record may have taken a while
-			l.kept = max(t.front.Loop.Now().Sub(l.used), 1)
-			l.begin(m.ID, out, shape.Whole, done)
-			l.write()
-			return l
+		if c = t.takeIdle(); c != nil { // checked again: recording the attempt may take long
+			c.idleBefore = max(t.front.Loop.Now().Sub(c.lastUsed), 1)
+			c.startCall(m.ID, out, shape.Whole, done)
+			c.writeRequest()
+			return c
 		}
 	}
-	l := &link{target: t, parser: http1.Parser{MaxBody: maxAnswer}}
-	l.begin(m.ID, out, shape.Whole, done)
-	l.may = may
-	l.conn = t.front.Engine.Dial("target", t.entry.Addr, l)
-	return l
+	c := &targetConn{target: t, parser: http1.Parser{MaxBody: maxAnswerBytes}}
+	c.startCall(m.ID, out, shape.Whole, done)
+	c.maySend = maySend
+	c.conn = t.front.Engine.Dial("target", t.entry.Addr, c)
+	return c
 }
 
-// fit takes the idle connection last used. One that its other side has ended would only break
-// under a request that may then have run; and what has come unasked would be taken for the
-// request's answer.
-func (t *target) fit() *link {
+// takeIdle removes and returns the most recently used idle connection that is usable. A connection
+// that the target has closed would break under a request that may have run, and unsolicited bytes
+// on it would be taken for the answer to the next request.
+func (t *target) takeIdle() *targetConn {
 	for n := len(t.idle); n > 0; n = len(t.idle) {
-		l := t.idle[n-1]
+		c := t.idle[n-1]
 		t.idle = t.idle[:n-1]
-		if bytes, ended := l.conn.Look(); !bytes && !ended {
-			return l
+		if bytes, ended := c.conn.Look(); !bytes && !ended {
+			return c
 		}
-		l.conn.Close(net.Stale)
+		c.conn.Close(net.Stale)
 	}
 	return nil
 }
 
-// expire ends the connections that have been idle for too long to be used.
-func (t *target) expire() {
-	limit := time.Duration(float64(t.front.Settings.ConnIdle) * reuseWithin)
+// closeExpired closes the connections that have been idle for too long to be reused.
+func (t *target) closeExpired() {
+	limit := time.Duration(float64(t.front.Settings.ConnIdle) * reuseShare)
 	if limit <= 0 {
 		return
 	}
 	now, n := t.front.Loop.Now(), 0
-	for n < len(t.idle) && now.Sub(t.idle[n].used) >= limit {
+	for n < len(t.idle) && now.Sub(t.idle[n].lastUsed) >= limit {
 		t.idle[n].conn.Close(net.Idle)
 		n++
 	}
 	t.idle = t.idle[n:]
 }
 
-// CloseIdle ends the idle connections.
-func (t *target) CloseIdle() { t.drop(net.Dropped) }
+// CloseIdle closes the idle connections.
+func (t *target) CloseIdle() { t.closeAllIdle(net.Dropped) }
 
-// Leave ends the idle connections now and the others with their calls.
+// Leave closes the idle connections now, and the others when their calls end.
 func (t *target) Leave() {
-	t.left = true
+	t.removed = true
 	delete(t.front.targets, t)
-	t.drop(net.Drained)
+	t.closeAllIdle(net.Drained)
 }
 
-// spareTarget ends the connection to a target that has been idle for longest, and tells whether
-// there was one.
-func (f *Front) spareTarget() bool {
+// closeOldestIdleTarget closes the target connection that has been idle longest. It returns false
+// if none is idle.
+func (f *Front) closeOldestIdleTarget() bool {
 	var oldest *target
 	for t := range f.targets {
-		if len(t.idle) > 0 && (oldest == nil || t.idle[0].used.Before(oldest.idle[0].used)) {
+		if len(t.idle) > 0 && (oldest == nil || t.idle[0].lastUsed.Before(oldest.idle[0].lastUsed)) {
 			oldest = t
 		}
 	}
@@ -142,175 +141,176 @@
 	return true
 }
 
-func (t *target) drop(code net.Code) {
-	for _, l := range t.idle {
-		l.conn.Close(code)
+func (t *target) closeAllIdle(code net.Code) {
+	for _, c := range t.idle {
+		c.conn.Close(code)
 	}
 	t.idle = nil
 }
 
-func (l *link) begin(id string, out []byte, whole bool, done func(core.Result)) {
-	l.id, l.out, l.whole, l.done, l.sent = id, out, whole, done, false
+func (c *targetConn) startCall(id string, out []byte, whole bool, done func(core.Result)) {
+	c.messageID, c.request, c.wantWhole, c.done, c.sent = id, out, whole, done, false
 }
 
-// write lets the request go. Where the socket takes none of it, Closed comes
-// and sent says that nothing left.
-func (l *link) write() {
-	out := l.out
-	l.out = nil
-	l.sent = l.conn.Write(out)
-	l.target.front.Log.Debug("request", "id", l.id, "to", l.target.entry.Addr, "taken", l.sent, "kept_ms", l.kept.Milliseconds())
+// writeRequest writes the request. If the socket accepts none of it, Closed is called while sent is
+// false.
+func (c *targetConn) writeRequest() {
+	out := c.request
+	c.request = nil
+	c.sent = c.conn.Write(out)
+	c.target.front.Log.Debug("request", "id", c.messageID, "to", c.target.entry.Addr, "taken", c.sent, "kept_ms", c.idleBefore.Milliseconds())
 }
 
-// Left tells whether the request's last byte may have left.
-func (l *link) Left() bool { return l.sent }
+// Left reports whether the request's last byte may have been sent.
+func (c *targetConn) Left() bool { return c.sent }
 
-// Kept is how long the connection had been idle.
-func (l *link) Kept() time.Duration { return l.kept }
+// Kept returns how long the connection was idle before the call.
+func (l *targetConn) Kept() time.Duration { return l.idleBefore }
 
-// GiveUp ends the connection, which tells the target.
-func (l *link) GiveUp() {
+// GiveUp closes the connection, which lets the target notice that the call is abandoned.
+func (l *targetConn) GiveUp() {
 	l.done = nil
 	if l.sent {
-		l.end(net.CallTimeout)
+		l.closeConn(net.CallTimeout)
 	} else {
-		l.end(net.DialTimeout)
+		l.closeConn(net.DialTimeout)
 	}
 }
 
-func (l *link) end(code net.Code) {
-	l.rest.Stop()
-	l.conn.Close(code)
+func (c *targetConn) closeConn(code net.Code) {
+	c.answerTimer.Stop()
+	c.conn.Close(code)
 }
 
-// Opened lets the request go on a new connection. Where the target has left its group
-// meanwhile it does not: the endpoint drains or is gone, and coming up may have taken
-// longer than it may still get anything. Nor does it where the decision does not stand
-// any more; the connection is kept for the next.
-func (l *link) Opened() {
-	if l.target.left {
-		l.end(net.Drained)
-		l.finish(core.Result{Outcome: snowjunction.Moot})
+// Opened writes the request on a new connection. It sends nothing if the target left its group in
+// the meantime: the endpoint is draining or gone, and connecting may have taken longer than the
+// grace period in which it may still be sent requests. It sends nothing either if the decision to
+// send is no longer valid; the connection is then kept for the next call.
+func (c *targetConn) Opened() {
+	if c.target.removed {
+		c.closeConn(net.Drained)
+		c.finish(core.Result{Outcome: snowjunction.Moot})
 		return
 	}
-	if !l.may() {
-		l.out = nil
-		l.rests()
-		l.finish(core.Result{Outcome: snowjunction.Moot})
+	if !c.maySend() {
+		c.request = nil
+		c.markIdle()
+		c.finish(core.Result{Outcome: snowjunction.Moot})
 		return
 	}
-	l.write()
+	c.writeRequest()
 }
 
-// rests puts the connection with those that the next call may go on.
-func (l *link) rests() {
-	l.used = l.target.front.Loop.Now()
-	l.target.idle = append(l.target.idle, l)
+// markIdle makes the connection available to the next call.
+func (c *targetConn) markIdle() {
+	c.lastUsed = c.target.front.Loop.Now()
+	c.target.idle = append(c.target.idle, c)
 }
 
-// Closed ends the call that is out, if any.
-func (l *link) Closed(code net.Code) {
-	l.rest.Stop()
-	if code == net.Limit { // no room here: it says nothing of the target
-		l.finish(core.Result{Outcome: snowjunction.Moot})
+// Closed ends the current call, if any.
+func (c *targetConn) Closed(code net.Code) {
+	c.answerTimer.Stop()
+	if code == net.Limit { // a local connection limit: says nothing about the target
+		c.finish(core.Result{Outcome: snowjunction.Moot})
 		return
 	}
-	if l.done == nil {
-		for i, x := range l.target.idle {
-			if x == l {
-				l.target.idle = append(l.target.idle[:i], l.target.idle[i+1:]...)
+	if c.done == nil {
+		for i, x := range c.target.idle {
+			if x == c {
+				c.target.idle = append(c.target.idle[:i], c.target.idle[i+1:]...)
 				break
 			}
 		}
 		return
 	}
-	if r := l.parser.End(); r != nil && l.sent {
-		l.finish(l.target.result(r, l.whole))
+	if r := c.parser.End(); r != nil && c.sent {
+		c.finish(c.target.mapResult(r, c.wantWhole))
 		return
 	}
-	l.lost()
+	c.finishBroken()
 }
 
-func (l *link) lost() {
-	o := snowjunction.ConnectFailed
+func (c *targetConn) finishBroken() {
+	outcome := snowjunction.ConnectFailed
 	switch {
-	case l.sent && l.parser.Status() == 200:
-		o = snowjunction.OK
-	case l.sent:
-		o = snowjunction.Reset
+	case c.sent && c.parser.Status() == 200:
+		outcome = snowjunction.OK
+	case c.sent:
+		outcome = snowjunction.Reset
 	}
-	l.finish(core.Result{Outcome: o})
+	c.finish(core.Result{Outcome: outcome})
 }
 
-// finish tells a call's result, once.
-func (l *link) finish(r core.Result) {
-	if done := l.done; done != nil {
-		l.done = nil
+// finish reports a call's result, at most once.
+func (c *targetConn) finish(r core.Result) {
+	if done := c.done; done != nil {
+		c.done = nil
 		done(r)
 	}
 }
 
-// Data reads the answer. What its first line says is true if that is 200: the
-// message is delivered, though the rest may be spoilt or never come. Any other
-// answer that is not whole says nothing: the request may have run.
-func (l *link) Data(b []byte) {
-	begun := l.parser.Begun()
-	l.parser.Feed(b)
-	l.read = append(l.read, b...)
-	if l.done == nil && !begun || !l.sent { // nothing was asked
-		l.end(net.Protocol)
-		l.Closed(net.Protocol)
+// Data reads the answer. A status line with 200 is final: the message is delivered, even if the
+// rest of the answer is malformed or never comes. Any other incomplete answer is inconclusive: the
+// request may have run.
+func (c *targetConn) Data(b []byte) {
+	begun := c.parser.Begun()
+	c.parser.Feed(b)
+	c.received = append(c.received, b...)
+	if c.done == nil && !begun || !c.sent { // unsolicited bytes
+		c.closeConn(net.Protocol)
+		c.Closed(net.Protocol)
 		return
 	}
-	r, err := l.parser.Next()
+	r, err := c.parser.Next()
 	if err != nil {
-		l.spoilt()
+		c.abandonAnswer()
 		return
 	}
-	t := l.target
+	t := c.target
 	if r == nil {
-		if l.parser.Status() == 200 && !l.whole {
-			l.finish(core.Result{Outcome: snowjunction.OK})
+		if c.parser.Status() == 200 && !c.wantWhole {
+			c.finish(core.Result{Outcome: snowjunction.OK})
 		}
-		if l.rest == nil && l.parser.Begun() {
-			l.rest = t.front.Loop.After(restWithin, l.spoilt)
+		if c.answerTimer == nil && c.parser.Begun() {
+			c.answerTimer = t.front.Loop.After(answerRestTimeout, c.abandonAnswer)
 		}
 		return
 	}
-	l.rest.Stop()
-	l.rest, l.read = nil, nil
+	c.answerTimer.Stop()
+	c.answerTimer, c.received = nil, nil
 	switch {
 	case r.Close:
-		l.conn.Close(net.Finished)
-	case l.parser.Begun():
-		l.conn.Close(net.Protocol)
-	case t.left:
-		l.conn.Close(net.Drained)
+		c.conn.Close(net.Finished)
+	case c.parser.Begun():
+		c.conn.Close(net.Protocol)
+	case t.removed:
+		c.conn.Close(net.Drained)
 	default:
-		l.rests()
+		c.markIdle()
 	}
-	l.finish(t.result(r, l.whole))
+	c.finish(t.mapResult(r, c.wantWhole))
 }
 
-// spoilt gives up the rest of an answer, and the connection with it.
-func (l *link) spoilt() {
-	l.end(net.Protocol)
-	o := snowjunction.Reset
-	if l.parser.Status() == 200 {
-		o = snowjunction.OK
+// abandonAnswer gives up the rest of an answer and closes the connection.
+func (c *targetConn) abandonAnswer() {
+	c.closeConn(net.Protocol)
+	outcome := snowjunction.Reset
+	if c.parser.Status() == 200 {
+		outcome = snowjunction.OK
 	}
-	l.finish(core.Result{Outcome: o})
+	c.finish(core.Result{Outcome: outcome})
 }
 
-// result maps an answer; shown, it goes along as it came.
-func (t *target) result(r *http1.Response, shown bool) core.Result {
-	x := front.Result(r.Status, r.Get, t.front.Columns)
-	if !shown {
-		return x
+// mapResult maps an answer to a result. If withAnswer is true, the result includes the answer
+// unchanged.
+func (t *target) mapResult(response *http1.Response, withAnswer bool) core.Result {
+	result := front.Result(response.Status, response.Get, t.front.Columns)
+	if !withAnswer {
+		return result
 	}
-	x.Answer = &core.Reply{Status: r.Status, Body: r.Body}
-	r.Each(func(name, value string) {
-		x.Answer.Headers = append(x.Answer.Headers, core.HeaderField{Name: name, Value: value})
+	result.Answer = &core.Reply{Status: response.Status, Body: response.Body}
+	response.Each(func(name, value string) {
+		result.Answer.Headers = append(result.Answer.Headers, core.HeaderField{Name: name, Value: value})
 	})
-	return x
+	return result
 }
--- a/internal/front/push/listener.go
+++ b/internal/front/push/listener.go
@@ -18,27 +18,27 @@
 	"snowjunction/internal/store"
 )
 
-// client is a listener's connection.
+// client is an accepted connection.
 type client struct {
-	front *Front
-	conn  *net.Conn
-	h2    *h2.Conn
-	idle  *core.Timer
-	since time.Time // without streams
+	front     *Front
+	conn      *net.Conn
+	h2        *h2.Conn
+	idleTimer *core.Timer
+	idleSince time.Time // when its last stream ended
 }
 
-// waiter is a GET that waits for a message's end.
+// waiter is a GET that waits for a message to end.
 type waiter struct {
 	client *client
 	stream uint32
 	id     string
-	wait   int // seconds asked for
+	wait   int // requested wait in seconds
 	timer  *core.Timer
 }
 
 func (f *Front) accept(conn *net.Conn) net.Handler {
-	c := &client{front: f, conn: conn, h2: h2.NewServer(limits(f.API.Submit.MaxBody))}
-	if len(f.clients) >= f.Push.MaxConns && !f.spareClient() {
+	c := &client{front: f, conn: conn, h2: h2.NewServer(h2Limits(f.API.Submit.MaxBody))}
+	if len(f.clients) >= f.Push.MaxConns && !f.evictClient() {
 		conn.Close(net.Limit)
 		return c
 	}
@@ -50,38 +50,38 @@
 	return c
 }
 
-// spareClient makes room for another: the client without streams goes that has
-// had none for longest.
-func (f *Front) spareClient() bool {
-	var spare *client
+// evictClient makes room for another client: it closes the connection that has had no streams for
+// longest. It returns false if there is none.
+func (f *Front) evictClient() bool {
+	var oldest *client
 	for c := range f.clients {
-		idle := c.h2.Open() == 0 && f.Loop.Now().Sub(c.since) >= spareAfter
-		if idle && (spare == nil || c.since.Before(spare.since)) && !c.conn.Unread() {
-			spare = c
+		idle := c.h2.Open() == 0 && f.Loop.Now().Sub(c.idleSince) >= evictableAfter
+		if idle && (oldest == nil || c.idleSince.Before(oldest.idleSince)) && !c.conn.Unread() {
+			oldest = c
 		}
 	}
-	if spare == nil {
+	if oldest == nil {
 		return false
 	}
-	spare.bye(net.Spared)
+	oldest.closeGracefully(net.Spared)
 	return true
 }
 
-// Opened is for dialled connections only.
+// Opened is called for dialled connections only.
 func (c *client) Opened() {}
 
-// Closed forgets the client's waiters. A message it handed in lives on.
+// Closed removes the client's waiters. Messages that it submitted are still delivered.
 func (c *client) Closed(net.Code) {
-	c.idle.Stop()
+	c.idleTimer.Stop()
 	delete(c.front.clients, c)
 	for id, list := range c.front.waiting {
-		c.front.unwait(id, list, func(w *waiter) bool { return w.client == c })
+		c.front.removeWaiters(id, list, func(w *waiter) bool { return w.client == c })
 	}
 }
 
-func (f *Front) unwait(id string, list []*waiter, gone func(*waiter) bool) {
+func (f *Front) removeWaiters(id string, list []*waiter, remove func(*waiter) bool) {
 	list = slices.DeleteFunc(list, func(w *waiter) bool {
-		if !gone(w) {
+		if !remove(w) {
 			return false
 		}
 		w.timer.Stop()
@@ -92,7 +92,7 @@
 	}
 }
 
-// Data takes what has come.
+// Data handles received bytes.
 func (c *client) Data(b []byte) {
 	events, err := c.h2.Feed(c.front.Loop.Now(), b)
 	for _, ev := range events {
@@ -101,7 +101,7 @@
 			c.request(ev)
 		case h2.Reset:
 			for id, list := range c.front.waiting {
-				c.front.unwait(id, list, func(w *waiter) bool { return w.client == c && w.stream == ev.Stream })
+				c.front.removeWaiters(id, list, func(w *waiter) bool { return w.client == c && w.stream == ev.Stream })
 			}
 		}
 	}
@@ -117,47 +117,46 @@
 	}
 }
 
-// write sends what is due, and ends the connection once it has nothing left to
-// do.
+// write sends pending output, and closes the connection when there is nothing left to do.
 func (c *client) write() {
 	if out := c.h2.Output(); len(out) > 0 {
 		c.conn.Write(out)
 	}
-	c.idle.Stop()
+	c.idleTimer.Stop()
 	switch {
 	case c.h2.Open() > 0:
 	case c.front.draining:
-		if !c.unanswered() { // a close over what has come would be a reset, and take the GOAWAY with it
-			c.end(net.Shutdown)
+		if !c.unanswered() { // a close with unread bytes resets, and may discard the GOAWAY
+			c.closeConn(net.Shutdown)
 		}
 	default:
-		c.since = c.front.Loop.Now()
-		c.idle = c.front.Loop.After(idleAfter, func() { c.bye(net.Idle) })
+		c.idleSince = c.front.Loop.Now()
+		c.idleTimer = c.front.Loop.After(clientIdleTimeout, func() { c.closeGracefully(net.Idle) })
 	}
 }
 
-// unanswered tells that a request has come, or begun to come, and has no answer yet: one that
-// is above the last of a GOAWAY has its answer there, once it has been read.
+// unanswered reports whether a request has arrived, completely or in part, and has no answer yet. A
+// request above the last stream of a GOAWAY counts as answered once it has been read.
 func (c *client) unanswered() bool {
 	bytes, _ := c.conn.Look()
 	return bytes || c.h2.Open() > 0 || c.h2.Begun()
 }
 
-// bye ends a connection without streams, in due form.
-func (c *client) bye(code net.Code) {
+// closeGracefully sends a GOAWAY and closes a connection without streams.
+func (c *client) closeGracefully(code net.Code) {
 	c.h2.GoAway()
 	c.conn.Write(c.h2.Output())
-	c.end(code)
+	c.closeConn(code)
 }
 
-func (c *client) end(code net.Code) {
+func (c *client) closeConn(code net.Code) {
 	if c.conn.Up() {
 		c.conn.Close(code)
 		c.Closed(code)
 	}
 }
 
-// request routes a whole request.
+// request routes a complete request.
 func (c *client) request(m h2.Message) {
 	api := c.front.API
 	path, _, _ := strings.Cut(h2.Get(m.Fields, ":path"), "?")
@@ -170,7 +169,7 @@
 	for _, route := range []struct {
 		op     *describe.Operation
 		handle func(h2.Message, map[string]string)
-	}{{&api.Submit, c.submit}, {&api.Status, c.ask}, {&api.Delete, c.delete}} {
+	}{{&api.Submit, c.submit}, {&api.Status, c.getStatus}, {&api.Delete, c.delete}} {
 		params, ok := route.op.Match(path)
 		if !ok || route.op.Method == "" {
 			continue
@@ -193,7 +192,7 @@
 	c.problem(m.Stream, 404, "nothing is here")
 }
 
-// readHeaders checks the parameters of a request, adding its headers to them.
+// readHeaders validates the parameters of a request and adds its headers to them.
 func readHeaders(op *describe.Operation, fields []h2.Field, params map[string]string) error {
 	for _, p := range op.Params {
 		value, there := params[p.Name], true
@@ -217,7 +216,7 @@
 	return nil
 }
 
-// submit hands a message in. It is answered once the journal has it.
+// submit submits a message. It is answered once the message is in the journal.
 func (c *client) submit(m h2.Message, params map[string]string) {
 	f := c.front
 	if m.TooBig {
@@ -231,32 +230,32 @@
 		return
 	}
 	r.Origin, r.Body = f.Number, m.Body
-	if known := f.messages[r.ID]; known != nil { // handed in before, and taken on
-		c.created(m.Stream, known)
+	if earlier := f.messages[r.ID]; earlier != nil { // submitted and accepted before
+		c.respondCreated(m.Stream, earlier)
 		return
 	}
-	share, ok := urgencies[params["urgency"]]
+	share, ok := urgencyShares[params["urgency"]]
 	if !ok {
 		f.core.Counters.Malformed++
 		c.problem(m.Stream, 400, "urgency: very-low, low, normal or high")
 		return
 	}
-	if most := f.Settings.MaxHeld; most > 0 && float64(f.core.Held()) >= share*float64(most) {
-		f.core.Counters.Refused++ // what is less urgent gives way while much is held
-		c.refused(m.Stream, f.Settings.MaxRetry/2)
+	if maxHeld := f.Settings.MaxHeld; maxHeld > 0 && float64(f.core.Held()) >= share*float64(maxHeld) {
+		f.core.Counters.Refused++ // less urgent messages are rejected first when many are held
+		c.respondRejected(m.Stream, f.Settings.MaxRetry/2)
 		return
 	}
-	err = f.core.TakeIn(r, func(a core.Answer, taken *store.Message) bool {
+	err = f.core.TakeIn(r, func(a core.Answer, accepted *store.Message) bool {
 		if !c.conn.Up() {
 			return false
 		}
 		switch a.Verdict {
 		case core.Taken:
-			f.messages[r.ID] = taken
+			f.messages[r.ID] = accepted
 			f.replace(topic{r.Destination, r.Tenant, params["topic"]}, r.ID)
-			c.created(m.Stream, taken)
+			c.respondCreated(m.Stream, accepted)
 		case core.Fixed:
-			c.refused(m.Stream, a.After)
+			c.respondRejected(m.Stream, a.After)
 		default:
 			c.problem(m.Stream, 422, "it cannot be delivered in its time")
 		}
@@ -268,9 +267,9 @@
 	}
 }
 
-// urgencies are the shares of the messages that may be held (Settings.MaxHeld) beyond
-// which one of that urgency (RFC 8030, 5.3) is turned away; normal and high take all.
-var urgencies = map[string]float64{"": 1, "very-low": 0.5, "low": 0.75, "normal": 1, "high": 1}
+// urgencyShares are the shares of Settings.MaxHeld above which a message of that urgency (RFC 8030,
+// 5.3) is rejected. Normal and high urgency may use all of it.
+var urgencyShares = map[string]float64{"": 1, "very-low": 0.5, "low": 0.75, "normal": 1, "high": 1}
 
 func parseSubmit(params map[string]string) (core.Request, error) {
 	r := core.Request{
@@ -294,16 +293,16 @@
 	return r, nil
 }
 
-func (c *client) created(stream uint32, m *store.Message) {
+func (c *client) respondCreated(stream uint32, m *store.Message) {
 	left := max(0, int(math.Ceil(m.Deadline.Sub(c.front.Loop.Now()).Seconds())))
 	c.respond(stream, 201, nil,
 		h2.Field{Name: "location", Value: c.front.API.Status.Link(m.ID)},
 		h2.Field{Name: "ttl", Value: strconv.Itoa(left)})
 }
 
-// refused is the fixed response. Retry-After counts whole seconds, so the body
-// tells the milliseconds.
-func (c *client) refused(stream uint32, after time.Duration) {
+// respondRejected sends the fixed response. Retry-After has whole seconds, so the body has the
+// milliseconds.
+func (c *client) respondRejected(stream uint32, after time.Duration) {
 	status := 429
 	if c.front.draining {
 		status = 503
@@ -313,31 +312,31 @@
 		h2.Field{Name: "retry-after", Value: strconv.Itoa(int(math.Ceil(float64(ms) / 1000)))})
 }
 
-// ask tells what became of a message, if wished once it has ended.
-func (c *client) ask(m h2.Message, params map[string]string) {
+// getStatus answers with a message's state, at once or, with Prefer: wait, when it ends.
+func (c *client) getStatus(m h2.Message, params map[string]string) {
 	f := c.front
-	f.expire()
+	f.forgetExpired()
 	msg := f.messages[params["id"]]
 	if msg == nil {
-		c.unknown(m.Stream, params["id"])
+		c.respondUnknown(m.Stream, params["id"])
 		return
 	}
-	wait := preference(params["prefer"])
+	wait := preferredWait(params["prefer"])
 	if wait == 0 || msg.State != store.Open || f.draining {
-		c.status(m.Stream, msg, wait)
+		c.respondStatus(m.Stream, msg, wait)
 		return
 	}
 	w := &waiter{client: c, stream: m.Stream, id: msg.ID, wait: wait}
 	w.timer = f.Loop.After(time.Duration(wait)*time.Second, func() {
-		f.unwait(w.id, f.waiting[w.id], func(x *waiter) bool { return x == w })
-		c.status(w.stream, msg, wait)
+		f.removeWaiters(w.id, f.waiting[w.id], func(x *waiter) bool { return x == w })
+		c.respondStatus(w.stream, msg, wait)
 		c.write()
 	})
 	f.waiting[msg.ID] = append(f.waiting[msg.ID], w)
 }
 
-// delete withdraws a message that is not wanted any more, where none of it is out; one
-// that may be out is left to its end, which can be asked for.
+// delete withdraws a message unless an attempt of it is in flight. A message with an attempt in
+// flight continues to its final state, which can be queried.
 func (c *client) delete(m h2.Message, params map[string]string) {
 	f := c.front
 	switch f.core.Delete(f.Number, params["id"]) {
@@ -347,16 +346,16 @@
 		c.problem(m.Stream, 409, "an attempt is out and may deliver it: ask for its end")
 	default:
 		if msg := f.messages[params["id"]]; msg != nil && msg.State != store.Open {
-			c.problem(m.Stream, 409, "it has ended: "+c.word(msg))
+			c.problem(m.Stream, 409, "it has ended: "+c.stateText(msg))
 			return
 		}
-		c.unknown(m.Stream, params["id"])
+		c.respondUnknown(m.Stream, params["id"])
 	}
 }
 
-// unknown answers for a message that is not known here: 410 where its end was kept
-// and is forgotten, 404 otherwise.
-func (c *client) unknown(stream uint32, id string) {
+// respondUnknown answers for an unknown message: 410 if its final state was kept and is forgotten,
+// else 404.
+func (c *client) respondUnknown(stream uint32, id string) {
 	if c.front.gone[id] {
 		c.problem(stream, 410, "its end is past and no longer kept")
 		return
@@ -364,10 +363,10 @@
 	c.problem(stream, 404, "no such message, or its end is long past")
 }
 
-// word is the state told of a message that has ended.
-func (c *client) word(m *store.Message) string {
+// stateText returns the state reported for a message that has ended.
+func (c *client) stateText(m *store.Message) string {
 	switch {
-	case m.State == store.Withdrawn: // its time was up at the target
+	case m.State == store.Withdrawn: // its time was over at the target
 		return store.Failed.String()
 	case m.State == store.Deleted && slices.Contains(c.front.Life.Ended.States, describe.Withdrawn):
 		return describe.Withdrawn
@@ -377,31 +376,31 @@
 	return m.State.String()
 }
 
-// waitMost bounds what Prefer: wait can ask for, in seconds.
-const waitMost = 60
+// maxWaitSeconds bounds the wait of a Prefer header.
+const maxWaitSeconds = 60
 
-// preference is the wait of a Prefer header (RFC 7240), in seconds; what it
-// does not know it skips, as that RFC wishes.
-func preference(header string) int {
+// preferredWait returns the wait of a Prefer header (RFC 7240) in seconds. It skips unknown
+// preferences, as the RFC requires.
+func preferredWait(header string) int {
 	for _, p := range strings.Split(header, ",") {
 		p, _, _ = strings.Cut(p, ";")
 		name, value, _ := strings.Cut(strings.TrimSpace(p), "=")
 		if strings.EqualFold(strings.TrimSpace(name), "wait") {
 			if n, err := strconv.Atoi(strings.Trim(strings.TrimSpace(value), `"`)); err == nil && n > 0 {
-				return min(n, waitMost)
+				return min(n, maxWaitSeconds)
 			}
 		}
 	}
 	return 0
 }
 
-// status writes what the AsyncAPI document says of a message's life.
-func (c *client) status(stream uint32, m *store.Message, waited int) {
+// respondStatus writes the status that the AsyncAPI document defines.
+func (c *client) respondStatus(stream uint32, m *store.Message, waited int) {
 	var a fastjson.Arena
 	body, notice := a.NewObject(), &c.front.Life.Taken
 	state := "taken"
 	if m.State != store.Open {
-		notice, state = &c.front.Life.Ended, c.word(m)
+		notice, state = &c.front.Life.Ended, c.stateText(m)
 	}
 	for _, field := range notice.Fields {
 		switch {
@@ -422,7 +421,7 @@
 	c.respond(stream, 200, body.MarshalTo(nil), fields...)
 }
 
-// problem is an error answer (RFC 9457).
+// problem sends an error answer (RFC 9457).
 func (c *client) problem(stream uint32, status int, detail string, fields ...h2.Field) {
 	var a fastjson.Arena
 	body := a.NewObject()
--- a/internal/front/push/push.go
+++ b/internal/front/push/push.go
@@ -1,7 +1,6 @@
-// Package push is the front for HTTP/2 push gateways, modelled on Web Push
-// (RFC 8030): clients POST messages and GET what became of them, and targets
-// are called over HTTP/2. Both go through the same core as the platform's.
-// Connections are cleartext HTTP/2 with prior knowledge.
+// Package push is the front for HTTP/2 push gateways, modelled on Web Push (RFC 8030): clients POST
+// messages and GET their status, and targets are called over HTTP/2. Both use the same core as the
+// platform front. Connections are cleartext HTTP/2 with prior knowledge.
 package push
 
 import (
@@ -20,44 +19,45 @@
 	"snowjunction/internal/store"
 )
 
-// Config is what the front needs to know.
+// Config holds the front's dependencies and settings.
 type Config struct {
 	Loop     *core.Loop
 	Engine   *net.Engine
 	Log      *slog.Logger
-	Number   int // of this front in the core
+	Number   int // index of this front in the core
 	Push     *config.Push
 	API      *describe.API
 	Life     *describe.Life
-	Columns  []string // of the load report
+	Columns  []string // names of the values of a load report
 	Settings snowjunction.Settings
 }
 
-// Front is the push front.
+// Front is the push front. It belongs to the loop's goroutine.
 type Front struct {
 	Config
-	core     *core.Core
-	addr     string
-	draining bool
-	clients  map[*client]bool
-	messages map[string]*store.Message // by id, until forgotten
-	kept     []*store.Message          // ended ones, in order of their end
-	waiting  map[string][]*waiter      // by id, of GETs that wait for the end
-	gone     map[string]bool           // ids whose ends were kept and are forgotten, the last goneMost
-	goneList []string                  // of these, the oldest first
-	topics   map[topic]string          // the id of the last message taken with a topic, until it ends
-	topicOf  map[string]topic          // and back
-}
-
-// topic is what a message replaces another by (RFC 8030, 5.4).
+	core      *core.Core
+	addr      string
+	draining  bool
+	clients   map[*client]bool
+	messages  map[string]*store.Message // by id, until forgotten
+	ended     []*store.Message          // ended messages, in the order in which they ended
+	waiting   map[string][]*waiter      // GETs that wait for the final state, by message id
+	gone      map[string]bool           // ids of ended messages that are forgotten, at most maxGoneIDs
+	goneOrder []string                  // the keys of gone, oldest first
+	topics    map[topic]string          // id of the last message accepted with a topic, until it ends
+	topicOf   map[string]topic          // the reverse of topics
+}
+
+// topic identifies the messages that replace each other (RFC 8030, 5.4).
 type topic struct {
 	destination uint32
 	tenant      string
 	name        string
 }
 
-// replace withdraws the message that the one just taken with that topic replaces, where
-// none of that is out, on the next turn: not within the core's own answer.
+// replace withdraws the message that the one just accepted replaces by its topic, unless an attempt
+// of it is in flight. It does so on the next turn of the loop, because it is called from within the
+// core's answer.
 func (f *Front) replace(t topic, id string) {
 	if t.name == "" {
 		return
@@ -70,31 +70,31 @@
 	}
 }
 
-// pool is how the connections to one target are bounded.
-func (f *Front) pool() h2pool.Config {
+// poolConfig returns the limits of the connections to one target.
+func (f *Front) poolConfig() h2pool.Config {
 	return h2pool.Config{
-		Most: f.Push.TargetConns, Age: f.Push.ConnAge, // config gives the default; under 1 is 1
-		Idle: time.Duration(float64(f.Settings.ConnIdle) * reuseWithin),
+		Most: f.Push.TargetConns, Age: f.Push.ConnAge, // config sets a default; under 1 counts as 1
+		Idle: time.Duration(float64(f.Settings.ConnIdle) * reuseShare),
 	}
 }
 
-// goneMost bounds how many forgotten ids are answered 410 rather than 404.
-const goneMost = 1024
+// maxGoneIDs bounds how many forgotten ids are answered with 410 rather than 404.
+const maxGoneIDs = 1024
 
-// forgot remembers that an id's end was told and is no longer kept.
-func (f *Front) forgot(id string) {
-	if len(f.goneList) >= goneMost {
-		delete(f.gone, f.goneList[0])
-		f.goneList = f.goneList[1:]
+// rememberGone records that a message has ended and its state is no longer kept.
+func (f *Front) rememberGone(id string) {
+	if len(f.goneOrder) >= maxGoneIDs {
+		delete(f.gone, f.goneOrder[0])
+		f.goneOrder = f.goneOrder[1:]
 	}
 	f.gone[id] = true
-	f.goneList = append(f.goneList, id)
+	f.goneOrder = append(f.goneOrder, id)
 }
 
-// keptMost bounds how many ended messages can be asked about.
-const keptMost = 2048
+// maxKept bounds how many ended messages can be queried.
+const maxKept = 2048
 
-// New returns a front that does nothing yet.
+// New returns a front that is not started yet.
 func New(cfg Config) *Front {
 	return &Front{
 		Config: cfg, clients: map[*client]bool{}, messages: map[string]*store.Message{},
@@ -102,14 +102,15 @@
 	}
 }
 
-// Start listens, where the front's file says so, and lists its targets.
+// Start restores messages of the previous process run, lists the targets, and listens if an address
+// is configured.
 func (f *Front) Start(c *core.Core, restored []*store.Message) error {
 	f.core = c
 	for _, m := range restored {
 		if int(m.Origin) == f.Number {
 			f.messages[m.ID] = m
 			if m.Settled {
-				f.keep(m)
+				f.addEnded(m)
 			}
 		}
 	}
@@ -119,79 +120,78 @@
 	if f.Push.Listen == "" {
 		return nil
 	}
-	addr, err := f.Engine.Listen(ListenerKind, f.Push.Listen, f.accept, f.spareClient)
+	addr, err := f.Engine.Listen(ListenerKind, f.Push.Listen, f.accept, f.evictClient)
 	f.addr = addr
 	return err
 }
 
-// ListenerKind is the front's listener, in a handover.
+// ListenerKind is the kind of the front's listener in a handover.
 const ListenerKind = "push client"
 
-// Addr is the address that clients reach; "": none.
+// Addr returns the address that clients connect to; "" if the front does not listen.
 func (f *Front) Addr() string { return f.addr }
 
-// Relist takes the front's targets anew. Where they cannot be taken those held
-// stay.
+// Relist replaces the front's targets. If the new ones are rejected, the current ones stay in use.
 func (f *Front) Relist(targets []core.Entry) error {
 	news, err := groups.ListOf(true, true, targets)
 	if err == nil {
 		err = f.core.Listed(f.Number, news)
 	}
 	if err != nil {
-		return fmt.Errorf("the push front's targets: %w", err)
+		return fmt.Errorf("cannot use the push targets: %w", err)
 	}
 	return nil
 }
 
-// Target makes the target of an endpoint.
+// Target returns the target for an endpoint.
 func (f *Front) Target(e core.Entry) core.Target { return &target{front: f, entry: e} }
 
-// Ended lets those know who wait for the end. Whoever asks later is told as
-// long as it is kept.
+// Ended answers the clients that wait for the message to end. Its state can be queried until it is
+// forgotten.
 func (f *Front) Ended(m *store.Message) {
 	f.core.Settled(m)
 	if t, ok := f.topicOf[m.ID]; ok {
 		delete(f.topicOf, m.ID)
 		delete(f.topics, t)
 	}
-	f.keep(m)
+	f.addEnded(m)
 	waiters := f.waiting[m.ID]
 	delete(f.waiting, m.ID)
 	for _, w := range waiters {
 		w.timer.Stop()
-		w.client.status(w.stream, m, w.wait)
+		w.client.respondStatus(w.stream, m, w.wait)
 		w.client.write()
 	}
 }
 
-func (f *Front) keep(m *store.Message) {
-	f.kept = append(f.kept, m)
-	f.expire()
+func (f *Front) addEnded(m *store.Message) {
+	f.ended = append(f.ended, m)
+	f.forgetExpired()
 }
 
-// expire forgets the ends that have been kept for long enough.
-func (f *Front) expire() {
-	for len(f.kept) > 0 {
-		m := f.kept[0]
-		if len(f.kept) <= keptMost && f.Loop.Now().Sub(m.EndedAt) < f.Push.Retain {
+// forgetExpired forgets the ended messages whose retention time is over.
+func (f *Front) forgetExpired() {
+	for len(f.ended) > 0 {
+		m := f.ended[0]
+		if len(f.ended) <= maxKept && f.Loop.Now().Sub(m.EndedAt) < f.Push.Retain {
 			return
 		}
 		if f.messages[m.ID] == m {
 			delete(f.messages, m.ID)
-			f.forgot(m.ID)
+			f.rememberGone(m.ID)
 		}
-		f.kept = f.kept[1:]
+		f.ended = f.ended[1:]
 	}
 }
 
-// Drain has the clients turn elsewhere: their streams are answered, further
-// ones are not taken.
+// Drain makes the clients switch to other couriers: open streams are answered, and new ones are not
+// accepted.
 func (f *Front) Drain() {
 	f.draining = true
 	for _, list := range f.waiting {
 		for _, w := range list {
 			w.timer.Stop()
-			w.client.status(w.stream, f.messages[w.id], w.wait)
+			w.client.respondStatus(w.stream, f.messages[w.id], w.wait)
 		}
 	}
 	f.waiting = map[string][]*waiter{}
@@ -201,7 +201,7 @@
 	}
 }
 
-// Unanswered tells that the request of some client is being read, or waits for its answer.
+// Unanswered reports whether any client's request is being read or waits for its answer.
 func (f *Front) Unanswered() bool {
 	for c := range f.clients {
 		if c.unanswered() {
@@ -211,21 +211,21 @@
 	return false
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (f *Front) Close() {
 	for c := range f.clients {
 		c.conn.Close(net.Shutdown)
 	}
 }
 
-// limits are those of both sides of the front.
-func limits(body int) h2.Limits {
-	return h2.Limits{Streams: 100, HeaderBytes: 16 << 10, Body: body, Buffered: 1 << 20}
+// h2Limits returns the HTTP/2 limits for both sides of the front.
+func h2Limits(maxBody int) h2.Limits {
+	return h2.Limits{Streams: 100, HeaderBytes: 16 << 10, Body: maxBody, Buffered: 1 << 20}
 }
 
-// idleAfter ends a client's connection without streams, spareAfter where its
-// place is needed.
+// A client connection without streams is closed after clientIdleTimeout, or after evictableAfter if
+// its place is needed.
 const (
-	idleAfter  = 2 * time.Minute
-	spareAfter = 2 * time.Second
+	clientIdleTimeout = 2 * time.Minute
+	evictableAfter    = 2 * time.Second
 )
--- a/internal/front/push/target.go
+++ b/internal/front/push/target.go
@@ -17,52 +17,51 @@
 
 // target is an endpoint that speaks HTTP/2. Calls share its connections.
 type target struct {
-	front *Front
-	entry core.Entry
-	links []*link // that may take further calls, the oldest first
-	left  bool    // no longer in its group
+	front   *Front
+	entry   core.Entry
+	conns   []*targetConn // connections that accept further calls, oldest first
+	removed bool          // no longer in its target group
 }
 
-// link is a connection to a target.
-type link struct {
-	target *target
-	conn   *net.Conn
-	h2     *h2.Conn
-	up     bool
-	calls  map[uint32]*call
-	queue  []*call // until the connection is up, or a stream of it is free
-	used   time.Time
-	opened time.Time
-	gone   bool // takes no further call
+// targetConn is a connection to a target.
+type targetConn struct {
+	target   *target
+	conn     *net.Conn
+	h2       *h2.Conn
+	up       bool
+	calls    map[uint32]*call
+	waiting  []*call // calls that wait for the connection to open or for a free stream
+	lastUsed time.Time
+	openedAt time.Time
+	retired  bool // accepts no further calls
 }
 
 // call is one attempt, on a stream of its own.
 type call struct {
-	link   *link
-	fields []h2.Field
-	body   []byte
-	stream uint32 // 0: not on its way yet
-	status int    // of the answer that has begun; 0: none
-	rest   *core.Timer
-	kept   time.Duration // its connection had been idle; 0: a new one
-	whole  bool          // the answer is to come whole, if it does soon
-	may    func() bool   // whether it may still leave
-	done   func(core.Result)
+	conn        *targetConn
+	fields      []h2.Field
+	body        []byte
+	stream      uint32 // zero until sent
+	status      int    // status of a started answer; zero if none
+	answerTimer *core.Timer
+	idleBefore  time.Duration // idle time of the connection before the call; zero for a new one
+	wantWhole   bool          // the caller wants the complete answer, if it comes soon
+	maySend     func() bool   // whether the decision to send is still valid
+	done        func(core.Result)
 }
 
-var errStale = errors.New("the decision to send does not stand any more")
+var errStale = errors.New("decision to send is no longer valid")
 
 const (
-	maxAnswer = 64 << 10
-	// reuseWithin is the share of the time a connection may sit idle within
-	// which it is used again.
-	reuseWithin = 0.85
-	// restWithin is how long the rest of an answer may take that has begun.
-	restWithin = 500 * time.Millisecond
+	maxAnswerBytes = 64 << 10
+	// reuseShare is the share of the target's idle timeout during which a connection is reused.
+	reuseShare = 0.85
+	// answerRestTimeout is how long the rest of a started answer may take.
+	answerRestTimeout = 500 * time.Millisecond
 )
 
-// Call makes an attempt on a connection with room, or a new one.
-func (t *target) Call(m *store.Message, shape core.Shape, timeout time.Duration, may func() bool, done func(core.Result)) core.Call {
+// Call makes an attempt on a connection with room, or on a new one.
+func (t *target) Call(m *store.Message, shape core.Shape, timeout time.Duration, maySend func() bool, done func(core.Result)) core.Call {
 	lower := strings.ToLower
 	body, path := m.Body, front.InboxPath
 	if shape.HasBody {
@@ -74,7 +73,7 @@
 	if shape.Query != "" {
 		path += "?" + shape.Query
 	}
-	x := &call{may: may, done: done, body: body, whole: shape.Whole, fields: []h2.Field{
+	x := &call{maySend: maySend, done: done, body: body, wantWhole: shape.Whole, fields: []h2.Field{
 		{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"},
 		{Name: ":authority", Value: t.entry.Addr}, {Name: ":path", Value: path},
 		{Name: lower(front.HeaderID), Value: m.ID},
@@ -87,219 +86,220 @@
 	if m.IdempotencyKey != "" {
 		x.fields = append(x.fields, h2.Field{Name: lower(front.HeaderKey), Value: m.IdempotencyKey})
 	}
-	l := t.link()
-	x.link = l
-	if l.up {
-		x.kept = max(t.front.Loop.Now().Sub(l.used), 1)
+	c := t.pickConn()
+	x.conn = c
+	if c.up {
+		x.idleBefore = max(t.front.Loop.Now().Sub(c.lastUsed), 1)
 	}
-	if l.queue = append(l.queue, x); l.up {
-		l.send()
+	if c.waiting = append(c.waiting, x); c.up {
+		c.sendQueued()
 	}
 	return x
 }
 
-// link is the connection that a call goes on, as the target's pool decides: one with a
-// free stream, a new one, or, at the most, one on which the call waits for a stream.
-// Connections that carry nothing and are idle or spent end here.
-func (t *target) link() *link {
+// pickConn returns the connection for a call as the target's pool decides: one with a free stream,
+// a new one, or, at the connection limit, one on which the call waits for a stream. It closes idle
+// and expired connections that carry nothing.
+func (t *target) pickConn() *targetConn {
 	now := t.front.Loop.Now()
-	pool := t.front.pool()
-	var told []h2pool.Link
-	for _, l := range append([]*link(nil), t.links...) {
-		x := l.told(now)
-		if l.up && l.ended() { // what is written now may be lost
-			if l.leave(); len(l.calls) == 0 {
-				l.conn.Close(net.Stale)
+	pool := t.front.poolConfig()
+	var views []h2pool.Link
+	for _, c := range append([]*targetConn(nil), t.conns...) {
+		view := c.poolView(now)
+		if c.up && c.peerClosed() { // what is written now may be lost
+			if c.retire(); len(c.calls) == 0 {
+				c.conn.Close(net.Stale)
 			}
 			continue
 		}
-		switch h2pool.Retire(pool, 0, x) {
+		switch h2pool.Retire(pool, 0, view) {
 		case h2pool.Idle:
-			l.end(net.Idle)
+			c.closeConn(net.Idle)
 		case h2pool.Spent:
-			l.end(net.Finished)
+			c.closeConn(net.Finished)
 		default:
-			told = append(told, x)
+			views = append(views, view)
 		}
 	}
-	if v, at := h2pool.Pick(pool, 0, told); v != h2pool.Dial {
-		return t.links[at]
+	if verdict, index := h2pool.Pick(pool, 0, views); verdict != h2pool.Dial {
+		return t.conns[index]
 	}
-	l := &link{target: t, h2: h2.NewClient(limits(maxAnswer)), calls: map[uint32]*call{}, used: now, opened: now}
-	t.links = append(t.links, l)
-	l.conn = t.front.Engine.Dial("push target", t.entry.Addr, l)
-	return l
+	c := &targetConn{target: t, h2: h2.NewClient(h2Limits(maxAnswerBytes)), calls: map[uint32]*call{}, lastUsed: now, openedAt: now}
+	t.conns = append(t.conns, c)
+	c.conn = t.front.Engine.Dial("push target", t.entry.Addr, c)
+	return c
 }
 
-// ended tells that the other side has ended the connection, whether or not that has been heard.
-func (l *link) ended() bool {
-	_, ended := l.conn.Look()
+// peerClosed reports whether the target has closed the connection, even if the close has not been
+// handled yet.
+func (c *targetConn) peerClosed() bool {
+	_, ended := c.conn.Look()
 	return ended
 }
 
-// told is what the pool is told of a link, its times before now.
-func (l *link) told(now time.Time) h2pool.Link {
+// poolView returns the pool's view of the connection, with times relative to now.
+func (c *targetConn) poolView(now time.Time) h2pool.Link {
 	x := h2pool.Link{
-		Up: l.up, Open: len(l.calls), Queued: len(l.queue), Away: l.gone || l.h2.Closing(),
-		Opened: -now.Sub(l.opened), Used: -now.Sub(l.used), Room: limits(maxAnswer).Streams,
+		Up: c.up, Open: len(c.calls), Queued: len(c.waiting), Away: c.retired || c.h2.Closing(),
+		Opened: -now.Sub(c.openedAt), Used: -now.Sub(c.lastUsed), Room: h2Limits(maxAnswerBytes).Streams,
 	}
-	if l.up {
-		x.Room = l.h2.Free()
+	if c.up {
+		x.Room = c.h2.Free()
 	}
 	return x
 }
 
-// CloseIdle ends the connections without calls.
-func (t *target) CloseIdle() { t.drop(net.Dropped) }
+// CloseIdle closes the connections without calls.
+func (t *target) CloseIdle() { t.closeAllIdle(net.Dropped) }
 
-// Leave ends the idle connections now and the others with their calls.
+// Leave closes the idle connections now, and the others when their calls end.
 func (t *target) Leave() {
-	t.left = true
-	t.drop(net.Drained)
+	t.removed = true
+	t.closeAllIdle(net.Drained)
 }
 
-func (t *target) drop(code net.Code) {
-	for _, l := range append([]*link(nil), t.links...) {
-		l.rest(code)
+func (t *target) closeAllIdle(code net.Code) {
+	for _, c := range append([]*targetConn(nil), t.conns...) {
+		c.closeIfIdle(code)
 	}
 }
 
-// rest ends a link that has no calls.
-func (l *link) rest(code net.Code) {
-	if len(l.calls) == 0 && len(l.queue) == 0 && l.conn.Up() {
-		l.h2.GoAway()
-		l.conn.Write(l.h2.Output())
-		l.end(code)
+// closeIfIdle closes a connection without calls.
+func (c *targetConn) closeIfIdle(code net.Code) {
+	if len(c.calls) == 0 && len(c.waiting) == 0 && c.conn.Up() {
+		c.h2.GoAway()
+		c.conn.Write(c.h2.Output())
+		c.closeConn(code)
 	}
 }
 
-func (l *link) end(code net.Code) {
-	l.conn.Close(code)
-	l.leave()
+func (c *targetConn) closeConn(code net.Code) {
+	c.conn.Close(code)
+	c.retire()
 }
 
-// leave takes the link off its target: no further call goes on it.
-func (l *link) leave() {
-	l.gone = true
-	for i, x := range l.target.links {
-		if x == l {
-			l.target.links = append(l.target.links[:i], l.target.links[i+1:]...)
+// retire removes the connection from its target: no further call uses it.
+func (c *targetConn) retire() {
+	c.retired = true
+	for i, x := range c.target.conns {
+		if x == c {
+			c.target.conns = append(c.target.conns[:i], c.target.conns[i+1:]...)
 			return
 		}
 	}
 }
 
-// Opened lets the calls go that have waited for the connection. Where the target has
-// left its group meanwhile none does.
-func (l *link) Opened() {
-	l.up = true
-	if l.target.left {
-		queue := l.queue
-		l.queue = nil
-		l.end(net.Drained)
+// Opened sends the calls that waited for the connection. It sends none if the target left its group
+// in the meantime.
+func (c *targetConn) Opened() {
+	c.up = true
+	if c.target.removed {
+		queue := c.waiting
+		c.waiting = nil
+		c.closeConn(net.Drained)
 		for _, x := range queue {
 			x.finish(core.Result{Outcome: snowjunction.Moot})
 		}
 		return
 	}
-	l.send()
+	c.sendQueued()
 }
 
-// send puts the waiting calls on their streams.
-func (l *link) send() {
-	queue := l.queue
-	l.queue = nil
-	var back []*call
-	for _, x := range queue {
-		if l.h2.Free() == 0 && !l.h2.Closing() { // it waits for a stream to end
-			l.queue = append(l.queue, x)
+// sendQueued assigns the waiting calls to streams.
+func (c *targetConn) sendQueued() {
+	waiting := c.waiting
+	c.waiting = nil
+	var rejected []*call
+	for _, x := range waiting {
+		if c.h2.Free() == 0 && !c.h2.Closing() { // wait for a stream to end
+			c.waiting = append(c.waiting, x)
 			continue
 		}
 		var id uint32
 		err := errStale
-		if x.may() && !l.ended() { // the attempt's record may have taken a while
-			id, err = l.h2.Request(x.fields, x.body)
+		if x.maySend() && !c.peerClosed() { // recording the attempt may have taken long
+			id, err = c.h2.Request(x.fields, x.body)
 		}
-		if err != nil { // it takes no further stream, or x has waited too long: not sent
-			back = append(back, x)
+		if err != nil { // not sent: no further stream, or the decision is no longer valid
+			rejected = append(rejected, x)
 			continue
 		}
 		x.stream = id
-		l.calls[id] = x
+		c.calls[id] = x
 	}
-	l.used = l.target.front.Loop.Now()
-	if l.conn.Write(l.h2.Output()) || len(back) > 0 {
-		for _, x := range back {
-			// Not within Call: the core does not expect its answer there.
-			l.target.front.Loop.Post(func() { x.finish(core.Result{Outcome: snowjunction.Moot}) })
+	c.lastUsed = c.target.front.Loop.Now()
+	if c.conn.Write(c.h2.Output()) || len(rejected) > 0 {
+		for _, x := range rejected {
+			// Posted, because the core does not expect the result before Call returns.
+			c.target.front.Loop.Post(func() { x.finish(core.Result{Outcome: snowjunction.Moot}) })
 		}
 		return
 	}
-	// The socket took nothing: Closed follows, and nothing of these has left.
-	waiting := l.queue
-	l.queue = nil
-	for _, x := range queue {
+	// The socket accepted nothing: Closed follows, and nothing of these calls was sent.
+	stillWaiting := c.waiting
+	c.waiting = nil
+	for _, x := range waiting {
 		if x.stream != 0 {
-			delete(l.calls, x.stream)
+			delete(c.calls, x.stream)
 			x.stream = 0
-			l.queue = append(l.queue, x)
+			c.waiting = append(c.waiting, x)
 		}
 	}
-	l.queue = append(l.queue, waiting...)
+	c.waiting = append(c.waiting, stillWaiting...)
 }
 
-// Left tells whether the request may have left.
+// Left reports whether the request may have been sent.
 func (x *call) Left() bool { return x.stream != 0 }
 
-// Kept is how long the connection had been idle.
-func (x *call) Kept() time.Duration { return x.kept }
+// Kept returns how long the connection was idle before the call.
+func (x *call) Kept() time.Duration { return x.idleBefore }
 
-// GiveUp resets the stream, which tells the target. Other calls on the
-// connection go on.
+// GiveUp resets the stream, which lets the target notice that the call is abandoned. Other calls on
+// the connection continue.
 func (x *call) GiveUp() {
-	l := x.link
+	l := x.conn
 	x.done = nil
-	x.rest.Stop()
+	x.answerTimer.Stop()
 	if x.stream != 0 {
 		l.h2.Reset(x.stream, h2.Cancel)
 		delete(l.calls, x.stream)
 		l.conn.Write(l.h2.Output())
-		l.leave() // silence may be the connection's: the next call tries another
+		l.retire() // the connection itself may be unresponsive, so the next call uses another one
 	} else {
-		for i, q := range l.queue {
+		for i, q := range l.waiting {
 			if q == x {
-				l.queue = append(l.queue[:i], l.queue[i+1:]...)
+				l.waiting = append(l.waiting[:i], l.waiting[i+1:]...)
 				break
 			}
 		}
 	}
-	if len(l.calls) == 0 && len(l.queue) == 0 {
+	if len(l.calls) == 0 && len(l.waiting) == 0 {
 		code := net.CallTimeout
 		if !l.up {
 			code = net.DialTimeout
 		}
-		l.end(code)
+		l.closeConn(code)
 	}
 }
 
-// lost is the result of a call whose answer will not be whole. A status 200
-// that has come is true all the same; anything else may have run.
-func (x *call) lost() core.Result {
+// lostResult returns the result of a call whose answer stays incomplete. A received status of 200
+// still counts; otherwise the request may have run.
+func (x *call) lostResult() core.Result {
 	if x.status == 200 {
 		return core.Result{Outcome: snowjunction.OK}
 	}
 	return core.Result{Outcome: snowjunction.Reset}
 }
 
-// spoilt gives up the rest of an answer.
-func (x *call) spoilt() {
-	l := x.link
-	l.h2.Reset(x.stream, h2.Cancel)
-	delete(l.calls, x.stream)
-	l.conn.Write(l.h2.Output())
-	x.finish(x.lost())
-	if l.gone || l.target.left {
-		l.rest(net.Finished)
+// abandonAnswer gives up the rest of an answer.
+func (x *call) abandonAnswer() {
+	c := x.conn
+	c.h2.Reset(x.stream, h2.Cancel)
+	delete(c.calls, x.stream)
+	c.conn.Write(c.h2.Output())
+	x.finish(x.lostResult())
+	if c.retired || c.target.removed {
+		c.closeIfIdle(net.Finished)
 	}
 }
 
@@ -310,89 +310,90 @@
 	}
 }
 
-// Closed ends the calls that are out.
-func (l *link) Closed(code net.Code) {
-	never := snowjunction.ConnectFailed
-	if code == net.Limit || l.up { // no room here, or a stream was awaited: it says nothing of the target
-		never = snowjunction.Moot
-	}
-	l.leave()
-	queue, calls := l.queue, l.calls
-	l.queue, l.calls = nil, map[uint32]*call{}
+// Closed ends the calls in flight.
+func (c *targetConn) Closed(code net.Code) {
+	unsent := snowjunction.ConnectFailed
+	if code == net.Limit || c.up { // local limit or no free stream: says nothing about the target
+		unsent = snowjunction.Moot
+	}
+	c.retire()
+	queue, calls := c.waiting, c.calls
+	c.waiting, c.calls = nil, map[uint32]*call{}
 	for _, x := range queue {
-		x.finish(core.Result{Outcome: never})
+		x.finish(core.Result{Outcome: unsent})
 	}
 	for _, x := range calls {
-		x.rest.Stop()
-		x.finish(x.lost())
+		x.answerTimer.Stop()
+		x.finish(x.lostResult())
 	}
 }
 
 // Data reads answers.
-func (l *link) Data(b []byte) {
-	events, err := l.h2.Feed(l.target.front.Loop.Now(), b)
+func (c *targetConn) Data(b []byte) {
+	events, err := c.h2.Feed(c.target.front.Loop.Now(), b)
 	var begun []*call
 	for _, ev := range events {
 		switch ev := ev.(type) {
 		case h2.Head:
-			if x := l.calls[ev.Stream]; x != nil {
+			if x := c.calls[ev.Stream]; x != nil {
 				x.status, _ = strconv.Atoi(h2.Get(ev.Fields, ":status"))
 				begun = append(begun, x)
 			}
 		case h2.Message:
-			l.answer(ev)
+			c.finishCall(ev)
 		case h2.Reset:
-			l.reset(ev)
+			c.resetCall(ev)
 		case h2.Farewell:
-			l.leave()
+			c.retire()
 		}
 	}
-	// Streams have ended, and who waits takes them; or none will come, and it goes elsewhere.
-	if l.up && len(l.queue) > 0 && (l.h2.Free() > 0 || l.h2.Closing()) {
-		l.send()
+	// Streams have ended and waiting calls can use them, or no stream will become free and the
+	// calls go to another connection.
+	if c.up && len(c.waiting) > 0 && (c.h2.Free() > 0 || c.h2.Closing()) {
+		c.sendQueued()
 	}
 	for _, x := range begun {
-		if l.calls[x.stream] != x { // it came whole
+		if c.calls[x.stream] != x { // the answer is complete
 			continue
 		}
-		x.rest = l.target.front.Loop.After(restWithin, x.spoilt)
-		if x.status == 200 && !x.whole {
+		x.answerTimer = c.target.front.Loop.After(answerRestTimeout, x.abandonAnswer)
+		if x.status == 200 && !x.wantWhole {
 			x.finish(core.Result{Outcome: snowjunction.OK})
 		}
 	}
-	if out := l.h2.Output(); len(out) > 0 {
-		l.conn.Write(out)
+	if out := c.h2.Output(); len(out) > 0 {
+		c.conn.Write(out)
 	}
 	var failed *h2.ConnError
 	switch {
 	case errors.As(err, &failed):
-		l.conn.Close(net.Protocol)
-		l.Closed(net.Protocol)
-	case l.gone || l.target.left:
+		c.conn.Close(net.Protocol)
+		c.Closed(net.Protocol)
+	case c.retired || c.target.removed:
 		code := net.Finished
-		if l.target.left {
+		if c.target.removed {
 			code = net.Drained
 		}
-		l.rest(code)
+		c.closeIfIdle(code)
 	}
 }
 
-func (l *link) answer(m h2.Message) {
-	x := l.calls[m.Stream]
-	delete(l.calls, m.Stream)
-	l.used = l.target.front.Loop.Now()
+func (c *targetConn) finishCall(m h2.Message) {
+	x := c.calls[m.Stream]
+	delete(c.calls, m.Stream)
+	c.lastUsed = c.target.front.Loop.Now()
 	if x == nil {
 		return
 	}
-	x.rest.Stop()
+	x.answerTimer.Stop()
 	status, err := strconv.Atoi(h2.Get(m.Fields, ":status"))
 	if err != nil {
 		status = 500
 	}
 	r := front.Result(status, func(name string) string {
 		return h2.Get(m.Fields, strings.ToLower(name))
-	}, l.target.front.Columns)
-	if x.whole {
+	}, c.target.front.Columns)
+	if x.wantWhole {
 		r.Answer = &core.Reply{Status: status, Body: m.Body}
 		for _, f := range m.Fields {
 			if !strings.HasPrefix(f.Name, ":") {
@@ -403,18 +404,18 @@
 	x.finish(r)
 }
 
-// reset ends one call. A stream refused, or above the last of a GOAWAY, never
-// ran; after any other reset it may have.
-func (l *link) reset(r h2.Reset) {
-	x := l.calls[r.Stream]
-	delete(l.calls, r.Stream)
+// resetCall ends one call. A stream that was refused, or is above the last one of a GOAWAY, never ran;
+// after any other reset the request may have run.
+func (c *targetConn) resetCall(r h2.Reset) {
+	x := c.calls[r.Stream]
+	delete(c.calls, r.Stream)
 	if x == nil {
 		return
 	}
-	x.rest.Stop()
-	res := x.lost()
+	x.answerTimer.Stop()
+	res := x.lostResult()
 	switch {
-	case r.NotRun && l.h2.Left(): // the connection ends, the target may be well: it counts for nothing
+	case r.NotRun && c.h2.Left(): // the connection ends, but the target may be healthy
 		res.Outcome = snowjunction.Moot
 	case r.NotRun:
 		res.Outcome = snowjunction.Full
--- a/internal/front/result.go
+++ b/internal/front/result.go
@@ -1,4 +1,4 @@
-// Package front holds what the fronts share: the meaning of a target's answer.
+// Package front holds what the fronts have in common: how a target's answer maps to a result.
 package front
 
 import (
@@ -10,7 +10,7 @@
 	"snowjunction/internal/core"
 )
 
-// The headers of a call and its answer. Names are taken in any case.
+// The headers of a call and of its answer, in any case, and the path of a call.
 const (
 	HeaderID      = "X-Request-ID"
 	HeaderKey     = "Idempotency-Key"
@@ -21,43 +21,45 @@
 	InboxPath     = "/inbox"
 )
 
-// maxValue bounds what a load report can tell: it goes into reckonings.
-const maxValue = 1e9
+// maxReportValue is the largest accepted value of a load report. It keeps calculations with these values
+// finite.
+const maxReportValue = 1e9
 
-const maxWait = 24 * time.Hour // what is told beyond is a mistake
+const maxRetryAfter = 24 * time.Hour // a longer retry-after delay is taken for a mistake
 
-// Result maps a target's answer; columns name the values of its load report.
+// Result maps a target's answer to a result. Columns are the names of the values in its load
+// report.
 func Result(status int, get func(string) string, columns []string) core.Result {
-	out := core.Result{Report: report(get(HeaderLoad), columns)}
+	result := core.Result{Report: parseReport(get(HeaderLoad), columns)}
 	switch status {
 	case 200:
-		out.Outcome = snowjunction.OK
+		result.Outcome = snowjunction.OK
 	case 429:
-		out.Outcome = snowjunction.Full
+		result.Outcome = snowjunction.Full
 		ms, err := strconv.ParseFloat(get(HeaderWait), 64)
-		if err == nil && ms > 0 && ms < float64(maxWait.Milliseconds()) {
-			out.Wait = time.Duration(ms * float64(time.Millisecond))
+		if err == nil && ms > 0 && ms < float64(maxRetryAfter.Milliseconds()) {
+			result.Wait = time.Duration(ms * float64(time.Millisecond))
 		}
 	case 503:
-		out.Outcome = snowjunction.Full
+		result.Outcome = snowjunction.Full
 		if get(HeaderSlots) == "1" { // not sent: this courier's slots were taken
-			out.Outcome = snowjunction.Moot
+			result.Outcome = snowjunction.Moot
 		}
-	case 504: // all attempts made; the end is still owed
-		out.Outcome = snowjunction.Moot
+	case 504: // all attempts were made; the final result is still to be reported
+		result.Outcome = snowjunction.Moot
 	case 410:
-		out.Outcome, out.Over = snowjunction.Moot, true
-	case 421: // RFC 9110, 15.5.20: not who answers for that
-		out.Outcome, out.Elsewhere = snowjunction.Error, true
+		result.Outcome, result.Over = snowjunction.Moot, true
+	case 421: // RFC 9110, 15.5.20: the server is not responsible for this host
+		result.Outcome, result.Elsewhere = snowjunction.Error, true
 	default:
-		out.Outcome = snowjunction.Error
+		result.Outcome = snowjunction.Error
 	}
-	return out
+	return result
 }
 
-// report reads a load report such as x0=0.4,x1=25. One without all the values
-// that the settings name is none.
-func report(text string, columns []string) []float64 {
+// parseReport parses a load report such as x0=0.4,x1=25. It returns nil unless the report has valid
+// values for all columns.
+func parseReport(text string, columns []string) []float64 {
 	if text == "" || len(columns) == 0 {
 		return nil
 	}
@@ -65,7 +67,7 @@
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		v, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(v >= 0 && v <= maxValue) {
+		if err != nil || !(v >= 0 && v <= maxReportValue) {
 			return nil
 		}
 		values[name] = v
