--- a/internal/front/forward_test.go
+++ b/internal/front/forward_test.go
@@ -22,79 +22,82 @@
 	"snowjunction/internal/proto/resp"
 )
 
-// few are settings for one partition, which each member of a region owns a copy of.
-func few(t *testing.T, members ...partition.Member) *partition.Membership {
+// singlePartition returns a membership with one partition, which each member of a region owns a
+// copy of.
+func singlePartition(t *testing.T, members ...partition.Member) *partition.Membership {
 	t.Helper()
 	m, err := partition.New(1, max(1, min(len(members), partition.CopiesMax)), members)
 	require.NoError(t, err)
 	return m
 }
 
-// sees gives a site its view of who owns what. It holds the list of what it owns.
-func (s *site) sees(self string, m *partition.Membership) *partition.Router {
+// setMembership gives a courier its view of the membership. It holds the list of the partitions
+// that it owns.
+func (s *testCourier) setMembership(self string, m *partition.Membership) *partition.Router {
 	r := partition.NewRouter(partition.Options{Self: self, Region: "r1", Longest: 20 * time.Second}, m, -time.Hour)
 	r.Held(r.Wanted())
 	s.front.Router = r
 	return r
 }
 
-// forwarder is a site that owns nothing, with stand-ins for those who do, in the order in which
-// it turns to them.
-type forwarder struct {
-	*site
+// forwardingCourier is a courier that owns nothing, with fake owners in the order in which it tries
+// them.
+type forwardingCourier struct {
+	*testCourier
 	router *partition.Router
-	owners []*peer
+	owners []*fakeServer
 	names  []string
 }
 
-// newForwarder has owners in the regions named, dead ones where that is said; it stands in r1.
-func newForwarder(t *testing.T, regions ...string) *forwarder {
-	f := &forwarder{site: newSite(t)}
-	by, members := map[string]*peer{}, []partition.Member(nil)
+// newForwardingCourier has owners in the named regions; those marked as dead refuse connections.
+// The courier itself is in r1.
+func newForwardingCourier(t *testing.T, regions ...string) *forwardingCourier {
+	f := &forwardingCourier{testCourier: newTestCourier(t)}
+	by, members := map[string]*fakeServer{}, []partition.Member(nil)
 	for i, region := range regions {
-		p, name := newPeer(t), fmt.Sprintf("n%d", i)
+		p, name := newFakeServer(t), fmt.Sprintf("n%d", i)
 		region, gone := strings.CutSuffix(region, " dead")
-		addr := p.l.Addr().String()
+		addr := p.listener.Addr().String()
 		if gone {
-			addr = dead(t)
+			addr = refusingAddr(t)
 		}
 		by[name] = p
 		members = append(members, partition.Member{Name: name, Addr: addr, Region: region})
 	}
-	m := few(t, members...)
+	m := singlePartition(t, members...)
 	for _, o := range m.Owners(0, "r1") {
 		f.owners, f.names = append(f.owners, by[o.Name]), append(f.names, o.Name)
 	}
-	f.router = f.sees("f", m)
+	f.router = f.setMembership("f", m)
 	return f
 }
 
-// goes waits until a message has come to an owner, and returns the connection it came on.
-func (f *forwarder) goes(id string, owner int) *end {
+// waitForwarded waits until a message arrives at an owner, and returns its connection.
+func (f *forwardingCourier) waitForwarded(id string, owner int) *testConn {
 	f.t.Helper()
-	f.until(id+" goes to its owner", func() bool { return f.owners[owner].with(command(id)) != nil })
-	return f.owners[owner].with(command(id))
+	f.until(id+" arrives at its owner", func() bool { return f.owners[owner].with(commandStart(id)) != nil })
+	return f.owners[owner].with(commandStart(id))
 }
 
-// hears waits until a client has been sent all that text, and nothing else.
-func (s *site) hears(c *end, text string) {
+// expectAnswer waits until a client has received this text, and nothing else.
+func (s *testCourier) expectAnswer(c *testConn, text string) {
 	s.t.Helper()
-	s.until("the client is answered", func() bool { return len(c.heard()) >= len(text) })
-	require.Equal(s.t, text, c.heard())
+	s.until("the client gets an answer", func() bool { return len(c.answers()) >= len(text) })
+	require.Equal(s.t, text, c.answers())
 }
 
-// heard is what has come so far, without the greeting.
-func (e *end) heard() string {
-	e.p.mu.Lock()
-	defer e.p.mu.Unlock()
-	return strings.TrimPrefix(string(e.got), "+PONG\r\n")
+// answers returns what was received so far, without the answer to the first PING.
+func (e *testConn) answers() string {
+	e.server.mu.Lock()
+	defer e.server.mu.Unlock()
+	return strings.TrimPrefix(string(e.received), "+PONG\r\n")
 }
 
-// command is how a message's command begins, behind its key.
-func command(id string) string { return fmt.Sprintf("$%d\r\n%s\r\n", len(id), id) }
+// commandStart returns the start of a message's command after its key.
+func commandStart(id string) string { return fmt.Sprintf("$%d\r\n%s\r\n", len(id), id) }
 
-// dead is an address that refuses connections, and is nobody else's meanwhile.
-func dead(t *testing.T) string {
+// refusingAddr returns an address that refuses connections and is reserved meanwhile.
+func refusingAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
@@ -105,9 +108,9 @@
 	return fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port)
 }
 
-func debit(id string) string { return add(id, "debit", 20*time.Second) }
+func debitCommand(id string) string { return addCommand(id, "debit", 20*time.Second) }
 
-func outAdd(args ...string) string {
+func outAddCommand(args ...string) string {
 	all := [][]byte{[]byte("OUT.ADD")}
 	for _, a := range args {
 		all = append(all, []byte(a))
@@ -115,471 +118,480 @@
 	return string(resp.Command(all...))
 }
 
-// forwarded is a message that another courier forwards.
-func forwarded(id string) string { return outAdd("5", id, "c=debit,d=20000,dest=7,fwd=1", "body") }
+// forwardedCommand is the command of a message forwarded by another courier.
+func forwardedCommand(id string) string {
+	return outAddCommand("5", id, "c=debit,d=20000,dest=7,fwd=1", "body")
+}
 
-// A message goes to its owner as it came, but for the time that has gone by, and the owner's
-// answer is the client's. The connection is kept for the next.
-func TestForwarded(t *testing.T) {
-	f := newForwarder(t, "r1")
+// A message must arrive at its owner unchanged, except for the time that has passed, and the
+// owner's answer must reach the client. The connection is reused for the next message.
+func TestForwardToOwner(t *testing.T) {
+	f := newForwardingCourier(t, "r1")
 	c := f.client()
 	for i, text := range []string{"+OK\r\n", "-BUSY\r\n", "-BUSY 40\r\n", "-ERR failed\r\n", "+OK\r\n"} {
 		id := fmt.Sprintf("m%d", i)
-		c.say(t, outAdd("0002af", id, "zone=x,c=debit,d=900.5,k=k1,dest=7,r=1,t=,again=0,x=", "bo\r\ndy "))
-		e := f.goes(id, 0)
-		f.until("the body comes", func() bool { return f.owners[0].took(0, "$7\r\nbo\r\ndy \r\n", i+1) })
-		assert.Contains(t, string(e.got), outAdd("2af", id, "c=debit,d=900.5,dest=7,k=k1,again=1,fwd=1", "bo\r\ndy "))
-		e.say(t, text)
-		f.until("the client is answered", func() bool { return strings.HasSuffix(c.heard(), text) && strings.Count(c.heard(), "\r\n") == i+1 })
+		c.send(t, outAddCommand("0002af", id, "zone=x,c=debit,d=900.5,k=k1,dest=7,r=1,t=,again=0,x=", "bo\r\ndy "))
+		e := f.waitForwarded(id, 0)
+		f.until("the body arrives", func() bool { return f.owners[0].hasReceived(0, "$7\r\nbo\r\ndy \r\n", i+1) })
+		assert.Contains(t, string(e.received), outAddCommand("2af", id, "c=debit,d=900.5,dest=7,k=k1,again=1,fwd=1", "bo\r\ndy "))
+		e.send(t, text)
+		f.until("the client gets an answer", func() bool { return strings.HasSuffix(c.answers(), text) && strings.Count(c.answers(), "\r\n") == i+1 })
 	}
-	assert.Nil(t, f.owners[0].at(1), "one connection has carried all")
-	assert.Zero(t, f.core.Counters.In, "the forwarder owes nothing")
+	assert.Nil(t, f.owners[0].at(1), "all messages use one connection")
+	assert.Zero(t, f.core.Counters.In, "the forwarder accepts no message itself")
 	assert.EqualValues(t, 5, f.core.Counters.Forwarded)
 
-	c.say(t, add("m9", "nothing", time.Second)+add("m9", "debit", -time.Second))
-	f.until("what is wrong is answered here", func() bool { return strings.Count(c.heard(), "-ERR invalid message") == 2 })
+	c.send(t, addCommand("m9", "nothing", time.Second)+addCommand("m9", "debit", -time.Second))
+	f.until("invalid messages are answered by the forwarder", func() bool { return strings.Count(c.answers(), "-ERR invalid message") == 2 })
 	assert.EqualValues(t, 2, f.core.Counters.Malformed)
-	assert.Nil(t, f.owners[0].with(command("m9")))
+	assert.Nil(t, f.owners[0].with(commandStart("m9")))
 }
 
-// Time that passes before a message leaves is taken off what is left of it; one that has none
-// left does not leave.
-func TestForwardedLater(t *testing.T) {
-	f := newForwarder(t, "r1", "r2")
-	f.owners[0].shut(t)
+// Guards against forwarding a message with its original time left. Time spent before it is sent
+// must be subtracted, and a message without time left must not be sent.
+func TestForwardReducesTimeLeft(t *testing.T) {
+	f := newForwardingCourier(t, "r1", "r2")
+	f.owners[0].blockConnects(t)
 	c, d := f.client(), f.client()
-	c.say(t, add("m1", "debit", time.Second))
-	d.say(t, add("m2", "debit", 200*time.Millisecond))
-	f.until("both are on their way", func() bool { return f.engine.Kinds()[platform.ForwardKind] == 2 })
+	c.send(t, addCommand("m1", "debit", time.Second))
+	d.send(t, addCommand("m2", "debit", 200*time.Millisecond))
+	f.until("both are being dialled", func() bool { return f.engine.Kinds()[platform.ForwardKind] == 2 })
 	f.after(201 * time.Millisecond)
-	e := f.goes("m1", 1)
-	f.until("its names come", func() bool { return f.owners[1].with(",d=799,") == e })
-	f.hears(d, "-ERR failed\r\n")
-	assert.Nil(t, f.owners[1].with(command("m2")))
-	f.owners[0].open(t)
+	e := f.waitForwarded("m1", 1)
+	f.until("the fields arrive", func() bool { return f.owners[1].with(",d=799,") == e })
+	f.expectAnswer(d, "-ERR failed\r\n")
+	assert.Nil(t, f.owners[1].with(commandStart("m2")))
+	f.owners[0].unblockConnects(t)
 }
 
-// Where the command has surely not left, or the courier owns nothing, the next one is asked; and
-// who cannot be reached is passed over for a while.
-func TestNextOwner(t *testing.T) {
+// If the command was certainly not sent, or the courier does not own the destination, the next
+// owner must be tried. An owner that cannot be reached is skipped for some time.
+func TestForwardToNextOwner(t *testing.T) {
 	for name, row := range map[string]struct {
-		first  string
-		before func(f *forwarder)
-		while  func(f *forwarder)
-		over   bool // the first is passed over next
+		first   string
+		before  func(f *forwardingCourier)
+		during  func(f *forwardingCourier)
+		skipped bool // the first owner is skipped next time
 	}{
-		"the first is dead":     {first: "r1 dead", over: true},
-		"it does not come up":   {first: "r1", before: func(f *forwarder) { f.owners[0].shut(f.t) }, while: func(f *forwarder) { f.after(201 * time.Millisecond) }, over: true},
-		"it does not own that":  {first: "r1", while: func(f *forwarder) { f.goes("m1", 0).say(f.t, "-MOVED\r\n") }},
-		"it says why it cannot": {first: "r1", while: func(f *forwarder) { f.goes("m1", 0).say(f.t, "-MOVED to n7\r\n") }},
+		"connection refused":       {first: "r1 dead", skipped: true},
+		"connect timeout":          {first: "r1", before: func(f *forwardingCourier) { f.owners[0].blockConnects(f.t) }, during: func(f *forwardingCourier) { f.after(201 * time.Millisecond) }, skipped: true},
+		"not the owner":            {first: "r1", during: func(f *forwardingCourier) { f.waitForwarded("m1", 0).send(f.t, "-MOVED\r\n") }},
+		"not the owner, with text": {first: "r1", during: func(f *forwardingCourier) { f.waitForwarded("m1", 0).send(f.t, "-MOVED to n7\r\n") }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newForwarder(t, row.first, "r2")
+			f := newForwardingCourier(t, row.first, "r2")
 			if row.before != nil {
 				row.before(f)
 			}
 			c := f.client()
-			c.say(t, debit("m1"))
-			if row.while != nil {
-				f.until("it is on its way", func() bool { return f.engine.Kinds()[platform.ForwardKind] > 0 })
-				row.while(f)
+			c.send(t, debitCommand("m1"))
+			if row.during != nil {
+				f.until("the message is being forwarded", func() bool { return f.engine.Kinds()[platform.ForwardKind] > 0 })
+				row.during(f)
 			}
-			f.goes("m1", 1).say(t, "+OK\r\n")
-			f.hears(c, "+OK\r\n")
+			f.waitForwarded("m1", 1).send(t, "+OK\r\n")
+			f.expectAnswer(c, "+OK\r\n")
 			assert.EqualValues(t, 1, f.core.Counters.Vain)
-			c.say(t, debit("m2"))
-			if row.over {
-				f.goes("m2", 1)
-				assert.EqualValues(t, 1, f.core.Counters.Vain, "it is not tried")
+			c.send(t, debitCommand("m2"))
+			if row.skipped {
+				f.waitForwarded("m2", 1)
+				assert.EqualValues(t, 1, f.core.Counters.Vain, "the first owner is not tried")
 			} else {
-				f.goes("m2", 0)
+				f.waitForwarded("m2", 0)
 			}
 		})
 	}
 }
 
-// Once a command has left, its outcome is known by its answer alone: without one the client's
-// connection ends unanswered, with all that the client waits for, and no other owner is asked.
-func TestNoAnswer(t *testing.T) {
-	says := func(text string) func(f *forwarder, e *end) {
-		return func(f *forwarder, e *end) { e.say(f.t, text) }
+// Guards against duplicates after a forwarded command was sent: only its answer tells the outcome.
+// Without one, the client's connection must close unanswered, with all other requests of the
+// client, and no other owner may be tried.
+func TestForwardWithoutAnswer(t *testing.T) {
+	says := func(text string) func(f *forwardingCourier, e *testConn) {
+		return func(f *forwardingCourier, e *testConn) { e.send(f.t, text) }
 	}
 	for name, row := range map[string]struct {
-		happens func(f *forwarder, e *end)
+		happens func(f *forwardingCourier, e *testConn)
 		code    net.Code
 	}{
-		"killed":          {func(f *forwarder, e *end) { require.NoError(f.t, e.SetLinger(0)); e.Close() }, net.PeerReset},
-		"ended":           {func(f *forwarder, e *end) { e.finish(f.t) }, net.PeerClosed},
-		"silent":          {func(f *forwarder, e *end) { f.after(400 * time.Millisecond) }, net.CallTimeout},
-		"part of one":     {func(f *forwarder, e *end) { e.say(f.t, "+OK\r"); f.settle(); f.after(400 * time.Millisecond) }, net.CallTimeout},
-		"another answer":  {says("+PONG\r\n"), net.Protocol},
-		"another error":   {says("-LOADING not ready\r\n"), net.Protocol},
-		"OKAY":            {says("+OKAY\r\n"), net.Protocol},
-		"a bulk string":   {says("$3\r\n+OK\r\n"), net.Protocol},
-		"nonsense":        {says("HTTP/1.1 200 OK\r\n"), net.Protocol},
-		"without its end": {func(f *forwarder, e *end) { e.say(f.t, "-BUSY"); e.finish(f.t) }, net.PeerClosed},
+		"reset":   {func(f *forwardingCourier, e *testConn) { require.NoError(f.t, e.SetLinger(0)); e.Close() }, net.PeerReset},
+		"close":   {func(f *forwardingCourier, e *testConn) { e.halfClose(f.t) }, net.PeerClosed},
+		"timeout": {func(f *forwardingCourier, e *testConn) { f.after(400 * time.Millisecond) }, net.CallTimeout},
+		"part of an answer": {func(f *forwardingCourier, e *testConn) {
+			e.send(f.t, "+OK\r")
+			f.settle()
+			f.after(400 * time.Millisecond)
+		}, net.CallTimeout},
+		"another answer":    {says("+PONG\r\n"), net.Protocol},
+		"another error":     {says("-LOADING not ready\r\n"), net.Protocol},
+		"OKAY":              {says("+OKAY\r\n"), net.Protocol},
+		"a bulk string":     {says("$3\r\n+OK\r\n"), net.Protocol},
+		"other protocol":    {says("HTTP/1.1 200 OK\r\n"), net.Protocol},
+		"incomplete answer": {func(f *forwardingCourier, e *testConn) { e.send(f.t, "-BUSY"); e.halfClose(f.t) }, net.PeerClosed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newForwarder(t, "r1", "r2")
+			f := newForwardingCourier(t, "r1", "r2")
 			other, c, d := f.client(), f.client(), f.client()
-			other.say(t, debit("m0"))
-			f.goes("m0", 0).say(t, "+OK\r\n")
-			f.hears(other, "+OK\r\n") // its connection rests
-			d.say(t, debit("m1"))     // and is used
-			f.goes("m1", 0)
+			other.send(t, debitCommand("m0"))
+			f.waitForwarded("m0", 0).send(t, "+OK\r\n")
+			f.expectAnswer(other, "+OK\r\n") // its connection becomes idle
+			d.send(t, debitCommand("m1"))    // and is used again
+			f.waitForwarded("m1", 0)
 			f.after(time.Millisecond)
-			c.say(t, debit("m2")+debit("m3")+add("m4", "order", time.Second)+add("m5", "order", time.Second)+"*1\r\n$4\r\nPING\r\n")
+			c.send(t, debitCommand("m2")+debitCommand("m3")+addCommand("m4", "order", time.Second)+addCommand("m5", "order", time.Second)+"*1\r\n$4\r\nPING\r\n")
 			for _, id := range []string{"m2", "m3", "m4"} {
-				f.goes(id, 0)
+				f.waitForwarded(id, 0)
 			}
-			f.goes("m1", 0).say(t, "+OK\r\n")
-			f.hears(d, "+OK\r\n")
-			row.happens(f, f.goes("m2", 0))
-			f.until("the client's connection ends", func() bool { return c.p.ended(0) })
-			assert.Empty(t, c.heard())
-			assert.Contains(t, f.codes["client"], string(net.Unknown))
-			assert.Contains(t, f.codes[platform.ForwardKind], string(row.code))
-			assert.Contains(t, f.codes[platform.ForwardKind], string(net.Dropped), "what rests would swallow the next")
-			assert.Zero(t, f.engine.Kinds()[platform.ForwardKind], "and the client's other commands are called off")
+			f.waitForwarded("m1", 0).send(t, "+OK\r\n")
+			f.expectAnswer(d, "+OK\r\n")
+			row.happens(f, f.waitForwarded("m2", 0))
+			f.until("the client's connection is closed", func() bool { return c.server.connClosed(0) })
+			assert.Empty(t, c.answers())
+			assert.Contains(t, f.closeCodes["client"], string(net.Unknown))
+			assert.Contains(t, f.closeCodes[platform.ForwardKind], string(row.code))
+			assert.Contains(t, f.closeCodes[platform.ForwardKind], string(net.Dropped), "idle connections to the courier are closed")
+			assert.Zero(t, f.engine.Kinds()[platform.ForwardKind], "the client's other commands are abandoned")
 			assert.True(t, f.front.Hushed())
-			assert.Nil(t, f.owners[0].with(command("m5")), "and what waits behind them")
-			assert.Nil(t, f.owners[1].at(0), "no other owner is asked")
+			assert.Nil(t, f.owners[0].with(commandStart("m5")), "queued commands are abandoned")
+			assert.Nil(t, f.owners[1].at(0), "no other owner is tried")
 			assert.EqualValues(t, 1, f.core.Counters.Unknown)
-			d.say(t, debit("m6"))
+			d.send(t, debitCommand("m6"))
 			if row.code == net.CallTimeout {
-				f.goes("m6", 1) // a silent one is passed over for a while
-				d.say(t, add("m7", "order", time.Second))
-				f.until("m4 may be with it", func() bool {
-					return strings.Contains(d.heard(), "-BUSY 501") || f.front.Unanswered() && f.core.Counters.Unrouted == 1
+				f.waitForwarded("m6", 1) // an owner that did not answer is skipped for some time
+				d.send(t, addCommand("m7", "order", time.Second))
+				f.until("the key is held because the owner may have m4", func() bool {
+					return strings.Contains(d.answers(), "-BUSY 501") || f.front.Unanswered() && f.core.Counters.Unrouted == 1
 				})
 			} else {
-				f.goes("m6", 0)
+				f.waitForwarded("m6", 0)
 			}
 		})
 	}
 }
 
-// What an answer brings that comes too late, or twice, is nobody else's.
-func TestAnswersAreNobodyElses(t *testing.T) {
-	for name, meanwhile := range map[string]func(e *end){
-		"a second answer":       func(e *end) { e.say(t, "+OK\r\n") },
-		"part of one":           func(e *end) { e.say(t, "+O") },
-		"its end":               func(e *end) { e.finish(t) },
-		"an answer and its end": func(e *end) { e.say(t, "-BUSY 7\r\n"); e.finish(t) },
+// Guards against taking a late or duplicate answer for the answer to the next command.
+func TestUnsolicitedAnswerIsIgnored(t *testing.T) {
+	for name, meanwhile := range map[string]func(e *testConn){
+		"a second answer":       func(e *testConn) { e.send(t, "+OK\r\n") },
+		"part of an answer":     func(e *testConn) { e.send(t, "+O") },
+		"a close":               func(e *testConn) { e.halfClose(t) },
+		"an answer and a close": func(e *testConn) { e.send(t, "-BUSY 7\r\n"); e.halfClose(t) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newForwarder(t, "r1")
+			f := newForwardingCourier(t, "r1")
 			c := f.client()
-			c.say(t, debit("m1"))
-			f.goes("m1", 0).say(t, "+OK\r\n")
-			f.hears(c, "+OK\r\n")
+			c.send(t, debitCommand("m1"))
+			f.waitForwarded("m1", 0).send(t, "+OK\r\n")
+			f.expectAnswer(c, "+OK\r\n")
 			e := f.owners[0].at(0)
-			// The loop stands still: the command comes to it before what has come on that connection.
+			// The loop is stopped here, so it handles the command before the data received on that
+			// connection.
 			var answers []string
 			meanwhile(e)
 			require.NoError(t, f.front.HandIn(core.Request{ID: "m2", Class: "debit", Destination: 7, Left: time.Second}, func(text []byte) {
 				answers = append(answers, string(text))
 			}))
-			f.goes("m2", 0)
-			assert.False(t, f.owners[0].took(0, command("m2"), 1), "it goes on another connection")
-			assert.Empty(t, answers, "and has no answer yet")
-			f.owners[0].at(1).say(t, "-BUSY 9\r\n")
-			f.until("its own is its answer", func() bool { return len(answers) == 1 })
+			f.waitForwarded("m2", 0)
+			assert.False(t, f.owners[0].hasReceived(0, commandStart("m2"), 1), "the second message uses another connection")
+			assert.Empty(t, answers, "the second message has no answer yet")
+			f.owners[0].at(1).send(t, "-BUSY 9\r\n")
+			f.until("the second message gets its own answer", func() bool { return len(answers) == 1 })
 			assert.Equal(t, "-BUSY 9\r\n", answers[0])
 		})
 	}
-	f := newForwarder(t, "r1")
+	f := newForwardingCourier(t, "r1")
 	c := f.client()
-	c.say(t, debit("m1"))
-	f.goes("m1", 0).say(t, "+OK\r\n+OK\r\n")
-	f.hears(c, "+OK\r\n")
-	c.say(t, debit("m2"))
-	f.goes("m2", 0)
-	assert.NotNil(t, f.owners[0].at(1), "a connection with two answers is not used again")
+	c.send(t, debitCommand("m1"))
+	f.waitForwarded("m1", 0).send(t, "+OK\r\n+OK\r\n")
+	f.expectAnswer(c, "+OK\r\n")
+	c.send(t, debitCommand("m2"))
+	f.waitForwarded("m2", 0)
+	assert.NotNil(t, f.owners[0].at(1), "a connection with two answers is not reused")
 }
 
-// An idle connection is ended long before the other side would end it.
-func TestForwardConnectionThatRests(t *testing.T) {
-	f := newForwarder(t, "r1")
+// Guards against reusing a connection that the other courier is about to close for being idle.
+func TestIdleForwardConnectionCloses(t *testing.T) {
+	f := newForwardingCourier(t, "r1")
 	c := f.client()
-	c.say(t, debit("m1"))
-	f.goes("m1", 0).say(t, "+OK\r\n")
-	f.hears(c, "+OK\r\n")
+	c.send(t, debitCommand("m1"))
+	f.waitForwarded("m1", 0).send(t, "+OK\r\n")
+	f.expectAnswer(c, "+OK\r\n")
 	f.after(4900 * time.Millisecond)
-	c.say(t, debit("m2"))
-	f.goes("m2", 0).say(t, "+OK\r\n")
-	f.hears(c, "+OK\r\n+OK\r\n")
+	c.send(t, debitCommand("m2"))
+	f.waitForwarded("m2", 0).send(t, "+OK\r\n")
+	f.expectAnswer(c, "+OK\r\n+OK\r\n")
 	assert.Nil(t, f.owners[0].at(1))
-	c.say(t, debit("m3")+debit("m4"))
-	f.goes("m3", 0).say(t, "+OK\r\n")
-	f.goes("m4", 0)
-	f.until("the first rests", func() bool { return strings.Count(c.heard(), "+OK") == 3 })
+	c.send(t, debitCommand("m3")+debitCommand("m4"))
+	f.waitForwarded("m3", 0).send(t, "+OK\r\n")
+	f.waitForwarded("m4", 0)
+	f.until("the first connection is idle", func() bool { return strings.Count(c.answers(), "+OK") == 3 })
 	f.after(time.Millisecond)
-	f.goes("m4", 0).say(t, "+OK\r\n")
-	f.until("so does the second", func() bool { return strings.Count(c.heard(), "+OK") == 4 })
+	f.waitForwarded("m4", 0).send(t, "+OK\r\n")
+	f.until("the second connection is idle", func() bool { return strings.Count(c.answers(), "+OK") == 4 })
 	f.after(5*time.Second - time.Millisecond)
-	f.until("the first ends", func() bool { return f.owners[0].ended(0) })
-	assert.Equal(t, 1, f.engine.Kinds()[platform.ForwardKind], "the one that has rested for longest goes first")
+	f.until("the first connection is closed", func() bool { return f.owners[0].connClosed(0) })
+	assert.Equal(t, 1, f.engine.Kinds()[platform.ForwardKind], "the longest idle connection is closed first")
 	f.after(time.Millisecond)
-	f.until("the second ends", func() bool { return f.owners[0].ended(1) })
+	f.until("the second connection is closed", func() bool { return f.owners[0].connClosed(1) })
 	assert.Zero(t, f.engine.Kinds()[platform.ForwardKind])
 }
 
-// A client that goes takes its command's connection along, and the key's next message goes on,
-// to the courier that may have the last.
-func TestClientGoesWhileForwarding(t *testing.T) {
-	f := newForwarder(t, "r1", "r2")
+// If a client disconnects, its command's connection must be closed, and the key's next message must
+// go to the courier that may have the last one.
+func TestClientDisconnectsDuringForward(t *testing.T) {
+	f := newForwardingCourier(t, "r1", "r2")
 	c, d := f.client(), f.client()
-	c.say(t, add("m1", "order", 20*time.Second)+add("m2", "order", 20*time.Second))
-	f.goes("m1", 0)
-	d.say(t, add("m3", "order", 20*time.Second))
+	c.send(t, addCommand("m1", "order", 20*time.Second)+addCommand("m2", "order", 20*time.Second))
+	f.waitForwarded("m1", 0)
+	d.send(t, addCommand("m3", "order", 20*time.Second))
 	f.settle()
 	c.Close()
-	f.until("the owner sees it go", func() bool { return f.owners[0].ended(0) })
-	f.goes("m3", 0)
-	assert.Nil(t, f.owners[0].with(command("m2")), "what had not left does not")
-	assert.Equal(t, []string{string(net.ClientGone)}, f.codes[platform.ForwardKind])
-	f.goes("m3", 0).say(t, "-MOVED\r\n")
-	f.until("it is refused", func() bool { return strings.HasPrefix(d.heard(), "-BUSY ") })
-	assert.Nil(t, f.owners[1].at(0), "m1 may be with the first owner")
-}
-
-// Messages of a key leave one after another, each with its own client: on two connections they
-// could overtake each other. Others do not wait.
-func TestKeyIsForwardedInOrder(t *testing.T) {
-	f := newForwarder(t, "r1")
+	f.until("the owner's connection is closed", func() bool { return f.owners[0].connClosed(0) })
+	f.waitForwarded("m3", 0)
+	assert.Nil(t, f.owners[0].with(commandStart("m2")), "a queued message is not sent")
+	assert.Equal(t, []string{string(net.ClientGone)}, f.closeCodes[platform.ForwardKind])
+	f.waitForwarded("m3", 0).send(t, "-MOVED\r\n")
+	f.until("the message is rejected", func() bool { return strings.HasPrefix(d.answers(), "-BUSY ") })
+	assert.Nil(t, f.owners[1].at(0), "the first owner may have m1")
+}
+
+// Guards against messages of a key overtaking each other on two connections: each one must wait for
+// the answer to the one before. Other messages do not wait.
+func TestForwardKeepsKeyOrder(t *testing.T) {
+	f := newForwardingCourier(t, "r1")
 	c := f.client()
-	c.say(t, add("m1", "order", 20*time.Second)+add("m2", "order", 20*time.Second)+add("m3", "order", 20*time.Second)+debit("m4"))
-	f.goes("m1", 0)
-	f.goes("m4", 0).say(t, "-BUSY 4\r\n")
+	c.send(t, addCommand("m1", "order", 20*time.Second)+addCommand("m2", "order", 20*time.Second)+addCommand("m3", "order", 20*time.Second)+debitCommand("m4"))
+	f.waitForwarded("m1", 0)
+	f.waitForwarded("m4", 0).send(t, "-BUSY 4\r\n")
 	f.settle()
-	assert.Nil(t, f.owners[0].with(command("m2")))
-	f.goes("m1", 0).say(t, "+OK\r\n")
-	f.goes("m2", 0).say(t, "-BUSY 2\r\n")
-	f.goes("m3", 0).say(t, "+OK\r\n")
-	f.hears(c, "+OK\r\n-BUSY 2\r\n+OK\r\n-BUSY 4\r\n")
+	assert.Nil(t, f.owners[0].with(commandStart("m2")))
+	f.waitForwarded("m1", 0).send(t, "+OK\r\n")
+	f.waitForwarded("m2", 0).send(t, "-BUSY 2\r\n")
+	f.waitForwarded("m3", 0).send(t, "+OK\r\n")
+	f.expectAnswer(c, "+OK\r\n-BUSY 2\r\n+OK\r\n-BUSY 4\r\n")
 }
 
-// No more wait for others of their key than may be out.
-func TestKeyThatWaits(t *testing.T) {
-	f := newForwarder(t, "r1")
+// Guards against an unbounded queue: no more messages may wait for others of their key than may be
+// in flight.
+func TestKeyQueueIsBounded(t *testing.T) {
+	f := newForwardingCourier(t, "r1")
 	c := f.client()
-	const most = 16 // of 64
+	const maxInFlight = 16 // of 64
 	var all string
-	for i := range most + 3 {
-		all += add(fmt.Sprintf("m%d", i), "order", 20*time.Second)
+	for i := range maxInFlight + 3 {
+		all += addCommand(fmt.Sprintf("m%d", i), "order", 20*time.Second)
 	}
-	c.say(t, all)
-	f.goes("m0", 0)
-	f.until("the last ones are refused", func() bool { return f.core.Counters.Unrouted == 2 })
+	c.send(t, all)
+	f.waitForwarded("m0", 0)
+	f.until("the last messages are rejected", func() bool { return f.core.Counters.Unrouted == 2 })
 	f.after(400 * time.Millisecond)
-	f.until("what became of the first is not known", func() bool { return c.p.ended(0) })
-	assert.Empty(t, c.heard())
+	f.until("the outcome of the first message is unknown", func() bool { return c.server.connClosed(0) })
+	assert.Empty(t, c.answers())
 
 	d, e := f.client(), f.client()
 	f.after(500 * time.Millisecond)
-	d.say(t, add("n0", "order", 20*time.Second))
-	f.goes("n0", 0)
+	d.send(t, addCommand("n0", "order", 20*time.Second))
+	f.waitForwarded("n0", 0)
 	f.after(200 * time.Millisecond)
-	e.say(t, add("n1", "order", 20*time.Second))
+	e.send(t, addCommand("n1", "order", 20*time.Second))
 	f.settle()
 	f.after(200 * time.Millisecond)
-	f.until("the first has none", func() bool { return d.p.ended(0) })
-	f.hears(e, "-BUSY 501\r\n")
-	assert.Nil(t, f.owners[0].with(command("n1")))
+	f.until("the first message has no answer", func() bool { return d.server.connClosed(0) })
+	f.expectAnswer(e, "-BUSY 501\r\n")
+	assert.Nil(t, f.owners[0].with(commandStart("n1")))
 }
 
-// A region is cut off: its messages go to the other region's owner, and back once it is reached.
-// A key's go where its last one is, until its time is over; and are refused where that courier
-// cannot be reached.
-func TestRegionIsCut(t *testing.T) {
-	f := newForwarder(t, "r2", "r1")
+// If a region is unreachable, its messages must go to the owner in the other region, and back when
+// it can be reached again. Messages of a key must go where the last one went until its time is
+// over.
+func TestRegionUnreachable(t *testing.T) {
+	f := newForwardingCourier(t, "r2", "r1")
 	c := f.client()
-	said := 0
-	answers := func(id string, owner int) {
+	accepted := 0
+	accept := func(id string, owner int) {
 		t.Helper()
-		f.goes(id, owner).say(t, "+OK\r\n")
-		said++
-		f.until("it is answered", func() bool { return strings.Count(c.heard(), "+OK\r\n") == said })
+		f.waitForwarded(id, owner).send(t, "+OK\r\n")
+		accepted++
+		f.until("the message is answered", func() bool { return strings.Count(c.answers(), "+OK\r\n") == accepted })
 	}
-	say := func(id, class string, owner int) {
+	sendAccepted := func(id, class string, owner int) {
 		t.Helper()
-		c.say(t, add(id, class, 3*time.Second))
-		answers(id, owner)
+		c.send(t, addCommand(id, class, 3*time.Second))
+		accept(id, owner)
 	}
-	say("m1", "debit", 0)
-	f.after(5 * time.Second)               // its connection has gone
-	silent := func(id string, owner int) { // nobody is at that owner's address
+	sendAccepted("m1", "debit", 0)
+	f.after(5 * time.Second)                          // its idle connection is closed
+	sendToUnreachable := func(id string, owner int) { // nothing answers at that owner's address
 		t.Helper()
-		f.owners[owner].shut(t)
+		f.owners[owner].blockConnects(t)
 		posted := f.posted.Load()
-		c.say(t, add(id, "order", 3*time.Second))
-		f.until("it is dialled", func() bool { return f.engine.Kinds()[platform.ForwardKind] == 1 })
+		c.send(t, addCommand(id, "order", 3*time.Second))
+		f.until("the owner is dialled", func() bool { return f.engine.Kinds()[platform.ForwardKind] == 1 })
 		f.after(201 * time.Millisecond)
-		f.until("dialling is called off", func() bool { return f.posted.Load() > posted+1 })
+		f.until("the dial is cancelled", func() bool { return f.posted.Load() > posted+1 })
 	}
-	silent("m2", 0)
-	answers("m2", 1)
-	say("m3", "debit", 1)
-	f.owners[0].open(t)
+	sendToUnreachable("m2", 0)
+	accept("m2", 1)
+	sendAccepted("m3", "debit", 1)
+	f.owners[0].unblockConnects(t)
 	f.after(501 * time.Millisecond)
-	say("m4", "debit", 0)
-	say("m5", "order", 1)
+	sendAccepted("m4", "debit", 0)
+	sendAccepted("m5", "order", 1)
 	f.after(2500 * time.Millisecond)
-	say("m6", "order", 1) // m5 may be open still
+	sendAccepted("m6", "order", 1) // m5 may still be open
 	f.after(3001 * time.Millisecond)
-	say("m7", "order", 0)
+	sendAccepted("m7", "order", 0)
 	f.after(5001 * time.Millisecond)
-	f.until("what rests has gone", func() bool { return f.engine.Kinds()[platform.ForwardKind] == 0 })
+	f.until("the idle connections are closed", func() bool { return f.engine.Kinds()[platform.ForwardKind] == 0 })
 }
 
-// A key's messages are refused where the courier that has its last one cannot be reached, though
-// the first owner is back.
-func TestKeyStaysWithItsOwner(t *testing.T) {
-	f := newForwarder(t, "r1", "r2")
+// Guards against losing the order of a key: its messages must be rejected while the courier that
+// has the last one cannot be reached, even if the first owner is back.
+func TestKeyStaysWithLastOwner(t *testing.T) {
+	f := newForwardingCourier(t, "r1", "r2")
 	c := f.client()
-	f.owners[0].shut(t)
-	order := func(id string) {
+	f.owners[0].blockConnects(t)
+	sendToUnreachable := func(id string) {
 		t.Helper()
-		c.say(t, add(id, "order", 3*time.Second))
-		f.until("it is dialled", func() bool { return f.engine.Kinds()[platform.ForwardKind] == 1 })
+		c.send(t, addCommand(id, "order", 3*time.Second))
+		f.until("the owner is dialled", func() bool { return f.engine.Kinds()[platform.ForwardKind] == 1 })
 		f.after(201 * time.Millisecond)
 	}
-	order("m1")
-	f.goes("m1", 1).say(t, "+OK\r\n")
-	f.hears(c, "+OK\r\n")
-	f.owners[1].with(command("m1")).finish(t)
-	f.until("its connection goes", func() bool { return f.engine.Kinds()[platform.ForwardKind] == 0 })
-	f.owners[1].shut(t)
-	f.owners[0].open(t)
+	sendToUnreachable("m1")
+	f.waitForwarded("m1", 1).send(t, "+OK\r\n")
+	f.expectAnswer(c, "+OK\r\n")
+	f.owners[1].with(commandStart("m1")).halfClose(t)
+	f.until("the connection is closed", func() bool { return f.engine.Kinds()[platform.ForwardKind] == 0 })
+	f.owners[1].blockConnects(t)
+	f.owners[0].unblockConnects(t)
 	f.after(501 * time.Millisecond)
-	order("m2")
-	f.hears(c, "+OK\r\n-BUSY 501\r\n")
-	c.say(t, debit("m3"))
-	f.goes("m3", 0)
-	f.owners[1].open(t)
+	sendToUnreachable("m2")
+	f.expectAnswer(c, "+OK\r\n-BUSY 501\r\n")
+	c.send(t, debitCommand("m3"))
+	f.waitForwarded("m3", 0)
+	f.owners[1].unblockConnects(t)
 }
 
-// A key's message of which it is not known what became may be with its owner.
-func TestKeyAfterAnUnknownOutcome(t *testing.T) {
-	f := newForwarder(t, "r1", "r2")
+// After an unknown outcome, the owner may have the message, so the key must stay with that owner.
+func TestKeyAfterUnknownOutcome(t *testing.T) {
+	f := newForwardingCourier(t, "r1", "r2")
 	c, d := f.client(), f.client()
-	c.say(t, add("m1", "order", 3*time.Second))
-	f.goes("m1", 0).finish(t)
-	f.until("it is not known", func() bool { return c.p.ended(0) })
-	d.say(t, add("m2", "order", 3*time.Second))
-	f.goes("m2", 0).say(t, "-MOVED\r\n")
-	f.hears(d, "-BUSY 501\r\n")
+	c.send(t, addCommand("m1", "order", 3*time.Second))
+	f.waitForwarded("m1", 0).halfClose(t)
+	f.until("the outcome is unknown", func() bool { return c.server.connClosed(0) })
+	d.send(t, addCommand("m2", "order", 3*time.Second))
+	f.waitForwarded("m2", 0).send(t, "-MOVED\r\n")
+	f.expectAnswer(d, "-BUSY 501\r\n")
 	assert.Nil(t, f.owners[1].at(0))
 }
 
-// A key's messages stay with this courier while it may have the last one, or takes it in just
-// now, whoever owns them from now on.
-func TestKeyStaysHere(t *testing.T) {
-	f := newForwarder(t, "r1")
+// Guards against losing the order of a key when its partition moves: messages must stay with this
+// courier while it may have the last one or is just accepting it.
+func TestKeyStaysWithThisCourier(t *testing.T) {
+	f := newForwardingCourier(t, "r1")
 	others := f.router.Membership()
-	router := f.sees("f", few(t, partition.Member{Name: "f", Addr: "f", Region: "r1"}))
+	router := f.setMembership("f", singlePartition(t, partition.Member{Name: "f", Addr: "f", Region: "r1"}))
 	c := f.client()
-	c.say(t, debit("m0"))
-	f.hears(c, "+OK\r\n") // and the next look is a tick away
-	c.say(t, add("m1", "order", 3*time.Second))
-	f.until("it is being taken in", func() bool { return f.core.Counters.In == 2 })
+	c.send(t, debitCommand("m0"))
+	f.expectAnswer(c, "+OK\r\n") // the next tick is still to come
+	c.send(t, addCommand("m1", "order", 3*time.Second))
+	f.until("the message is being accepted", func() bool { return f.core.Counters.In == 2 })
 	router.Adopt(others, f.now.Sub(f.now))
-	router.Expire(time.Hour, func(int) bool { return true }) // as long as it has messages
-	c.say(t, add("m2", "order", 3*time.Second)+debit("m3"))
-	f.goes("m3", 0).say(t, "-BUSY 3\r\n")
+	router.Expire(time.Hour, func(int) bool { return true }) // stays as long as it has messages
+	c.send(t, addCommand("m2", "order", 3*time.Second)+debitCommand("m3"))
+	f.waitForwarded("m3", 0).send(t, "-BUSY 3\r\n")
 	f.after(5 * time.Millisecond)
-	f.hears(c, "+OK\r\n+OK\r\n+OK\r\n-BUSY 3\r\n")
-	c.say(t, add("m4", "order", 3*time.Second))
-	f.until("it is read here", func() bool { return f.core.Counters.In == 4 || f.owners[0].with(command("m4")) != nil })
+	f.expectAnswer(c, "+OK\r\n+OK\r\n+OK\r\n-BUSY 3\r\n")
+	c.send(t, addCommand("m4", "order", 3*time.Second))
+	f.until("the message is read by this courier", func() bool { return f.core.Counters.In == 4 || f.owners[0].with(commandStart("m4")) != nil })
 	assert.EqualValues(t, 4, f.core.Counters.In)
 }
 
-// Who has answered is trusted as ever: the next silence counts as a first one.
-func TestOwnerIsBack(t *testing.T) {
-	f := newForwarder(t, "r1", "r2")
-	silent := func(id string) {
+// An owner that has answered must be trusted again: its next timeout counts as the first one.
+func TestOwnerAnswersAgain(t *testing.T) {
+	f := newForwardingCourier(t, "r1", "r2")
+	sendUnanswered := func(id string) {
 		c := f.client()
-		c.say(t, debit(id))
-		f.goes(id, 0)
+		c.send(t, debitCommand(id))
+		f.waitForwarded(id, 0)
 		f.after(400 * time.Millisecond)
-		f.until("it is not known", func() bool { return c.p.ended(0) })
+		f.until("the outcome is unknown", func() bool { return c.server.connClosed(0) })
 		f.after(501 * time.Millisecond)
 	}
-	silent("m1")
+	sendUnanswered("m1")
 	c := f.client()
-	c.say(t, debit("m2"))
-	f.goes("m2", 0).say(t, "+OK\r\n")
-	f.hears(c, "+OK\r\n")
-	silent("m3")
-	c.say(t, debit("m4"))
-	f.until("it goes", func() bool { return f.owners[0].with(command("m4")) != nil || f.owners[1].at(0) != nil })
+	c.send(t, debitCommand("m2"))
+	f.waitForwarded("m2", 0).send(t, "+OK\r\n")
+	f.expectAnswer(c, "+OK\r\n")
+	sendUnanswered("m3")
+	c.send(t, debitCommand("m4"))
+	f.until("the message is sent", func() bool { return f.owners[0].with(commandStart("m4")) != nil || f.owners[1].at(0) != nil })
 	assert.Nil(t, f.owners[1].at(0))
 }
 
-// No room for a connection here says nothing of the owner.
-func TestNoRoomToForward(t *testing.T) {
-	s, owner := newSiteOf(t, net.Config{MaxConns: 8}), newPeer(t)
-	s.until("the list is watched", func() bool { return s.discovery.took(0, ask, 1) })
-	s.sees("f", few(t, partition.Member{Name: "n0", Addr: owner.l.Addr().String(), Region: "r1"}))
+// Guards against blaming an owner for this courier's own connection limit.
+func TestForwardAtConnectionLimit(t *testing.T) {
+	s, owner := newTestCourierWith(t, net.Config{MaxConns: 8}), newFakeServer(t)
+	s.until("the list is watched", func() bool { return s.discovery.hasReceived(0, discoveryPath, 1) })
+	s.setMembership("f", singlePartition(t, partition.Member{Name: "n0", Addr: owner.listener.Addr().String(), Region: "r1"}))
 	c := s.client()
-	s.calls(8-s.engine.Open(), false)
-	c.say(t, debit("m1"))
-	s.hears(c, "-BUSY 501\r\n")
-	s.target.at(0).say(t, answer("200 OK", ""))
+	s.makeCalls(8-s.engine.Open(), false)
+	c.send(t, debitCommand("m1"))
+	s.expectAnswer(c, "-BUSY 501\r\n")
+	s.target.at(0).send(t, httpAnswer("200 OK", ""))
 	s.settle()
-	c.say(t, debit("m2"))
-	s.until("it goes at once", func() bool { return owner.with(command("m2")) != nil })
+	c.send(t, debitCommand("m2"))
+	s.until("the message is sent at once", func() bool { return owner.with(commandStart("m2")) != nil })
 }
 
-// Answers go in the order of the requests, whoever takes them.
-func TestForwardedAndOwnInOrder(t *testing.T) {
-	s, owner := newSite(t), newPeer(t)
+// Answers must be sent in the order of the requests, whichever courier accepts them.
+func TestAnswersInRequestOrder(t *testing.T) {
+	s, owner := newTestCourier(t), newFakeServer(t)
 	m, err := partition.New(64, 1, []partition.Member{
-		{Name: "self", Addr: s.front.Addr(), Region: "r1"}, {Name: "n1", Addr: owner.l.Addr().String(), Region: "r1"},
+		{Name: "self", Addr: s.front.Addr(), Region: "r1"}, {Name: "n1", Addr: owner.listener.Addr().String(), Region: "r1"},
 	})
 	require.NoError(t, err)
-	own := func(name string) uint32 {
+	destinationOf := func(name string) uint32 {
 		for d := uint32(0); ; d++ {
 			if m.Owners(partition.Of(d, 64), "r1")[0].Name == name {
 				return d
 			}
 		}
 	}
-	s.sees("self", m)
+	s.setMembership("self", m)
 	c := s.client()
-	to := func(id string, dest uint32) string {
-		return outAdd("5", id, fmt.Sprintf("c=debit,d=900,dest=%d", dest), "body")
+	commandTo := func(id string, dest uint32) string {
+		return outAddCommand("5", id, fmt.Sprintf("c=debit,d=900,dest=%d", dest), "body")
 	}
-	c.say(t, to("m1", own("n1"))+to("m2", own("self"))+"*1\r\n$4\r\nPING\r\n"+to("m3", own("n1"))+to("m4", own("self")))
-	comes := func(id string) *end {
-		s.until(id+" comes", func() bool { return owner.with(command(id)) != nil })
-		return owner.with(command(id))
+	c.send(t, commandTo("m1", destinationOf("n1"))+commandTo("m2", destinationOf("self"))+"*1\r\n$4\r\nPING\r\n"+commandTo("m3", destinationOf("n1"))+commandTo("m4", destinationOf("self")))
+	waitForwarded := func(id string) *testConn {
+		s.until(id+" arrives", func() bool { return owner.with(commandStart(id)) != nil })
+		return owner.with(commandStart(id))
 	}
-	comes("m3").say(t, "-BUSY 3\r\n")
-	comes("m1")
+	waitForwarded("m3").send(t, "-BUSY 3\r\n")
+	waitForwarded("m1")
 	s.after(5 * time.Millisecond)
 	s.settle()
-	require.Empty(t, c.heard(), "nothing goes before the first")
-	comes("m1").say(t, "-ERR one\r\n")
-	s.until("all are answered", func() bool { return strings.Count(c.heard(), "\r\n") == 5 })
-	assert.Equal(t, "-ERR one\r\n-BUSY 1501\r\n+PONG\r\n-BUSY 3\r\n-BUSY 1501\r\n", c.heard(), "own ones are for destinations that no list names")
+	require.Empty(t, c.answers(), "no answer before the first one")
+	waitForwarded("m1").send(t, "-ERR one\r\n")
+	s.until("all messages are answered", func() bool { return strings.Count(c.answers(), "\r\n") == 5 })
+	assert.Equal(t, "-ERR one\r\n-BUSY 1501\r\n+PONG\r\n-BUSY 3\r\n-BUSY 1501\r\n", c.answers(), "messages for unlisted destinations get a retry-after delay")
 	assert.EqualValues(t, 2, s.core.Counters.In)
 }
 
-// pair are two couriers, and a client of the first.
-type pair struct {
-	a, b *site
-	c    *end
+// courierPair is two couriers and a client of the first.
+type courierPair struct {
+	a, b   *testCourier
+	client *testConn
 }
 
-func newPair(t *testing.T) *pair {
-	p := &pair{a: newSite(t), b: newSite(t)}
-	p.c = p.a.client()
+func newCourierPair(t *testing.T) *courierPair {
+	p := &courierPair{a: newTestCourier(t), b: newTestCourier(t)}
+	p.client = p.a.client()
 	return p
 }
 
-func (p *pair) member(name string) partition.Member {
+func (p *courierPair) member(name string) partition.Member {
 	s := p.a
 	if name == "b" {
 		s = p.b
@@ -587,55 +599,56 @@
 	return partition.Member{Name: name, Addr: s.front.Addr(), Region: "r1"}
 }
 
-// until turns both loops.
-func (p *pair) until(what string, come func() bool) {
+// until runs both loops until a condition holds.
+func (p *courierPair) until(what string, done func() bool) {
 	p.a.t.Helper()
 	p.a.until(what, func() bool {
 		p.b.loop.Turn()
-		return come()
+		return done()
 	})
 }
 
-// Each thinks that the other owns it: nothing goes round, and nobody takes it.
-func TestEachThinksTheOtherOwns(t *testing.T) {
-	p := newPair(t)
-	p.a.sees("a", few(t, p.member("b")))
-	p.b.sees("b", few(t, p.member("a")))
-	p.c.say(t, debit("m1"))
-	p.until("it is refused", func() bool { return strings.HasPrefix(p.c.heard(), "-BUSY 5") })
+// Guards against a forwarding loop: each courier regards the other one as the owner. The message
+// must be rejected and not be forwarded again.
+func TestForwardLoopIsRejected(t *testing.T) {
+	p := newCourierPair(t)
+	p.a.setMembership("a", singlePartition(t, p.member("b")))
+	p.b.setMembership("b", singlePartition(t, p.member("a")))
+	p.client.send(t, debitCommand("m1"))
+	p.until("the message is rejected", func() bool { return strings.HasPrefix(p.client.answers(), "-BUSY 5") })
 	assert.EqualValues(t, 1, p.b.core.Counters.Moved)
 	assert.Zero(t, p.a.core.Counters.In+p.b.core.Counters.In+p.b.core.Counters.Vain)
 }
 
-// Both think that they own it: whoever gets it first keeps it.
-func TestBothThinkTheyOwn(t *testing.T) {
-	p := newPair(t)
-	p.a.sees("a", few(t, p.member("a")))
-	p.b.sees("b", few(t, p.member("b")))
+// Both couriers regard themselves as the owner: the one that receives a message first must keep it.
+func TestTwoOwners(t *testing.T) {
+	p := newCourierPair(t)
+	p.a.setMembership("a", singlePartition(t, p.member("a")))
+	p.b.setMembership("b", singlePartition(t, p.member("b")))
 	d := p.b.client()
-	p.c.say(t, debit("m1"))
-	d.say(t, debit("m2"))
-	p.until("both are read", func() bool { return p.a.core.Counters.In+p.b.core.Counters.In == 2 })
+	p.client.send(t, debitCommand("m1"))
+	d.send(t, debitCommand("m2"))
+	p.until("both messages are read", func() bool { return p.a.core.Counters.In+p.b.core.Counters.In == 2 })
 	p.a.after(5 * time.Millisecond)
 	p.b.after(5 * time.Millisecond)
-	p.until("each is taken on once", func() bool { return p.c.heard() == "+OK\r\n" && d.heard() == "+OK\r\n" })
-	p.until("and goes once", func() bool { return p.a.target.with("ID: m1\r") != nil && p.b.target.with("ID: m2\r") != nil })
+	p.until("each message is accepted once", func() bool { return p.client.answers() == "+OK\r\n" && d.answers() == "+OK\r\n" })
+	p.until("each message is sent once", func() bool { return p.a.target.with("ID: m1\r") != nil && p.b.target.with("ID: m2\r") != nil })
 	assert.Nil(t, p.a.target.with("ID: m2\r"))
 	assert.EqualValues(t, 1, p.a.core.Counters.Taken)
 	assert.EqualValues(t, 1, p.b.core.Counters.Taken)
 	assert.Zero(t, p.a.engine.Kinds()[platform.ForwardKind]+p.b.engine.Kinds()[platform.ForwardKind])
 }
 
-// Whatever three couriers think of who owns what, and hold of it: a message that a client was
-// answered is taken on by one of them, one that was refused by none.
-func TestAnyViews(t *testing.T) {
+// Three couriers have random views of the membership and of the lists they hold. Each message with
+// a positive answer must be accepted by exactly one of them, and a rejected one by none.
+func TestInconsistentMemberships(t *testing.T) {
 	for seed := range uint64(12) {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		var sites []*site
-		var clients []*end
+		var sites []*testCourier
+		var clients []*testConn
 		var members []partition.Member
 		for i := range 3 {
-			s := newSite(t, func(s *snowjunction.Settings) { s.MaxHeld = 100 })
+			s := newTestCourier(t, func(s *snowjunction.Settings) { s.MaxHeld = 100 })
 			sites, clients = append(sites, s), append(clients, s.client())
 			members = append(members, partition.Member{Name: fmt.Sprintf("n%d", i), Addr: s.front.Addr(), Region: fmt.Sprintf("r%d", rng.IntN(2))})
 		}
@@ -646,149 +659,152 @@
 					seen = append(seen, m)
 				}
 			}
-			r := partition.NewRouter(partition.Options{Self: members[i].Name, Region: "r1", Longest: 20 * time.Second}, few(t, seen...), -time.Hour*time.Duration(rng.IntN(2)))
+			r := partition.NewRouter(partition.Options{Self: members[i].Name, Region: "r1", Longest: 20 * time.Second}, singlePartition(t, seen...), -time.Hour*time.Duration(rng.IntN(2)))
 			if rng.IntN(4) > 0 {
 				r.Held(r.Wanted())
 			}
 			s.front.Router = r
 		}
-		count := func(of func(*site) uint64) (n uint64) {
+		count := func(of func(*testCourier) uint64) (n uint64) {
 			for _, s := range sites {
 				n += of(s)
 			}
 			return n
 		}
-		heard := func(text string) (n uint64) {
+		countAnswers := func(text string) (n uint64) {
 			for _, c := range clients {
-				n += uint64(strings.Count(c.heard(), text))
+				n += uint64(strings.Count(c.answers(), text))
 			}
 			return n
 		}
-		until := func(what string, come func() bool) {
+		until := func(what string, done func() bool) {
 			t.Helper()
 			sites[0].until(what, func() bool {
 				sites[1].loop.Turn()
 				sites[2].loop.Turn()
-				return come()
+				return done()
 			})
 		}
 		const rounds = 8
 		for round := range uint64(rounds) {
 			for i, c := range clients {
-				c.say(t, add(fmt.Sprintf("m%d-%d", round, i), []string{"debit", "order"}[rng.IntN(2)], 20*time.Second))
+				c.send(t, addCommand(fmt.Sprintf("m%d-%d", round, i), []string{"debit", "order"}[rng.IntN(2)], 20*time.Second))
 			}
 			all := 3 * (round + 1)
-			until("all are read where they are taken", func() bool {
-				return count(func(s *site) uint64 { return s.core.Counters.In })+heard("-BUSY ") == all
+			until("all messages are read where they are accepted", func() bool {
+				return count(func(s *testCourier) uint64 { return s.core.Counters.In })+countAnswers("-BUSY ") == all
 			})
 			for _, s := range sites {
 				s.after(5 * time.Millisecond)
 			}
-			until("all are answered", func() bool { return heard("+OK\r\n")+heard("-BUSY ") == all })
+			until("all messages are answered", func() bool { return countAnswers("+OK\r\n")+countAnswers("-BUSY ") == all })
 		}
-		assert.Equal(t, heard("+OK\r\n"), count(func(s *site) uint64 { return s.core.Counters.Taken }), "seed %d", seed)
-		assert.Equal(t, heard("-BUSY "), count(func(s *site) uint64 { return s.core.Counters.Unrouted }), "seed %d", seed)
-		assert.Zero(t, count(func(s *site) uint64 { return s.core.Counters.Unknown }), "seed %d", seed)
+		assert.Equal(t, countAnswers("+OK\r\n"), count(func(s *testCourier) uint64 { return s.core.Counters.Taken }), "seed %d", seed)
+		assert.Equal(t, countAnswers("-BUSY "), count(func(s *testCourier) uint64 { return s.core.Counters.Unrouted }), "seed %d", seed)
+		assert.Zero(t, count(func(s *testCourier) uint64 { return s.core.Counters.Unknown }), "seed %d", seed)
 	}
 }
 
-// Nobody owns it, or nobody holds its list yet: it may be handed in again.
-func TestNobodyOwns(t *testing.T) {
-	p := newPair(t)
-	p.a.sees("a", few(t))
-	p.c.say(t, debit("m1"))
-	p.until("it is refused", func() bool { return strings.HasPrefix(p.c.heard(), "-BUSY 5") })
+// Without an owner, or with owners that have not loaded the list yet, a message must be rejected
+// with a retry-after delay.
+func TestNoOwner(t *testing.T) {
+	p := newCourierPair(t)
+	p.a.setMembership("a", singlePartition(t))
+	p.client.send(t, debitCommand("m1"))
+	p.until("the message is rejected", func() bool { return strings.HasPrefix(p.client.answers(), "-BUSY 5") })
 
-	both := few(t, p.member("a"), p.member("b"))
+	both := singlePartition(t, p.member("a"), p.member("b"))
 	p.a.front.Router = partition.NewRouter(partition.Options{Self: "a"}, both, 0)
 	p.b.front.Router = partition.NewRouter(partition.Options{Self: "b"}, both, 0)
-	p.c.say(t, debit("m2"))
-	p.until("it is refused", func() bool { return strings.Count(p.c.heard(), "-BUSY 5") == 2 })
+	p.client.send(t, debitCommand("m2"))
+	p.until("the message is rejected", func() bool { return strings.Count(p.client.answers(), "-BUSY 5") == 2 })
 	assert.EqualValues(t, 1, p.b.core.Counters.Moved)
 	assert.EqualValues(t, 2, p.a.core.Counters.Unrouted)
 	assert.Zero(t, p.a.core.Counters.In+p.b.core.Counters.In)
 }
 
-// A forwarded message is taken on by its owner alone, which owes the end. What the owner's door
-// says, and that it ends, is passed on.
-func TestOwnerTakesAndDrains(t *testing.T) {
-	p := newPair(t)
-	p.a.sees("a", few(t, p.member("b")))
-	p.b.sees("b", few(t, p.member("b")))
-	p.c.say(t, debit("m1"))
-	p.until("it comes", func() bool { return p.b.core.Counters.In == 1 })
+// A forwarded message must be accepted by its owner alone, which reports the final result. The
+// owner's rejections, and its drain, are passed on.
+func TestOwnerAcceptsAndDrains(t *testing.T) {
+	p := newCourierPair(t)
+	p.a.setMembership("a", singlePartition(t, p.member("b")))
+	p.b.setMembership("b", singlePartition(t, p.member("b")))
+	p.client.send(t, debitCommand("m1"))
+	p.until("the message arrives", func() bool { return p.b.core.Counters.In == 1 })
 	p.b.after(5 * time.Millisecond)
-	p.until("it is taken on", func() bool { return p.c.heard() == "+OK\r\n" })
-	p.until("and goes", func() bool { return p.b.target.with("ID: m1\r") != nil })
+	p.until("the message is accepted", func() bool { return p.client.answers() == "+OK\r\n" })
+	p.until("the message is sent", func() bool { return p.b.target.with("ID: m1\r") != nil })
 	assert.Zero(t, p.a.core.Counters.In)
-	p.c.say(t, debit("m2"))
-	p.until("the next comes", func() bool { return p.b.core.Counters.In == 2 })
+	p.client.send(t, debitCommand("m2"))
+	p.until("the next message arrives", func() bool { return p.b.core.Counters.In == 2 })
 	p.b.core.Drain()
 	p.b.front.Drain()
 	p.b.after(5 * time.Millisecond)
-	p.until("it is taken on: it came before", func() bool { return p.c.heard() == "+OK\r\n+OK\r\n" })
-	p.c.say(t, debit("m3"))
-	p.until("what comes later is refused with a wait", func() bool { return strings.HasSuffix(p.c.heard(), "+OK\r\n-BUSY 401\r\n") })
+	p.until("the message is accepted because it arrived before the drain", func() bool { return p.client.answers() == "+OK\r\n+OK\r\n" })
+	p.client.send(t, debitCommand("m3"))
+	p.until("a later message is rejected with a retry-after delay", func() bool { return strings.HasSuffix(p.client.answers(), "+OK\r\n-BUSY 401\r\n") })
 	assert.EqualValues(t, 3, p.b.core.Counters.In)
 }
 
-// A courier that ends waits for the answers to what it has forwarded, for as long as a client
-// does, and forwards nothing new.
-func TestForwardsCrossTheEnd(t *testing.T) {
-	f := newForwarder(t, "r1", "r2")
-	clients := []*end{f.client(), f.client(), f.client()}
+// A draining courier must wait for the answers to forwarded messages as long as a client does, and
+// must forward nothing new.
+func TestForwardDuringDrain(t *testing.T) {
+	f := newForwardingCourier(t, "r1", "r2")
+	clients := []*testConn{f.client(), f.client(), f.client()}
 	for i, c := range clients {
-		c.say(t, debit(fmt.Sprintf("m%d", i)))
-		f.goes(fmt.Sprintf("m%d", i), 0)
+		c.send(t, debitCommand(fmt.Sprintf("m%d", i)))
+		f.waitForwarded(fmt.Sprintf("m%d", i), 0)
 	}
 	f.core.Drain()
 	f.front.Drain()
-	f.owners[0].with(command("m0")).say(t, "+OK\r\n")
-	f.hears(clients[0], "+OK\r\n")
-	f.owners[0].with(command("m1")).say(t, "-MOVED\r\n")
-	f.hears(clients[1], "-BUSY 401\r\n")
+	f.owners[0].with(commandStart("m0")).send(t, "+OK\r\n")
+	f.expectAnswer(clients[0], "+OK\r\n")
+	f.owners[0].with(commandStart("m1")).send(t, "-MOVED\r\n")
+	f.expectAnswer(clients[1], "-BUSY 401\r\n")
 	assert.Nil(t, f.owners[1].at(0))
 	assert.True(t, f.front.Unanswered())
 	f.after(400 * time.Millisecond)
-	f.until("all have gone", func() bool { return clients[0].p.ended(0) && clients[1].p.ended(0) && clients[2].p.ended(0) })
+	f.until("all connections are closed", func() bool {
+		return clients[0].server.connClosed(0) && clients[1].server.connClosed(0) && clients[2].server.connClosed(0)
+	})
 	assert.False(t, f.front.Unanswered())
-	assert.Empty(t, clients[2].heard())
+	assert.Empty(t, clients[2].answers())
 }
 
-// handOver ends a site that has been hushed, and returns what the next process gets.
-func (s *site) handOver() (clients []handover.Client) {
+// handOver stops a paused courier, and returns what the next process receives.
+func (s *testCourier) handOver() (clients []handover.Client) {
 	s.t.Helper()
 	retired, halted := false, false
 	s.engine.Retire(func(map[string]int) { retired = true })
-	s.until("nobody is accepted", func() bool { return retired })
+	s.until("the listener is closed", func() bool { return retired })
 	rest := s.front.Hand()
 	s.front.Close()
 	s.engine.Halt(func() { halted = true })
-	s.until("the engine ends", func() bool { return halted })
+	s.until("the engine has stopped", func() bool { return halted })
 	return rest()
 }
 
-// A handover waits for what has been forwarded. What has not been goes along, and is forwarded by
-// the next process; what is still out has no second way.
-func TestForwardsInAHandover(t *testing.T) {
-	f := newForwarder(t, "r1")
+// A handover must wait for forwarded messages. Those not forwarded yet must be handed over and
+// forwarded by the next process; those still in flight must not be sent a second time.
+func TestForwardDuringHandover(t *testing.T) {
+	f := newForwardingCourier(t, "r1")
 	out, c, lost := f.client(), f.client(), f.client()
-	out.say(t, debit("m1"))
-	lost.say(t, debit("m2")+"*1\r\n$4\r\nPING\r\n")
-	f.goes("m1", 0)
-	f.goes("m2", 0)
+	out.send(t, debitCommand("m1"))
+	lost.send(t, debitCommand("m2")+"*1\r\n$4\r\nPING\r\n")
+	f.waitForwarded("m1", 0)
+	f.waitForwarded("m2", 0)
 	f.core.Hush()
 	f.front.Hush()
-	assert.False(t, f.front.Hushed(), "the handover waits")
-	c.say(t, add("m3", "order", 20*time.Second)+debit("m4"))
+	assert.False(t, f.front.Hushed(), "the handover waits for the answer")
+	c.send(t, addCommand("m3", "order", 20*time.Second)+debitCommand("m4"))
 	f.settle()
-	f.goes("m1", 0).say(t, "+OK\r\n")
-	f.hears(out, "+OK\r\n")
+	f.waitForwarded("m1", 0).send(t, "+OK\r\n")
+	f.expectAnswer(out, "+OK\r\n")
 	assert.False(t, f.front.Hushed())
 	clients := f.handOver()
-	assert.Nil(t, f.owners[0].with(command("m3")), "nothing new is forwarded")
-	f.until("whose message is out is ended", func() bool { return lost.p.ended(0) })
-	assert.Empty(t, lost.heard())
+	assert.Nil(t, f.owners[0].with(commandStart("m3")), "nothing new is forwarded")
+	f.until("a client with a message in flight is closed", func() bool { return lost.server.connClosed(0) })
+	assert.Empty(t, lost.answers())
 
 	var handed []string
 	for _, x := range clients {
@@ -798,116 +814,119 @@
 		}
 	}
 	assert.Equal(t, []string{"m3", "m4"}, handed)
-	next := newSite(t)
+	next := newTestCourier(t)
 	next.front.Router = f.router
 	next.front.TakeOver(clients)
 	for _, id := range handed {
-		next.until(id+" goes", func() bool { return f.owners[0].with(command(id)) != nil })
-		f.owners[0].with(command(id)).say(t, "+OK\r\n")
+		next.until(id+" is forwarded", func() bool { return f.owners[0].with(commandStart(id)) != nil })
+		f.owners[0].with(commandStart(id)).send(t, "+OK\r\n")
 	}
-	next.hears(c, "+OK\r\n+OK\r\n")
+	next.expectAnswer(c, "+OK\r\n+OK\r\n")
 }
 
-// A message of another courier stays one in a handover: it is not forwarded by the next process.
-func TestForwardedIsHandedOver(t *testing.T) {
-	s := newSite(t)
-	self := few(t, partition.Member{Name: "s", Addr: "s", Region: "r1"})
-	s.sees("s", self)
+// Guards against forwarding a message twice: one that came from another courier must keep that mark
+// in a handover, so that the next process does not forward it.
+func TestForwardedMessageInHandover(t *testing.T) {
+	s := newTestCourier(t)
+	self := singlePartition(t, partition.Member{Name: "s", Addr: "s", Region: "r1"})
+	s.setMembership("s", self)
 	c := s.client()
 	s.core.Hush()
-	c.say(t, forwarded("m1"))
-	s.until("it is read", func() bool { return s.core.Counters.In == 1 })
+	c.send(t, forwardedCommand("m1"))
+	s.until("the message is read", func() bool { return s.core.Counters.In == 1 })
 	s.front.Hush()
 	clients := s.handOver()
-	f := newForwarder(t, "r1")
+	f := newForwardingCourier(t, "r1")
 	f.front.TakeOver(clients)
-	f.hears(c, "-MOVED\r\n")
+	f.expectAnswer(c, "-MOVED\r\n")
 	assert.Nil(t, f.owners[0].at(0))
 }
 
-// There are so many connections to other couriers and no more: half of them to one, and beyond
-// that the clients are told at once. Those that are idle give way to who needs one.
-func TestForwardsShareDescriptors(t *testing.T) {
-	s, first, second, third := newSiteOf(t, tight), newPeer(t), newPeer(t), newPeer(t)
-	s.until("the list is watched", func() bool { return s.discovery.took(0, ask, 1) })
+// Connections to other couriers are limited, with at most half of them to a single one. Beyond
+// that, clients must be answered at once. Idle connections must make room for others.
+func TestForwardConnectionLimits(t *testing.T) {
+	s, first, second, third := newTestCourierWith(t, tightLimits), newFakeServer(t), newFakeServer(t), newFakeServer(t)
+	s.until("the list is watched", func() bool { return s.discovery.hasReceived(0, discoveryPath, 1) })
 	var members []partition.Member
-	for i, p := range []*peer{first, second, third} { // with one partition the others follow in the order of their regions
-		members = append(members, partition.Member{Name: fmt.Sprintf("n%d", i), Addr: p.l.Addr().String(), Region: fmt.Sprintf("r%d", i+1)})
+	for i, p := range []*fakeServer{first, second, third} { // with one partition, the other owners follow in the order of their regions
+		members = append(members, partition.Member{Name: fmt.Sprintf("n%d", i), Addr: p.listener.Addr().String(), Region: fmt.Sprintf("r%d", i+1)})
 	}
-	s.sees("f", few(t, members...))
+	s.setMembership("f", singlePartition(t, members...))
 	c := s.client()
-	const most = 56 // of 224
+	const maxConns = 56 // of 224
 	var commands []string
-	for i := range most + 1 {
-		commands = append(commands, debit(fmt.Sprintf("m%d", i)))
+	for i := range maxConns + 1 {
+		commands = append(commands, debitCommand(fmt.Sprintf("m%d", i)))
 	}
-	c.say(t, strings.Join(commands, ""))
-	count := func(p *peer) (n int) {
+	c.send(t, strings.Join(commands, ""))
+	count := func(p *fakeServer) (n int) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		for _, e := range p.conns {
-			n += bytes.Count(e.got, []byte("fwd=1"))
+			n += bytes.Count(e.received, []byte("fwd=1"))
 		}
 		return n
 	}
-	s.until("both are full", func() bool { return count(first) == most/2 && count(second) == most/2 })
+	s.until("both owners have their maximum", func() bool { return count(first) == maxConns/2 && count(second) == maxConns/2 })
 	d := s.client()
-	d.say(t, debit("more"))
-	s.hears(d, "-BUSY 201\r\n")
-	assert.Equal(t, most, s.engine.Kinds()[platform.ForwardKind])
+	d.send(t, debitCommand("more"))
+	s.expectAnswer(d, "-BUSY 201\r\n")
+	assert.Equal(t, maxConns, s.engine.Kinds()[platform.ForwardKind])
 	assert.Nil(t, third.at(0))
-	for _, p := range []*peer{first, second} {
-		for i := range most / 2 {
-			p.at(i).say(t, "+OK\r\n")
+	for _, p := range []*fakeServer{first, second} {
+		for i := range maxConns / 2 {
+			p.at(i).send(t, "+OK\r\n")
 		}
 	}
-	s.hears(c, strings.Repeat("+OK\r\n", most)+"-BUSY 201\r\n")
-
-	kept := tight.Kept[platform.NoticeKind] + tight.Kept[console.ListenerKind]
-	s.calls(tight.MaxConns-kept-s.engine.Open()+most-1, false)
-	assert.Equal(t, 1, s.engine.Kinds()[platform.ForwardKind], "the idle ones have given way")
-	assert.LessOrEqual(t, s.engine.Open(), tight.MaxConns)
-	c.say(t, debit("last"))
-	s.until("the last one carries on", func() bool { return first.with(command("last")) != nil || second.with(command("last")) != nil })
+	s.expectAnswer(c, strings.Repeat("+OK\r\n", maxConns)+"-BUSY 201\r\n")
+
+	reserved := tightLimits.Kept[platform.NoticeKind] + tightLimits.Kept[console.ListenerKind]
+	s.makeCalls(tightLimits.MaxConns-reserved-s.engine.Open()+maxConns-1, false)
+	assert.Equal(t, 1, s.engine.Kinds()[platform.ForwardKind], "the idle connections were closed")
+	assert.LessOrEqual(t, s.engine.Open(), tightLimits.MaxConns)
+	c.send(t, debitCommand("last"))
+	s.until("the last connection is reused", func() bool {
+		return first.with(commandStart("last")) != nil || second.with(commandStart("last")) != nil
+	})
 }
 
-// Without a router nothing is different: what another courier says is a client's word.
-func TestWithoutARouter(t *testing.T) {
-	s := newSite(t)
+// Without a router, a message from another courier must be handled like a client's.
+func TestForwardedWithoutRouter(t *testing.T) {
+	s := newTestCourier(t)
 	c := s.client()
-	c.say(t, forwarded("m1"))
-	s.until("it is read", func() bool { return s.core.Counters.In == 1 })
+	c.send(t, forwardedCommand("m1"))
+	s.until("the message is read", func() bool { return s.core.Counters.In == 1 })
 	s.after(5 * time.Millisecond)
-	s.hears(c, "+OK\r\n")
+	s.expectAnswer(c, "+OK\r\n")
 }
 
-// A front that no client reaches hands in all the same.
+// A front without a listener must still accept messages through HandIn.
 func TestHandIn(t *testing.T) {
-	f := newForwarder(t, "r1")
+	f := newForwardingCourier(t, "r1")
 	var answers []string
-	hand := func(id string) {
+	submit := func(id string) {
 		require.NoError(t, f.front.HandIn(core.Request{ID: id, Class: "debit", Destination: 7, Left: time.Second, Body: []byte("b")}, func(text []byte) {
 			if answers = append(answers, string(text)); text == nil {
 				answers[len(answers)-1] = "unknown"
 			}
 		}))
 	}
-	hand("m1")
-	f.goes("m1", 0).say(t, "+OK\r\n")
-	f.until("it is answered", func() bool { return len(answers) == 1 })
-	hand("m2")
-	f.goes("m2", 0).finish(t)
-	f.until("or not", func() bool { return len(answers) == 2 })
+	submit("m1")
+	f.waitForwarded("m1", 0).send(t, "+OK\r\n")
+	f.until("the message is answered", func() bool { return len(answers) == 1 })
+	submit("m2")
+	f.waitForwarded("m2", 0).halfClose(t)
+	f.until("the message has no answer", func() bool { return len(answers) == 2 })
 	assert.Equal(t, []string{"+OK\r\n", "unknown"}, answers)
-	assert.Error(t, f.front.HandIn(core.Request{ID: "m3", Class: "nothing"}, func([]byte) { t.Error("an error is the answer") }))
-	f.sees("f", few(t, partition.Member{Name: "f", Addr: "f", Region: "r1"}))
-	hand("m4")
+	assert.Error(t, f.front.HandIn(core.Request{ID: "m3", Class: "nothing"}, func([]byte) { t.Error("answer called in spite of an error") }))
+	f.setMembership("f", singlePartition(t, partition.Member{Name: "f", Addr: "f", Region: "r1"}))
+	submit("m4")
 	f.after(5 * time.Millisecond)
 	assert.Equal(t, "+OK\r\n", answers[len(answers)-1])
 	assert.EqualValues(t, 1, f.core.Counters.Taken)
-	f.sees("f", few(t, partition.Member{Name: "n0", Addr: f.owners[0].l.Addr().String(), Region: "r1"}))
-	hand("m5")
-	f.goes("m5", 0)
+	f.setMembership("f", singlePartition(t, partition.Member{Name: "n0", Addr: f.owners[0].listener.Addr().String(), Region: "r1"}))
+	submit("m5")
+	f.waitForwarded("m5", 0)
 	f.front.Close()
 	assert.Zero(t, f.engine.Kinds()[platform.ForwardKind])
 }
--- a/internal/front/late_test.go
+++ b/internal/front/late_test.go
@@ -20,8 +20,8 @@
 	"snowjunction/internal/store"
 )
 
-// both are fronts that are called through their targets alone, and their loop.
-func both(t *testing.T) (*core.Loop, map[string]core.Front) {
+// bothFronts returns two fronts that are only used through their targets, and their loop.
+func bothFronts(t *testing.T) (*core.Loop, map[string]core.Front) {
 	loop := core.NewLoop(time.Now)
 	engine, err := net.New(net.Config{Post: loop.Post, Log: log, MaxConns: 8})
 	require.NoError(t, err)
@@ -35,10 +35,11 @@
 
 func always() bool { return true }
 
-// A target leaves its group while a connection to it is coming up: the call does not
-// go, and proves that it never ran. One that stays is called.
-func TestLeftBeforeTheConnectionIsUp(t *testing.T) {
-	loop, fronts := both(t)
+// Guards against sending to an endpoint that left its group while a connection to it was being
+// opened. The call must not be sent and must report that it never ran; an endpoint that stays is
+// called.
+func TestTargetRemovedBeforeConnect(t *testing.T) {
+	loop, fronts := bothFronts(t)
 	for name, front := range fronts {
 		for _, leaves := range []bool{true, false} {
 			server, err := stdnet.Listen("tcp", "127.0.0.1:0")
@@ -57,29 +58,29 @@
 				assert.Equal(t, snowjunction.OK, got.Outcome, name)
 				continue
 			}
-			target.Leave() // the loop has not run: whatever the network does, it hears of it later
-			heard := make(chan []byte, 1)
+			target.Leave() // the loop has not run, so it handles any network event after this
+			received := make(chan []byte, 1)
 			go func() {
 				conn, err := server.Accept()
 				if err != nil {
 					return
 				}
-				defer conn.Close() // or who sends would wait for an answer
+				defer conn.Close() // otherwise the sender would wait for an answer
 				b := make([]byte, 4096)
 				n, _ := conn.Read(b)
-				heard <- b[:n]
+				received <- b[:n]
 			}()
 			loop.RunUntil(func() bool { return got != nil })
 			assert.Equal(t, snowjunction.Moot, got.Outcome, name)
-			assert.NotContains(t, string(<-heard), "body", name)
+			assert.NotContains(t, string(<-received), "body", name)
 		}
 	}
 }
 
-// A decision does not stand any more once its connection is up: nothing of the call goes,
-// and the next one that may go uses that connection.
-func TestStaleOnceTheConnectionIsUp(t *testing.T) {
-	loop, fronts := both(t)
+// Guards against sending after the decision to send has become invalid while a connection was being
+// opened. Nothing of the call may be sent, and the next valid call must use the same connection.
+func TestDecisionInvalidAfterConnect(t *testing.T) {
+	loop, fronts := bothFronts(t)
 	for name, front := range fronts {
 		var conns atomic.Int32
 		ids := make(chan string, 4)
@@ -93,7 +94,7 @@
 			}
 		}
 		s.Start()
-		defer s.CloseClientConnections() // a courier's end waits for nothing
+		defer s.CloseClientConnections() // a courier that stops waits for nothing
 		target := front.Target(core.Entry{Name: "s-1", Addr: s.Listener.Addr().String()})
 		call := func(id string, may func() bool) (got *core.Result) {
 			x := target.Call(&store.Message{ID: id, Body: []byte("body")}, core.Shape{}, 10*time.Second, may, func(r core.Result) { got = &r })
@@ -103,34 +104,33 @@
 		}
 		assert.Equal(t, snowjunction.Moot, call("late", func() bool { return false }).Outcome, name)
 		assert.Equal(t, snowjunction.OK, call("next", always).Outcome, name)
-		assert.Equal(t, "next", <-ids, "%s: nothing of the first has come", name)
-		asked := false // a connection that is up takes nothing either without asking
-		var moot *core.Result
+		assert.Equal(t, "next", <-ids, "%s: nothing of the first call was sent", name)
+		asked := false // an open connection must ask as well before it sends
+		var staleResult *core.Result
 		x := target.Call(&store.Message{ID: "stale"}, core.Shape{}, 10*time.Second, func() bool {
 			asked = true
 			return false
-		}, func(r core.Result) { moot = &r })
+		}, func(r core.Result) { staleResult = &r })
 		assert.True(t, asked, name)
 		if x != nil {
-			loop.RunUntil(func() bool { return moot != nil })
-			assert.Equal(t, snowjunction.Moot, moot.Outcome, name)
+			loop.RunUntil(func() bool { return staleResult != nil })
+			assert.Equal(t, snowjunction.Moot, staleResult.Outcome, name)
 			assert.False(t, x.Left(), name)
 		}
 		assert.Equal(t, snowjunction.OK, call("last", always).Outcome, name)
-		assert.Equal(t, "last", <-ids, "%s: nothing of the stale one has come", name)
+		assert.Equal(t, "last", <-ids, "%s: nothing of the stale call was sent", name)
 		assert.Equal(t, int32(1), conns.Load(), name)
 	}
 }
 
-// The answer to a call that was given up comes late: it is nobody's, neither that call's nor
-// the next one's.
-func TestLateAnswerOfACallGivenUp(t *testing.T) {
-	loop, fronts := both(t)
+// Guards against taking the late answer to an abandoned call for an answer to the next call.
+func TestLateAnswerOfAbandonedCall(t *testing.T) {
+	loop, fronts := bothFronts(t)
 	front := fronts["platform"]
 	server, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer server.Close()
-	came, answer := make(chan string, 2), make(chan string, 2)
+	requests, answers := make(chan string, 2), make(chan string, 2)
 	go func() {
 		for {
 			conn, err := server.Accept()
@@ -141,8 +141,8 @@
 				defer conn.Close()
 				b := make([]byte, 4096)
 				n, _ := conn.Read(b)
-				came <- string(b[:n])
-				_, _ = conn.Write([]byte(<-answer))
+				requests <- string(b[:n])
+				_, _ = conn.Write([]byte(<-answers))
 				_, _ = conn.Read(b)
 			}()
 		}
@@ -154,17 +154,17 @@
 	}
 	first := call("m1")
 	loop.RunUntil(first.Left)
-	assert.Contains(t, <-came, "m1")
+	assert.Contains(t, <-requests, "m1")
 	first.GiveUp()
-	answer <- "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	answers <- "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	call("m2")
-	heard := false
+	secondArrived := false
 	go func() {
-		text := <-came
-		answer <- "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-		loop.Post(func() { heard = text != "" })
+		text := <-requests
+		answers <- "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+		loop.Post(func() { secondArrived = text != "" })
 	}()
-	loop.RunUntil(func() bool { return heard && len(results) > 0 })
+	loop.RunUntil(func() bool { return secondArrived && len(results) > 0 })
 	assert.Equal(t, map[string]core.Result{"m2": results["m2"]}, results)
 	assert.Equal(t, snowjunction.Full, results["m2"].Outcome)
 }
--- a/internal/front/push_races_test.go
+++ b/internal/front/push_races_test.go
@@ -24,99 +24,100 @@
 	"snowjunction/internal/store"
 )
 
-// frames is the bytes of what write has x/net's framer write.
-func frames(t *testing.T, write func(f *http2.Framer) error) string {
+// encodeFrames returns the bytes that a function writes with x/net's framer.
+func encodeFrames(t *testing.T, write func(f *http2.Framer) error) string {
 	var b bytes.Buffer
 	require.NoError(t, write(http2.NewFramer(&b, nil)))
 	return b.String()
 }
 
-func settings(t *testing.T) string {
-	return frames(t, func(f *http2.Framer) error { return f.WriteSettings() })
+func settingsFrame(t *testing.T) string {
+	return encodeFrames(t, func(f *http2.Framer) error { return f.WriteSettings() })
 }
 
-func goAway(t *testing.T, last uint32) string {
-	return frames(t, func(f *http2.Framer) error { return f.WriteGoAway(last, http2.ErrCodeNo, nil) })
+func goAwayFrame(t *testing.T, last uint32) string {
+	return encodeFrames(t, func(f *http2.Framer) error { return f.WriteGoAway(last, http2.ErrCodeNo, nil) })
 }
 
-// headers are the frame of a header list, of names and values.
-func headers(t *testing.T, stream uint32, end bool, fields ...string) string {
+// headersFrame returns a HEADERS frame. Fields alternate between names and values.
+func headersFrame(t *testing.T, stream uint32, end bool, fields ...string) string {
 	var block bytes.Buffer
 	enc := hpack.NewEncoder(&block)
 	for i := 0; i < len(fields); i += 2 {
 		require.NoError(t, enc.WriteField(hpack.HeaderField{Name: fields[i], Value: fields[i+1], Sensitive: true}))
 	}
-	return frames(t, func(f *http2.Framer) error {
+	return encodeFrames(t, func(f *http2.Framer) error {
 		return f.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, BlockFragment: block.Bytes(), EndStream: end, EndHeaders: true})
 	})
 }
 
-// A connection that its endpoint has ended, or is about to, gets no call of the push front's:
-// nothing has left, whatever the class, also where that came while the attempt was recorded.
-func TestIdlePushConnectionThatIsNoneAnyMore(t *testing.T) {
-	for name, way := range map[string]struct {
-		calls     int // that are out on it meanwhile
-		meanwhile func(t *testing.T, e *end)
-		recording bool // it comes while the second call's attempt is recorded
+// Guards against sending a push call on a connection that its endpoint has closed or announced to
+// close. Nothing may be sent there, whatever the class, even if the close arrives while the attempt
+// is being recorded.
+func TestIdlePushConnectionNotReusable(t *testing.T) {
+	for name, row := range map[string]struct {
+		inFlight  int // calls in flight on the connection meanwhile
+		event     func(t *testing.T, e *testConn)
+		recording bool // it happens while the attempt of the second call is recorded
 	}{
-		"its end":                          {meanwhile: func(t *testing.T, e *end) { e.finish(t) }},
-		"a GOAWAY and its end":             {meanwhile: func(t *testing.T, e *end) { e.say(t, goAway(t, 1)); e.finish(t) }},
-		"its end with a call out":          {meanwhile: func(t *testing.T, e *end) { e.finish(t) }, calls: 1},
-		"its end as the call is recorded":  {meanwhile: func(t *testing.T, e *end) { e.finish(t) }, recording: true},
-		"its end so, and with a call out":  {meanwhile: func(t *testing.T, e *end) { e.finish(t) }, recording: true, calls: 1},
-		"a GOAWAY and its end, so as well": {meanwhile: func(t *testing.T, e *end) { e.say(t, goAway(t, 1)); e.finish(t) }, recording: true},
+		"close":                       {event: func(t *testing.T, e *testConn) { e.halfClose(t) }},
+		"GOAWAY and close":            {event: func(t *testing.T, e *testConn) { e.send(t, goAwayFrame(t, 1)); e.halfClose(t) }},
+		"close with a call in flight": {event: func(t *testing.T, e *testConn) { e.halfClose(t) }, inFlight: 1},
+		"close while recording":       {event: func(t *testing.T, e *testConn) { e.halfClose(t) }, recording: true},
+		"close while recording, with a call in flight": {event: func(t *testing.T, e *testConn) { e.halfClose(t) }, recording: true, inFlight: 1},
+		"GOAWAY and close while recording":             {event: func(t *testing.T, e *testConn) { e.send(t, goAwayFrame(t, 1)); e.halfClose(t) }, recording: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			loop, fronts := both(t)
-			p := newPeer(t)
-			target := fronts["push"].Target(core.Entry{Name: "s-1", Addr: p.l.Addr().String()})
+			loop, fronts := bothFronts(t)
+			p := newFakeServer(t)
+			target := fronts["push"].Target(core.Entry{Name: "s-1", Addr: p.listener.Addr().String()})
 			results := map[string]core.Result{}
 			call := func(id string, may func() bool) core.Call {
 				return target.Call(&store.Message{ID: id, Body: []byte(id)}, core.Shape{}, 10*time.Second, may, func(r core.Result) { results[id] = r })
 			}
-			until := func(what string, come func() bool) {
+			until := func(what string, done func() bool) {
 				t.Helper()
 				limit := time.Now().Add(20 * time.Second)
-				loop.RunUntil(func() bool { return come() || time.Now().After(limit) })
-				require.True(t, come(), what)
+				loop.RunUntil(func() bool { return done() || time.Now().After(limit) })
+				require.True(t, done(), what)
 			}
 			call("first", always)
-			until("the first call comes", func() bool { return p.took(0, "first", 1) })
-			p.at(0).say(t, settings(t)+headers(t, 1, true, ":status", "200"))
-			until("and is answered", func() bool { return len(results) == 1 })
-			if way.calls > 0 {
+			until("the first call arrives", func() bool { return p.hasReceived(0, "first", 1) })
+			p.at(0).send(t, settingsFrame(t)+headersFrame(t, 1, true, ":status", "200"))
+			until("the first call is answered", func() bool { return len(results) == 1 })
+			if row.inFlight > 0 {
 				call("other", always)
-				until("another is out", func() bool { return p.took(0, "other", 1) })
+				until("another call is in flight", func() bool { return p.hasReceived(0, "other", 1) })
 			}
 			may := always
-			if way.recording {
-				may = func() bool { way.meanwhile(t, p.at(0)); return true }
+			if row.recording {
+				may = func() bool { row.event(t, p.at(0)); return true }
 			} else {
-				way.meanwhile(t, p.at(0))
+				row.event(t, p.at(0))
 			}
 			second := call("second", may)
-			if way.recording {
+			if row.recording {
 				assert.False(t, second.Left())
-				until("it has not left", func() bool { _, there := results["second"]; return there })
+				until("the call is not sent", func() bool { _, there := results["second"]; return there })
 				assert.Equal(t, snowjunction.Moot, results["second"].Outcome)
 				second = call("second", always)
 			}
-			until("it comes on another connection", func() bool { return p.took(1, "second", 1) })
+			until("the call arrives on another connection", func() bool { return p.hasReceived(1, "second", 1) })
 			assert.True(t, second.Left())
-			assert.False(t, p.took(0, "second", 1))
+			assert.False(t, p.hasReceived(0, "second", 1))
 		})
 	}
 }
 
-// pushSite is a core with the push front listening. Its loop turns only while the test waits.
-type pushSite struct {
-	*site
+// pushTestCourier is a core with a listening push front. Its loop only runs while the test waits.
+type pushTestCourier struct {
+	*testCourier
 	push *push.Front
 }
 
-func newPushSite(t *testing.T) *pushSite {
-	s := &pushSite{site: &site{t: t}}
-	journal := s.begin(net.Config{MaxConns: 64})
+func newPushTestCourier(t *testing.T) *pushTestCourier {
+	s := &pushTestCourier{testCourier: &testCourier{t: t}}
+	journal := s.setUp(net.Config{MaxConns: 64})
 	read := func(name string) []byte {
 		text, err := os.ReadFile(filepath.Join("../../deploy", name))
 		require.NoError(t, err)
@@ -142,27 +143,27 @@
 	return s
 }
 
-// client connects a client of the push front that has been answered once, on stream 1.
-func (s *pushSite) client() *end {
+// client connects a client of the push front and waits for its first answer, on stream 1.
+func (s *pushTestCourier) client() *testConn {
 	s.t.Helper()
 	c, err := stdnet.Dial("tcp", s.push.Addr())
 	require.NoError(s.t, err)
 	s.t.Cleanup(func() { c.Close() })
-	p := &peer{}
-	e := &end{TCPConn: c.(*stdnet.TCPConn), p: p}
+	p := &fakeServer{}
+	e := &testConn{TCPConn: c.(*stdnet.TCPConn), server: p}
 	p.conns = append(p.conns, e)
 	go e.read()
-	e.say(s.t, http2.ClientPreface+settings(s.t)+headers(s.t, 1, true, ":method", "GET", ":scheme", "http", ":authority", "a", ":path", "/nothing"))
-	s.until("a client is answered", func() bool { return e.told(s.t, 1) != "" })
+	e.send(s.t, http2.ClientPreface+settingsFrame(s.t)+headersFrame(s.t, 1, true, ":method", "GET", ":scheme", "http", ":authority", "a", ":path", "/nothing"))
+	s.until("the client gets an answer", func() bool { return e.streamResult(s.t, 1) != "" })
 	return e
 }
 
-// told is what a client has been told of a stream: its status, "refused", or "not taken" if it
-// is above the last of a GOAWAY; "": nothing yet.
-func (e *end) told(t *testing.T, stream uint32) (what string) {
-	e.p.mu.Lock()
-	f := http2.NewFramer(nil, bytes.NewReader(bytes.Clone(e.got)))
-	e.p.mu.Unlock()
+// streamResult returns what the client received for a stream: its status, "refused", or "not
+// accepted" if the stream is above the last of a GOAWAY; "" if nothing yet.
+func (e *testConn) streamResult(t *testing.T, stream uint32) (what string) {
+	e.server.mu.Lock()
+	f := http2.NewFramer(nil, bytes.NewReader(bytes.Clone(e.received)))
+	e.server.mu.Unlock()
 	f.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	for {
 		x, err := f.ReadFrame()
@@ -181,60 +182,60 @@
 			}
 		case *http2.GoAwayFrame:
 			if x.LastStreamID < stream {
-				return "not taken"
+				return "not accepted"
 			}
 		}
 	}
 }
 
-// Requests that have come to the push front when the courier begins to end are answered, or
-// named by a GOAWAY as not taken, whatever has been read of them; then their connections end,
-// and not by a reset, which might overtake that.
-func TestPushRequestsThatCrossTheEnd(t *testing.T) {
-	head := headers(t, 3, false, ":method", "POST", ":scheme", "http", ":authority", "a", ":path", "/push/7",
+// Guards against dropping push requests that arrive when a drain begins. They must be answered, or
+// rejected by a GOAWAY, whatever part has been read, before their connections are closed. The close
+// must not be a reset, which could discard the answer.
+func TestPushRequestsDuringDrain(t *testing.T) {
+	head := headersFrame(t, 3, false, ":method", "POST", ":scheme", "http", ":authority", "a", ":path", "/push/7",
 		"message-id", "m1", "message-class", "status", "ttl", "3")
-	whole := head + frames(t, func(f *http2.Framer) error { return f.WriteData(3, true, []byte("some body")) })
-	for name, way := range map[string]struct {
-		read int
-		late bool // the rest comes once the end has begun
-		told string
+	whole := head + encodeFrames(t, func(f *http2.Framer) error { return f.WriteData(3, true, []byte("some body")) })
+	for name, row := range map[string]struct {
+		read   int
+		late   bool // the rest arrives after the drain has begun
+		result string
 	}{
-		"not read":                      {told: "not taken"},
-		"a byte of its frames":          {read: 1, told: "not taken"},
-		"half of its head":              {read: len(head) / 2, told: "not taken"},
-		"half of its head, late":        {read: len(head) / 2, late: true, told: "not taken"},
-		"read but for a body":           {read: len(head), told: "503"},
-		"read but for a body, late":     {read: len(head), late: true, told: "503"},
-		"read but for a byte of it":     {read: len(whole) - 1, told: "503"},
-		"read but for a byte, and late": {read: len(whole) - 1, late: true, told: "503"},
+		"not read":                            {result: "not accepted"},
+		"one byte read":                       {read: 1, result: "not accepted"},
+		"half of the header read":             {read: len(head) / 2, result: "not accepted"},
+		"half of the header read, rest late":  {read: len(head) / 2, late: true, result: "not accepted"},
+		"header read":                         {read: len(head), result: "503"},
+		"header read, rest late":              {read: len(head), late: true, result: "503"},
+		"read except for one byte":            {read: len(whole) - 1, result: "503"},
+		"read except for one byte, rest late": {read: len(whole) - 1, late: true, result: "503"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newPushSite(t)
+			s := newPushTestCourier(t)
 			c := s.client()
-			if way.read > 0 {
-				c.say(t, whole[:way.read])
+			if row.read > 0 {
+				c.send(t, whole[:row.read])
 				s.until("a part is read", s.push.Unanswered)
 				s.settlePush()
 			}
-			if !way.late {
-				c.say(t, whole[way.read:])
+			if !row.late {
+				c.send(t, whole[row.read:])
 			}
 			s.core.Drain()
 			s.push.Drain()
-			require.True(t, s.push.Unanswered(), "the process waits for that")
-			if way.late {
-				c.say(t, whole[way.read:])
+			require.True(t, s.push.Unanswered(), "the process waits for the answer")
+			if row.late {
+				c.send(t, whole[row.read:])
 			}
-			s.until("it is ended", func() bool { return c.p.ended(0) })
-			assert.Equal(t, io.EOF, c.err, "not by a reset")
-			assert.Equal(t, way.told, c.told(t, 3))
+			s.until("the connection is closed", func() bool { return c.server.connClosed(0) })
+			assert.Equal(t, io.EOF, c.err, "closed without a reset")
+			assert.Equal(t, row.result, c.streamResult(t, 3))
 			assert.False(t, s.push.Unanswered())
 		})
 	}
 }
 
-// settlePush has all that has been said so far read.
-func (s *pushSite) settlePush() {
+// settlePush waits until everything sent so far has been read.
+func (s *pushTestCourier) settlePush() {
 	c := s.client()
 	c.Close()
 }
--- a/internal/front/told_test.go
+++ b/internal/front/told_test.go
@@ -14,58 +14,57 @@
 	"snowjunction"
 )
 
-// heardWithin is the bound: a change counts as told 6 s after discovery had it and could be
-// reached, and half of the grace (1 s) is left for what is on its way.
-const heardWithin = 6500 * time.Millisecond
+// updateBound is how long a change may take: 6 s after discovery had it and could be reached, plus
+// half of the drain grace (1 s). The other half is left for requests in flight.
+const updateBound = 6500 * time.Millisecond
 
-// What an attempt that succeeds may take: its connection and its answer are late.
+// How long a successful attempt may take: both its connect and its answer are slow.
 const (
-	lateUp     = 990 * time.Millisecond
-	lateAnswer = 1990 * time.Millisecond
+	slowConnect = 990 * time.Millisecond
+	slowAnswer  = 1990 * time.Millisecond
 )
 
-// shut keeps connections from coming up, as those to a machine that has vanished: nobody says
-// no. It returns once that is so.
-func (p *peer) shut(t *testing.T) {
+// blockConnects keeps connections from opening, like those to a machine that has vanished: nothing
+// is refused. It returns once that is in effect.
+func (p *fakeServer) blockConnects(t *testing.T) {
 	t.Helper()
-	require.NoError(t, p.l.(*stdnet.TCPListener).SetDeadline(time.Unix(1, 0)))
+	require.NoError(t, p.listener.(*stdnet.TCPListener).SetDeadline(time.Unix(1, 0)))
 	<-p.parked
-	p.backlog(t, 0)
-	c, err := stdnet.Dial("tcp", p.l.Addr().String()) // the one that the queue has room for
+	p.setBacklog(t, 0)
+	c, err := stdnet.Dial("tcp", p.listener.Addr().String()) // takes the one place that the accept queue has
 	require.NoError(t, err)
 	p.filler = c
 }
 
-// open ends that. The next connection is that which took the room.
-func (p *peer) open(t *testing.T) {
+// unblockConnects ends that. The next accepted connection is the one that filled the queue.
+func (p *fakeServer) unblockConnects(t *testing.T) {
 	t.Helper()
-	p.backlog(t, 128)
-	require.NoError(t, p.l.(*stdnet.TCPListener).SetDeadline(time.Time{}))
+	p.setBacklog(t, 128)
+	require.NoError(t, p.listener.(*stdnet.TCPListener).SetDeadline(time.Time{}))
 	p.resume <- struct{}{}
 	require.NoError(t, p.filler.Close())
 }
 
-func (p *peer) backlog(t *testing.T, n int) {
+func (p *fakeServer) setBacklog(t *testing.T, n int) {
 	t.Helper()
-	raw, err := p.l.(*stdnet.TCPListener).SyscallConn()
+	raw, err := p.listener.(*stdnet.TCPListener).SyscallConn()
 	require.NoError(t, err)
 	require.NoError(t, raw.Control(func(fd uintptr) { err = unix.Listen(int(fd), n) }))
 	require.NoError(t, err)
 }
 
-// outage is a site whose discovery fails in one way after another.
-type outage struct {
-	*site
-	conn  int       // the number of the connection on which the next ask comes
-	since time.Time // the step began that is failing
+// discoveryOutage is a courier whose discovery fails in one way after another.
+type discoveryOutage struct {
+	*testCourier
+	connNumber int       // number of the connection that carries the next request
+	stepStart  time.Time // start of the step that is failing
 }
 
-// pass lets the clock go on from one timer to the next, until something has come or the time is
-// over.
-func (o *outage) pass(limit time.Duration, come func() bool) {
+// pass advances the clock from one timer to the next, until a condition holds or the time is over.
+func (o *discoveryOutage) pass(limit time.Duration, done func() bool) {
 	for end := o.now.Add(limit); ; {
 		next, waiting := o.loop.Turn()
-		if come() || !o.now.Before(end) {
+		if done() || !o.now.Before(end) {
 			return
 		}
 		if o.now = end; waiting && next.Before(end) {
@@ -74,121 +73,122 @@
 	}
 }
 
-func (o *outage) open() bool { return o.front.Engine.Open() > 0 }
+func (o *discoveryOutage) connOpen() bool { return o.front.Engine.Open() > 0 }
 
-// asked waits for the pause to end and the next ask to come, on a new connection.
-func (o *outage) asked() *end {
+// nextRequest waits for the pause to end and the next request to arrive, on a new connection.
+func (o *discoveryOutage) nextRequest() *testConn {
 	o.t.Helper()
-	o.pass(heardWithin, o.open)
-	require.True(o.t, o.open(), "discovery is not asked again within %v", heardWithin)
-	o.until("the ask comes", func() bool { return o.discovery.took(o.conn, ask, 1) })
-	o.since = o.now
-	o.conn++
-	return o.discovery.at(o.conn - 1)
+	o.pass(updateBound, o.connOpen)
+	require.True(o.t, o.connOpen(), "no new request to discovery within %v", updateBound)
+	o.until("the request arrives", func() bool { return o.discovery.hasReceived(o.connNumber, discoveryPath, 1) })
+	o.stepStart = o.now
+	o.connNumber++
+	return o.discovery.at(o.connNumber - 1)
 }
 
-// ended waits until the courier has ended a connection, or heard its end, after n others.
-func (o *outage) ended(n int) {
+// waitClosed waits until another connection has closed after the first n.
+func (o *discoveryOutage) waitClosed(n int) {
 	o.t.Helper()
-	o.until("the connection ends", func() bool { return len(o.ends) > n })
+	o.until("the connection is closed", func() bool { return len(o.discoveryCloseCodes) > n })
 }
 
-func broken(o *outage) {
-	e, n := o.asked(), len(o.ends)
+func failByReset(o *discoveryOutage) {
+	e, n := o.nextRequest(), len(o.discoveryCloseCodes)
 	require.NoError(o.t, e.SetLinger(0))
 	require.NoError(o.t, e.Close())
-	o.ended(n)
+	o.waitClosed(n)
 }
 
-// failures are the ways in which a call to discovery fails.
-var failures = map[string]func(o *outage){
-	"refused": func(o *outage) {
-		n := len(o.ends)
-		o.asked().say(o.t, "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n")
-		o.ended(n)
+// failures are the ways in which a request to discovery can fail.
+var failures = map[string]func(o *discoveryOutage){
+	"refused": func(o *discoveryOutage) {
+		n := len(o.discoveryCloseCodes)
+		o.nextRequest().send(o.t, "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n")
+		o.waitClosed(n)
 	},
-	"refused late": func(o *outage) {
-		e, n := o.asked(), len(o.ends)
-		o.after(lateAnswer)
-		e.say(o.t, "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n")
-		o.ended(n)
+	"late refusal": func(o *discoveryOutage) {
+		e, n := o.nextRequest(), len(o.discoveryCloseCodes)
+		o.after(slowAnswer)
+		e.send(o.t, "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n")
+		o.waitClosed(n)
 	},
-	"not up": func(o *outage) {
-		if o.open() { // this one may be up already
-			broken(o)
+	"connect timeout": func(o *discoveryOutage) {
+		if o.connOpen() { // this connection may already be open
+			failByReset(o)
 		}
-		o.discovery.shut(o.t)
-		o.pass(heardWithin, o.open)
-		require.True(o.t, o.open(), "discovery is not called again within %v", heardWithin)
-		o.since = o.now
+		o.discovery.blockConnects(o.t)
+		o.pass(updateBound, o.connOpen)
+		require.True(o.t, o.connOpen(), "discovery is not dialled again within %v", updateBound)
+		o.stepStart = o.now
 		posted := o.posted.Load()
-		o.pass(heardWithin, func() bool { return !o.open() })
-		require.False(o.t, o.open(), "a connection is waited for longer than %v", heardWithin)
-		o.until("dialling is called off", func() bool { return o.posted.Load() > posted })
-		o.discovery.open(o.t)
-		o.until("connections are accepted", func() bool { return o.discovery.at(o.conn) != nil })
-		o.conn++
+		o.pass(updateBound, func() bool { return !o.connOpen() })
+		require.False(o.t, o.connOpen(), "a connect takes longer than %v", updateBound)
+		o.until("the dial is cancelled", func() bool { return o.posted.Load() > posted })
+		o.discovery.unblockConnects(o.t)
+		o.until("connections are accepted", func() bool { return o.discovery.at(o.connNumber) != nil })
+		o.connNumber++
 	},
-	"broken": broken,
-	"silent": func(o *outage) {
-		o.asked()
-		o.pass(heardWithin, func() bool { return !o.open() })
-		require.False(o.t, o.open(), "an answer is waited for longer than %v", heardWithin)
+	"reset": failByReset,
+	"stalled": func(o *discoveryOutage) {
+		o.nextRequest()
+		o.pass(updateBound, func() bool { return !o.connOpen() })
+		require.False(o.t, o.connOpen(), "an answer takes longer than %v", updateBound)
 	},
-	"unreadable": func(o *outage) {
-		n := len(o.ends)
-		o.asked().say(o.t, answer("200 OK", `{"generation":2,"reset":true,"instances":[{]`))
-		o.ended(n)
+	"malformed": func(o *discoveryOutage) {
+		n := len(o.discoveryCloseCodes)
+		o.nextRequest().send(o.t, httpAnswer("200 OK", `{"generation":2,"reset":true,"instances":[{]`))
+		o.waitClosed(n)
 	},
-	"without a generation": func(o *outage) {
-		n := len(o.ends)
-		o.asked().say(o.t, answer("200 OK", `{"reset":true,"instances":[]}`))
-		o.ended(n)
+	"missing generation": func(o *discoveryOutage) {
+		n := len(o.discoveryCloseCodes)
+		o.nextRequest().send(o.t, httpAnswer("200 OK", `{"reset":true,"instances":[]}`))
+		o.waitClosed(n)
 	},
-	"drips": func(o *outage) {
-		e, n := o.asked(), len(o.ends)
-		e.say(o.t, "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{")
-		for len(o.ends) == n {
+	"slow data": func(o *discoveryOutage) {
+		e, n := o.nextRequest(), len(o.discoveryCloseCodes)
+		e.send(o.t, "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{")
+		for len(o.discoveryCloseCodes) == n {
 			o.settle()
-			o.until("that is read", func() bool { return o.front.Engine.Open() <= 1 })
-			o.pass(500*time.Millisecond, func() bool { return len(o.ends) > n })
-			if len(o.ends) == n {
-				e.say(o.t, " ")
+			o.until("the data is read", func() bool { return o.front.Engine.Open() <= 1 })
+			o.pass(500*time.Millisecond, func() bool { return len(o.discoveryCloseCodes) > n })
+			if len(o.discoveryCloseCodes) == n {
+				e.send(o.t, " ")
 			}
-			require.Less(o.t, o.now.Sub(o.since), heardWithin, "a list that drips is waited for")
+			require.Less(o.t, o.now.Sub(o.stepStart), updateBound, "a slow list takes too long")
 		}
 	},
 }
 
-// heard has discovery answer from now on, late: what became news when the last step began is
-// heard in time.
-func (o *outage) heard() {
+// expectUpdate lets discovery answer from now on, slowly, and requires that a change at the start
+// of the last step arrives in time.
+func (o *discoveryOutage) expectUpdate() {
 	o.t.Helper()
-	reach := o.since
-	e, n := o.asked(), len(o.ends)
-	o.after(lateAnswer)
-	require.Len(o.t, o.ends, n, "a late answer is waited for")
-	e.say(o.t, answer("200 OK", fmt.Sprintf(`{"generation":2,"reset":true,"instances":[{"instanceId":"s-1","hostPort":%q,"cell":7,`+
-		`"lifecycle":"Terminating","zone":"a","machineType":"k"}]}`, o.target.l.Addr())))
-	o.until("the change is heard", func() bool {
+	changed := o.stepStart
+	e, n := o.nextRequest(), len(o.discoveryCloseCodes)
+	o.after(slowAnswer)
+	require.Len(o.t, o.discoveryCloseCodes, n, "the connection stays open for a late answer")
+	e.send(o.t, httpAnswer("200 OK", fmt.Sprintf(`{"generation":2,"reset":true,"instances":[{"instanceId":"s-1","hostPort":%q,"cell":7,`+
+		`"lifecycle":"Terminating","zone":"a","machineType":"k"}]}`, o.target.listener.Addr())))
+	o.until("the change is received", func() bool {
 		generation, _, _ := o.front.Told()
 		return generation == 2
 	})
-	assert.LessOrEqual(o.t, o.now.Sub(reach)+lateUp, heardWithin)
+	assert.LessOrEqual(o.t, o.now.Sub(changed)+slowConnect, updateBound)
 }
 
-func newOutage(t *testing.T, fleet int, seed uint64) *outage {
-	o := &outage{site: newSite(t, func(s *snowjunction.Settings) { s.Fleet, s.Seed = fleet, seed })}
-	o.since = o.now
+func newDiscoveryOutage(t *testing.T, fleet int, seed uint64) *discoveryOutage {
+	o := &discoveryOutage{testCourier: newTestCourier(t, func(s *snowjunction.Settings) { s.Fleet, s.Seed = fleet, seed })}
+	o.stepStart = o.now
 	return o
 }
 
-// Whatever failed how often, in a small fleet and a large one: what becomes news just as the last
-// of the failing steps begins is heard within 6 s and half of the grace.
-func TestHeardAfterFailures(t *testing.T) {
+// Guards against pauses and timeouts that add up beyond the bound: after any sequence of failures,
+// in a small and in a large fleet, a change at the start of the last failing step must arrive
+// within 6 s plus half of the drain grace.
+func TestUpdateArrivesInTimeAfterFailures(t *testing.T) {
 	rows := [][]string{
-		{"refused", "silent", "drips"}, {"refused", "drips", "not up", "silent"}, {"drips", "unreadable", "refused", "broken"},
-		{"unreadable", "not up", "unreadable", "silent"},
+		{"refused", "stalled", "slow data"}, {"refused", "slow data", "connect timeout", "stalled"}, {"slow data", "malformed", "refused", "reset"},
+		{"malformed", "connect timeout", "malformed", "stalled"},
 	}
 	for name := range failures {
 		rows = append(rows, []string{name}, []string{name, name, name, name, name})
@@ -197,95 +197,99 @@
 		for _, fleet := range []int{1, 300} {
 			t.Run(fmt.Sprintf("%s, fleet of %d", strings.Join(row, ", "), fleet), func(t *testing.T) {
 				for seed := range uint64(3) {
-					o := newOutage(t, fleet, seed)
+					o := newDiscoveryOutage(t, fleet, seed)
 					for _, name := range row {
 						failures[name](o)
 					}
-					o.heard()
+					o.expectUpdate()
 				}
 			})
 		}
 	}
 }
 
-// A watch that waits, as it should, falls silent with the change.
-func TestWatchSilentWithTheChange(t *testing.T) {
+// Guards against a late change when a watch that waited as intended stalls at the moment of the
+// change.
+func TestWatchStallsAsTheListChanges(t *testing.T) {
 	for _, fleet := range []int{1, 300} {
 		t.Run(fmt.Sprintf("fleet of %d", fleet), func(t *testing.T) {
-			o := newOutage(t, fleet, 1)
-			e := o.asked()
-			for asks := 2; asks < 5; asks++ {
-				e.say(t, answer("200 OK", nothingNew))
-				o.until("it is watched", func() bool { return o.discovery.took(0, ask, asks) })
-				o.since = o.now
+			o := newDiscoveryOutage(t, fleet, 1)
+			e := o.nextRequest()
+			for requests := 2; requests < 5; requests++ {
+				e.send(t, httpAnswer("200 OK", noChanges))
+				o.until("the list is watched", func() bool { return o.discovery.hasReceived(0, discoveryPath, requests) })
+				o.stepStart = o.now
 				o.after(2500 * time.Millisecond)
-				require.Empty(t, o.ends, "a watch may wait for as long as it has asked to")
+				require.Empty(t, o.discoveryCloseCodes, "the connection stays open for the requested wait")
 			}
-			o.pass(heardWithin, func() bool { return len(o.ends) > 0 })
-			o.heard()
+			o.pass(updateBound, func() bool { return len(o.discoveryCloseCodes) > 0 })
+			o.expectUpdate()
 		})
 	}
 }
 
-// A new configuration moves discovery in the middle of an outage, and the new one fails too.
-func TestHeardAfterMoves(t *testing.T) {
+// Guards against late changes when a new configuration moves discovery during an outage, and the
+// new address fails too.
+func TestUpdateArrivesInTimeAfterDiscoveryMoves(t *testing.T) {
 	for name, failure := range failures {
 		t.Run(name, func(t *testing.T) {
-			o := newOutage(t, 300, 1)
+			o := newDiscoveryOutage(t, 300, 1)
 			for range 3 {
 				failure(o)
-				o.discovery, o.conn = newPeer(t), 0
-				o.front.Move(o.discovery.l.Addr().String())
-				o.since = o.now
+				o.discovery, o.connNumber = newFakeServer(t), 0
+				o.front.Move(o.discovery.listener.Addr().String())
+				o.stepStart = o.now
 			}
 			failure(o)
 			failure(o)
-			o.heard()
+			o.expectUpdate()
 		})
 	}
 }
 
-// What an answer that never ends has said of an endpoint that drains is heeded when the answer is
-// given up, or its connection breaks.
-func TestDrainInAnAnswerThatNeverEnds(t *testing.T) {
-	givenUp := func(o *outage, _ *end) { o.pass(heardWithin, func() bool { return len(o.ends) > 0 }) }
+// Guards against sending to an endpoint that an incomplete answer named as draining. It must be
+// applied when the answer times out or its connection breaks.
+func TestDrainInIncompleteAnswer(t *testing.T) {
+	timeOut := func(o *discoveryOutage, _ *testConn) {
+		o.pass(updateBound, func() bool { return len(o.discoveryCloseCodes) > 0 })
+	}
 	for name, row := range map[string]struct {
 		lifecycle string
-		end       func(o *outage, e *end)
+		end       func(o *discoveryOutage, e *testConn)
 		sent      bool
 	}{
-		"given up":          {"Terminating", givenUp, false},
-		"broken":            {"Terminating", func(o *outage, e *end) { e.finish(o.t); o.ended(0) }, false},
-		"of one that stays": {"Ready", givenUp, true},
+		"timeout":              {"Terminating", timeOut, false},
+		"reset":                {"Terminating", func(o *discoveryOutage, e *testConn) { e.halfClose(o.t); o.waitClosed(0) }, false},
+		"endpoint stays ready": {"Ready", timeOut, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := newOutage(t, 1, 1)
-			e := o.asked()
-			e.say(t, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n"+`{"generation":2,"reset":false,"instances":[{"instanceId":"s-1",`+
-				`"hostPort":%q,"cell":7,"lifecycle":%q,"zone":"a","machineType":"k"},`, o.target.l.Addr(), row.lifecycle))
+			o := newDiscoveryOutage(t, 1, 1)
+			e := o.nextRequest()
+			e.send(t, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n"+`{"generation":2,"reset":false,"instances":[{"instanceId":"s-1",`+
+				`"hostPort":%q,"cell":7,"lifecycle":%q,"zone":"a","machineType":"k"},`, o.target.listener.Addr(), row.lifecycle))
 			o.settle()
 			row.end(o, e)
 			c := o.client()
-			c.say(t, add("m1", "debit", time.Second))
-			o.until("it is read", func() bool { return o.core.Counters.In == 1 })
+			c.send(t, addCommand("m1", "debit", time.Second))
+			o.until("the message is read", func() bool { return o.core.Counters.In == 1 })
 			o.after(5 * time.Millisecond)
-			o.until("it is taken on, or sent back", func() bool { return c.p.took(0, "+OK", 1) || c.p.took(0, "-BUSY", 1) })
+			o.until("the message is accepted or rejected", func() bool { return c.server.hasReceived(0, "+OK", 1) || c.server.hasReceived(0, "-BUSY", 1) })
 			if row.sent {
-				o.until("and goes", func() bool { return o.target.took(0, "m1", 1) })
+				o.until("the message is sent", func() bool { return o.target.hasReceived(0, "m1", 1) })
 				return
 			}
 			o.pass(time.Second, func() bool { return false })
-			assert.Zero(t, o.core.Counters.Sent, "nothing goes to it any more")
+			assert.Zero(t, o.core.Counters.Sent, "nothing is sent to the draining endpoint")
 		})
 	}
 }
 
-// Lists that cannot be taken are asked for less and less often, however they are spoilt: pauses
-// grow from half of the grace to what the bound leaves.
-func TestUnreadableListsGrow(t *testing.T) {
-	for _, name := range []string{"unreadable", "without a generation"} {
+// Guards against requesting invalid lists at a constant rate: the pauses must grow from half of the
+// drain grace to the most that the bound allows, whatever makes the lists invalid.
+func TestPausesGrowAfterInvalidLists(t *testing.T) {
+	for _, name := range []string{"malformed", "missing generation"} {
 		t.Run(name, func(t *testing.T) {
-			o := newOutage(t, 300, 1)
+			o := newDiscoveryOutage(t, 300, 1)
 			failures[name](o)
 			for _, most := range []time.Duration{500, 1000, 2000, 3500, 3500} {
 				failed := o.now
