--- a/internal/front/console/console.go
+++ b/internal/front/console/console.go
@@ -51,6 +51,7 @@
 // Addr returns the address that the front listens on.
 func (f *Front) Addr() string { return f.addr }
 
+// caller is an accepted connection.
 type caller struct {
 	front    *Front
 	conn     *net.Conn
@@ -87,8 +88,10 @@
 	return false
 }
 
+// Opened is called for dialled connections only.
 func (c *caller) Opened() {}
 
+// Closed removes the caller.
 func (c *caller) Closed(net.Code) { c.remove() }
 
 // Data reads the call and answers it.
--- a/internal/front/forward_test.go
+++ b/internal/front/forward_test.go
@@ -271,7 +271,7 @@
 
 // Guards against taking a late or duplicate answer for the answer to the next command.
 func TestUnsolicitedAnswerIsIgnored(t *testing.T) {
-	for name, meanwhile := range map[string]func(e *testConn){
+	for name, event := range map[string]func(e *testConn){
 		"a second answer":       func(e *testConn) { e.send(t, "+OK\r\n") },
 		"part of an answer":     func(e *testConn) { e.send(t, "+O") },
 		"a close":               func(e *testConn) { e.halfClose(t) },
@@ -287,7 +287,7 @@
 			// The loop is stopped here, so it handles the command before the data received on that
 			// connection.
 			var answers []string
-			meanwhile(e)
+			event(e)
 			require.NoError(t, f.front.HandIn(core.Request{ID: "m2", Class: "debit", Destination: 7, Left: time.Second}, func(text []byte) {
 				answers = append(answers, string(text))
 			}))
@@ -900,7 +900,7 @@
 	s.expectAnswer(c, "+OK\r\n")
 }
 
-// A front without a listener must still accept messages through HandIn.
+// A front without a listener must still accept messages from within the process.
 func TestHandIn(t *testing.T) {
 	f := newForwardingCourier(t, "r1")
 	var answers []string
--- a/internal/front/partitions_test.go
+++ b/internal/front/partitions_test.go
@@ -58,9 +58,9 @@
 
 // alone returns the membership with only the courier that owns these partitions while both are
 // members.
-func (d *partitionedCourier) alone(of []int) *partition.Membership {
+func (d *partitionedCourier) alone(owned []int) *partition.Membership {
 	for _, x := range d.both.Members() {
-		if slices.Equal(d.both.Owned(x.Name), of) {
+		if slices.Equal(d.both.Owned(x.Name), owned) {
 			return members(d.t, x.Name)
 		}
 	}
@@ -565,7 +565,7 @@
 		partitions int
 		of         func(d *partitionedCourier) []int
 		gains      func(d *partitionedCourier) []int
-		whole      bool
+		fullList   bool
 	}{
 		"complete":                   {},
 		"own partitions":             {partitionCount, func(d *partitionedCourier) []int { return d.own }, nil, false},
@@ -580,7 +580,7 @@
 				initial.Of = row.of(d)
 			}
 			d.start(initial)
-			if row.whole {
+			if row.fullList {
 				assert.Equal(t, "?"+partitionQuery(d.own), d.requestPath(0, 1))
 				assert.Empty(t, d.tableNames())
 				return
--- a/internal/front/platform/discovery.go
+++ b/internal/front/platform/discovery.go
@@ -68,6 +68,7 @@
 // stepAge returns the time since the current step began.
 func (d *discovery) stepAge() time.Duration { return d.front.Loop.Now().Sub(d.stepStart) }
 
+// request sends a watch or a request for a full list on the open connection.
 func (d *discovery) request() {
 	d.prepareReader()
 	path := "/discovery/hosts"
--- a/internal/front/platform/forward.go
+++ b/internal/front/platform/forward.go
@@ -105,7 +105,7 @@
 	return err
 }
 
-// submit is HandIn for callers that may disconnect before the answer. The answer function returns
+// submit submits a message for a caller that may disconnect before the answer. The answer function returns
 // whether the answer was delivered.
 func (f *Front) submit(r core.Request, answer func(text []byte) bool) (*forwardedMessage, error) {
 	if f.Router == nil || !f.core.Taking() {
@@ -534,6 +534,7 @@
 	c.failUnsent(net.DialTimeout)
 }
 
+// failUnsent tries the next owner for a command that was not sent.
 func (c *forwardConn) failUnsent(code net.Code) {
 	m := c.current
 	c.current = nil
--- a/internal/front/platform/handover.go
+++ b/internal/front/platform/handover.go
@@ -16,7 +16,6 @@
 const ListenerKind = "client"
 
 // Hush stops sending notices and forwarding messages; those that come from now on are handed over.
-// Hushed reports when none is in flight.
 func (f *Front) Hush() { f.notices.paused, f.forwarder.paused = true, true }
 
 // Hushed reports whether no notice and no forwarded message waits for an answer.
--- a/internal/front/platform/listener.go
+++ b/internal/front/platform/listener.go
@@ -29,6 +29,7 @@
 	lastActive   time.Time // when the last command began or was answered
 }
 
+// pendingAnswer is a request of a client and its answer, once that is known.
 type pendingAnswer struct {
 	text      []byte            // nil until known
 	request   core.Request      // until answered
@@ -114,8 +115,8 @@
 }
 
 func (f *Front) accept(conn *net.Conn) net.Handler {
-	// Clients hold a third of the file descriptors at most. Clients that send one request and
-	// stay connected would otherwise use them up, and no further request could be accepted.
+	// This keeps clients to about a third of the file descriptors. Clients that send one request
+	// and stay connected would otherwise use them up, and no further request could be accepted.
 	if float64(len(f.clients)) >= evictionShare*float64(f.Engine.Most()) {
 		f.evictClient(false)
 	}
@@ -125,8 +126,10 @@
 	return c
 }
 
+// Opened is called for dialled connections only.
 func (c *client) Opened() {}
 
+// Closed removes the client and abandons its unanswered requests.
 func (c *client) Closed(net.Code) {
 	delete(c.front.clients, c)
 	c.abandon()
@@ -169,6 +172,7 @@
 	c.flush()
 }
 
+// command executes a command.
 func (c *client) command(args [][]byte) {
 	switch name := strings.ToUpper(string(args[0])); {
 	case len(c.pending) >= maxPipelined:
@@ -231,6 +235,7 @@
 	}
 }
 
+// renderAnswer returns the RESP2 form of the core's answer.
 func renderAnswer(x core.Answer) []byte {
 	switch {
 	case x.Verdict == core.Taken:
@@ -292,6 +297,7 @@
 
 var errOutAddArgs = errors.New("OUT.ADD wants a key, an id, names and values, and a body")
 
+// parseOutAdd parses the arguments of OUT.ADD: key, id, names and values, body.
 func parseOutAdd(args [][]byte) (core.Request, error) {
 	if len(args) != 4 {
 		return core.Request{}, errOutAddArgs
--- a/internal/front/platform/notices.go
+++ b/internal/front/platform/notices.go
@@ -10,13 +10,14 @@
 	"snowjunction/internal/store"
 )
 
-// noticeQueue reports messages that ended without a delivery to the platform. Each notice is repeated
-// until it is answered with 204: a duplicate notice does no harm, but a lost one loses the message.
+// noticeQueue reports messages that ended without a delivery to the platform. Each notice is
+// repeated until it is answered with 204: a duplicate notice does no harm, but a lost one loses the
+// message.
 type noticeQueue struct {
 	front      *Front
 	queue      []*store.Message
-	inFlight   int // number of notices at the head of the queue that are in flight
-	single     bool
+	inFlight   int  // number of notices at the head of the queue that are in flight
+	single     bool // send one notice per request, to find a malformed one
 	conn       *net.Conn
 	up         bool
 	parser     http1.Parser
@@ -76,6 +77,7 @@
 		"Content-Type", "application/x-ndjson"))
 }
 
+// appendNotice appends the line of JSON that reports a message.
 func appendNotice(b []byte, m *store.Message) []byte {
 	b = append(append(b, `{"id":"`...), m.ID...) // the id needs no escaping: the core accepts no other
 	b = append(append(b, `","state":"`...), m.State.String()...)
@@ -105,6 +107,7 @@
 	n.retryLater(code)
 }
 
+// retryLater closes the connection and sends the notices in flight again after a pause.
 func (n *noticeQueue) retryLater(code net.Code) {
 	if n.conn != nil {
 		n.conn.Close(code)
--- a/internal/front/platform/partitions.go
+++ b/internal/front/platform/partitions.go
@@ -129,9 +129,9 @@
 	return fmt.Errorf("%w: %d, expected %d", errPartitions, d.reader.Partitions, r.Membership().Partitions())
 }
 
-// listReceived updates the state after an answer was applied. If whole is true, it was the full
+// listReceived updates the state after an answer was applied. If full is true, it was the full
 // list of the requested partitions.
-func (d *discovery) listReceived(whole bool) {
+func (d *discovery) listReceived(full bool) {
 	r := d.front.Router
 	if r == nil {
 		return
@@ -141,7 +141,7 @@
 	if d.reader.Partitions == 0 { // not restricted: has all that was listed at the request
 		of = p.listedThen
 	}
-	if whole {
+	if full {
 		r.Held(without(of, p.unlistedSince))
 	}
 	d.front.startSweep(p.unlistedSince) // entries may have been read before they were unlisted
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -38,7 +38,7 @@
 // Step is a step of a front's start.
 type Step int
 
-// The steps in the order in which they happen. Listening and Listed are reported before Start
+// The steps in the order in which they happen. The first two are reported before Start
 // returns.
 const (
 	Listening Step = iota
@@ -139,10 +139,10 @@
 	}
 	initial, heldPartitions := f.restrictToListed(initial)
 	if initial.Held {
-		news, err := initial.News()
+		list, err := initial.News()
 		if err == nil {
-			news.Full = true
-			err = c.Begin(f.Number, news, initial.Source, initial.Age)
+			list.Full = true
+			err = c.Begin(f.Number, list, initial.Source, initial.Age)
 		}
 		if err != nil { // a bad saved list must not prevent the start
 			f.Log.Warn("cannot use the saved list; starting without a list", "err", err)
--- a/internal/front/platform/target.go
+++ b/internal/front/platform/target.go
@@ -51,11 +51,11 @@
 // Call makes an attempt on the most recently used idle connection, or on a new one.
 func (t *target) Call(m *store.Message, shape core.Shape, timeout time.Duration, maySend func() bool, done func(core.Result)) core.Call {
 	headers := []string{
-		front.HeaderID, m.ID,
+		front.HeaderRequestID, m.ID,
 		front.HeaderTimeout, strconv.FormatInt(max(timeout.Milliseconds(), 1), 10),
 	}
 	if m.IdempotencyKey != "" {
-		headers = append(headers, front.HeaderKey, m.IdempotencyKey)
+		headers = append(headers, front.HeaderIdempotencyKey, m.IdempotencyKey)
 	}
 	body := m.Body
 	if shape.HasBody {
@@ -64,7 +64,7 @@
 	for _, h := range shape.Headers {
 		headers = append(headers, h.Name, h.Value)
 	}
-	out := http1.Request("POST", front.InboxPath, t.entry.Addr, body, headers...)
+	request := http1.Request("POST", front.InboxPath, t.entry.Addr, body, headers...)
 	t.closeExpired()
 	if c := t.takeIdle(); c != nil {
 		t.idle = append(t.idle, c)
@@ -73,13 +73,13 @@
 		}
 		if c = t.takeIdle(); c != nil { // checked again: recording the attempt may take long
 			c.idleBefore = max(t.front.Loop.Now().Sub(c.lastUsed), 1)
-			c.startCall(m.ID, out, shape.Whole, done)
+			c.startCall(m.ID, request, shape.Whole, done)
 			c.writeRequest()
 			return c
 		}
 	}
 	c := &targetConn{target: t, parser: http1.Parser{MaxBody: maxAnswerBytes}}
-	c.startCall(m.ID, out, shape.Whole, done)
+	c.startCall(m.ID, request, shape.Whole, done)
 	c.maySend = maySend
 	c.conn = t.front.Engine.Dial("target", t.entry.Addr, c)
 	return c
@@ -141,6 +141,7 @@
 	return true
 }
 
+// closeAllIdle closes the idle connections with a close code.
 func (t *target) closeAllIdle(code net.Code) {
 	for _, c := range t.idle {
 		c.conn.Close(code)
@@ -148,16 +149,16 @@
 	t.idle = nil
 }
 
-func (c *targetConn) startCall(id string, out []byte, whole bool, done func(core.Result)) {
-	c.messageID, c.request, c.wantWhole, c.done, c.sent = id, out, whole, done, false
+func (c *targetConn) startCall(messageID string, request []byte, wantWhole bool, done func(core.Result)) {
+	c.messageID, c.request, c.wantWhole, c.done, c.sent = messageID, request, wantWhole, done, false
 }
 
 // writeRequest writes the request. If the socket accepts none of it, Closed is called while sent is
 // false.
 func (c *targetConn) writeRequest() {
-	out := c.request
+	request := c.request
 	c.request = nil
-	c.sent = c.conn.Write(out)
+	c.sent = c.conn.Write(request)
 	c.target.front.Log.Debug("request", "id", c.messageID, "to", c.target.entry.Addr, "taken", c.sent, "kept_ms", c.idleBefore.Milliseconds())
 }
 
@@ -230,6 +231,7 @@
 	c.finishBroken()
 }
 
+// finishBroken reports the result of a call whose connection broke before a complete answer.
 func (c *targetConn) finishBroken() {
 	outcome := snowjunction.ConnectFailed
 	switch {
--- a/internal/front/push/listener.go
+++ b/internal/front/push/listener.go
@@ -79,6 +79,7 @@
 	}
 }
 
+// removeWaiters stops and removes those waiters of a message for which remove returns true.
 func (f *Front) removeWaiters(id string, list []*waiter, remove func(*waiter) bool) {
 	list = slices.DeleteFunc(list, func(w *waiter) bool {
 		if !remove(w) {
@@ -271,6 +272,7 @@
 // 5.3) is rejected. Normal and high urgency may use all of it.
 var urgencyShares = map[string]float64{"": 1, "very-low": 0.5, "low": 0.75, "normal": 1, "high": 1}
 
+// parseSubmit returns the request that the parameters of a submit describe.
 func parseSubmit(params map[string]string) (core.Request, error) {
 	r := core.Request{
 		ID: params["message-id"], IdempotencyKey: params["idempotency-key"],
@@ -293,6 +295,7 @@
 	return r, nil
 }
 
+// respondCreated answers that a message was accepted, with its location and remaining time.
 func (c *client) respondCreated(stream uint32, m *store.Message) {
 	left := max(0, int(math.Ceil(m.Deadline.Sub(c.front.Loop.Now()).Seconds())))
 	c.respond(stream, 201, nil,
--- a/internal/front/push/push.go
+++ b/internal/front/push/push.go
@@ -133,9 +133,9 @@
 
 // Relist replaces the front's targets. If the new ones are rejected, the current ones stay in use.
 func (f *Front) Relist(targets []core.Entry) error {
-	news, err := groups.ListOf(true, true, targets)
+	list, err := groups.ListOf(true, true, targets)
 	if err == nil {
-		err = f.core.Listed(f.Number, news)
+		err = f.core.Listed(f.Number, list)
 	}
 	if err != nil {
 		return fmt.Errorf("cannot use the push targets: %w", err)
@@ -164,6 +164,7 @@
 	}
 }
 
+// addEnded keeps an ended message so that its state can be queried.
 func (f *Front) addEnded(m *store.Message) {
 	f.ended = append(f.ended, m)
 	f.forgetExpired()
--- a/internal/front/push/target.go
+++ b/internal/front/push/target.go
@@ -50,6 +50,7 @@
 	done        func(core.Result)
 }
 
+// errStale means that a call must not be sent any more.
 var errStale = errors.New("decision to send is no longer valid")
 
 const (
@@ -76,7 +77,7 @@
 	x := &call{maySend: maySend, done: done, body: body, wantWhole: shape.Whole, fields: []h2.Field{
 		{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"},
 		{Name: ":authority", Value: t.entry.Addr}, {Name: ":path", Value: path},
-		{Name: lower(front.HeaderID), Value: m.ID},
+		{Name: lower(front.HeaderRequestID), Value: m.ID},
 		{Name: lower(front.HeaderTimeout), Value: strconv.FormatInt(max(timeout.Milliseconds(), 1), 10)},
 		{Name: "content-length", Value: strconv.Itoa(len(body))},
 	}}
@@ -84,7 +85,7 @@
 		x.fields = append(x.fields, h2.Field{Name: lower(h.Name), Value: h.Value})
 	}
 	if m.IdempotencyKey != "" {
-		x.fields = append(x.fields, h2.Field{Name: lower(front.HeaderKey), Value: m.IdempotencyKey})
+		x.fields = append(x.fields, h2.Field{Name: lower(front.HeaderIdempotencyKey), Value: m.IdempotencyKey})
 	}
 	c := t.pickConn()
 	x.conn = c
@@ -139,14 +140,14 @@
 
 // poolView returns the pool's view of the connection, with times relative to now.
 func (c *targetConn) poolView(now time.Time) h2pool.Link {
-	x := h2pool.Link{
+	view := h2pool.Link{
 		Up: c.up, Open: len(c.calls), Queued: len(c.waiting), Away: c.retired || c.h2.Closing(),
 		Opened: -now.Sub(c.openedAt), Used: -now.Sub(c.lastUsed), Room: h2Limits(maxAnswerBytes).Streams,
 	}
 	if c.up {
-		x.Room = c.h2.Free()
+		view.Room = c.h2.Free()
 	}
-	return x
+	return view
 }
 
 // CloseIdle closes the connections without calls.
@@ -158,6 +159,7 @@
 	t.closeAllIdle(net.Drained)
 }
 
+// closeAllIdle closes the connections without calls with a close code.
 func (t *target) closeAllIdle(code net.Code) {
 	for _, c := range append([]*targetConn(nil), t.conns...) {
 		c.closeIfIdle(code)
@@ -257,28 +259,28 @@
 // GiveUp resets the stream, which lets the target notice that the call is abandoned. Other calls on
 // the connection continue.
 func (x *call) GiveUp() {
-	l := x.conn
+	c := x.conn
 	x.done = nil
 	x.answerTimer.Stop()
 	if x.stream != 0 {
-		l.h2.Reset(x.stream, h2.Cancel)
-		delete(l.calls, x.stream)
-		l.conn.Write(l.h2.Output())
-		l.retire() // the connection itself may be unresponsive, so the next call uses another one
+		c.h2.Reset(x.stream, h2.Cancel)
+		delete(c.calls, x.stream)
+		c.conn.Write(c.h2.Output())
+		c.retire() // the connection itself may be unresponsive, so the next call uses another one
 	} else {
-		for i, q := range l.waiting {
-			if q == x {
-				l.waiting = append(l.waiting[:i], l.waiting[i+1:]...)
+		for i, queued := range c.waiting {
+			if queued == x {
+				c.waiting = append(c.waiting[:i], c.waiting[i+1:]...)
 				break
 			}
 		}
 	}
-	if len(l.calls) == 0 && len(l.waiting) == 0 {
+	if len(c.calls) == 0 && len(c.waiting) == 0 {
 		code := net.CallTimeout
-		if !l.up {
+		if !c.up {
 			code = net.DialTimeout
 		}
-		l.closeConn(code)
+		c.closeConn(code)
 	}
 }
 
@@ -303,6 +305,7 @@
 	}
 }
 
+// finish reports the call's result, at most once.
 func (x *call) finish(r core.Result) {
 	if done := x.done; done != nil {
 		x.done = nil
@@ -378,6 +381,7 @@
 	}
 }
 
+// finishCall ends a call with its complete answer.
 func (c *targetConn) finishCall(m h2.Message) {
 	x := c.calls[m.Stream]
 	delete(c.calls, m.Stream)
--- a/internal/front/races_test.go
+++ b/internal/front/races_test.go
@@ -203,16 +203,16 @@
 func (e closeLog) Enabled(context.Context, slog.Level) bool { return true }
 
 func (e closeLog) Handle(_ context.Context, r slog.Record) error {
-	of := map[string]string{}
+	attrs := map[string]string{}
 	r.Attrs(func(a slog.Attr) bool {
-		of[a.Key] = a.Value.String()
+		attrs[a.Key] = a.Value.String()
 		return true
 	})
 	if r.Message != "connection ended" {
 		return nil
 	}
-	if e.all[of["kind"]] = append(e.all[of["kind"]], of["code"]); of["kind"] == "discovery" {
-		*e.discovery = append(*e.discovery, of["code"])
+	if e.all[attrs["kind"]] = append(e.all[attrs["kind"]], attrs["code"]); attrs["kind"] == "discovery" {
+		*e.discovery = append(*e.discovery, attrs["code"])
 	}
 	return nil
 }
@@ -443,7 +443,7 @@
 // and against writing a request to a connection that the other side has closed. Nothing may be sent
 // there, whatever the class.
 func TestIdleConnectionNotReusable(t *testing.T) {
-	for name, meanwhile := range map[string]func(e *testConn){
+	for name, event := range map[string]func(e *testConn){
 		"a second answer":       func(e *testConn) { e.send(t, httpAnswer("200 OK", "")) },
 		"part of an answer":     func(e *testConn) { e.send(t, "HTTP/1.1 200 O") },
 		"a close":               func(e *testConn) { e.halfClose(t) },
@@ -460,7 +460,7 @@
 			s.until("the first call arrives", func() bool { return s.target.hasReceived(0, "m1", 1) })
 			s.target.at(0).send(t, httpAnswer("200 OK", ""))
 			s.until("the first call is answered", func() bool { return len(results) == 1 })
-			meanwhile(s.target.at(0))
+			event(s.target.at(0))
 			call("m2")
 			s.until("the second call arrives on another connection", func() bool { return s.target.hasReceived(1, "m2", 1) })
 			assert.False(t, s.target.hasReceived(0, "m2", 1))
--- a/internal/front/result.go
+++ b/internal/front/result.go
@@ -12,17 +12,17 @@
 
 // The headers of a call and of its answer, in any case, and the path of a call.
 const (
-	HeaderID      = "X-Request-ID"
-	HeaderKey     = "Idempotency-Key"
-	HeaderTimeout = "X-Timeout-Ms"
-	HeaderWait    = "X-RateLimit-Wait-Ms"
-	HeaderSlots   = "X-Over-Slots"
-	HeaderLoad    = "X-Server-Load"
-	InboxPath     = "/inbox"
+	HeaderRequestID      = "X-Request-ID"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderTimeout        = "X-Timeout-Ms"
+	HeaderRateLimitWait  = "X-RateLimit-Wait-Ms"
+	HeaderOverSlots      = "X-Over-Slots"
+	HeaderServerLoad     = "X-Server-Load"
+	InboxPath            = "/inbox"
 )
 
-// maxReportValue is the largest accepted value of a load report. It keeps calculations with these values
-// finite.
+// maxReportValue is the largest accepted value of a load report. It keeps calculations with these
+// values finite.
 const maxReportValue = 1e9
 
 const maxRetryAfter = 24 * time.Hour // a longer retry-after delay is taken for a mistake
@@ -30,19 +30,19 @@
 // Result maps a target's answer to a result. Columns are the names of the values in its load
 // report.
 func Result(status int, get func(string) string, columns []string) core.Result {
-	result := core.Result{Report: parseReport(get(HeaderLoad), columns)}
+	result := core.Result{Report: parseReport(get(HeaderServerLoad), columns)}
 	switch status {
 	case 200:
 		result.Outcome = snowjunction.OK
 	case 429:
 		result.Outcome = snowjunction.Full
-		ms, err := strconv.ParseFloat(get(HeaderWait), 64)
+		ms, err := strconv.ParseFloat(get(HeaderRateLimitWait), 64)
 		if err == nil && ms > 0 && ms < float64(maxRetryAfter.Milliseconds()) {
 			result.Wait = time.Duration(ms * float64(time.Millisecond))
 		}
 	case 503:
 		result.Outcome = snowjunction.Full
-		if get(HeaderSlots) == "1" { // not sent: this courier's slots were taken
+		if get(HeaderOverSlots) == "1" { // not sent: this courier's slots were taken
 			result.Outcome = snowjunction.Moot
 		}
 	case 504: // all attempts were made; the final result is still to be reported
