--- a/internal/front/platform/discovery.go
+++ b/internal/front/platform/discovery.go
@@ -251,7 +251,7 @@
 // of the rejected one are applied. The full list is requested next, with growing pauses while the
 // lists remain invalid.
 func (d *discovery) rejectList(err error) {
-	d.front.Log.Warn("rejected the list from discovery", "err", err, "entries", d.reader.Entries, "bytes", d.reader.Size())
+	d.front.Log.Warn("discovery's list cannot be read", "err", err, "entries", d.reader.Entries, "bytes", d.reader.Size())
 	d.front.core.Refused(d.front.Number, d.incoming, err)
 	d.incremental = false
 	d.retryAfter(net.Protocol, d.backoff.Unreadable(d.stepAge()))
--- a/internal/front/platform/forward.go
+++ b/internal/front/platform/forward.go
@@ -105,8 +105,8 @@
 	return err
 }
 
-// submit submits a message for a caller that may disconnect before the answer. The answer function returns
-// whether the answer was delivered.
+// submit submits a message for a caller that may disconnect before the answer. The answer function
+// returns whether the answer was delivered.
 func (f *Front) submit(r core.Request, answer func(text []byte) bool) (*forwardedMessage, error) {
 	if f.Router == nil || !f.core.Taking() {
 		return nil, f.submitLocal(r, answer)
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -119,8 +119,8 @@
 	Source belief.Source
 	Age    time.Duration // since the directory confirmed it; negative if unknown
 	Watch  bool          // changes after its generation may be requested
-	// The partitions for which the list is complete, sorted, and their total number. A total of zero
-	// means that the list is complete for all destinations.
+	// The partitions for which the list is complete, sorted, and their total number. A total of
+	// zero means that the list is complete for all destinations.
 	Partitions int
 	Of         []int
 }
--- a/internal/front/push/target.go
+++ b/internal/front/push/target.go
@@ -408,8 +408,8 @@
 	x.finish(r)
 }
 
-// resetCall ends one call. A stream that was refused, or is above the last one of a GOAWAY, never ran;
-// after any other reset the request may have run.
+// resetCall ends one call. A stream that was refused, or is above the last one of a GOAWAY, never
+// ran; after any other reset the request may have run.
 func (c *targetConn) resetCall(r h2.Reset) {
 	x := c.calls[r.Stream]
 	delete(c.calls, r.Stream)
