--- a/internal/aside/aside.go
+++ b/internal/aside/aside.go
@@ -1,5 +1,5 @@
-// Package aside writes what is worth keeping, and not worth waiting for, beside the
-// journal: on a goroutine of its own, into numbered files of the folder that lasts.
+// Package aside writes side files next to the journal: state that is worth keeping but must not
+// delay anything. Writes run on a goroutine of their own, into numbered files in the state folder.
 package aside
 
 import (
@@ -12,17 +12,17 @@
 	"sync"
 )
 
-// Writer has things written, one write after another.
+// Writer performs writes one after another in the background.
 type Writer[T any] struct {
-	// Merge puts what comes while a write is under way to what waits already.
-	Merge func(waiting, come T) T
-	// Write writes. It is called by one goroutine at a time.
+	// Merge combines a value that waits for the current write to end with a newer one.
+	Merge func(pending, next T) T
+	// Write writes a value. It is called from one goroutine at a time.
 	Write func(T) error
 	Log   *slog.Logger
-	What  string // is not kept: for the log, where writes begin to fail and where that is over
+	What  string // subject of the log lines when writes start to fail ("... is not kept") and when they succeed again
 
 	mu      sync.Mutex
-	waiting []T // none or one
+	pending []T // at most one value
 	busy    bool
 	closed  bool
 	failing bool
@@ -30,60 +30,60 @@
 	done    chan struct{}
 }
 
-// Put has x written soon. It does not wait; after Close it does nothing.
+// Put schedules x to be written. It does not block; after Close it does nothing.
 func (w *Writer[T]) Put(x T) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed {
 		return
 	}
-	if len(w.waiting) > 0 {
-		w.waiting[0] = w.Merge(w.waiting[0], x)
+	if len(w.pending) > 0 {
+		w.pending[0] = w.Merge(w.pending[0], x)
 	} else {
-		w.waiting = append(w.waiting, x)
+		w.pending = append(w.pending, x)
 	}
 	if !w.busy {
 		w.busy, w.done = true, make(chan struct{})
-		go w.work(w.done)
+		go w.drain(w.done)
 	}
 }
 
-func (w *Writer[T]) work(done chan struct{}) {
+func (w *Writer[T]) drain(done chan struct{}) {
 	defer close(done)
 	for {
 		w.mu.Lock()
-		if len(w.waiting) == 0 {
+		if len(w.pending) == 0 {
 			w.busy = false
 			w.mu.Unlock()
 			return
 		}
-		x := w.waiting[0]
-		w.waiting = nil
+		x := w.pending[0]
+		w.pending = nil
 		w.mu.Unlock()
 		err := w.Write(x)
 		w.mu.Lock()
-		was := w.failing
+		wasFailing := w.failing
 		if w.failing = err != nil; err != nil {
 			w.failed++
 		}
 		w.mu.Unlock()
 		switch {
-		case err != nil && !was:
+		case err != nil && !wasFailing:
 			w.Log.Warn(w.What+" is not kept", "err", err)
-		case err == nil && was:
+		case err == nil && wasFailing:
 			w.Log.Info(w.What + " is kept again")
 		}
 	}
 }
 
-// Failed is how many writes have failed.
+// Failed returns the number of failed writes.
 func (w *Writer[T]) Failed() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.failed
 }
 
-// Close waits until what was put is written.
+// Close waits until all values that were put are written.
 func (w *Writer[T]) Close() {
 	w.mu.Lock()
 	w.closed = true
@@ -94,27 +94,27 @@
 	}
 }
 
-// Block is what files count in.
+// Block is the unit, in bytes, to which file sizes are rounded up.
 const Block = 512
 
-const digits = 12
+const numberDigits = 12
 
-// Path is the file of a number.
+// Path returns the path of the file with this number.
 func Path(dir, prefix string, no uint64) string {
-	return filepath.Join(dir, fmt.Sprintf("%s%0*d", prefix, digits, no))
+	return filepath.Join(dir, fmt.Sprintf("%s%0*d", prefix, numberDigits, no))
 }
 
-// Number is that of a file; 0: it has none, and is not one of these.
+// Number returns the number of a file, or zero if path is not a numbered file with this prefix.
 func Number(path, prefix string) uint64 {
 	text, ok := strings.CutPrefix(filepath.Base(path), prefix)
 	no, err := strconv.ParseUint(text, 10, 64)
-	if !ok || err != nil || len(text) != digits {
+	if !ok || err != nil || len(text) != numberDigits {
 		return 0
 	}
 	return no
 }
 
-// Files are those with numbers in a folder, the oldest first.
+// Files returns the numbered files with this prefix in a folder, oldest first.
 func Files(dir, prefix string) (out []string, err error) {
 	found, err := filepath.Glob(filepath.Join(dir, prefix+"*"))
 	for _, path := range found {
--- a/internal/aside/aside_test.go
+++ b/internal/aside/aside_test.go
@@ -12,9 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Everything put is written, in order; what comes during a write is merged; failures
-// are counted and said once, and once more when they are over; nothing is written
-// after Close.
+// Values are written in order; those put during a write are merged; failures are counted and logged
+// once, as is the recovery; nothing is written after Close.
 func TestWriter(t *testing.T) {
 	var got, lines bytes.Buffer
 	begun, goOn := make(chan bool), make(chan error)
--- a/internal/dircache/dircache.go
+++ b/internal/dircache/dircache.go
@@ -12,51 +12,50 @@
 	"snowjunction/internal/aside"
 )
 
-// Options set a cache's place and bounds.
+// Options configures a Cache.
 type Options struct {
 	Dir         string
-	Bytes       int // of one snapshot
-	Generations int // snapshots that are kept
+	Bytes       int // maximum size of one snapshot
+	Generations int // number of snapshots that are kept
 	Log         *slog.Logger
 }
 
-// Room is what a cache takes on disk at the most: its snapshots and the one that is
-// being written.
+// Room returns the maximum disk space of a cache in bytes: its snapshots and the one being written.
 func (o Options) Room() int64 { return int64(o.Generations+1) * int64(o.Bytes+aside.Block) }
 
 const (
-	prefix  = "directory-"
-	partial = prefix + "new"
+	filePrefix  = "directory-"
+	partialName = filePrefix + "new"
 )
 
-// Cache writes snapshots. Nobody waits for the disk.
+// Cache writes snapshots in the background; callers never wait for the disk.
 type Cache struct {
-	o      Options
-	last   uint64 // number of the youngest file
-	writer *aside.Writer[[]byte]
+	opts       Options
+	lastNumber uint64 // number of the newest file
+	writer     *aside.Writer[[]byte]
 
 	written, bytes atomic.Uint64
 }
 
-// Counts tell what the cache has done.
+// Counts counts the writes of a Cache.
 type Counts struct {
 	Written, Failed uint64
 	Bytes           uint64
 }
 
-// Files are the snapshots in a folder, the youngest first.
+// Files returns the snapshots in a folder, newest first.
 func Files(dir string) ([]string, error) {
-	out, err := aside.Files(dir, prefix)
+	out, err := aside.Files(dir, filePrefix)
 	slices.Reverse(out)
 	return out, err
 }
 
-// Load reads the youngest snapshot in a folder that can be read. What is wrong with
-// younger ones is told; a folder without any has none, which is no mistake.
-func Load(dir string, wrong func(file string, err error)) *Snapshot {
+// Load reads the newest readable snapshot in a folder and reports errors in newer ones to onError.
+// It returns nil if there is none, which is not an error.
+func Load(dir string, onError func(file string, err error)) *Snapshot {
 	files, err := Files(dir)
 	if err != nil {
-		wrong(dir, err)
+		onError(dir, err)
 		return nil
 	}
 	for _, name := range files {
@@ -64,20 +63,20 @@
 		if err == nil {
 			return s
 		}
-		wrong(filepath.Base(name), err)
+		onError(filepath.Base(name), err)
 	}
 	return nil
 }
 
-// sizeMost bounds what is read of a file.
-const sizeMost = 256 << 20
+// maxFileBytes limits the size of a file that is read.
+const maxFileBytes = 256 << 20
 
-// Read reads a snapshot's file.
+// Read reads a snapshot file. An error in its content wraps ErrForm.
 func Read(path string) (*Snapshot, error) {
 	if i, err := os.Stat(path); err != nil {
 		return nil, err
-	} else if i.Size() > sizeMost {
-		return nil, fmt.Errorf("%w: %d bytes are too many", ErrForm, i.Size())
+	} else if i.Size() > maxFileBytes {
+		return nil, fmt.Errorf("%w: %d bytes exceed the size limit", ErrForm, i.Size())
 	}
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -86,50 +85,50 @@
 	return Decode(b)
 }
 
-// Open makes ready to write. What a write that was cut short has left is removed, and
-// files beyond the generations to keep.
+// Open prepares a folder for writing. It removes a partially written file and the snapshots beyond
+// the configured generations.
 func Open(o Options) (*Cache, error) {
-	c := &Cache{o: o}
+	c := &Cache{opts: o}
 	c.writer = &aside.Writer[[]byte]{
-		Merge: func(_, youngest []byte) []byte { return youngest }, Write: c.save, Log: o.Log, What: "the directory's list",
+		Merge: func(_, newest []byte) []byte { return newest }, Write: c.save, Log: o.Log, What: "the directory's list",
 	}
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
-		return nil, fmt.Errorf("open the directory's cache: %w", err)
+		return nil, fmt.Errorf("open the directory cache: %w", err)
 	}
-	if err := os.Remove(filepath.Join(o.Dir, partial)); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return nil, fmt.Errorf("open the directory's cache: %w", err)
+	if err := os.Remove(filepath.Join(o.Dir, partialName)); err != nil && !errors.Is(err, os.ErrNotExist) {
+		return nil, fmt.Errorf("open the directory cache: %w", err)
 	}
 	files, err := Files(o.Dir)
 	if err != nil {
-		return nil, fmt.Errorf("open the directory's cache: %w", err)
+		return nil, fmt.Errorf("open the directory cache: %w", err)
 	}
 	if len(files) > 0 {
-		c.last = aside.Number(files[0], prefix)
+		c.lastNumber = aside.Number(files[0], filePrefix)
 	}
 	return c, c.prune()
 }
 
-// Put has a snapshot written, in the place of one that still waits for that.
+// Put schedules a snapshot to be written; it replaces one that is still waiting.
 func (c *Cache) Put(b []byte) { c.writer.Put(b) }
 
-// Close waits until what was put is written.
+// Close waits until the last snapshot that was put is written.
 func (c *Cache) Close() { c.writer.Close() }
 
-// Counts are those up to now.
+// Counts returns the current counts.
 func (c *Cache) Counts() Counts {
 	return Counts{Written: c.written.Load(), Failed: c.writer.Failed(), Bytes: c.bytes.Load()}
 }
 
-// save writes a snapshot under a name of its own, gives it its final one, and then
-// removes what is more than is kept.
+// save writes a snapshot to a temporary file, renames it to its final name and removes surplus
+// snapshots.
 func (c *Cache) save(b []byte) error {
-	path := filepath.Join(c.o.Dir, partial)
+	path := filepath.Join(c.opts.Dir, partialName)
 	if err := os.WriteFile(path, b, 0o600); err != nil {
 		_ = os.Remove(path)
 		return err
 	}
-	c.last++
-	if err := os.Rename(path, aside.Path(c.o.Dir, prefix, c.last)); err != nil {
+	c.lastNumber++
+	if err := os.Rename(path, aside.Path(c.opts.Dir, filePrefix, c.lastNumber)); err != nil {
 		_ = os.Remove(path)
 		return err
 	}
@@ -139,11 +138,11 @@
 }
 
 func (c *Cache) prune() error {
-	files, err := Files(c.o.Dir)
+	files, err := Files(c.opts.Dir)
 	if err != nil {
 		return err
 	}
-	for _, name := range files[min(len(files), max(c.o.Generations, 1)):] {
+	for _, name := range files[min(len(files), max(c.opts.Generations, 1)):] {
 		if err := os.Remove(name); err != nil {
 			return err
 		}
--- a/internal/dircache/dircache_test.go
+++ b/internal/dircache/dircache_test.go
@@ -18,26 +18,26 @@
 	"snowjunction/internal/groups"
 )
 
-func entry(i int) groups.Entry {
+func testEntry(i int) groups.Entry {
 	return groups.Entry{
 		Name: fmt.Sprintf("s-%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Destination: snowjunction.DestinationID(i / 2),
 		Zone: i % 2, Kind: i % 3, Phase: snowjunction.Ready, Weight: float64(i),
 	}
 }
 
-func head() Head {
+func testHead() Head {
 	return Head{Told: time.UnixMilli(1e12), Generation: 41, Agent: "127.0.0.1:8500", Zones: []string{"a", "b"}, Kinds: []string{"k", "l", "m"}}
 }
 
-func snapshot(n, most int) []byte {
-	w := NewWriter(head(), most)
+func encodeSnapshot(n, most int) []byte {
+	w := NewWriter(testHead(), most)
 	for i := range n {
-		w.Add(entry(i))
+		w.Add(testEntry(i))
 	}
 	return w.Bytes()
 }
 
-func TestThereAndBack(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := Head{
 			Told:       time.UnixMilli(rapid.Int64Range(-1e15, 1e15).Draw(t, "told")),
@@ -53,7 +53,7 @@
 		w := NewWriter(h, 1<<20)
 		var want []groups.Entry
 		for i := range rapid.IntRange(0, 40).Draw(t, "n") {
-			e := entry(i)
+			e := testEntry(i)
 			e.Phase = snowjunction.Phase(rapid.IntRange(1, 2).Draw(t, "phase"))
 			e.Weight = rapid.Float64Range(-1e9, 1e9).Draw(t, "weight")
 			require.True(t, w.Add(e))
@@ -66,12 +66,12 @@
 		assert.Equal(t, want, s.Entries)
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		_, err = Decode(b)
-		assert.ErrorIs(t, err, ErrForm, "any byte that differs is found")
+		assert.ErrorIs(t, err, ErrForm, "any changed byte is detected")
 	})
 }
 
-func TestBounded(t *testing.T) {
-	b := snapshot(1000, 4096)
+func TestWriterRespectsSizeLimit(t *testing.T) {
+	b := encodeSnapshot(1000, 4096)
 	assert.LessOrEqual(t, len(b), 4096)
 	s, err := Decode(b)
 	require.NoError(t, err)
@@ -79,24 +79,25 @@
 	assert.Greater(t, len(s.Entries), 80)
 }
 
-// A list of all destinations is written as it always was: an earlier program reads it.
-func TestListOfAllKeepsItsForm(t *testing.T) {
-	assert.Equal(t, "e8f49d54a9e626f5", fmt.Sprintf("%x", xxhash.Sum64(snapshot(3, 1<<20))))
-	s, err := Decode(snapshot(3, 1<<20))
+// Guards the byte layout of version 1, used for a list of all destinations, which earlier releases
+// read.
+func TestVersion1LayoutIsUnchanged(t *testing.T) {
+	assert.Equal(t, "e8f49d54a9e626f5", fmt.Sprintf("%x", xxhash.Sum64(encodeSnapshot(3, 1<<20))))
+	s, err := Decode(encodeSnapshot(3, 1<<20))
 	require.NoError(t, err)
 	assert.Zero(t, s.Partitions)
 }
 
-// What a list says of its partitions is bounded by how many there are, and in order.
-func TestPartitionsThatAreSpoilt(t *testing.T) {
-	h := head()
-	at := len(NewWriter(h, 1<<20).b) - 5
+// Decode rejects partition lists that are out of range, out of order or truncated.
+func TestInvalidPartitions(t *testing.T) {
+	h := testHead()
+	at := len(NewWriter(h, 1<<20).buf) - 5
 	h.Partitions = 9
 	for name, of := range map[string][]byte{
 		"none at all": {0, 0}, "more than there are": {9, 10}, "beyond the last": {9, 1, 9}, "beyond, added up": {9, 2, 8, 0},
 		"too many": {0x81, 0x80, 4, 0}, "cut short": {9, 3, 1},
 	} {
-		b := NewWriter(h, 1<<20).b
+		b := NewWriter(h, 1<<20).buf
 		b = append(append(b[:at:at], of...), 0, 0, 0, 0, 0)
 		if name == "cut short" {
 			b = b[:len(b)-5]
@@ -106,13 +107,13 @@
 	}
 }
 
-func TestRename(t *testing.T) {
-	s, err := Decode(snapshot(6, 1<<20))
+func TestRemap(t *testing.T) {
+	s, err := Decode(encodeSnapshot(6, 1<<20))
 	require.NoError(t, err)
 	s.Rename(map[string]int{"b": 0, "a": 1}, map[string]int{"m": 0})
 	assert.Equal(t, 1, s.Entries[0].Zone)
 	assert.Equal(t, 0, s.Entries[1].Zone)
-	assert.Equal(t, 1, s.Entries[0].Kind, "one that is not known comes after all")
+	assert.Equal(t, 1, s.Entries[0].Kind, "an unknown kind gets the number after the last")
 	assert.Equal(t, 0, s.Entries[2].Kind)
 }
 
@@ -122,13 +123,13 @@
 	return c
 }
 
-// The youngest that can be read counts; older ones are kept for that where there is
-// room, and no more of them.
-func TestGenerations(t *testing.T) {
+// Load returns the newest readable snapshot and falls back to older ones; no more than the
+// configured number are kept.
+func TestLoadUsesNewestReadableGeneration(t *testing.T) {
 	dir := t.TempDir()
 	for i := range 5 {
 		c := open(t, dir, 3)
-		c.Put(snapshot(i, 1<<20))
+		c.Put(encodeSnapshot(i, 1<<20))
 		c.Close()
 	}
 	files, err := Files(dir)
@@ -149,14 +150,14 @@
 	assert.Len(t, files, 1)
 }
 
-// A write that was cut short leaves nothing that counts; one that fails leaves what
-// was there, and the next one that does not is taken.
-func TestWritesThatFail(t *testing.T) {
+// An interrupted write leaves no snapshot; a failed write keeps the previous snapshot, and the next
+// successful one replaces it.
+func TestFailedAndInterruptedWrites(t *testing.T) {
 	dir := t.TempDir()
-	require.NoError(t, os.WriteFile(filepath.Join(dir, partial), []byte("half"), 0o600))
-	require.NoError(t, os.WriteFile(filepath.Join(dir, prefix+"notes.txt"), []byte("not ours"), 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, partialName), []byte("half"), 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, filePrefix+"notes.txt"), []byte("not ours"), 0o600))
 	c := open(t, dir, 1)
-	c.Put(snapshot(2, 1<<20))
+	c.Put(encodeSnapshot(2, 1<<20))
 	wait := func(n func(Counts) uint64, want uint64) {
 		for n(c.Counts()) < want {
 			time.Sleep(time.Millisecond)
@@ -164,29 +165,29 @@
 	}
 	written, failed := func(n Counts) uint64 { return n.Written }, func(n Counts) uint64 { return n.Failed }
 	wait(written, 1)
-	blocked := filepath.Join(dir, partial, "x")
+	blocked := filepath.Join(dir, partialName, "x")
 	require.NoError(t, os.MkdirAll(blocked, 0o700))
-	c.Put(snapshot(3, 1<<20))
+	c.Put(encodeSnapshot(3, 1<<20))
 	wait(failed, 1)
 	s := Load(dir, func(file string, err error) { t.Error(file, err) })
 	assert.Len(t, s.Entries, 2)
-	require.NoError(t, os.RemoveAll(filepath.Join(dir, partial)))
-	c.Put(snapshot(4, 1<<20))
+	require.NoError(t, os.RemoveAll(filepath.Join(dir, partialName)))
+	c.Put(encodeSnapshot(4, 1<<20))
 	c.Close()
-	c.Put(snapshot(5, 1<<20)) // too late
+	c.Put(encodeSnapshot(5, 1<<20)) // ignored after Close
 	assert.Len(t, Load(dir, func(string, error) {}).Entries, 4)
-	assert.FileExists(t, filepath.Join(dir, prefix+"notes.txt"))
+	assert.FileExists(t, filepath.Join(dir, filePrefix+"notes.txt"))
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(snapshot(3, 1<<20), true)
+	f.Add(encodeSnapshot(3, 1<<20), true)
 	f.Add([]byte{}, false)
-	h := head()
+	h := testHead()
 	h.Partitions, h.Of = 16384, []int{0, 3, 77, 16383}
 	f.Add(NewWriter(h, 1<<20).Bytes(), true)
 	f.Fuzz(func(t *testing.T, b []byte, sealed bool) {
-		if sealed && len(b) > sumLen { // past the checksum
-			b = seal(b[: len(b)-sumLen : len(b)-sumLen])
+		if sealed && len(b) > checksumSize { // get past the checksum
+			b = seal(b[: len(b)-checksumSize : len(b)-checksumSize])
 		}
 		s, err := Decode(b)
 		if err != nil {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,8 +1,8 @@
-// Package record has the frame and the fields of the records that this program keeps on
+// Package record implements the frame and field encoding of the records that this program keeps on
 // disk. It does no I/O.
 //
-// A frame is the length of what follows it and the CRC-32C of that, each in four bytes,
-// little-endian. Fields are bytes, varints, and texts behind their length.
+// A frame is the length of the payload and the CRC-32C of the payload, four bytes each,
+// little-endian. Fields are single bytes, varints, and strings with a length prefix (uvarint).
 package record
 
 import (
@@ -11,51 +11,52 @@
 	"hash/crc32"
 )
 
-// Frame is the length of the frame in front of a payload.
+// Frame is the size in bytes of the frame header in front of a payload.
 const Frame = 8
 
-// ErrDamaged tells that there is no whole record.
+// ErrDamaged is returned by Open if there is no complete, intact record.
 var ErrDamaged = errors.New("damaged record")
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Seal fills the frame at the start of b, behind which the payload stands, and returns b.
+// Seal fills in the frame header at the start of b, which is followed by the payload, and returns
+// b.
 func Seal(b []byte) []byte {
 	binary.LittleEndian.PutUint32(b, uint32(len(b)-Frame))
-	binary.LittleEndian.PutUint32(b[4:], crc32.Checksum(b[Frame:], table))
+	binary.LittleEndian.PutUint32(b[4:], crc32.Checksum(b[Frame:], castagnoli))
 	return b
 }
 
-// Open returns the payload of the record at the start of b, of at most so many bytes, and
-// what is behind it.
-func Open(b []byte, most int) (payload, rest []byte, err error) {
+// Open returns the payload of the record at the start of b, of at most maxPayload bytes, and the
+// bytes after the record.
+func Open(b []byte, maxPayload int) (payload, rest []byte, err error) {
 	if len(b) < Frame {
 		return nil, nil, ErrDamaged
 	}
 	n := binary.LittleEndian.Uint32(b)
-	if n == 0 || uint64(n) > uint64(most) || int(n) > len(b)-Frame {
+	if n == 0 || uint64(n) > uint64(maxPayload) || int(n) > len(b)-Frame {
 		return nil, nil, ErrDamaged
 	}
 	payload, rest = b[Frame:Frame+int(n)], b[Frame+int(n):]
-	if crc32.Checksum(payload, table) != binary.LittleEndian.Uint32(b[4:]) {
+	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(b[4:]) {
 		return nil, nil, ErrDamaged
 	}
 	return payload, rest, nil
 }
 
-// AppendText appends a text behind its length.
+// AppendText appends a string with its length prefix.
 func AppendText(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// Reader takes fields off B. The first that is not there, or over its bound, sets Bad;
-// from then on fields are empty.
+// Reader decodes fields from B. The first field that is missing or over its limit sets Bad; after
+// that, all fields decode as zero values.
 type Reader struct {
 	B   []byte
 	Bad bool
 }
 
-// Take takes n bytes; they are nil if Bad.
+// Take returns the next n bytes, or nil if Bad.
 func (r *Reader) Take(n int) []byte {
 	if r.Bad || n < 0 || len(r.B) < n {
 		r.Bad = true
@@ -66,7 +67,7 @@
 	return b
 }
 
-// Byte takes one.
+// Byte decodes one byte.
 func (r *Reader) Byte() byte {
 	if b := r.Take(1); b != nil {
 		return b[0]
@@ -74,10 +75,10 @@
 	return 0
 }
 
-// Uint takes a uvarint of at most so much.
-func (r *Reader) Uint(most uint64) uint64 {
+// Uint decodes a uvarint of at most limit.
+func (r *Reader) Uint(limit uint64) uint64 {
 	v, n := binary.Uvarint(r.B)
-	if r.Bad || n <= 0 || v > most {
+	if r.Bad || n <= 0 || v > limit {
 		r.Bad = true
 		return 0
 	}
@@ -85,7 +86,7 @@
 	return v
 }
 
-// Int takes a varint.
+// Int decodes a signed varint.
 func (r *Reader) Int() int64 {
 	v, n := binary.Varint(r.B)
 	if r.Bad || n <= 0 {
@@ -96,5 +97,5 @@
 	return v
 }
 
-// Text takes a text of at most so many bytes.
-func (r *Reader) Text(most int) string { return string(r.Take(int(r.Uint(uint64(most))))) }
+// Text decodes a string of at most maxLen bytes.
+func (r *Reader) Text(maxLen int) string { return string(r.Take(int(r.Uint(uint64(maxLen))))) }
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// A sealed record opens to its payload and what is behind it; with any byte changed, cut
-// short, empty or over its bound it does not.
+// Open returns the payload of a sealed record and the bytes after it, and rejects a record with a
+// changed byte, a truncated one and one over its size limit.
 func TestFrame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		payload := rapid.SliceOfN(rapid.Byte(), 1, 100).Draw(t, "payload")
@@ -31,7 +31,8 @@
 	})
 }
 
-// Fields come back in order; past the end, over a bound and after a bad one there is none.
+// Fields decode in the order they were encoded; decoding fails past the end, over a limit and after
+// any earlier failure.
 func TestReader(t *testing.T) {
 	b := AppendText(binary.AppendVarint(binary.AppendUvarint([]byte{7}, 300), -5), "text")
 	r := Reader{B: b}
--- a/internal/store/capacity_test.go
+++ b/internal/store/capacity_test.go
@@ -9,8 +9,8 @@
 	"snowjunction/internal/gauge"
 )
 
-// backlog opens a journal of so many held events with bodies of 256 bytes, each sent once.
-func backlog(b *testing.B, dir string, n int) *Journal {
+// newBacklog opens a journal of so many held events with bodies of 256 bytes, each sent once.
+func newBacklog(b *testing.B, dir string, n int) *Journal {
 	j, _, err := Load(Options{Dir: dir, Bytes: 1 << 40, Log: slog.New(slog.DiscardHandler)})
 	for i := range n {
 		m := &Message{
@@ -33,12 +33,12 @@
 	return j
 }
 
-// What the journal holds of an event that is owed an end: of heap, and of disk.
+// Heap and disk space that the journal uses per pending event.
 func BenchmarkHeldEvent(b *testing.B) {
 	const n = 100_000
 	var disk int64
 	gauge.Held(b, n, "event", func() any {
-		j := backlog(b, b.TempDir(), n)
+		j := newBacklog(b, b.TempDir(), n)
 		disk = j.Size()
 		b.Cleanup(func() { j.Close() })
 		return j
@@ -46,12 +46,12 @@
 	b.ReportMetric(float64(disk)/n, "disk-B/event")
 }
 
-// What a start reads a journal at.
+// Time to load a journal of a given size at a start.
 func BenchmarkReadJournal(b *testing.B) {
 	for _, n := range []int{5_000, 50_000, 500_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir := b.TempDir()
-			j := backlog(b, dir, n)
+			j := newBacklog(b, dir, n)
 			size := float64(j.Size()) / 1e6
 			j.Close()
 			gauge.CPU(b, n, "event", func() {
--- a/internal/store/memory.go
+++ b/internal/store/memory.go
@@ -1,15 +1,15 @@
 package store
 
-// Memory is a journal that ends with its process: it numbers messages and keeps account of
-// their progress as a Journal does, and writes nothing.
+// Memory is a journal that is lost when its process ends. It numbers messages and tracks their
+// progress as a Journal does, but writes nothing.
 type Memory struct{ Journal }
 
-// Room tells that any message fits in.
+// Room always returns true.
 func (*Memory) Room(int) bool { return true }
 
-// Take numbers a new message.
+// Take assigns a sequence number to a new message.
 func (m *Memory) Take(x *Message) error {
-	m.next++
-	x.Seq = m.next
+	m.nextSeq++
+	x.Seq = m.nextSeq
 	return nil
 }
--- a/internal/store/memory_test.go
+++ b/internal/store/memory_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A journal in memory keeps account of a message as one on disk does.
-func TestMemory(t *testing.T) {
+// An in-memory journal tracks the progress of a message as one on disk does.
+func TestMemoryMatchesJournal(t *testing.T) {
 	disk, _, err := Load(Options{Dir: t.TempDir(), Bytes: 1e6, Log: slog.New(slog.DiscardHandler)})
 	require.NoError(t, err)
 	defer disk.Close()
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -8,20 +8,20 @@
 	"snowjunction/internal/record"
 )
 
-// State is how far a message has come.
+// State is the state of a message.
 type State byte
 
-// The states.
+// The message states. All but Open are final.
 const (
-	Open      State = iota // the courier owes it an end
-	Delivered              // a target took it
-	Withdrawn              // nobody wants it any more
-	Failed                 // given up, with no promise
-	Returned               // given up; handing it in again is harmless
-	Deleted                // whoever handed it in wants it no more, and none of it was out
+	Open      State = iota // no final state yet
+	Delivered              // a target accepted it
+	Withdrawn              // no longer wanted
+	Failed                 // abandoned; an attempt may have run
+	Returned               // abandoned; resubmitting it is safe
+	Deleted                // deleted by its client while no attempt was in flight
 )
 
-// String is the state's word in logs and answers.
+// String returns the state's name, as used in logs and answers.
 func (s State) String() string {
 	names := [...]string{"open", "delivered", "withdrawn", "failed", "returned", "deleted"}
 	if int(s) < len(names) {
@@ -30,46 +30,46 @@
 	return "unknown"
 }
 
-// Message is a message taken on, with what has become of it. Its progress
-// changes through the Journal alone.
+// Message is an accepted message with its progress. The progress is changed only through the
+// Journal.
 type Message struct {
-	Seq            uint64 // order of taking
-	Origin         byte   // the front that took it
+	Seq            uint64 // sequence number, in the order of acceptance
+	Origin         byte   // number of the front that accepted it
 	ID             string
 	IdempotencyKey string
-	Key            uint64 // messages of one key go in order; 0: none
+	Key            uint64 // ordering key; zero means that the message is not ordered
 	Destination    uint32
 	Class, Tenant  string
 	Deadline       time.Time
-	Again          bool
+	Again          bool // resubmitted by the client
 	Body           []byte
 
 	Attempts int
-	Out      bool      // the last attempt has no outcome yet
-	OutSince time.Time // when it left
+	Out      bool      // the last attempt is in flight: it has no outcome yet
+	OutSince time.Time // when that attempt was sent
 	Ran      bool      // an attempt may have run
-	RanSince time.Time // when the first of these left
+	RanSince time.Time // when the first such attempt was sent
 
 	State   State
-	After   time.Duration // when Returned: to come back after so long
+	After   time.Duration // in state Returned: delay after which it may be resubmitted
 	EndedAt time.Time
-	Settled bool // whoever handed it in knows its end
+	Settled bool // the final state is known to the client that submitted it
 }
 
-type kind byte
+type recordKind byte
 
 const (
-	taken   kind = iota + 1 // a whole message, also as compaction copies it
-	sent                    // an attempt leaves
-	came                    // its outcome
-	ended                   // the message's end
-	settled                 // the end is known outside
+	kindAccepted recordKind = iota + 1 // a whole message, also when copied by compaction
+	kindSent                           // an attempt is sent
+	kindOutcome                        // the outcome of an attempt
+	kindEnded                          // the message's final state
+	kindSettled                        // the final state is known to the submitting client
 )
 
-// maxRecord bounds what a length in a damaged file can make us read.
-const maxRecord = 1 << 20
+// maxRecordSize limits the payload length, in bytes, that is accepted from a possibly damaged file.
+const maxRecordSize = 1 << 20
 
-func begin(k kind, seq uint64) []byte {
+func newRecord(k recordKind, seq uint64) []byte {
 	b := make([]byte, record.Frame, 64)
 	return binary.AppendUvarint(append(b, byte(k)), seq)
 }
@@ -89,7 +89,7 @@
 }
 
 func encode(m *Message) []byte {
-	b := begin(taken, m.Seq)
+	b := newRecord(kindAccepted, m.Seq)
 	b = append(b, m.Origin)
 	for _, s := range []string{m.ID, m.IdempotencyKey, m.Class, m.Tenant} {
 		b = record.AppendText(b, s)
@@ -105,7 +105,7 @@
 	return record.Seal(record.AppendText(b, string(m.Body)))
 }
 
-// reader takes fields off a payload.
+// reader decodes the fields of a record's payload.
 type reader struct{ record.Reader }
 
 func (r *reader) bool() bool { return r.Byte() != 0 }
@@ -119,7 +119,7 @@
 	return time.Time{}
 }
 
-func (r *reader) string() string { return r.Text(maxRecord) }
+func (r *reader) string() string { return r.Text(maxRecordSize) }
 
 func decode(seq uint64, r *reader) *Message {
 	m := &Message{Seq: seq, Origin: r.Byte()}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,14 +1,15 @@
-// Package store keeps the journal of what the courier has taken on, in the
-// folder that outlasts its process.
+// Package store keeps the journal of accepted messages in the state folder, which outlives the
+// process.
 //
-// The journal is a row of append-only segments of checksummed records. Once
-// they take too much room the oldest goes, after what is still live in it has
-// been copied to the newest. Only a prefix of the row is ever removed, so no
-// record outlives one that takes it back.
+// The journal is a sequence of append-only segment files of checksummed records. Once the segments
+// use too much space, the records still needed from the oldest segment are copied to the newest one
+// and the oldest is deleted. Segments are only ever deleted from the front, so a record is never
+// kept without the later records that supersede it.
 //
-// A settled message is remembered, without its body, for as long as what may have run of it
-// binds others: those of its idempotency key, and the next of its key. It is copied as any
-// other, and gives way where the room is needed.
+// A settled message is remembered, without its body, as long as an attempt that may have run
+// constrains other messages: those with the same idempotency key, and the next one of the same
+// ordering key. Remembered messages are copied by compaction like any other and are evicted when
+// the space is needed.
 package store
 
 import (
@@ -25,100 +26,101 @@
 	"snowjunction/internal/record"
 )
 
-// ErrFull tells that a message does not fit in.
+// ErrFull is returned by Take if the message does not fit into the journal.
 var ErrFull = errors.New("the journal is full")
 
-// The shares of the disk's room.
+// Shares of the disk space and size limits of the journal.
 const (
-	useOf     = 0.92 // of it, for what rounding and the folder itself may take
-	segmentOf = 1.0 / 16
-	compactAt = 0.75    // of the use: from here on the oldest segment goes
-	liveMost  = 0.55    // of the use: more is not taken on, so that compaction gains
-	block     = 512     // files count in these
-	progress  = 256     // bytes to reserve for what becomes of a message
-	pastMost  = 8192    // settled messages that are remembered
-	pastOf    = 1.0 / 8 // of the use, beyond liveMost: with these the remembered give way
+	usableShare     = 0.92     // share of Options.Bytes that is used; leaves room for block rounding and the folder
+	segmentShare    = 1.0 / 16 // of maxBytes: a larger segment is followed by a new one
+	compactionShare = 0.75     // of maxBytes: above this the oldest segment is compacted
+	maxLiveShare    = 0.55     // of maxBytes: no more messages are accepted above this, so that compaction frees space
+	blockSize       = 512      // bytes; file sizes are rounded up to this
+	progressReserve = 256      // bytes reserved per message for the records of its progress
+	maxRemembered   = 8192     // number of settled messages that are remembered
+	rememberedShare = 1.0 / 8  // of maxBytes, beyond maxLiveShare: remembered messages are evicted above the sum
 )
 
-// Journal is the store. It is not safe for concurrent use.
+// Journal is the on-disk store of accepted messages. It is not safe for concurrent use.
 type Journal struct {
-	dir      string
-	log      *slog.Logger
-	most     int64 // bytes in use at most
-	segments []*segment
-	file     *os.File
-	next     uint64 // the next message's number
-	live     map[uint64]*entry
-	liveSize int64
-	retain   time.Duration
-	until    func(*Message) time.Time
-	retained []uint64  // settled messages whose end can still be asked for, oldest first
-	past     []uint64  // settled messages that are remembered, oldest first
-	pastSize int64     // of their records; liveSize is without it
-	at       time.Time // of the last record that tells it
-	written  Written
+	dir            string
+	log            *slog.Logger
+	maxBytes       int64 // disk space that the segments may use
+	segments       []*segment
+	file           *os.File
+	nextSeq        uint64 // sequence number of the next message
+	live           map[uint64]*entry
+	liveSize       int64
+	retain         time.Duration
+	rememberUntil  func(*Message) time.Time
+	retained       []uint64  // settled messages whose final state can still be queried, oldest first
+	remembered     []uint64  // sequence numbers of remembered settled messages, oldest first
+	rememberedSize int64     // bytes of their records, not included in liveSize
+	lastTime       time.Time // time of the last record that carries one
+	written        Written
 }
 
 type segment struct {
 	no   int
 	size int64
-	seqs map[uint64]bool // live messages whose whole record lies here
+	seqs map[uint64]bool // live messages whose kindAccepted record is in this segment
 }
 
 type entry struct {
-	msg  *Message
-	seg  *segment
-	size int64
-	past bool
+	message    *Message
+	segment    *segment
+	size       int64
+	remembered bool
 }
 
-// Options set a journal's bounds.
+// Options configures a Journal.
 type Options struct {
 	Dir    string
-	Bytes  int64         // that the folder may hold
-	Retain time.Duration // how long a settled message's end is kept, if Keep says so
+	Bytes  int64         // disk space that the journal may use
+	Retain time.Duration // how long a settled message's final state can be queried, if its Origin is not 0
 	Log    *slog.Logger
 
-	// Until tells until when a settled message is to be remembered of which an attempt may have
-	// run, and may be running if Out says so. nil: none is.
+	// Until returns the time until which a settled message is remembered whose attempt may have run
+	// (Ran), or may still be running (Out). If nil, no settled message is remembered.
 	Until func(m *Message) time.Time
 
-	// Goes tells of a message, by its number, that the attempt which is out goes on in this
-	// process; nil: none does.
+	// Goes reports whether the attempt of the message with this sequence number that is in flight
+	// continues in this process. If nil, none does.
 	Goes func(seq uint64) bool
 }
 
-// Ran are the settled messages that are remembered, or kept, of which an attempt may have run.
-// A client may hand one in again under another id, and its window is that of the first.
+// Ran returns the remembered and retained settled messages with an attempt that may have run. A
+// client may resubmit one under another ID; the deduplication window is then that of the first
+// attempt.
 func (j *Journal) Ran() (out []*Message) {
-	for _, seq := range slices.Concat(j.past, j.retained) {
-		if e := j.live[seq]; e != nil && (e.msg.Ran || e.msg.Out) {
-			out = append(out, e.msg)
+	for _, seq := range slices.Concat(j.remembered, j.retained) {
+		if e := j.live[seq]; e != nil && (e.message.Ran || e.message.Out) {
+			out = append(out, e.message)
 		}
 	}
 	return out
 }
 
-// retainMost bounds how many settled messages are kept.
-const retainMost = 2048
+// maxRetained limits the number of settled messages whose final state is retained.
+const maxRetained = 2048
 
-// Written is how much has been written in this life.
+// Written counts the records and bytes written since the journal was loaded.
 type Written struct{ Records, Bytes uint64 }
 
-// Written tells how much has been written.
+// Written returns how much has been written since Load.
 func (j *Journal) Written() Written { return j.written }
 
-// Load opens the journal and returns what it still owes an end or a word of
-// one, and the retained, in order of taking.
-func Load(o Options) (*Journal, []*Message, error) {
+// Load opens the journal and replays it. It returns the unsettled messages and the retained settled
+// ones, in the order in which they were accepted.
+func Load(opts Options) (*Journal, []*Message, error) {
 	j := &Journal{
-		dir: o.Dir, log: o.Log, most: int64(float64(o.Bytes) * useOf), retain: o.Retain, until: o.Until,
-		live: map[uint64]*entry{}, next: 1,
+		dir: opts.Dir, log: opts.Log, maxBytes: int64(float64(opts.Bytes) * usableShare), retain: opts.Retain, rememberUntil: opts.Until,
+		live: map[uint64]*entry{}, nextSeq: 1,
 	}
-	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
+	if err := os.MkdirAll(opts.Dir, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("open the journal: %w", err)
 	}
-	names, err := filepath.Glob(filepath.Join(o.Dir, "journal-*"))
+	names, err := filepath.Glob(filepath.Join(opts.Dir, "journal-*"))
 	if err != nil {
 		return nil, nil, fmt.Errorf("open the journal: %w", err)
 	}
@@ -141,34 +143,34 @@
 	}
 	var out []*Message
 	for _, e := range j.live {
-		out = append(out, e.msg)
+		out = append(out, e.message)
 	}
 	slices.SortFunc(out, func(a, b *Message) int { return int(int64(a.Seq) - int64(b.Seq)) })
-	owed := out[:0]
+	unsettled := out[:0]
 	for _, m := range out {
-		if m.Settled && !j.keeps(m) {
-			j.pass(m.Seq)
-		} else if owed = append(owed, m); m.Settled {
+		if m.Settled && !j.isRetained(m) {
+			j.remember(m.Seq)
+		} else if unsettled = append(unsettled, m); m.Settled {
 			j.retained = append(j.retained, m.Seq)
 		}
-		if m.Out && (o.Goes == nil || !o.Goes(m.Seq)) { // the process ended with it out: it may have run
-			j.ran(m)
+		if m.Out && (opts.Goes == nil || !opts.Goes(m.Seq)) { // the previous process ended with the attempt in flight: it may have run
+			j.markMayHaveRun(m)
 		}
 	}
-	j.shed()
-	return j, owed, nil
+	j.evictRemembered()
+	return j, unsettled, nil
 }
 
-// replay reads one segment up to its end or the first damaged record: a write
-// cut short leaves one, and what lies behind it cannot be told from noise.
+// replay reads one segment up to its end or the first damaged record. An interrupted write leaves a
+// damaged record, and the bytes after it cannot be told from noise.
 func (j *Journal) replay(s *segment, b []byte) {
 	for at := 0; at < len(b); {
-		payload, _, err := record.Open(b[at:], maxRecord)
+		payload, _, err := record.Open(b[at:], maxRecordSize)
 		if err == nil {
 			err = j.apply(s, payload)
 		}
 		if err != nil {
-			j.log.Warn("journal cut short", "segment", s.no, "at", at, "lost", len(b)-at)
+			j.log.Warn("journal segment truncated at a damaged record", "segment", s.no, "at", at, "lost", len(b)-at)
 			return
 		}
 		at += record.Frame + len(payload)
@@ -177,152 +179,156 @@
 
 func (j *Journal) apply(s *segment, payload []byte) error {
 	r := &reader{record.Reader{B: payload}}
-	k, seq := kind(r.Byte()), r.uint()
+	k, seq := recordKind(r.Byte()), r.uint()
 	if !r.Bad {
-		j.next = max(j.next, seq+1) // also of messages dropped with an older segment
+		j.nextSeq = max(j.nextSeq, seq+1) // also for messages deleted with an older segment
 	}
-	if k == taken {
+	if k == kindAccepted {
 		m := decode(seq, r)
 		if r.Bad {
 			return record.ErrDamaged
 		}
-		j.forget(seq) // a copy made by compaction replaces the first
-		j.keep(m, s, int64(record.Frame+len(payload)))
+		j.forget(seq) // a copy made by compaction replaces the original
+		j.track(m, s, int64(record.Frame+len(payload)))
 		return nil
 	}
 	e := j.live[seq]
 	at, n, after := r.time(), r.Byte(), time.Duration(r.Int())
-	if r.Bad || k < sent || k > settled {
+	if r.Bad || k < kindSent || k > kindSettled {
 		return record.ErrDamaged
 	}
 	if e == nil {
-		return nil // its message was dropped with an older segment
+		return nil // the message was deleted with an older segment
 	}
-	j.change(e.msg, k, at, n, after)
-	if m := e.msg; m.Settled {
-		if m.Body = nil; !m.Ran && !m.Out && !j.keeps(m) {
+	j.applyChange(e.message, k, at, n, after)
+	if m := e.message; m.Settled {
+		if m.Body = nil; !m.Ran && !m.Out && !j.isRetained(m) {
 			j.forget(seq)
 		}
 	}
 	return nil
 }
 
-// change is what a record does to its message, when written and when read.
-func (j *Journal) change(m *Message, k kind, at time.Time, n byte, after time.Duration) {
+// applyChange applies a record to its message, both when the record is written and when it is
+// replayed.
+func (j *Journal) applyChange(m *Message, k recordKind, at time.Time, n byte, after time.Duration) {
 	if !at.IsZero() {
-		j.at = at
+		j.lastTime = at
 	}
 	switch k {
-	case sent:
-		if m.Out { // the process ended with the one before out, and its heir has written nothing of that
-			j.ran(m)
+	case kindSent:
+		if m.Out { // the previous process ended with an attempt in flight and its successor recorded no outcome
+			j.markMayHaveRun(m)
 		}
 		m.Attempts, m.Out, m.OutSince = m.Attempts+1, true, at
-	case came:
+	case kindOutcome:
 		if n != 0 {
 			if !at.IsZero() {
 				m.OutSince = at
 			}
-			j.ran(m)
+			j.markMayHaveRun(m)
 		}
 		m.Out = false
-	case ended:
+	case kindEnded:
 		m.State, m.After, m.EndedAt = State(n), after, at
-	case settled:
+	case kindSettled:
 		m.Settled = true
 	}
 }
 
-func (j *Journal) ran(m *Message) {
+func (j *Journal) markMayHaveRun(m *Message) {
 	if m.Out = false; !m.Ran {
 		m.Ran, m.RanSince = true, m.OutSince
 	}
 }
 
-// keeps tells whether a settled message's end can still be asked for.
-func (j *Journal) keeps(m *Message) bool { return m.Origin != 0 && j.retain > 0 }
+// isRetained reports whether a settled message's final state can still be queried.
+func (j *Journal) isRetained(m *Message) bool { return m.Origin != 0 && j.retain > 0 }
 
-func (j *Journal) keep(m *Message, s *segment, size int64) {
-	j.live[m.Seq] = &entry{msg: m, seg: s, size: size}
+func (j *Journal) track(m *Message, s *segment, size int64) {
+	j.live[m.Seq] = &entry{message: m, segment: s, size: size}
 	s.seqs[m.Seq] = true
-	j.count(j.live[m.Seq], 1)
+	j.addSize(j.live[m.Seq], 1)
 }
 
 func (j *Journal) forget(seq uint64) {
 	if e := j.live[seq]; e != nil {
 		delete(j.live, seq)
-		delete(e.seg.seqs, seq)
-		j.count(e, -1)
+		delete(e.segment.seqs, seq)
+		j.addSize(e, -1)
 	}
 }
 
-// count adds an entry's size to what its kind takes, or takes it off.
-func (j *Journal) count(e *entry, sign int64) {
-	if e.past {
-		j.pastSize += sign * e.size
+// addSize adds an entry's size to the total of its kind (sign 1) or subtracts it (sign -1).
+func (j *Journal) addSize(e *entry, sign int64) {
+	if e.remembered {
+		j.rememberedSize += sign * e.size
 	} else {
-		j.liveSize += sign * (e.size + progress)
+		j.liveSize += sign * (e.size + progressReserve)
 	}
 }
 
-// pass has a settled message remembered, if it is to be, or forgotten.
-func (j *Journal) pass(seq uint64) {
+// remember keeps a settled message, without its body, if it is still relevant, and forgets it
+// otherwise.
+func (j *Journal) remember(seq uint64) {
 	e := j.live[seq]
-	if e == nil || e.past {
+	if e == nil || e.remembered {
 		return
 	}
-	if !j.binds(e.msg) {
+	if !j.isRelevant(e.message) {
 		j.forget(seq)
 		return
 	}
-	j.count(e, -1)
-	e.msg.Body = nil
-	e.past, e.size = true, int64(len(encode(e.msg)))
-	j.count(e, 1)
-	j.past = append(j.past, seq)
+	j.addSize(e, -1)
+	e.message.Body = nil
+	e.remembered, e.size = true, int64(len(encode(e.message)))
+	j.addSize(e, 1)
+	j.remembered = append(j.remembered, seq)
 }
 
-// binds tells whether what may have run of a settled message still binds others.
-func (j *Journal) binds(m *Message) bool {
-	return j.until != nil && (m.Ran || m.Out) && j.until(m).After(j.at)
+// isRelevant reports whether an attempt of a settled message that may have run still constrains
+// other messages.
+func (j *Journal) isRelevant(m *Message) bool {
+	return j.rememberUntil != nil && (m.Ran || m.Out) && j.rememberUntil(m).After(j.lastTime)
 }
 
-// shed forgets remembered messages from the oldest on: what binds nobody any more, and what
-// there is no room for.
-func (j *Journal) shed() {
-	for len(j.past) > 0 {
-		e := j.live[j.past[0]]
-		fits := len(j.past) <= pastMost && float64(j.liveSize+j.pastSize) <= float64(j.most)*(liveMost+pastOf)
-		if e != nil && fits && j.binds(e.msg) {
+// evictRemembered forgets remembered messages, oldest first, that are no longer relevant or that
+// exceed the limits on number and size.
+func (j *Journal) evictRemembered() {
+	for len(j.remembered) > 0 {
+		e := j.live[j.remembered[0]]
+		hasRoom := len(j.remembered) <= maxRemembered && float64(j.liveSize+j.rememberedSize) <= float64(j.maxBytes)*(maxLiveShare+rememberedShare)
+		if e != nil && hasRoom && j.isRelevant(e.message) {
 			return
 		}
-		j.forget(j.past[0])
-		j.past = j.past[1:]
+		j.forget(j.remembered[0])
+		j.remembered = j.remembered[1:]
 	}
 }
 
-// Room tells whether a message with so many bytes of text and body fits in.
+// Room reports whether a message whose text fields and body have this many bytes fits.
 func (j *Journal) Room(bytes int) bool {
-	return j.liveSize+int64(bytes)+2*progress <= int64(float64(j.most)*liveMost)
+	return j.liveSize+int64(bytes)+2*progressReserve <= int64(float64(j.maxBytes)*maxLiveShare)
 }
 
-// Take writes a new message and numbers it.
+// Take assigns a sequence number to a new message and writes it. It returns ErrFull if the message
+// does not fit.
 func (j *Journal) Take(m *Message) error {
 	if !j.Room(len(m.Body) + len(m.ID) + len(m.IdempotencyKey)) {
 		return ErrFull
 	}
-	m.Seq = j.next
+	m.Seq = j.nextSeq
 	b := encode(m)
 	if err := j.write(b); err != nil {
 		return err
 	}
-	j.next++
-	j.keep(m, j.newest(), int64(len(b)))
-	j.shed()
+	j.nextSeq++
+	j.track(m, j.newest(), int64(len(b)))
+	j.evictRemembered()
 	return nil
 }
 
-// Copy writes a message anew: it has changed by what was found out of another.
+// Copy writes a message again after it was changed by information from another message.
 func (j *Journal) Copy(m *Message) error {
 	e := j.live[m.Seq]
 	if e == nil {
@@ -332,94 +338,95 @@
 	if err := j.write(b); err != nil {
 		return err
 	}
-	j.moved(e, int64(len(b)))
+	j.relocate(e, int64(len(b)))
 	return nil
 }
 
-// moved notes that an entry's record is the last one.
-func (j *Journal) moved(e *entry, size int64) {
-	delete(e.seg.seqs, e.msg.Seq)
-	j.count(e, -1)
-	e.seg, e.size = j.newest(), size
-	j.count(e, 1)
-	e.seg.seqs[e.msg.Seq] = true
+// relocate records that an entry's latest record is the last one written.
+func (j *Journal) relocate(e *entry, size int64) {
+	delete(e.segment.seqs, e.message.Seq)
+	j.addSize(e, -1)
+	e.segment, e.size = j.newest(), size
+	j.addSize(e, 1)
+	e.segment.seqs[e.message.Seq] = true
 }
 
-// Sent writes that an attempt is about to leave.
-func (j *Journal) Sent(m *Message, at time.Time) error { return j.note(m, sent, at, 0, 0) }
+// Sent records that an attempt is about to be sent.
+func (j *Journal) Sent(m *Message, at time.Time) error { return j.appendChange(m, kindSent, at, 0, 0) }
 
-// Came writes the outcome of the attempt that was out, and when its first byte left, if it did:
-// the disk may have taken a while after the moment that Sent was told.
+// Came records the outcome of the attempt in flight and, if its first byte left, when that was: the
+// write of the Sent record may have delayed the attempt.
 func (j *Journal) Came(m *Message, mayHaveRun bool, left time.Time) error {
 	n := byte(0)
 	if mayHaveRun {
 		n = 1
 	}
-	return j.note(m, came, left, n, 0)
+	return j.appendChange(m, kindOutcome, left, n, 0)
 }
 
-// Ended writes a message's end.
+// Ended records a message's final state.
 func (j *Journal) Ended(m *Message, s State, after time.Duration, at time.Time) error {
-	return j.note(m, ended, at, byte(s), after)
+	return j.appendChange(m, kindEnded, at, byte(s), after)
 }
 
-// Settle writes that a message's end is known where it must be.
+// Settle records that the final state is known to the client that submitted the message.
 func (j *Journal) Settle(m *Message) error {
-	err := j.note(m, settled, time.Time{}, 0, 0)
+	err := j.appendChange(m, kindSettled, time.Time{}, 0, 0)
 	switch {
 	case j.live[m.Seq] == nil:
-	case j.keeps(m):
+	case j.isRetained(m):
 		m.Body = nil
 		j.retained = append(j.retained, m.Seq)
-		j.expire(m.EndedAt)
+		j.expireRetained(m.EndedAt)
 	default:
-		j.pass(m.Seq)
+		j.remember(m.Seq)
 	}
-	j.shed()
+	j.evictRemembered()
 	return err
 }
 
-// expire forgets the settled messages that have been kept for long enough.
-func (j *Journal) expire(now time.Time) {
+// expireRetained stops retaining settled messages whose retention time has passed.
+func (j *Journal) expireRetained(now time.Time) {
 	for len(j.retained) > 0 {
 		e := j.live[j.retained[0]]
-		if e != nil && len(j.retained) <= retainMost && now.Sub(e.msg.EndedAt) < j.retain {
+		if e != nil && len(j.retained) <= maxRetained && now.Sub(e.message.EndedAt) < j.retain {
 			return
 		}
-		j.pass(j.retained[0])
+		j.remember(j.retained[0])
 		j.retained = j.retained[1:]
 	}
 }
 
-// note writes a change and makes it. The change is made also where the write
-// fails: what is in memory stays true.
-func (j *Journal) note(m *Message, k kind, at time.Time, n byte, after time.Duration) error {
-	defer j.change(m, k, at, n, after)
+// appendChange writes a change record and applies it. The change is applied even if the write
+// fails, so that the state in memory stays correct.
+func (j *Journal) appendChange(m *Message, k recordKind, at time.Time, n byte, after time.Duration) error {
+	defer j.applyChange(m, k, at, n, after)
 	if j.live[m.Seq] == nil {
 		return nil
 	}
-	b := appendTime(begin(k, m.Seq), at)
+	b := appendTime(newRecord(k, m.Seq), at)
 	return j.write(record.Seal(binary.AppendVarint(append(b, n), int64(after))))
 }
 
 func (j *Journal) newest() *segment { return j.segments[len(j.segments)-1] }
 
-// Size is the room that the journal takes, in whole blocks.
+// Size returns the disk space that the journal uses, in bytes, each segment rounded up to whole
+// blocks.
 func (j *Journal) Size() (total int64) {
 	for _, s := range j.segments {
-		total += (s.size + block - 1) / block * block
+		total += (s.size + blockSize - 1) / blockSize * blockSize
 	}
 	return total
 }
 
-// write appends a record, after making room for it.
+// write appends a record. It starts a new segment or compacts the oldest one first if necessary.
 func (j *Journal) write(b []byte) error {
-	if j.newest().size > int64(float64(j.most)*segmentOf) {
+	if j.newest().size > int64(float64(j.maxBytes)*segmentShare) {
 		if err := j.roll(); err != nil {
 			return err
 		}
 	}
-	if len(j.segments) > 1 && j.Size() > int64(float64(j.most)*compactAt) {
+	if len(j.segments) > 1 && j.Size() > int64(float64(j.maxBytes)*compactionShare) {
 		if err := j.compact(); err != nil {
 			return fmt.Errorf("compact the journal: %w", err)
 		}
@@ -435,7 +442,7 @@
 		j.written.Bytes += uint64(n)
 		return nil
 	}
-	// A part of a record would hide all that is written behind it.
+	// A partial record would make the records after it unreadable.
 	if n > 0 {
 		if rerr := j.roll(); rerr != nil {
 			return fmt.Errorf("write the journal: %w", errors.Join(err, rerr))
@@ -446,7 +453,7 @@
 
 func (j *Journal) path(no int) string { return filepath.Join(j.dir, fmt.Sprintf("journal-%09d", no)) }
 
-// roll begins a new segment.
+// roll starts a new segment.
 func (j *Journal) roll() error {
 	no := 1
 	if len(j.segments) > 0 {
@@ -464,20 +471,20 @@
 	return nil
 }
 
-// compact copies what is live in the oldest segment and removes that.
+// compact copies the live entries of the oldest segment to the newest and deletes the oldest.
 func (j *Journal) compact() error {
 	oldest := j.segments[0]
 	for _, seq := range slices.Sorted(maps.Keys(oldest.seqs)) {
 		e := j.live[seq]
-		if e.past && !j.binds(e.msg) {
+		if e.remembered && !j.isRelevant(e.message) {
 			j.forget(seq)
 			continue
 		}
-		b := encode(e.msg)
+		b := encode(e.message)
 		if err := j.append(b); err != nil {
 			return err
 		}
-		j.moved(e, int64(len(b)))
+		j.relocate(e, int64(len(b)))
 	}
 	if err := os.Remove(j.path(oldest.no)); err != nil {
 		return err
@@ -486,5 +493,5 @@
 	return nil
 }
 
-// Close ends the journal.
+// Close closes the journal's current segment.
 func (j *Journal) Close() error { return j.file.Close() }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -18,13 +18,13 @@
 
 func load(t *testing.T, dir string, bytes int64) (*Journal, []*Message) {
 	t.Helper()
-	j, left, err := Load(Options{Dir: dir, Bytes: bytes, Retain: time.Minute, Log: slog.New(slog.DiscardHandler)})
+	j, unsettled, err := Load(Options{Dir: dir, Bytes: bytes, Retain: time.Minute, Log: slog.New(slog.DiscardHandler)})
 	require.NoError(t, err)
 	t.Cleanup(func() { j.Close() })
-	return j, left
+	return j, unsettled
 }
 
-func take(t *testing.T, j *Journal, id string, size int) *Message {
+func accept(t *testing.T, j *Journal, id string, size int) *Message {
 	t.Helper()
 	m := &Message{ID: id, IdempotencyKey: "k", Key: 5, Destination: 7, Class: "order", Tenant: "town",
 		Deadline: at.Add(time.Second), Again: true, Body: make([]byte, size)}
@@ -36,7 +36,7 @@
 	dir := t.TempDir()
 	j, left := load(t, dir, 3e6)
 	require.Empty(t, left)
-	first, second, third := take(t, j, "a", 10), take(t, j, "b", 20), take(t, j, "c", 0)
+	first, second, third := accept(t, j, "a", 10), accept(t, j, "b", 20), accept(t, j, "c", 0)
 	require.NoError(t, j.Sent(first, at))
 	require.NoError(t, j.Came(first, false, time.Time{}))
 	require.NoError(t, j.Sent(first, at.Add(time.Second)))
@@ -48,22 +48,22 @@
 	require.NoError(t, j.Ended(third, Delivered, 0, at))
 	require.NoError(t, j.Settle(third))
 
-	j, left = load(t, dir, 3e6) // the first was never closed, as after SIGKILL
+	j, left = load(t, dir, 3e6) // the first journal was never closed, as after SIGKILL
 	require.Len(t, left, 2)
 	want := *first
 	want.Out, want.Ran, want.RanSince = false, true, at.Add(time.Second)
-	assert.Equal(t, want, *left[0], "the attempt that was out may have run")
+	assert.Equal(t, want, *left[0], "the attempt in flight may have run")
 	assert.Equal(t, 2, left[0].Attempts)
 	assert.Equal(t, *second, *left[1])
-	assert.Equal(t, at, left[1].RanSince, "the window runs from the first that may have run")
-	assert.Greater(t, take(t, j, "d", 1).Seq, third.Seq, "numbers are not used again")
+	assert.Equal(t, at, left[1].RanSince, "the window starts with the first attempt that may have run")
+	assert.Greater(t, accept(t, j, "d", 1).Seq, third.Seq, "sequence numbers are not reused")
 }
 
-func TestTornAndCorruptTails(t *testing.T) {
+func TestTruncatedAndCorruptSegments(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := load(t, dir, 3e6)
-	take(t, j, "a", 10)
-	take(t, j, "b", 10)
+	accept(t, j, "a", 10)
+	accept(t, j, "b", 10)
 	name := filepath.Join(dir, "journal-000000001")
 	whole, err := os.ReadFile(name)
 	require.NoError(t, err)
@@ -80,15 +80,15 @@
 				most = 0
 			}
 			require.Len(t, left, most, "%s at %d", kind, cut)
-			take(t, j, "new", 1) // and it can be written on
+			accept(t, j, "new", 1) // and the journal accepts new records
 			_, left = load(t, dir, 3e6)
 			require.Len(t, left, most+1, "%s at %d", kind, cut)
 		}
 	}
 }
 
-// The folder must never hold more than it may, also while compacting, and
-// nothing that is live may go.
+// Guards against exceeding the disk limit, also during compaction, and against losing live
+// messages.
 func TestCompaction(t *testing.T) {
 	const most = 200_000
 	dir := t.TempDir()
@@ -100,12 +100,12 @@
 			require.NoError(t, j.Settle(live[0]))
 			live = live[1:]
 		}
-		live = append(live, take(t, j, fmt.Sprint("m", i), 600))
+		live = append(live, accept(t, j, fmt.Sprint("m", i), 600))
 		if i%3 == 0 {
 			require.NoError(t, j.Sent(live[len(live)/2], at))
 			require.NoError(t, j.Came(live[len(live)/2], i%2 == 0, time.Time{}))
 		}
-		require.LessOrEqual(t, onDisk(t, dir), int64(most), "after %d", i)
+		require.LessOrEqual(t, diskUsage(t, dir), int64(most), "after %d", i)
 	}
 	require.Greater(t, len(live), 50)
 	_, left := load(t, dir, most)
@@ -116,18 +116,18 @@
 	assert.ErrorIs(t, j.Take(&Message{ID: "big", Body: make([]byte, most)}), ErrFull)
 }
 
-func onDisk(t *testing.T, dir string) (total int64) {
+func diskUsage(t *testing.T, dir string) (total int64) {
 	files, err := os.ReadDir(dir)
 	require.NoError(t, err)
 	for _, f := range files {
 		info, err := f.Info()
 		require.NoError(t, err)
-		total += (info.Size() + block - 1) / block * block
+		total += (info.Size() + blockSize - 1) / blockSize * blockSize
 	}
 	return total
 }
 
-func TestRetained(t *testing.T) {
+func TestRetainedMessagesExpire(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := load(t, dir, 3e6)
 	m := &Message{Origin: 1, ID: "p", Body: []byte("x"), Class: "order"}
@@ -143,33 +143,33 @@
 	require.NoError(t, j.Settle(other))
 	_, left = load(t, dir, 3e6)
 	require.Len(t, left, 2, "on disk until compaction")
-	j.expire(at.Add(2 * time.Minute))
-	assert.Len(t, j.live, 1, "the first has been kept for long enough")
+	j.expireRetained(at.Add(2 * time.Minute))
+	assert.Len(t, j.live, 1, "the first message's retention time has passed")
 }
 
 func FuzzOpen(f *testing.F) {
 	f.Add(encode(&Message{Seq: 1, ID: "a", Class: "b", Body: []byte("c")}))
-	f.Add(encode(&Message{Seq: 1, ID: "a", IdempotencyKey: "k", Ran: true, RanSince: at, State: Failed, Settled: true})) // as it is remembered
+	f.Add(encode(&Message{Seq: 1, ID: "a", IdempotencyKey: "k", Ran: true, RanSince: at, State: Failed, Settled: true})) // a remembered message
 	f.Fuzz(func(t *testing.T, b []byte) {
 		j := &Journal{live: map[uint64]*entry{}, log: slog.New(slog.DiscardHandler)}
 		j.replay(&segment{seqs: map[uint64]bool{}}, b)
-		// What a checksum cannot tell: a payload that is nonsense all through.
+		// Payloads that no checksum protects: arbitrary bytes.
 		_ = j.apply(&segment{seqs: map[uint64]bool{}}, b)
-		j.until = func(m *Message) time.Time { return m.RanSince.Add(5 * time.Second) }
+		j.rememberUntil = func(m *Message) time.Time { return m.RanSince.Add(5 * time.Second) }
 		for _, seq := range slices.Sorted(maps.Keys(j.live)) {
-			j.pass(seq)
+			j.remember(seq)
 		}
-		j.shed()
-		require.LessOrEqual(t, j.pastSize, int64(0), "there is no room")
+		j.evictRemembered()
+		require.LessOrEqual(t, j.rememberedSize, int64(0), "nothing fits into a journal without space")
 	})
 }
 
-// A process dies with an attempt out; its heir makes another, which proves not to have run,
-// and dies too. What the first may have done is not forgotten by that.
-func TestKilledTwice(t *testing.T) {
+// Guards against losing an attempt that may have run when a process is killed twice: first with
+// that attempt in flight, then after a second attempt that proved not to have run.
+func TestOutcomeSurvivesTwoCrashes(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := load(t, dir, 3e6)
-	require.NoError(t, j.Sent(take(t, j, "a", 10), at))
+	require.NoError(t, j.Sent(accept(t, j, "a", 10), at))
 	j, left := load(t, dir, 3e6)
 	require.Len(t, left, 1)
 	require.NoError(t, j.Sent(left[0], at.Add(time.Second)))
@@ -177,12 +177,12 @@
 	_, left = load(t, dir, 3e6)
 	require.Len(t, left, 1)
 	assert.True(t, left[0].Ran)
-	assert.Equal(t, at, left[0].RanSince, "its window runs from the first")
+	assert.Equal(t, at, left[0].RanSince, "the window starts with the first attempt")
 	assert.Equal(t, 2, left[0].Attempts)
 }
 
-// remembering loads a journal that remembers what may have run for 5 s.
-func remembering(t *testing.T, dir string, bytes int64) *Journal {
+// loadRemembering loads a journal that remembers attempts that may have run for 5 s.
+func loadRemembering(t *testing.T, dir string, bytes int64) *Journal {
 	t.Helper()
 	j, left, err := Load(Options{
 		Dir: dir, Bytes: bytes, Log: slog.New(slog.DiscardHandler),
@@ -194,14 +194,14 @@
 		},
 	})
 	require.NoError(t, err)
-	require.Empty(t, left, "nothing is owed")
+	require.Empty(t, left, "no message is unsettled")
 	t.Cleanup(func() { j.Close() })
 	return j
 }
 
-// compacted has every record that is in the journal now copied or dropped, by messages that
-// come and end at that moment.
-func compacted(t *testing.T, j *Journal, now time.Time) {
+// compactAll accepts and settles messages at time now until every current record has been copied or
+// dropped by compaction.
+func compactAll(t *testing.T, j *Journal, now time.Time) {
 	t.Helper()
 	for newest := j.newest().no; j.segments[0].no <= newest; {
 		m := &Message{ID: "filler", Class: "order", Body: make([]byte, 3000)}
@@ -211,13 +211,13 @@
 	}
 }
 
-// What may have run of a settled message is remembered over compactions and kills, in each
-// order, until it binds nobody any more.
-func TestRememberedOverCompactions(t *testing.T) {
+// An attempt of a settled message that may have run stays remembered over compactions and kills, in
+// any order, until it is no longer relevant.
+func TestRememberedSurvivesCompactionAndRestart(t *testing.T) {
 	for name, end := range map[string]struct {
 		state State
-		came  []bool // whether it may have run
-		after bool   // the outcome comes after the end
+		came  []bool // whether the attempt may have run
+		after bool   // the outcome is recorded after the final state
 		kept  bool
 	}{
 		"delivered":                        {state: Delivered, kept: true},
@@ -230,8 +230,8 @@
 		t.Run(name, func(t *testing.T) {
 			const room = 200_000
 			dir := t.TempDir()
-			j := remembering(t, dir, room)
-			m := take(t, j, "a", 1000)
+			j := loadRemembering(t, dir, room)
+			m := accept(t, j, "a", 1000)
 			require.NoError(t, j.Sent(m, at))
 			came := func() {
 				for _, ran := range end.came {
@@ -252,9 +252,9 @@
 			}
 			for _, step := range []string{"kill", "compact", "compact", "kill", "compact", "kill", "kill", "compact", "compact", "kill"} {
 				if step == "compact" {
-					compacted(t, j, at.Add(2*time.Second))
+					compactAll(t, j, at.Add(2*time.Second))
 				} else {
-					j = remembering(t, dir, room) // the one before was never closed, as after SIGKILL
+					j = loadRemembering(t, dir, room) // the previous journal was never closed, as after SIGKILL
 				}
 				if !end.kept {
 					assert.Empty(t, j.Ran(), step)
@@ -272,52 +272,52 @@
 			if end.kept {
 				require.True(t, j.Ran()[0].Ran)
 			}
-			compacted(t, j, at.Add(6*time.Second))
-			j = remembering(t, dir, room)
-			assert.Empty(t, j.Ran(), "its time is over")
-			assert.Zero(t, j.pastSize)
+			compactAll(t, j, at.Add(6*time.Second))
+			j = loadRemembering(t, dir, room)
+			assert.Empty(t, j.Ran(), "it is no longer relevant")
+			assert.Zero(t, j.rememberedSize)
 		})
 	}
 }
 
-// What is remembered stays within the folder's bytes, gives way to what is taken on, the
-// oldest first, and leaves as much room for that as there was.
-func TestRememberedGivesWay(t *testing.T) {
+// Remembered messages stay within the disk limit, are evicted oldest first when new messages need
+// the space, and do not reduce the space for new messages.
+func TestRememberedYieldsSpaceToNewMessages(t *testing.T) {
 	const room = 200_000
 	dir := t.TempDir()
-	j := remembering(t, dir, room)
+	j := loadRemembering(t, dir, room)
 	for i := range 3000 {
-		m := take(t, j, fmt.Sprint("ran", i), 30)
+		m := accept(t, j, fmt.Sprint("ran", i), 30)
 		require.NoError(t, j.Sent(m, at))
 		require.NoError(t, j.Ended(m, Delivered, 0, at))
 		require.NoError(t, j.Settle(m))
-		require.LessOrEqual(t, onDisk(t, dir), int64(room), "after %d", i)
+		require.LessOrEqual(t, diskUsage(t, dir), int64(room), "after %d", i)
 	}
 	many := j.Ran()
 	require.Greater(t, len(many), 500)
 	assert.Equal(t, "ran2999", many[len(many)-1].ID)
-	assert.Equal(t, fmt.Sprint("ran", 3000-len(many)), many[0].ID, "the last ones")
-	j = remembering(t, dir, room)
+	assert.Equal(t, fmt.Sprint("ran", 3000-len(many)), many[0].ID, "the most recent messages remain")
+	j = loadRemembering(t, dir, room)
 	assert.GreaterOrEqual(t, len(j.Ran()), len(many))
 	held := 0
 	for ; j.Room(1000); held++ {
-		take(t, j, fmt.Sprint("held", held), 900)
-		require.LessOrEqual(t, onDisk(t, dir), int64(room), "with %d held", held)
+		accept(t, j, fmt.Sprint("held", held), 900)
+		require.LessOrEqual(t, diskUsage(t, dir), int64(room), "with %d held", held)
 	}
-	empty, plain := remembering(t, t.TempDir(), room), 0
+	empty, plain := loadRemembering(t, t.TempDir(), room), 0
 	for ; empty.Room(1000); plain++ {
-		take(t, empty, fmt.Sprint("held", plain), 900)
+		accept(t, empty, fmt.Sprint("held", plain), 900)
 	}
-	assert.Equal(t, plain, held, "as many are taken on as without")
+	assert.Equal(t, plain, held, "as many messages are accepted as without remembered ones")
 	assert.Less(t, len(j.Ran()), len(many))
-	assert.Greater(t, len(j.Ran()), 100, "and a part is remembered still")
+	assert.Greater(t, len(j.Ran()), 100, "and some are still remembered")
 	var live, past int64
 	for _, e := range j.live {
-		if e.past {
+		if e.remembered {
 			past += e.size
 		} else {
-			live += e.size + progress
+			live += e.size + progressReserve
 		}
 	}
-	assert.Equal(t, []int64{live, past}, []int64{j.liveSize, j.pastSize})
+	assert.Equal(t, []int64{live, past}, []int64{j.liveSize, j.rememberedSize})
 }
