--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config decodes what the courier is told, once, into the few values
-// that it uses: the platform's configuration, the settings of the decision
-// module, lists of targets and the file of the push front.
+// Package config decodes the courier's input once into the few values that the courier uses: the
+// platform's configuration, the settings of the decision module, lists of targets and the operator
+// files.
 package config
 
 import (
@@ -22,80 +22,80 @@
 	"snowjunction/internal/proto/listing"
 )
 
-// Config is what a courier is told at its start.
+// Config is the decoded configuration file.
 type Config struct {
-	Name      string
-	Listen    string // for RESP2 clients
-	Discovery string // the platform's agent
-	State     string // the folder that outlasts the process
-	Limits    Limits
-	Known     List // the target group as last held; maybe old
-	Settings  snowjunction.Settings
-	Columns   []string // names of the load report's values
-	Names     Names
-	Peers     Peers
-	Console   string // the second address; empty: nothing listens there
+	Name          string
+	Listen        string // for RESP2 clients
+	Discovery     string // address of the platform's discovery agent
+	StateDir      string // the state folder, which outlives the process
+	Limits        Limits
+	InitialList   List // the last known target group, possibly outdated
+	Settings      snowjunction.Settings
+	ReportColumns []string // names of the values in the load report
+	Names         Names
+	Peers         Peers
+	Console       string // address of the second (admin) listener; empty means no listener
 }
 
-// Peers are the other couriers of the fleet and how they are reached.
+// Peers describes the fleet's couriers and how to reach them.
 type Peers struct {
-	Listen string   // where their notes come in; empty: they send none
-	Each   []string // addresses by number, this courier's own included
+	Listen string   // address on which peer messages are received; empty disables peer messages
+	Addrs  []string // addresses by courier number, including this courier's own
 }
 
-// Reach tells whether notes can go to and fro.
-func (p Peers) Reach() bool { return p.Listen != "" && len(p.Each) > 1 }
+// Enabled reports whether peer messages can be exchanged.
+func (p Peers) Enabled() bool { return p.Listen != "" && len(p.Addrs) > 1 }
 
-// peers decodes the addresses. Without one that can be used there are no notes: the
-// courier does without.
-func peers(v *fastjson.Value) (p Peers) {
-	p.Listen = text(v, "peer_listen")
+// decodePeers decodes the peer addresses. Without a valid listen address, or if the platform does
+// not permit peer messages, it returns the zero value and the courier runs without them.
+func decodePeers(v *fastjson.Value) (p Peers) {
+	p.Listen = stringField(v, "peer_listen")
 	if _, err := netip.ParseAddrPort(p.Listen); err != nil || !v.GetBool("settings", "limits", "may-tell") {
 		return Peers{}
 	}
 	for _, a := range v.GetArray("peers") {
 		addr, _ := a.StringBytes()
-		p.Each = append(p.Each, string(addr))
+		p.Addrs = append(p.Addrs, string(addr))
 	}
 	return p
 }
 
-// Limits are those of the machine.
+// Limits are the resource limits of the machine.
 type Limits struct {
 	MemoryMB int
 	Sockets  int
 	DiskMB   float64
 }
 
-// Bytes is what the folder that lasts may hold.
-func (c *Config) Bytes() int64 { return int64(c.Limits.DiskMB * 1e6) }
+// StateBytes returns the disk space, in bytes, that the state folder may use.
+func (c *Config) StateBytes() int64 { return int64(c.Limits.DiskMB * 1e6) }
 
-// Names resolve what lists and settings call things.
+// Names maps the names of zones and target kinds, as lists and settings use them, to their numbers.
 type Names struct {
 	Zones map[string]int
 	Kinds map[string]int
 }
 
-// List is the target group, or the changes in it.
+// List is a target group, or the changes to one.
 type List struct {
-	Held       bool // there is a list
+	Held       bool // a list is present
 	Generation uint64
 	Full       bool
 	Targets    []core.Entry
 }
 
-// News is the list in the form that the core takes.
+// News returns the list in the core's form.
 func (l List) News() (*groups.List, error) { return groups.ListOf(l.Full, false, l.Targets) }
 
-// The limits taken where none is given.
+// Defaults for limits that the configuration does not set.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 	defaultDiskMB   = 3
 )
 
-// Load reads the file named by GW_CONFIG. Where the file leaves out an address
-// the environment's is taken.
+// Load reads the file named by GW_CONFIG. Addresses that the file leaves out are taken from the
+// environment.
 func Load(env func(string) string) (*Config, error) {
 	path := env("GW_CONFIG")
 	if path == "" {
@@ -112,26 +112,26 @@
 	return c, nil
 }
 
-// Parse decodes a configuration.
+// Parse decodes a configuration. env supplies the values that it leaves out.
 func Parse(b []byte, env func(string) string) (*Config, error) {
 	b, known := cutKnown(b)
 	v, err := fastjson.ParseBytes(b)
 	if err != nil {
 		return nil, err
 	}
-	or := func(key, name string) string {
-		if s := text(v, key); s != "" {
+	fileOrEnv := func(key, name string) string {
+		if s := stringField(v, key); s != "" {
 			return s
 		}
 		return env(name)
 	}
 	c := &Config{
-		Name: or("name", "GW_NAME"), Listen: or("listen", "GW_LISTEN"), Console: or("console", "GW_CONSOLE"),
-		Discovery: or("discovery", "GW_DISCOVERY"), State: env("GW_STATE"),
+		Name: fileOrEnv("name", "GW_NAME"), Listen: fileOrEnv("listen", "GW_LISTEN"), Console: fileOrEnv("console", "GW_CONSOLE"),
+		Discovery: fileOrEnv("discovery", "GW_DISCOVERY"), StateDir: env("GW_STATE"),
 		Limits: Limits{
-			MemoryMB: positive(v.GetInt("limits", "memory_mb"), defaultMemoryMB),
-			Sockets:  positive(v.GetInt("limits", "sockets"), defaultSockets),
-			DiskMB:   positive(v.GetFloat64("limits", "disk_mb"), defaultDiskMB),
+			MemoryMB: positiveOr(v.GetInt("limits", "memory_mb"), defaultMemoryMB),
+			Sockets:  positiveOr(v.GetInt("limits", "sockets"), defaultSockets),
+			DiskMB:   positiveOr(v.GetFloat64("limits", "disk_mb"), defaultDiskMB),
 		},
 	}
 	addrs := []struct{ name, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}}
@@ -143,37 +143,38 @@
 			return nil, fmt.Errorf("%s: %q is not an address with a port", a.name, a.addr)
 		}
 	}
-	if c.State == "" {
-		return nil, errors.New("GW_STATE is not set: it names the folder that lasts")
+	if c.StateDir == "" {
+		return nil, errors.New("GW_STATE is not set: it names the state folder")
 	}
-	set := v.Get("settings")
-	if set == nil || set.Type() != fastjson.TypeObject {
+	settingsValue := v.Get("settings")
+	if settingsValue == nil || settingsValue.Type() != fastjson.TypeObject {
 		return nil, errors.New("settings: missing")
 	}
-	seed, err := strconv.ParseUint(text(v, "seed"), 16, 64)
+	seed, err := strconv.ParseUint(stringField(v, "seed"), 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("seed: %q is not a hexadecimal number of 64 bits", text(v, "seed"))
+		return nil, fmt.Errorf("seed: %q is not a hexadecimal number of 64 bits", stringField(v, "seed"))
 	}
-	c.Settings = settings(seed, set)
-	c.Peers = peers(v)
-	for _, col := range set.GetArray("report", "columns") {
-		name, _ := col.StringBytes()
-		c.Columns = append(c.Columns, string(name))
+	c.Settings = decodeSettings(seed, settingsValue)
+	c.Peers = decodePeers(v)
+	for _, column := range settingsValue.GetArray("report", "columns") {
+		name, _ := column.StringBytes()
+		c.ReportColumns = append(c.ReportColumns, string(name))
 	}
-	c.Names = Names{Zones: number(set.GetArray("dcs")), Kinds: number(set.GetArray("models"))}
+	c.Names = Names{Zones: indexByName(settingsValue.GetArray("dcs")), Kinds: indexByName(settingsValue.GetArray("models"))}
 	if known != nil {
-		if c.Known, err = c.Names.read(known); err != nil {
+		if c.InitialList, err = c.Names.decodeList(known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
 	return c, nil
 }
 
-// cutKnown takes the known list out of a configuration: it may be a thousand times as long as all
-// else, and is read entry by entry. Without one, or where it is no object, known is nil.
+// cutKnown splits the "known" list off a configuration. The list may be a thousand times as long as
+// the rest and is decoded entry by entry. If there is no such list, or it is not an object, known
+// is nil and rest is b.
 func cutKnown(b []byte) (rest, known []byte) {
 	const name, space = "\"known\"", " \t\r\n"
-	depth, from := 0, -1 // where the list begins
+	depth, from := 0, -1 // offset at which the list begins, or -1
 	for i := 0; i < len(b); i++ {
 		switch b[i] {
 		case '"':
@@ -203,9 +204,9 @@
 	return b, nil
 }
 
-// Differs names what c and another configuration do not agree on, but for the
-// address of discovery, the list and the seed, which are another each time.
-func (c *Config) Differs(other *Config) (names []string) {
+// DifferingSections names the sections in which c and other differ. It ignores the discovery
+// address, the list and the seed, which legitimately change with every configuration.
+func (c *Config) DifferingSections(other *Config) (names []string) {
 	settings := other.Settings
 	settings.Seed = c.Settings.Seed
 	for _, v := range []struct {
@@ -216,7 +217,7 @@
 		{"listen", c.Listen == other.Listen},
 		{"console", c.Console == other.Console},
 		{"limits", c.Limits == other.Limits},
-		{"settings", reflect.DeepEqual(c.Settings, settings) && slices.Equal(c.Columns, other.Columns)},
+		{"settings", reflect.DeepEqual(c.Settings, settings) && slices.Equal(c.ReportColumns, other.ReportColumns)},
 		{"peers", reflect.DeepEqual(c.Peers, other.Peers)},
 		{"dcs and models", reflect.DeepEqual(c.Names, other.Names)},
 	} {
@@ -227,14 +228,14 @@
 	return names
 }
 
-func positive[T int | float64](v, other T) T {
+func positiveOr[T int | float64](v, fallback T) T {
 	if v <= 0 {
-		return other
+		return fallback
 	}
 	return v
 }
 
-func number(names []*fastjson.Value) map[string]int {
+func indexByName(names []*fastjson.Value) map[string]int {
 	out := map[string]int{}
 	for i, n := range names {
 		name, _ := n.StringBytes()
@@ -243,18 +244,18 @@
 	return out
 }
 
-// List decodes an answer of discovery.
+// List decodes a list that discovery answered with.
 func (n Names) List(b []byte) (List, error) {
-	l, err := n.read(b)
+	l, err := n.decodeList(b)
 	if err != nil {
 		return List{}, fmt.Errorf("list: %w", err)
 	}
 	return l, nil
 }
 
-// read decodes a list entry by entry: as a whole in JSON's own form it would take many times the
-// room of the entries, and a start most of its time.
-func (n Names) read(b []byte) (out List, err error) {
+// decodeList decodes a list entry by entry. Parsing it as one JSON value takes many times the
+// memory of the entries and most of the time of a start.
+func (n Names) decodeList(b []byte) (out List, err error) {
 	out.Targets = slices.Grow(out.Targets, bytes.Count(b, []byte(`"instanceId"`)))
 	r := listing.Reader{MaxSize: len(b), MaxList: len(b), Entry: func(v *fastjson.Value) error {
 		e, err := n.Target(v)
@@ -271,19 +272,20 @@
 	return out, nil
 }
 
-var phases = map[string]snowjunction.Phase{
+var phaseByLifecycle = map[string]snowjunction.Phase{
 	"Ready": snowjunction.Ready, "Terminating": snowjunction.Draining, "Gone": snowjunction.Gone,
 }
 
-// Target decodes an entry of discovery's list. It takes an unknown zone or kind for one past all that are known, and an
-// unknown state for draining: nothing new is sent where in doubt.
+// Target decodes an entry of a discovery list. An unknown zone or kind gets the number after the
+// last known one. An unknown state counts as draining, so that nothing new is sent to a target
+// whose state is unclear.
 func (n Names) Target(t *fastjson.Value) (core.Entry, error) {
-	e := core.Entry{Name: text(t, "instanceId"), Addr: text(t, "hostPort")}
+	e := core.Entry{Name: stringField(t, "instanceId"), Addr: stringField(t, "hostPort")}
 	if e.Name == "" {
 		return e, errors.New("no instanceId")
 	}
 	var ok bool
-	if e.Phase, ok = phases[string(t.GetStringBytes("lifecycle"))]; !ok {
+	if e.Phase, ok = phaseByLifecycle[string(t.GetStringBytes("lifecycle"))]; !ok {
 		e.Phase = snowjunction.Draining
 	}
 	if e.Zone, ok = n.Zones[string(t.GetStringBytes("zone"))]; !ok {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -16,7 +16,7 @@
 	"snowjunction"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 	"limits":{"memory_mb":100,"sockets":200,"disk_mb":1.5},
 	"known":{"generation":0,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"b",
 		"machineType":"k","cell":3,"lifecycle":"Ready","weight":2}]},
@@ -25,14 +25,14 @@
 func env(name string) string { return map[string]string{"GW_STATE": "state"}[name] }
 
 func TestParse(t *testing.T) {
-	c, err := Parse([]byte(good), env)
+	c, err := Parse([]byte(validConfig), env)
 	require.NoError(t, err)
 	assert.Equal(t, Limits{MemoryMB: 100, Sockets: 200, DiskMB: 1.5}, c.Limits)
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), c.Settings.Seed)
-	assert.Equal(t, []string{"x0", "q"}, c.Columns)
-	assert.True(t, c.Known.Held, "generation 0 is a list like any other")
-	require.Len(t, c.Known.Targets, 1)
-	e := c.Known.Targets[0]
+	assert.Equal(t, []string{"x0", "q"}, c.ReportColumns)
+	assert.True(t, c.InitialList.Held, "generation 0 is a valid list")
+	require.Len(t, c.InitialList.Targets, 1)
+	e := c.InitialList.Targets[0]
 	assert.Equal(t, [3]int{1, 1, 3}, [3]int{e.Zone, e.Kind, int(e.Destination)})
 	assert.Equal(t, snowjunction.Ready, e.Phase)
 	assert.Equal(t, 5*time.Millisecond, c.Settings.Classes[0].Deadline)
@@ -53,15 +53,15 @@
 		{`"127.0.0.1:1"`, `"x"`, `instances[0]: hostPort`},
 		{`"instanceId":"s-1",`, ``, `instances[0]: no instanceId`},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, tc.old, tc.new, 1)), env)
+		_, err := Parse([]byte(strings.Replace(validConfig, tc.old, tc.new, 1)), env)
 		assert.ErrorContains(t, err, tc.want)
 	}
-	_, err := Parse([]byte(good), func(string) string { return "" })
+	_, err := Parse([]byte(validConfig), func(string) string { return "" })
 	assert.ErrorContains(t, err, "GW_STATE")
 }
 
-// The known list is found wherever it stands, and nothing else is taken for it.
-func TestKnownListIsCutOut(t *testing.T) {
+// cutKnown finds the known list at any position and takes nothing else for it.
+func TestCutKnown(t *testing.T) {
 	const list = `{"generation":7,"reset":true,"instances":[]}`
 	for text, want := range map[string]string{
 		`{"known":` + list + `,"x":1}`:                         `{"known":null,"x":1}`,
@@ -85,40 +85,41 @@
 	}
 }
 
-// A long list is read entry by entry: what that takes beside its text and its entries does not
-// grow with it. In JSON's own form it took ten times its text, and a start most of its time.
-func TestLongKnownListTakesLittle(t *testing.T) {
+// Guards against parsing a long list as one JSON value, which takes ten times its text in memory
+// and most of the time of a start. The memory beyond the text and the entries must not grow with
+// the list.
+func TestParseLongKnownListMemory(t *testing.T) {
 	const n = 20000
 	var list strings.Builder
 	for i := range n {
 		fmt.Fprintf(&list, `,{"instanceId":"s-%08d","hostPort":"127.0.0.1:1","zone":"b","machineType":"k","cell":%d,"lifecycle":"Ready","weight":1,"startedAtMs":0}`, i, i)
 	}
-	text := []byte(strings.Replace(good, `"instances":[`, `"instances":[`+list.String()[1:]+`,`, 1))
+	text := []byte(strings.Replace(validConfig, `"instances":[`, `"instances":[`+list.String()[1:]+`,`, 1))
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	c, err := Parse(text, env)
 	runtime.ReadMemStats(&after)
 	require.NoError(t, err)
-	assert.Len(t, c.Known.Targets, n+1)
+	assert.Len(t, c.InitialList.Targets, n+1)
 	assert.Less(t, after.TotalAlloc-before.TotalAlloc, uint64(6*len(text)))
 }
 
-// A reload names what it cannot change. The platform's address, the list and
-// the seed are no such things.
+// A reload names the changes that it cannot apply. The discovery address, the list and the seed are
+// not among them.
 func TestDiffers(t *testing.T) {
-	c, err := Parse([]byte(good), env)
+	c, err := Parse([]byte(validConfig), env)
 	require.NoError(t, err)
-	moved := strings.NewReplacer("8500", "8501", "8c1f", "9c1f", `"cell":3`, `"cell":4`).Replace(good)
+	moved := strings.NewReplacer("8500", "8501", "8c1f", "9c1f", `"cell":3`, `"cell":4`).Replace(validConfig)
 	other, err := Parse([]byte(moved), env)
 	require.NoError(t, err)
-	assert.Empty(t, c.Differs(other))
-	other, err = Parse([]byte(strings.NewReplacer("6379", "6380", `"deadline-ms":5`, `"deadline-ms":6`).Replace(good)), env)
+	assert.Empty(t, c.DifferingSections(other))
+	other, err = Parse([]byte(strings.NewReplacer("6379", "6380", `"deadline-ms":5`, `"deadline-ms":6`).Replace(validConfig)), env)
 	require.NoError(t, err)
-	assert.Equal(t, []string{"listen", "settings"}, c.Differs(other))
+	assert.Equal(t, []string{"listen", "settings"}, c.DifferingSections(other))
 }
 
-// What a list does not say clearly gets nothing new.
-func TestListInDoubt(t *testing.T) {
+// A target whose state or zone is unknown gets no new messages.
+func TestListWithUnknownValues(t *testing.T) {
 	n := Names{Zones: map[string]int{"a": 0}, Kinds: map[string]int{}}
 	l, err := n.List([]byte(`{"generation":4,"reset":false,"instances":[
 		{"instanceId":"x","lifecycle":"Gone"},
@@ -133,7 +134,7 @@
 	dir := t.TempDir()
 	p, err := LoadPush(filepath.Join(dir, "none.json"), Names{})
 	require.NoError(t, err)
-	assert.Empty(t, p.Listen, "no file: the front is off")
+	assert.Empty(t, p.Listen, "no file: the front is disabled")
 	path := filepath.Join(dir, "push.json")
 	for text, want := range map[string]string{
 		`{"listen":"x"}`:           "listen",
@@ -147,12 +148,12 @@
 	}
 	p, err = LoadPush("../../deploy/push.json", Names{})
 	require.NoError(t, err)
-	assert.Empty(t, p.Listen, "off on the platform")
+	assert.Empty(t, p.Listen, "disabled in the shipped file")
 	assert.Equal(t, filepath.FromSlash("../../deploy/openapi.json"), p.OpenAPI)
 }
 
-// Couriers send notes only where the platform lets them and names addresses that can be
-// used; the operator file may turn that off.
+// Peer messages are sent only if the platform permits them and the addresses are valid; the
+// operator file can disable them.
 func TestPeers(t *testing.T) {
 	parse := func(more, may string) Peers {
 		c, err := Parse([]byte(`{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1",
@@ -164,13 +165,13 @@
 		return c.Peers
 	}
 	both := `,"peer_listen":"127.0.0.1:3","peers":["127.0.0.1:4","127.0.0.1:5"]`
-	assert.Equal(t, Peers{Listen: "127.0.0.1:3", Each: []string{"127.0.0.1:4", "127.0.0.1:5"}}, parse(both, "true"))
-	assert.True(t, parse(both, "true").Reach())
+	assert.Equal(t, Peers{Listen: "127.0.0.1:3", Addrs: []string{"127.0.0.1:4", "127.0.0.1:5"}}, parse(both, "true"))
+	assert.True(t, parse(both, "true").Enabled())
 	for more, may := range map[string]string{
 		both: "false", `,"peer_listen":"x","peers":["127.0.0.1:4","127.0.0.1:5"]`: "true",
 		`,"peer_listen":"127.0.0.1:3","peers":["127.0.0.1:4"]`: "true", `,"peers":7`: "true", ``: "true",
 	} {
-		assert.False(t, parse(more, may).Reach(), more)
+		assert.False(t, parse(more, may).Enabled(), more)
 	}
 	for text, want := range map[string]bool{`{}`: true, `{"notes":true}`: true, `{"notes":false}`: false} {
 		path := filepath.Join(t.TempDir(), "fleet.json")
@@ -181,9 +182,9 @@
 	}
 }
 
-// Whatever comes, the cut neither fails nor changes what a sound configuration says but for the list.
+// cutKnown accepts any input and, in a valid configuration, changes only the list.
 func FuzzCutKnown(f *testing.F) {
-	for _, text := range []string{good, `{"known":{}}`, `{"known":{"a":"}\""},"b":[{"known":{}}]}`, `{"a":"known","known" : {`, `]}{"known":{}`} {
+	for _, text := range []string{validConfig, `{"known":{}}`, `{"known":{"a":"}\""},"b":[{"known":{}}]}`, `{"a":"known","known" : {`, `]}{"known":{}`} {
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -201,8 +202,8 @@
 	})
 }
 
-// How long a plug-in's host may take is the operator's to say.
-func TestPluginsFile(t *testing.T) {
+// The start limit of plug-in hosts is read from the operator file.
+func TestLoadPlugins(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plugins.json")
 	require.NoError(t, os.WriteFile(path, []byte(`{"folder":"all","start_s":300,"bodies":[7]}`), 0o600))
 	p, err := LoadPlugins(path)
--- a/internal/config/directory.go
+++ b/internal/config/directory.go
@@ -12,18 +12,18 @@
 	"snowjunction/internal/distrust"
 )
 
-// Directory is the operator file for the directory: what is kept of its list, how far
-// an old one is believed, and what is kept of what was learnt.
+// Directory is the operator file for the directory: how much of its list is kept on disk, how long
+// an old list is trusted, and how much learned state is kept on disk.
 type Directory struct {
-	Cache       bool // the list is kept on disk
-	CacheBytes  int
-	Generations int
-	Learn       bool // what is learnt is kept on disk
-	LearnBytes  int
+	Cache       bool // keep the list on disk
+	CacheBytes  int  // maximum size of one list snapshot
+	Generations int  // number of list snapshots that are kept
+	Learn       bool // keep learned state on disk
+	LearnBytes  int  // maximum size of the learned state on disk
 	core.Directory
 }
 
-// Room is what of the folder that lasts is not the journal's.
+// Room returns the share of the state folder, in bytes, that is not available to the journal.
 func (d *Directory) Room() (n int64) {
 	if d.Cache {
 		n += dircache.Options{Bytes: d.CacheBytes, Generations: d.Generations}.Room()
@@ -35,22 +35,22 @@
 }
 
 const (
-	defaultCacheKB  = 48
-	defaultLearnKB  = 48
-	defaultKeptList = 1
+	defaultCacheKB     = 48
+	defaultLearnKB     = 48
+	defaultGenerations = 1
 )
 
-// LoadDirectory reads the operator file for the directory. A file that is not there
-// leaves the defaults.
+// LoadDirectory reads the operator file for the directory. If the file does not exist, the defaults
+// apply.
 func LoadDirectory(path string) (*Directory, error) {
-	v, err := operatorFile(path, "directory")
+	v, err := readOperatorFile(path, "directory")
 	if err != nil {
 		return nil, err
 	}
 	d := &Directory{
-		Cache: !v.Exists("cache") || v.GetBool("cache"), CacheBytes: positive(v.GetInt("cache_kb"), defaultCacheKB) << 10,
-		Generations: positive(v.GetInt("generations"), defaultKeptList),
-		Learn:       !v.Exists("learn") || v.GetBool("learn"), LearnBytes: positive(v.GetInt("learn_kb"), defaultLearnKB) << 10,
+		Cache: !v.Exists("cache") || v.GetBool("cache"), CacheBytes: positiveOr(v.GetInt("cache_kb"), defaultCacheKB) << 10,
+		Generations: positiveOr(v.GetInt("generations"), defaultGenerations),
+		Learn:       !v.Exists("learn") || v.GetBool("learn"), LearnBytes: positiveOr(v.GetInt("learn_kb"), defaultLearnKB) << 10,
 		Directory: core.Directory{Belief: belief.Default(), Trust: distrust.Default()},
 	}
 	for key, to := range map[string]*time.Duration{
@@ -58,22 +58,22 @@
 		"agree_s": &d.Trust.AgreeFor, "keep_most_s": &d.Trust.KeepMost, "recheck_s": &d.Trust.Recheck,
 		"flap_within_s": &d.Trust.FlapWithin, "flap_rest_s": &d.Trust.FlapRest,
 	} {
-		duration(v, key, to)
+		secondsField(v, key, to)
 	}
-	d.Belief.RefuteFails = positive(v.GetInt("refute_fails"), d.Belief.RefuteFails)
+	d.Belief.RefuteFails = positiveOr(v.GetInt("refute_fails"), d.Belief.RefuteFails)
 	t := &d.Trust
 	t.Keep = v.GetBool("keep_omitted")
-	t.Least, t.Agree = positive(v.GetInt("least"), t.Least), positive(v.GetInt("agree"), t.Agree)
-	t.FlapTurns = positive(v.GetInt("flap_turns"), t.FlapTurns)
-	t.LossMost, t.LossBack = positive(v.GetFloat64("loss_most"), t.LossMost), positive(v.GetFloat64("loss_back"), t.LossBack)
+	t.Least, t.Agree = positiveOr(v.GetInt("least"), t.Least), positiveOr(v.GetInt("agree"), t.Agree)
+	t.FlapTurns = positiveOr(v.GetInt("flap_turns"), t.FlapTurns)
+	t.LossMost, t.LossBack = positiveOr(v.GetFloat64("loss_most"), t.LossMost), positiveOr(v.GetFloat64("loss_back"), t.LossBack)
 	if t.LossBack >= t.LossMost {
-		return nil, fmt.Errorf("%s: /loss_back: %g is not under loss_most, %g: the condition would swing", path, t.LossBack, t.LossMost)
+		return nil, fmt.Errorf("%s: /loss_back: %g is not under loss_most, %g: the condition would oscillate", path, t.LossBack, t.LossMost)
 	}
 	return d, nil
 }
 
-// duration reads a number of seconds, if it is there.
-func duration(v *fastjson.Value, key string, to *time.Duration) {
+// secondsField reads a number of seconds, if it is there.
+func secondsField(v *fastjson.Value, key string, to *time.Duration) {
 	if v.Exists(key) {
 		*to = Millis(1000 * v.GetFloat64(key))
 	}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -1,14 +1,13 @@
 package config
 
-// Fleet is the operator file for what couriers of a fleet do together.
+// Fleet is the operator file for cooperation between the couriers of a fleet.
 type Fleet struct {
-	Notes bool // where many share limits, they ask each other for leave to call
+	Notes bool // couriers that share rate limits request quota from each other by peer messages
 }
 
-// LoadFleet reads the operator file for the fleet. A file that is not there leaves the
-// defaults.
+// LoadFleet reads the operator file for the fleet. If the file does not exist, the defaults apply.
 func LoadFleet(path string) (*Fleet, error) {
-	v, err := operatorFile(path, "fleet")
+	v, err := readOperatorFile(path, "fleet")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/config/idle.go
+++ b/internal/config/idle.go
@@ -10,9 +10,9 @@
 // Idle is the operator file for idle destinations.
 type Idle struct {
 	Dormancy    dormancy.Config
-	ListBytes   int // of a list that discovery may send
-	ListEntries int
-	Store       string // path of the file beyond memory; "": none
+	ListBytes   int    // maximum size of a list that discovery may send
+	ListEntries int    // maximum number of entries of such a list
+	StorePath   string // path of the on-disk store for unloaded destinations; empty disables it
 	StoreBytes  int64
 }
 
@@ -22,11 +22,11 @@
 	defaultStoreMB     = 64
 )
 
-// LoadIdle reads the operator file for idle destinations; s are the settings
-// that its defaults follow. A store's path starts from the file's folder. A file
-// that is not there leaves the defaults.
+// LoadIdle reads the operator file for idle destinations. The defaults depend on the settings s. A
+// relative store path is resolved against the file's folder. If the file does not exist, the
+// defaults apply.
 func LoadIdle(path string, s snowjunction.Settings) (*Idle, error) {
-	v, err := operatorFile(path, "idle")
+	v, err := readOperatorFile(path, "idle")
 	if err != nil {
 		return nil, err
 	}
@@ -34,14 +34,14 @@
 	for key, to := range map[string]*time.Duration{
 		"sleep_after_s": &d.After, "half_life_s": &d.HalfLife, "forget_s": &d.Forget, "careful_s": &d.Careful,
 	} {
-		duration(v, key, to)
+		secondsField(v, key, to)
 	}
-	d.Awake = positive(v.GetInt("awake_most"), d.Awake)
-	d.Memory = positive(v.GetInt("memory_kb")<<10, d.Memory)
+	d.Awake = positiveOr(v.GetInt("awake_most"), d.Awake)
+	d.Memory = positiveOr(v.GetInt("memory_kb")<<10, d.Memory)
 	d.First = v.GetBool("careful_first")
 	return &Idle{
-		Dormancy: d, ListBytes: positive(v.GetInt("list_mb"), defaultListMB) << 20,
-		ListEntries: positive(v.GetInt("list_entries"), defaultListEntries),
-		Store:       beside(path, v, "store"), StoreBytes: int64(positive(v.GetInt("store_mb"), defaultStoreMB)) << 20,
+		Dormancy: d, ListBytes: positiveOr(v.GetInt("list_mb"), defaultListMB) << 20,
+		ListEntries: positiveOr(v.GetInt("list_entries"), defaultListEntries),
+		StorePath:   resolvePath(path, v, "store"), StoreBytes: int64(positiveOr(v.GetInt("store_mb"), defaultStoreMB)) << 20,
 	}, nil
 }
--- a/internal/config/odd_test.go
+++ b/internal/config/odd_test.go
@@ -11,9 +11,9 @@
 	"snowjunction"
 )
 
-// Settings of odd shape, as another customer's may be: each starts the module, which sends a
-// message of each class once and no more often than that where nothing is known of its fate.
-func TestSettingsOfOddShape(t *testing.T) {
+// The module starts with unusual but valid settings, sends a message of each class at most once
+// while the outcome of that attempt is unknown, and ends each message once.
+func TestUnusualSettings(t *testing.T) {
 	for name, text := range map[string]string{
 		"one class, no tenants":                 `"classes": [{"name": "only", "semantics": "pure", "deadline-ms": 4000, "promise-ms": 1000, "importance": 1}]`,
 		"no keyed class":                        `"classes": [{"name": "a", "semantics": "side_effect", "deadline-ms": 4000}, {"name": "b", "semantics": "pure", "deadline-ms": 900}]`,
@@ -48,7 +48,7 @@
 			for i := range s.Classes {
 				id := snowjunction.RequestID(i + 1)
 				assert.LessOrEqual(t, sends[id], 1, "class %d", i)
-				assert.Equal(t, 1, ends[id], "class %d ends once, in time, though no answer comes", i)
+				assert.Equal(t, 1, ends[id], "class %d ends once, in time, without an answer", i)
 			}
 		})
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -11,17 +11,17 @@
 	"snowjunction/internal/schema"
 )
 
-// operatorFile reads an operator file and holds it against its schema; what names
-// the file in errors. One that is not there says nothing.
-func operatorFile(path, what string) (*fastjson.Value, error) {
+// readOperatorFile reads an operator file and validates it against the schema of that name, which
+// also names the file in errors. A file that does not exist is read as an empty object.
+func readOperatorFile(path, schemaName string) (*fastjson.Value, error) {
 	b, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		b, err = []byte("{}"), nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("read the file of %s: %w", what, err)
+		return nil, fmt.Errorf("read the operator file %s: %w", schemaName, err)
 	}
-	if err := schema.Check(what, b); err != nil {
+	if err := schema.Check(schemaName, b); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	v, err := fastjson.ParseBytes(b)
@@ -31,10 +31,11 @@
 	return v, nil
 }
 
-// beside is a path that an operator file gives: it starts from the file's folder.
-func beside(path string, v *fastjson.Value, key string) string {
-	if s := text(v, key); s != "" && !filepath.IsAbs(s) {
+// resolvePath returns the path in field key of an operator file. A relative path is resolved
+// against the file's folder.
+func resolvePath(path string, v *fastjson.Value, key string) string {
+	if s := stringField(v, key); s != "" && !filepath.IsAbs(s) {
 		return filepath.Join(filepath.Dir(path), s)
 	}
-	return text(v, key)
+	return stringField(v, key)
 }
--- a/internal/config/partitions.go
+++ b/internal/config/partitions.go
@@ -10,13 +10,13 @@
 	"snowjunction/internal/partition"
 )
 
-// Partitions is the operator file for what each courier of a fleet lists and calls.
+// Partitions is the operator file that divides the destinations among the couriers of a fleet.
 type Partitions struct {
 	Enabled    bool
 	Partitions int
-	Copies     int           // owners of each in each region
-	Linger     time.Duration // that what is no longer owned is served on
-	Region     string        // where this courier stands if it is no member
+	Copies     int           // owners of each partition in each region
+	Linger     time.Duration // how long a partition is still served after its ownership moved away
+	Region     string        // region of this courier if it is not a member
 	Members    []partition.Member
 }
 
@@ -24,22 +24,24 @@
 	defaultPartitions = 16384
 	defaultCopies     = 1
 	defaultLinger     = 30 * time.Second
-	// ownMost is how many partitions one courier may own: it names them in each ask for its list.
-	ownMost = 1024
+	// maxOwnedPartitions limits the partitions of one courier, which names all of them in each
+	// request for its list.
+	maxOwnedPartitions = 1024
 )
 
-// LoadPartitions reads the operator file for partitions. A file that is not there leaves them off.
+// LoadPartitions reads the operator file for partitions. If the file does not exist, partitioning
+// is disabled.
 func LoadPartitions(path string) (*Partitions, error) {
-	v, err := operatorFile(path, "partitions")
+	v, err := readOperatorFile(path, "partitions")
 	if err != nil {
 		return nil, err
 	}
 	p := &Partitions{
-		Enabled: v.GetBool("enabled"), Partitions: positive(v.GetInt("partitions"), defaultPartitions),
-		Copies: positive(v.GetInt("copies"), defaultCopies), Linger: defaultLinger, Region: text(v, "region"),
+		Enabled: v.GetBool("enabled"), Partitions: positiveOr(v.GetInt("partitions"), defaultPartitions),
+		Copies: positiveOr(v.GetInt("copies"), defaultCopies), Linger: defaultLinger, Region: stringField(v, "region"),
 	}
-	duration(v, "linger_s", &p.Linger)
-	if err := p.read(v.GetArray("members")); err != nil {
+	secondsField(v, "linger_s", &p.Linger)
+	if err := p.decodeMembers(v.GetArray("members")); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if p.Enabled && len(p.Members) == 0 {
@@ -48,11 +50,11 @@
 	return p, nil
 }
 
-func (p *Partitions) read(members []*fastjson.Value) error {
+func (p *Partitions) decodeMembers(members []*fastjson.Value) error {
 	names, addrs := map[string]int{}, map[netip.AddrPort]int{}
 	for i, v := range members {
 		x := partition.Member{
-			Name: text(v, "name"), Addr: text(v, "addr"), Region: text(v, "region"), Zone: text(v, "zone"),
+			Name: stringField(v, "name"), Addr: stringField(v, "addr"), Region: stringField(v, "region"), Zone: stringField(v, "zone"),
 			Weight: v.GetFloat64("weight"),
 		}
 		addr, err := netip.ParseAddrPort(x.Addr)
@@ -71,9 +73,10 @@
 	return nil
 }
 
-// Membership is who owns what by the file; nil: it is off. It costs what differs from the one
-// that holds, if that divides as the file does. An error says why the courier called self cannot
-// go by it.
+// Membership returns the ownership of partitions by the file, or nil if partitioning is disabled.
+// If holds, the current membership, has the same numbers of partitions and copies, the new one is
+// derived from it, at a cost that depends on the difference only. An error says why the courier
+// called self cannot use the file.
 func (p *Partitions) Membership(self string, holds *partition.Membership) (m *partition.Membership, err error) {
 	if !p.Enabled {
 		return nil, nil
@@ -86,15 +89,15 @@
 	if err != nil {
 		return nil, err
 	}
-	if n := len(m.Owned(self)); n > ownMost {
-		return nil, fmt.Errorf("/partitions: %d is too large for so few members: %q would own %d, over %d", p.Partitions, self, n, ownMost)
+	if n := len(m.Owned(self)); n > maxOwnedPartitions {
+		return nil, fmt.Errorf("/partitions: %d is too large for so few members: %q would own %d, over %d", p.Partitions, self, n, maxOwnedPartitions)
 	}
 	return m, nil
 }
 
-// Differs tells whether another file has what this courier cannot take up while it runs: all but
+// NeedsRestart reports whether other has changes that a running courier cannot apply: any but to
 // the members.
-func (p *Partitions) Differs(other *Partitions) bool {
+func (p *Partitions) NeedsRestart(other *Partitions) bool {
 	return p.Enabled != other.Enabled || p.Partitions != other.Partitions || p.Copies != other.Copies ||
 		p.Linger != other.Linger || p.Region != other.Region
 }
--- a/internal/config/partitions_test.go
+++ b/internal/config/partitions_test.go
@@ -15,15 +15,15 @@
 	"snowjunction/internal/schema"
 )
 
-func partitions(t *testing.T, text string) (*Partitions, string, error) {
+func loadPartitions(t *testing.T, text string) (*Partitions, string, error) {
 	path := filepath.Join(t.TempDir(), "partitions.json")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	p, err := LoadPartitions(path)
 	return p, path, err
 }
 
-// Without a file, and with the one that ships, destinations are not divided.
-func TestPartitionsAreOff(t *testing.T) {
+// Partitioning is disabled without a file and with the one that ships.
+func TestPartitionsDisabledByDefault(t *testing.T) {
 	for _, path := range []string{filepath.Join(t.TempDir(), "none.json"), "../../deploy/partitions.json"} {
 		p, err := LoadPartitions(path)
 		require.NoError(t, err)
@@ -35,7 +35,7 @@
 }
 
 func TestLoadPartitions(t *testing.T) {
-	p, _, err := partitions(t, `{"enabled": true, "partitions": 64, "copies": 2, "linger_s": 1.5, "region": "south", "members": [
+	p, _, err := loadPartitions(t, `{"enabled": true, "partitions": 64, "copies": 2, "linger_s": 1.5, "region": "south", "members": [
 		{"name": "n1", "addr": "127.0.0.1:1", "region": "north", "zone": "a", "weight": 2.5}, {"name": "n0", "addr": "[::1]:1"}]}`)
 	require.NoError(t, err)
 	want := Partitions{Enabled: true, Partitions: 64, Copies: 2, Linger: 1500 * time.Millisecond, Region: "south", Members: []partition.Member{
@@ -52,19 +52,20 @@
 
 	other := want
 	other.Members = nil
-	assert.False(t, want.Differs(&other), "members are taken up without a restart")
+	assert.False(t, want.NeedsRestart(&other), "members are applied without a restart")
 	for _, change := range []func(*Partitions){
 		func(p *Partitions) { p.Enabled = false }, func(p *Partitions) { p.Partitions++ }, func(p *Partitions) { p.Copies++ },
 		func(p *Partitions) { p.Linger++ }, func(p *Partitions) { p.Region = "" },
 	} {
 		other := want
 		change(&other)
-		assert.True(t, want.Differs(&other))
+		assert.True(t, want.NeedsRestart(&other))
 	}
 }
 
-// Each mistake has one line that names its place; a file that is off is held to the same.
-func TestPartitionsThatAreWrong(t *testing.T) {
+// Each mistake is reported in one line that names its place, whether or not partitioning is
+// enabled.
+func TestInvalidPartitionsFile(t *testing.T) {
 	one := `{"name": "n0", "addr": "127.0.0.1:1"}`
 	for text, want := range map[string]string{
 		`{"enabled": 1}`:                                                          "/enabled: ",
@@ -93,21 +94,21 @@
 		`{"members": [` + one + `, ` + one + `, {"name": "n1", "addr": "none"}]}`: `/members/1/name: "n0" is the name`,
 		`{"members":`: "not JSON",
 	} {
-		_, path, err := partitions(t, text)
+		_, path, err := loadPartitions(t, text)
 		require.ErrorContains(t, err, want, text)
 		assert.Contains(t, err.Error(), path)
 		assert.NotContains(t, err.Error(), "\n")
 	}
 }
 
-// A courier that would own too much to name it in an ask says so. One that owns nothing may
-// forward in any fleet.
-func TestTooManyPartitionsForSoFew(t *testing.T) {
+// A courier that would own more partitions than it can name in a list request gets an error. A
+// courier that owns none is accepted in a fleet of any size.
+func TestTooManyPartitionsPerMember(t *testing.T) {
 	var members []string
 	for i := range 15 {
 		members = append(members, fmt.Sprintf(`{"name": "n%d", "addr": "127.0.0.1:%d"}`, i, i+1))
 	}
-	p, _, err := partitions(t, `{"enabled": true, "members": [`+strings.Join(members, ",")+`]}`)
+	p, _, err := loadPartitions(t, `{"enabled": true, "members": [`+strings.Join(members, ",")+`]}`)
 	require.NoError(t, err)
 	_, err = p.Membership("n0", nil)
 	require.Error(t, err)
@@ -119,11 +120,11 @@
 	require.NoError(t, err)
 	p.Partitions = 16384
 	_, err = p.Membership("n0", m)
-	assert.ErrorContains(t, err, "/partitions: ", "of another number than the one that holds")
+	assert.ErrorContains(t, err, "/partitions: ", "the current membership has another number of partitions")
 }
 
-// The schema's example of a whole file is one.
-func TestPartitionsSchemaTakesAll(t *testing.T) {
+// The schema accepts a file with all fields set.
+func TestPartitionsSchemaAcceptsAllFields(t *testing.T) {
 	assert.NoError(t, schema.Check("partitions", []byte(`{"enabled": false, "partitions": 65536, "copies": 4, "linger_s": 0,
 		"region": "", "members": [{"name": "a", "addr": "127.0.0.1:1", "region": "", "zone": "", "weight": 0.001}]}`)))
 }
--- a/internal/config/push.go
+++ b/internal/config/push.go
@@ -11,48 +11,49 @@
 	"snowjunction/internal/core"
 )
 
-// Push is the file of the push front.
+// Push is the operator file of the push front.
 type Push struct {
-	Listen   string // "": the front is off
-	MaxConns int    // clients' connections
-	// TargetConns bounds the connections to one target that take new streams; ConnAge,
-	// where positive, retires a connection once it is so old and empty.
+	Listen   string // empty disables the front
+	MaxConns int    // limit on client connections
+	// TargetConns limits the connections to one target that accept new streams. ConnAge, if
+	// positive, is the age at which a connection accepts no new streams and is closed once it has
+	// none.
 	TargetConns int
 	ConnAge     time.Duration
-	Retain      time.Duration
-	OpenAPI     string // paths of the descriptions
+	Retain      time.Duration // how long a final state can be queried
+	OpenAPI     string        // paths of the OpenAPI and AsyncAPI documents
 	AsyncAPI    string
 	Targets     []core.Entry
 }
 
-// The values taken where none is given.
+// Defaults for values that the file does not set.
 const (
 	defaultPushConns   = 64
 	defaultTargetConns = 4
 	defaultRetain      = 300 // seconds
 )
 
-// LoadPush reads the push front's file. Paths in it start from its folder. A
-// file that is not there leaves the front off.
+// LoadPush reads the push front's file. Relative paths in it are resolved against its folder. If
+// the file does not exist, the front is disabled.
 func LoadPush(path string, names Names) (*Push, error) {
-	v, err := operatorFile(path, "push")
+	v, err := readOperatorFile(path, "push")
 	if err != nil {
 		return nil, err
 	}
-	p, err := push(path, v, names)
+	p, err := decodePush(path, v, names)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return p, nil
 }
 
-func push(path string, v *fastjson.Value, names Names) (*Push, error) {
+func decodePush(path string, v *fastjson.Value, names Names) (*Push, error) {
 	p := &Push{
-		Listen: text(v, "listen"), MaxConns: positive(v.GetInt("max_connections"), defaultPushConns),
-		TargetConns: positive(v.GetInt("target_connections"), defaultTargetConns),
+		Listen: stringField(v, "listen"), MaxConns: positiveOr(v.GetInt("max_connections"), defaultPushConns),
+		TargetConns: positiveOr(v.GetInt("target_connections"), defaultTargetConns),
 		ConnAge:     time.Duration(v.GetFloat64("connection_age_s") * float64(time.Second)),
-		Retain:      time.Duration(positive(v.GetInt("retain_s"), defaultRetain)) * time.Second,
-		OpenAPI:     beside(path, v, "openapi"), AsyncAPI: beside(path, v, "asyncapi"),
+		Retain:      time.Duration(positiveOr(v.GetInt("retain_s"), defaultRetain)) * time.Second,
+		OpenAPI:     resolvePath(path, v, "openapi"), AsyncAPI: resolvePath(path, v, "asyncapi"),
 	}
 	if p.Listen != "" {
 		if _, err := netip.ParseAddrPort(p.Listen); err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -157,7 +157,7 @@
 		}
 	}
 	c.journal, left, err = store.Load(store.Options{
-		Dir: cfg.State, Bytes: cfg.Bytes() - c.dir.Room() - exclusions.Room(), Retain: pushCfg.Retain, Log: c.log,
+		Dir: cfg.StateDir, Bytes: cfg.StateBytes() - c.dir.Room() - exclusions.Room(), Retain: pushCfg.Retain, Log: c.log,
 		Until: core.Until(cfg.Settings),
 		Goes:  func(seq uint64) bool { return goes[seq] },
 	})
@@ -167,13 +167,13 @@
 	c.process.did("journal")
 	c.platform = platform.New(platform.Config{
 		Loop: c.loop, Engine: c.engine, Log: c.log, Number: platformFront, Listen: cfg.Listen,
-		Discovery: cfg.Discovery, Names: cfg.Names, Columns: cfg.Columns, Settings: cfg.Settings,
+		Discovery: cfg.Discovery, Names: cfg.Names, Columns: cfg.ReportColumns, Settings: cfg.Settings,
 		Lists: platform.ListLimits{Bytes: c.idle.ListBytes, Entries: c.idle.ListEntries}, Started: c.started,
 		Router: c.divide(left),
 	})
 	c.push = push.New(push.Config{
 		Loop: c.loop, Engine: c.engine, Log: c.log, Number: pushFront, Push: pushCfg, API: c.process.api, Life: c.process.life,
-		Columns: cfg.Columns, Settings: cfg.Settings,
+		Columns: cfg.ReportColumns, Settings: cfg.Settings,
 	})
 	coreCfg := core.Config{
 		Loop: c.loop, Log: c.log, Journal: c.journal, Settings: cfg.Settings,
@@ -189,11 +189,11 @@
 		}
 	}
 	c.keep(&coreCfg, e)
-	c.excluded = exclusions.Open(cfg.State, c.log)
+	c.excluded = exclusions.Open(cfg.StateDir, c.log)
 	coreCfg.Exclusions = c.excluded
-	if c.idle.Store != "" {
+	if c.idle.StorePath != "" {
 		c.store, err = idlestore.Open(idlestore.Options{
-			Path: c.idle.Store, Bytes: c.idle.StoreBytes, Forget: c.idle.Dormancy.Forget,
+			Path: c.idle.StorePath, Bytes: c.idle.StoreBytes, Forget: c.idle.Dormancy.Forget,
 			Post: c.loop.Post, Log: c.log, Now: time.Now,
 		})
 		if err != nil { // it costs what is known, not the start
@@ -266,7 +266,7 @@
 		return err
 	}
 	out := exclusions.New(c.cfg.Settings.WarmUp)
-	exclusions.Read(c.cfg.State, out, c.log)
+	exclusions.Read(c.cfg.StateDir, out, c.log)
 	c.core.RecallOut(out)
 	if e != nil {
 		c.core.TakeOver(e)
@@ -397,7 +397,7 @@
 		done(err.Error())
 		return
 	}
-	later := c.cfg.Differs(f.cfg)
+	later := c.cfg.DifferingSections(f.cfg)
 	if *f.directory != *c.dir {
 		later = append(later, "directory")
 	}
@@ -407,7 +407,7 @@
 	if *f.idle != *c.idle {
 		later = append(later, "idle destinations")
 	}
-	if c.process.files.partitions.Differs(f.partitions) {
+	if c.process.files.partitions.NeedsRestart(f.partitions) {
 		later = append(later, "partitions")
 	}
 	if len(later) > 0 {
--- a/internal/daemon/directory.go
+++ b/internal/daemon/directory.go
@@ -172,14 +172,14 @@
 		}
 	}
 	if kept == nil && c.dir.Cache {
-		kept = dircache.Load(c.cfg.State, wrong)
+		kept = dircache.Load(c.cfg.StateDir, wrong)
 	}
 	c.process.did("list")
 	if kept != nil {
 		kept.Rename(c.cfg.Names.Zones, c.cfg.Names.Kinds)
 	}
 	if c.dir.Cache {
-		cache, err := dircache.Open(dircache.Options{Dir: c.cfg.State, Bytes: c.dir.CacheBytes, Generations: c.dir.Generations, Log: c.log})
+		cache, err := dircache.Open(dircache.Options{Dir: c.cfg.StateDir, Bytes: c.dir.CacheBytes, Generations: c.dir.Generations, Log: c.log})
 		if err != nil {
 			c.log.Warn("the directory's list is not kept", "err", err)
 		} else {
@@ -195,13 +195,13 @@
 			}
 		}
 	}
-	c.begin = startList(kept, c.cfg.Known, c.cfg.Discovery, c.loop.Now())
+	c.begin = startList(kept, c.cfg.InitialList, c.cfg.Discovery, c.loop.Now())
 	if b := c.begin; b.Held {
 		c.log.Info("starting list", "source", b.Source.String(), "generation", b.Generation, "endpoints", len(b.Targets), "age", b.Age.Round(time.Millisecond))
 	}
 	if c.dir.Learn {
-		c.recalled = learnt.Load(c.cfg.State, wrong)
-		store, err := learnt.Open(learnt.Options{Dir: c.cfg.State, Bytes: c.dir.LearnBytes, Log: c.log}, c.recalled)
+		c.recalled = learnt.Load(c.cfg.StateDir, wrong)
+		store, err := learnt.Open(learnt.Options{Dir: c.cfg.StateDir, Bytes: c.dir.LearnBytes, Log: c.log}, c.recalled)
 		if err != nil {
 			c.log.Warn("what is learnt is not kept", "err", err)
 		} else {
--- a/internal/daemon/files.go
+++ b/internal/daemon/files.go
@@ -83,9 +83,9 @@
 	tell(file, err)
 	file = DirectoryFile(env)
 	f.directory, err = config.LoadDirectory(file)
-	if err == nil && f.cfg != nil && f.directory.Room() > f.cfg.Bytes()/2 {
+	if err == nil && f.cfg != nil && f.directory.Room() > f.cfg.StateBytes()/2 {
 		err = fmt.Errorf("%s: /cache_kb, /generations, /learn_kb: %d bytes are more than half of the folder's %d: the journal needs the rest",
-			file, f.directory.Room(), f.cfg.Bytes())
+			file, f.directory.Room(), f.cfg.StateBytes())
 	}
 	tell(file, err)
 	file = path("SNOWJUNCTION_FLEET", fleetFile)
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -21,17 +21,17 @@
 // operator file allows it. What cannot be opened costs the notes, not the start.
 func (c *courier) join(cfg *core.Config) {
 	p := c.cfg.Peers
-	if !c.fleet.Notes || !p.Reach() {
+	if !c.fleet.Notes || !p.Enabled() {
 		return
 	}
-	socket, err := net.Exchange(p.Listen, net.NewPeers(p.Each), notes.Most, c.loop.Post, c.log, c.noted)
+	socket, err := net.Exchange(p.Listen, net.NewPeers(p.Addrs), notes.Most, c.loop.Post, c.log, c.noted)
 	if err != nil {
 		c.log.Warn("no notes between couriers", "err", err)
 		return
 	}
 	c.datagrams = socket
 	cfg.Fleet, cfg.Settings.Notes = fleet{socket}, true
-	c.log.Info("notes between couriers", "listen", socket.Addr(), "peers", len(p.Each))
+	c.log.Info("notes between couriers", "listen", socket.Addr(), "peers", len(p.Addrs))
 }
 
 // noted reads what a peer has told. What cannot be read is dropped.
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -34,7 +34,7 @@
 		return
 	}
 	var err error
-	c.handover, err = handover.Open(c.cfg.State, c.hello, func(err error) {
+	c.handover, err = handover.Open(c.cfg.StateDir, c.hello, func(err error) {
 		c.log.Warn("a handover was refused", "err", err)
 	})
 	if err != nil {
@@ -289,7 +289,7 @@
 	loop.After(lingerFor, loop.End)
 	var look func()
 	look = func() {
-		if lock, err := handover.Acquire(p.files.cfg.State); err == nil {
+		if lock, err := handover.Acquire(p.files.cfg.StateDir); err == nil {
 			p.lock, owns = lock, true
 			p.log.Warn("owns the folder again", "why", "the process that took it over is gone")
 			loop.End()
@@ -324,7 +324,7 @@
 	var err error
 	for range 2 {
 		var link *handover.Link
-		if link, err = handover.Dial(p.files.cfg.State); err != nil {
+		if link, err = handover.Dial(p.files.cfg.StateDir); err != nil {
 			continue
 		}
 		if err = link.Send(handover.Frame{Kind: handover.Ask, Text: call, FD: -1}); err == nil {
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -193,7 +193,7 @@
 // own returns once this process owns the folder: it was free, or its owner has handed it over
 // with an estate. Without both it waits, and says why, until it is told to end.
 func (p *process) own() (*handover.Estate, error) {
-	dir := p.files.cfg.State
+	dir := p.files.cfg.StateDir
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("open the journal: %w", err)
 	}
@@ -305,7 +305,7 @@
 			return false
 		case handover.Reclaim:
 			for range reclaims {
-				lock, err := handover.Acquire(p.files.cfg.State)
+				lock, err := handover.Acquire(p.files.cfg.StateDir)
 				if err == nil {
 					p.lock = lock
 					p.log.Warn("not handed over", "step", "taken", "why", "the other process is gone")
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,9 +1,9 @@
-// Package schema holds the JSON Schemas of the operator files and checks files
-// against them. It does no I/O.
+// Package schema contains the JSON Schemas of the operator files and validates files against them.
+// It does no I/O.
 //
-// The schemas are draft 2020-12 (https://json-schema.org), checked by
-// santhosh-tekuri/jsonschema. Checking happens at start, at SIGHUP and in the
-// check command; nothing of it stays in memory between.
+// The schemas are draft 2020-12 (https://json-schema.org), checked by santhosh-tekuri/jsonschema.
+// They are compiled for each check (at start, at SIGHUP and in the check command) and not kept in
+// memory.
 package schema
 
 import (
@@ -22,7 +22,7 @@
 //go:embed *.schema.json
 var files embed.FS
 
-// Names are the schemas that there are, in order.
+// Names returns the names of all schemas in alphabetical order.
 func Names() []string {
 	var names []string
 	entries, _ := files.ReadDir(".")
@@ -32,7 +32,7 @@
 	return names
 }
 
-// Text is the schema of that name.
+// Text returns the JSON Schema of that name.
 func Text(name string) ([]byte, error) {
 	b, err := files.ReadFile(name + ".schema.json")
 	if err != nil {
@@ -41,15 +41,15 @@
 	return b, nil
 }
 
-// Mistakes are what is wrong with a file: one line each, which begins with the
-// JSON pointer of the place.
+// Mistakes lists the violations in a file, one line each, starting with the JSON pointer of the
+// place.
 type Mistakes []string
 
 // Error joins the lines.
 func (m Mistakes) Error() string { return strings.Join(m, "; ") }
 
-// Check holds text against the schema of that name. Its error is Mistakes
-// where the text is JSON that the schema does not allow.
+// Check validates text against the schema of that name. Its error is of type Mistakes if text is
+// JSON that violates the schema.
 func Check(name string, text []byte) error {
 	b, err := Text(name)
 	if err != nil {
@@ -74,7 +74,7 @@
 	var wrong *jsonschema.ValidationError
 	if err := s.Validate(v); errors.As(err, &wrong) {
 		var m Mistakes
-		collect(wrong, &m)
+		collectMistakes(wrong, &m)
 		slices.Sort(m)
 		return slices.Compact(m)
 	} else if err != nil {
@@ -85,8 +85,8 @@
 
 var english = message.NewPrinter(language.English)
 
-// collect gathers the innermost mistakes: the outer ones only lead to them.
-func collect(e *jsonschema.ValidationError, m *Mistakes) {
+// collectMistakes appends the innermost validation errors; the outer ones only lead to them.
+func collectMistakes(e *jsonschema.ValidationError, mistakes *Mistakes) {
 	if len(e.Causes) == 0 {
 		at := ""
 		for _, step := range e.InstanceLocation {
@@ -95,10 +95,10 @@
 		if at == "" {
 			at = "/"
 		}
-		*m = append(*m, at+": "+e.ErrorKind.LocalizedString(english))
+		*mistakes = append(*mistakes, at+": "+e.ErrorKind.LocalizedString(english))
 		return
 	}
 	for _, cause := range e.Causes {
-		collect(cause, m)
+		collectMistakes(cause, mistakes)
 	}
 }
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each mistake has its own line with the place that it stands at.
+// Each mistake is reported in a line of its own, which starts with its place.
 func TestCheck(t *testing.T) {
 	assert.NoError(t, Check("push", []byte(`{"listen":"","targets":[]}`)))
 	err := Check("push", []byte(`{"listen":5,"retain_s":-1,"colour":"red","targets":[{"cell":"x"}]}`))
@@ -22,7 +22,7 @@
 	assert.Error(t, Check("nowhere", []byte(`{}`)))
 }
 
-// A schema that could not be compiled would fail every start.
+// Guards against a schema that does not compile: every start would fail.
 func TestSchemasCompile(t *testing.T) {
 	require.NotEmpty(t, Names())
 	for _, name := range Names() {
