--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -33,64 +33,64 @@
 )
 
 const (
-	memoryShare = 0.6 // of the machine's memory, for the heap: the folder's files count too
-	descriptors = 32  // besides connections: journal, log, epoll, listeners
+	heapShare           = 0.6 // of the machine's memory, for the heap: the folder's files count too
+	reservedDescriptors = 32  // besides connections: journal, log, epoll, listeners
 )
 
 // A planned stop: decisions go on for a while, calls out are waited for, and
 // the process is gone before the platform would kill it.
 const (
-	listenFor  = 500 * time.Millisecond
-	lookAgain  = 20 * time.Millisecond
-	wordWithin = 80 * time.Millisecond   // for the directory to answer at a start: its agent is on this machine
-	decideFor  = 2400 * time.Millisecond // the platform waits 3.7 s whatever this does: what is held is served meanwhile
-	finishFor  = 3400 * time.Millisecond
+	drainListenTime   = 500 * time.Millisecond
+	drainPollInterval = 20 * time.Millisecond
+	directoryTimeout  = 80 * time.Millisecond   // for the directory to answer at a start: its agent is on this machine
+	drainDecideTime   = 2400 * time.Millisecond // the platform waits 3.7 s whatever this does: what is held is served meanwhile
+	drainTimeout      = 3400 * time.Millisecond
 )
 
 // The fronts' numbers, which stand in the journal too.
 const (
-	platformFront = iota
-	pushFront
+	platformFrontNumber = iota
+	pushFrontNumber
 )
 
 // courier is the program's parts.
 type courier struct {
-	cfg       *config.Config
-	env       func(string) string
-	log       *slog.Logger
-	loop      *core.Loop
-	journal   *store.Journal
-	engine    *net.Engine
-	core      *core.Core
-	plugins   *plugin.Set
-	idle      *config.Idle
-	dir       *config.Directory
-	begin     platform.Begin
-	recalled  []learnt.Record
-	cache     *dircache.Cache  // nil: the list is not kept
-	learnt    *learnt.Store    // nil: nothing is
-	store     *idlestore.Store // nil: none
-	excluded  *exclusions.File
-	fleet     *config.Fleet
-	datagrams *net.Datagrams // nil: no notes
+	cfg             *config.Config
+	env             func(string) string
+	log             *slog.Logger
+	loop            *core.Loop
+	journal         *store.Journal
+	engine          *net.Engine
+	core            *core.Core
+	plugins         *plugin.Set
+	idle            *config.Idle
+	directoryConfig *config.Directory
+	begin           platform.Begin
+	learnedRecords  []learnt.Record
+	cache           *dircache.Cache  // nil: the list is not kept
+	learnedStore    *learnt.Store    // nil: nothing is
+	idleStore       *idlestore.Store // nil: none
+	exclusionFile   *exclusions.File
+	fleet           *config.Fleet
+	datagrams       *net.Datagrams // nil: no notes
 
-	process  *process
-	console  *console.Front  // nil: none
-	callers  []handover.Conn // of the second address, in an earlier life of this process
-	handover *handover.Door  // nil: nobody can take over
-	draining bool            // it ends in order
-	still    bool            // and decides no more, with no call out
-	yielding bool            // another process is to go on
-	link     *handover.Link  // to that one
-	estate   *handover.Estate
-	second   int // the second address's socket, once handed over; -1: none
+	process          *process
+	console          *console.Front   // nil: none
+	consoleConns     []handover.Conn  // of the second address, in an earlier life of this process
+	handoverServer   *handover.Server // nil: nobody can take over
+	draining         bool             // it ends in order
+	decisionsStopped bool             // and decides no more, with no call out
+	handingOver      bool             // another process is to go on
+	link             *handover.Link   // to that one
+	handoverState    *handover.Estate
+	consoleFD        int // the second address's socket, once handed over; -1: none
 
-	door     string             // path of the admin socket; "": none
-	socket   *admin.Socket      // nil: none
-	reading  bool               // files are being read anew
-	reloads  []func(why string) // asked for meanwhile
-	platform *platform.Front
-	push     *push.Front
+	adminPath       string             // path of the admin socket; "": none
+	adminSocket     *admin.Socket      // nil: none
+	reading         bool               // files are being read anew
+	reloadCallbacks []func(why string) // asked for meanwhile
+	platform        *platform.Front
+	push            *push.Front
 }
 
 // Options are what the command line and the environment say.
@@ -119,12 +119,12 @@
 func (p *process) prepare() (*courier, error) {
 	f := p.files
 	c := &courier{
-		process: p, cfg: f.cfg, env: p.o.Env, idle: f.idle, dir: f.directory, fleet: f.fleet, door: f.plugins.Admin,
+		process: p, cfg: f.cfg, env: p.opts.Env, idle: f.idle, directoryConfig: f.directory, fleet: f.fleet, adminPath: f.plugins.Admin,
 		loop: core.NewLoop(time.Now), log: p.log,
 	}
 	c.plugins = plugin.New(plugin.Config{
-		Loop: c.loop, Log: c.log, Command: p.o.Host, Bodies: f.plugins.Bodies, StartWithin: f.plugins.StartWithin,
-		AnswerWithin: p.o.Unhurried,
+		Loop: c.loop, Log: c.log, Command: p.opts.Host, Bodies: f.plugins.Bodies, StartWithin: f.plugins.StartWithin,
+		AnswerWithin: p.opts.Unhurried,
 	})
 	if len(f.manifests) > 0 {
 		why, done := "", false
@@ -141,15 +141,15 @@
 func (c *courier) build(e *handover.Estate) (left []*store.Message, err error) {
 	cfg, pushCfg := c.cfg, c.process.files.push
 	if c.engine, err = net.New(net.Config{
-		Post: c.loop.Post, Log: c.log, MaxConns: max(cfg.Limits.Sockets-descriptors, cfg.Limits.Sockets/2), Kept: kept(cfg),
+		Post: c.loop.Post, Log: c.log, MaxConns: max(cfg.Limits.Sockets-reservedDescriptors, cfg.Limits.Sockets/2), Kept: reservedConns(cfg),
 	}); err != nil {
 		return nil, err
 	}
 	// An address that somebody else has ends the start before anything of the folder is touched.
-	if err := c.reserve(e, pushCfg.Listen); err != nil {
+	if err := c.bindListeners(e, pushCfg.Listen); err != nil {
 		return nil, err
 	}
-	c.process.did("address")
+	c.process.stepDone("address")
 	goes := map[uint64]bool{}
 	if e != nil {
 		for _, x := range e.Calls {
@@ -157,64 +157,64 @@
 		}
 	}
 	c.journal, left, err = store.Load(store.Options{
-		Dir: cfg.StateDir, Bytes: cfg.StateBytes() - c.dir.Room() - exclusions.Room(), Retain: pushCfg.Retain, Log: c.log,
+		Dir: cfg.StateDir, Bytes: cfg.StateBytes() - c.directoryConfig.Room() - exclusions.Room(), Retain: pushCfg.Retain, Log: c.log,
 		Until: core.Until(cfg.Settings),
 		Goes:  func(seq uint64) bool { return goes[seq] },
 	})
 	if err != nil {
 		return nil, err
 	}
-	c.process.did("journal")
+	c.process.stepDone("journal")
 	c.platform = platform.New(platform.Config{
-		Loop: c.loop, Engine: c.engine, Log: c.log, Number: platformFront, Listen: cfg.Listen,
+		Loop: c.loop, Engine: c.engine, Log: c.log, Number: platformFrontNumber, Listen: cfg.Listen,
 		Discovery: cfg.Discovery, Names: cfg.Names, Columns: cfg.ReportColumns, Settings: cfg.Settings,
-		Lists: platform.ListLimits{Bytes: c.idle.ListBytes, Entries: c.idle.ListEntries}, Started: c.started,
-		Router: c.divide(left),
+		Lists: platform.ListLimits{Bytes: c.idle.ListBytes, Entries: c.idle.ListEntries}, Started: c.onPlatformStep,
+		Router: c.newRouter(left),
 	})
 	c.push = push.New(push.Config{
-		Loop: c.loop, Engine: c.engine, Log: c.log, Number: pushFront, Push: pushCfg, API: c.process.api, Life: c.process.life,
+		Loop: c.loop, Engine: c.engine, Log: c.log, Number: pushFrontNumber, Push: pushCfg, API: c.process.api, Life: c.process.life,
 		Columns: cfg.ReportColumns, Settings: cfg.Settings,
 	})
 	coreCfg := core.Config{
 		Loop: c.loop, Log: c.log, Journal: c.journal, Settings: cfg.Settings,
-		Fronts:   []core.Front{platformFront: c.platform, pushFront: c.push},
-		Dormancy: &c.idle.Dormancy, Directories: map[int]core.Directory{platformFront: c.dir.Directory},
+		Fronts:   []core.Front{platformFrontNumber: c.platform, pushFrontNumber: c.push},
+		Dormancy: &c.idle.Dormancy, Directories: map[int]core.Directory{platformFrontNumber: c.directoryConfig.Directory},
 	}
 	if r := c.platform.Router; r != nil {
 		coreCfg.ListedShare = func(front int) float64 {
-			if front == platformFront {
+			if front == platformFrontNumber {
 				return r.Share()
 			}
 			return 1
 		}
 	}
-	c.keep(&coreCfg, e)
-	c.excluded = exclusions.Open(cfg.StateDir, c.log)
-	coreCfg.Exclusions = c.excluded
+	c.openSideFiles(&coreCfg, e)
+	c.exclusionFile = exclusions.Open(cfg.StateDir, c.log)
+	coreCfg.Exclusions = c.exclusionFile
 	if c.idle.StorePath != "" {
-		c.store, err = idlestore.Open(idlestore.Options{
+		c.idleStore, err = idlestore.Open(idlestore.Options{
 			Path: c.idle.StorePath, Bytes: c.idle.StoreBytes, Forget: c.idle.Dormancy.Forget,
 			Post: c.loop.Post, Log: c.log, Now: time.Now,
 		})
 		if err != nil { // it costs what is known, not the start
 			c.log.Warn("no idle store", "err", err)
 		} else {
-			coreCfg.Beyond = c.store
+			coreCfg.Beyond = c.idleStore
 		}
 	}
-	c.join(&coreCfg)
-	coreCfg.Plugins, coreCfg.ParkMost = c.plugins, c.process.o.Unhurried
-	if c.core, err = core.New(coreCfg); err == nil && c.process.counted != nil {
-		c.core.Carry(*c.process.counted)
+	c.openPeerSocket(&coreCfg)
+	coreCfg.Plugins, coreCfg.ParkMost = c.plugins, c.process.opts.Unhurried
+	if c.core, err = core.New(coreCfg); err == nil && c.process.previousCounts != nil {
+		c.core.Carry(*c.process.previousCounts)
 	}
-	c.process.did("module")
+	c.process.stepDone("module")
 	return left, err
 }
 
-// kept are the connections that are kept, whatever clients and targets need, for what a courier
+// reservedConns are the connections that are kept, whatever clients and targets need, for what a courier
 // has to hear and tell: the watch, a notice and, with a second address, a caller there who is
 // answered while another comes.
-func kept(cfg *config.Config) map[string]int {
+func reservedConns(cfg *config.Config) map[string]int {
 	n := map[string]int{platform.WatchKind: 1, platform.NoticeKind: 1}
 	if cfg.Console != "" {
 		n[console.ListenerKind] = 2
@@ -222,8 +222,8 @@
 	return n
 }
 
-// reserve binds the clients' addresses, or goes on with the sockets that have been handed over.
-func (c *courier) reserve(e *handover.Estate, pushListen string) error {
+// bindListeners binds the clients' addresses, or goes on with the sockets that have been handed over.
+func (c *courier) bindListeners(e *handover.Estate, pushListen string) error {
 	if e != nil {
 		for i, l := range e.Listeners {
 			if l.FD >= 0 {
@@ -271,40 +271,40 @@
 	if e != nil {
 		c.core.TakeOver(e)
 	} else {
-		c.core.Recall(c.recalled)
+		c.core.Recall(c.learnedRecords)
 	}
-	c.recalled = nil
+	c.learnedRecords = nil
 	c.core.Remember(c.journal.Ran())
 	if err := c.platform.Start(c.core, c.begin); err != nil {
 		return err
 	}
 	if c.begin.Held && len(left) > 0 && (e == nil || !e.Live) {
-		c.core.Pause(wordWithin)
+		c.core.Pause(directoryTimeout)
 	}
 	c.core.Restore(left) // before the loop runs: nothing new comes in front of it
-	c.process.did("restored")
+	c.process.stepDone("restored")
 	if e != nil {
 		c.platform.TakeOver(e.Clients)
 		c.log.Info("taken over", "clients", len(e.Clients), "calls", len(e.Calls), "known", len(e.Known), "keys", len(e.Keys),
-			"ms", time.Since(c.process.since).Milliseconds())
-		c.forgo()
+			"ms", time.Since(c.process.ownerSince).Milliseconds())
+		c.closeAbandonedCalls()
 	}
 	second := ""
 	if c.cfg.Console != "" {
 		var err error
 		c.console, err = console.Start(console.Config{
 			Loop: c.loop, Engine: c.engine, Listen: c.cfg.Console, Ready: c.platform.Ready,
-			Figures: func(done func(core.Figures)) { done(c.core.Figures(platformFront)) },
-			Exclude: func(id string, out bool, done func(error)) { c.core.Exclude(platformFront, id, out, done) },
+			Figures: func(done func(core.Figures)) { done(c.core.Figures(platformFrontNumber)) },
+			Exclude: func(id string, out bool, done func(error)) { c.core.Exclude(platformFrontNumber, id, out, done) },
 		})
 		if err != nil {
 			return err
 		}
 		second = c.console.Addr()
-		c.console.TakeOver(c.callers)
+		c.console.TakeOver(c.consoleConns)
 	}
-	c.engine.Disinherit()
-	if err := c.openDoor(); err != nil {
+	c.engine.CloseInherited()
+	if err := c.openAdminSocket(); err != nil {
 		return err
 	}
 	c.openHandover()
@@ -315,20 +315,20 @@
 	return nil
 }
 
-// started hears of the steps of the platform's front. The last is told on the loop, once clients
+// onPlatformStep hears of the steps of the platform's front. The last is told on the loop, once clients
 // are answered that the courier is ready, and the account of the start is the log's then.
-func (c *courier) started(step platform.Step) {
+func (c *courier) onPlatformStep(step platform.Step) {
 	switch step {
 	case platform.Listening:
-		c.process.did("listener")
+		c.process.stepDone("listener")
 	case platform.Listed:
-		c.process.did("endpoints")
+		c.process.stepDone("endpoints")
 	case platform.Ready:
 		c.loop.After(0, func() {
-			if s := c.process.steps; s != nil {
-				c.process.did("ready")
-				c.process.steps = nil
-				c.log.Info("ready", "ms", float64(s.last.Sub(s.begun).Microseconds())/1000, "steps_ms", s,
+			if s := c.process.startSteps; s != nil {
+				c.process.stepDone("ready")
+				c.process.startSteps = nil
+				c.log.Info("ready", "ms", float64(s.last.Sub(s.startedAt).Microseconds())/1000, "steps_ms", s,
 					"restored", c.core.Counters.Restored, "endpoints", len(c.begin.Targets), "journal", c.journal.Size())
 			}
 		})
@@ -336,17 +336,17 @@
 }
 
 func (c *courier) signal(s os.Signal) {
-	if c.yielding { // whoever goes on is told
-		c.process.later(s)
+	if c.handingOver { // whoever goes on is told
+		c.process.dispatch(s)
 		return
 	}
 	switch s {
 	case syscall.SIGUSR1:
-		c.count("counters")
+		c.logCounters("counters")
 	case syscall.SIGUSR2:
 		runtime.GC()
 		debug.FreeOSMemory()
-		c.count("counters")
+		c.logCounters("counters")
 	case syscall.SIGHUP:
 		c.reload(func(string) {})
 	default:
@@ -360,35 +360,35 @@
 // while, schemas and modules among it, and is not the loop's to do: what comes
 // meanwhile is read after that.
 func (c *courier) reload(done func(why string)) {
-	c.reloads = append(c.reloads, done)
+	c.reloadCallbacks = append(c.reloadCallbacks, done)
 	if !c.reading {
-		c.read()
+		c.startReload()
 	}
 }
 
-func (c *courier) read() {
+func (c *courier) startReload() {
 	c.reading = true
-	asked := c.reloads
-	c.reloads = nil
-	holds := c.membership()
+	asked := c.reloadCallbacks
+	c.reloadCallbacks = nil
+	holds := c.currentMembership()
 	go func() {
 		f, err := readAll(c.env, &c.cfg.Names, holds)
 		c.loop.Post(func() {
-			c.reread(f, err, func(why string) {
+			c.applyFiles(f, err, func(why string) {
 				c.reading = false
 				for _, done := range asked {
 					done(why)
 				}
-				if len(c.reloads) > 0 {
-					c.read()
+				if len(c.reloadCallbacks) > 0 {
+					c.startReload()
 				}
 			})
 		})
 	}()
 }
 
-// reread takes what has been read.
-func (c *courier) reread(f files, err error, done func(why string)) {
+// applyFiles takes what has been read.
+func (c *courier) applyFiles(f files, err error, done func(why string)) {
 	if err == nil {
 		err = c.push.Relist(f.push.Targets)
 	}
@@ -398,7 +398,7 @@
 		return
 	}
 	later := c.cfg.DifferingSections(f.cfg)
-	if *f.directory != *c.dir {
+	if *f.directory != *c.directoryConfig {
 		later = append(later, "directory")
 	}
 	if *f.fleet != *c.fleet {
@@ -414,7 +414,7 @@
 		c.log.Warn("these wait for a restart", "values", later)
 	}
 	c.platform.Move(f.cfg.Discovery)
-	c.adopt(f.membership)
+	c.adoptMembership(f.membership)
 	c.plugins.AllowBodies(f.plugins.Bodies)
 	c.plugins.AllowStart(f.plugins.StartWithin)
 	c.log.Info("configuration read again", "discovery", f.cfg.Discovery, "targets", len(f.push.Targets))
@@ -428,38 +428,38 @@
 	})
 }
 
-// openDoor opens the admin socket, where there is to be one.
-func (c *courier) openDoor() (err error) {
-	if c.door == "" {
+// openAdminSocket opens the admin socket, where there is to be one.
+func (c *courier) openAdminSocket() (err error) {
+	if c.adminPath == "" {
 		return nil
 	}
-	c.socket, err = admin.Listen(c.door, func(r admin.Request, done func(admin.Reply)) {
-		c.loop.Post(func() { c.asked(r, done) })
+	c.adminSocket, err = admin.Listen(c.adminPath, func(r admin.Request, done func(admin.Reply)) {
+		c.loop.Post(func() { c.handleAdminRequest(r, done) })
 	})
 	return err
 }
 
-// asked answers at the admin socket.
-func (c *courier) asked(r admin.Request, done func(admin.Reply)) {
+// handleAdminRequest answers at the admin socket.
+func (c *courier) handleAdminRequest(r admin.Request, done func(admin.Reply)) {
 	switch r.Do {
 	case "plugins":
 		done(admin.Reply{Value: c.plugins.List()})
 	case "reload":
 		c.reload(func(why string) { done(admin.Reply{Error: why, Value: c.plugins.List()}) })
 	case "directory":
-		done(admin.Reply{Value: c.believed()})
+		done(admin.Reply{Value: c.directoryStatus()})
 	case "telemetry":
-		done(admin.Reply{Value: c.core.Figures(platformFront)})
+		done(admin.Reply{Value: c.core.Figures(platformFrontNumber)})
 	default:
 		done(admin.Reply{Error: fmt.Sprintf("no request %q: there are directory, plugins, reload and telemetry", r.Do)})
 	}
 }
 
-func (c *courier) count(why string) {
+func (c *courier) logCounters(why string) {
 	t := c.loop.Turns()
 	values := []any{"n", &c.core.Counters, "held", c.core.Held(), "connections", c.engine.Open(), "kinds", c.engine.Kinds(),
-		"journal", c.journal.Size(), "plugins", c.plugins, "idle", c.core.Dormant(), "learnt", c.core.Learning(), "directory", c.directory(),
-		"datagrams", c.exchanged(), "state", c.core.Footprint(), "heap", heap(),
+		"journal", c.journal.Size(), "plugins", c.plugins, "idle", c.core.Dormant(), "learnt", c.core.Learning(), "directory", c.directoryCounts(),
+		"datagrams", c.datagramCounts(), "state", c.core.Footprint(), "heap", liveHeapBytes(),
 		"turns", t.Count, "longest_turn_us", t.Longest.Microseconds()}
 	if f, divided := c.platform.Divided(); divided {
 		values = append(values, slog.Group("partitions", "owned", f.Owned, "listed", f.Listed, "wanted", f.Wanted, "pins", f.Pins, "unreached", f.Unreached))
@@ -467,8 +467,8 @@
 	c.log.Info(why, values...)
 }
 
-// heap is the bytes that were in use after the last collection of garbage.
-func heap() uint64 {
+// liveHeapBytes is the bytes that were in use after the last collection of garbage.
+func liveHeapBytes() uint64 {
 	live := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 	metrics.Read(live)
 	return live[0].Value.Uint64()
@@ -482,23 +482,23 @@
 	c.core.Drain()
 	c.platform.Drain()
 	c.push.Drain()
-	c.loop.After(listenFor, func() {
+	c.loop.After(drainListenTime, func() {
 		c.engine.Stop()
 		c.endIfDone()
 	})
-	spent := c.process.spent()
-	c.loop.After(decideFor-spent, func() { c.core.Freeze(func() { c.still = true }) })
-	c.loop.After(finishFor-spent, c.loop.End)
+	spent := c.process.sinceTermination()
+	c.loop.After(drainDecideTime-spent, func() { c.core.Freeze(func() { c.decisionsStopped = true }) })
+	c.loop.After(drainTimeout-spent, c.loop.End)
 }
 
 // endIfDone ends a draining courier that owes nothing any more, or has stopped deciding and has
 // no call out. Clients send until it is gone: nobody's request is left half read or unanswered,
 // and no notice without its answer.
 func (c *courier) endIfDone() {
-	done := c.core.Held() == 0 || c.still
+	done := c.core.Held() == 0 || c.decisionsStopped
 	if done && c.platform.Quiet() && !c.platform.Unanswered() && !c.push.Unanswered() {
 		c.loop.End()
 		return
 	}
-	c.loop.After(lookAgain, c.endIfDone)
+	c.loop.After(drainPollInterval, c.endIfDone)
 }
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -29,9 +29,9 @@
 	"snowjunction/internal/store"
 )
 
-// ending is a courier on real connections. Its loop turns only while the test waits for
+// drainTest is a courier on real connections. Its loop turns only while the test waits for
 // something, and its clock goes only when told.
-type ending struct {
+type drainTest struct {
 	*courier
 	t       *testing.T
 	now     time.Time
@@ -39,8 +39,8 @@
 	confirm chan struct{} // closed: notices are answered
 }
 
-func newEnding(t *testing.T) *ending {
-	e := &ending{
+func newDrainTest(t *testing.T) *drainTest {
+	e := &drainTest{
 		courier: &courier{log: slog.New(slog.DiscardHandler), process: &process{}}, t: t,
 		now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), notices: make(chan struct{}, 1), confirm: make(chan struct{}),
 	}
@@ -76,7 +76,7 @@
 		Classes: []snowjunction.Class{{Name: "status", Aim: time.Second, Deadline: 20 * time.Second, Worth: 2}},
 	}
 	e.platform = platform.New(platform.Config{
-		Loop: e.loop, Engine: e.engine, Log: e.log, Number: platformFront, Listen: "127.0.0.1:0",
+		Loop: e.loop, Engine: e.engine, Log: e.log, Number: platformFrontNumber, Listen: "127.0.0.1:0",
 		Discovery: strings.TrimPrefix(discovery.URL, "http://"), Settings: settings,
 	})
 	text, err := os.ReadFile("../../deploy/openapi.json")
@@ -84,12 +84,12 @@
 	api, err := describe.OpenAPI("openapi.json", text)
 	require.NoError(t, err)
 	e.push = push.New(push.Config{
-		Loop: e.loop, Engine: e.engine, Log: e.log, Number: pushFront, API: api, Settings: settings,
+		Loop: e.loop, Engine: e.engine, Log: e.log, Number: pushFrontNumber, API: api, Settings: settings,
 		Push: &config.Push{Listen: "127.0.0.1:0", MaxConns: 8, TargetConns: 4},
 	})
 	e.core, err = core.New(core.Config{
-		Loop: e.loop, Log: e.log, Journal: e.journal, Settings: settings, Fronts: []core.Front{platformFront: e.platform, pushFront: e.push},
-		Directories: map[int]core.Directory{platformFront: {Belief: belief.Default(), Trust: distrust.Default()}},
+		Loop: e.loop, Log: e.log, Journal: e.journal, Settings: settings, Fronts: []core.Front{platformFrontNumber: e.platform, pushFrontNumber: e.push},
+		Directories: map[int]core.Directory{platformFrontNumber: {Belief: belief.Default(), Trust: distrust.Default()}},
 	})
 	require.NoError(t, err)
 	require.NoError(t, e.push.Start(e.core, nil))
@@ -103,7 +103,7 @@
 }
 
 // until turns the loop until what is awaited has come. Only a failure runs into the limit.
-func (e *ending) until(what string, come func() bool) {
+func (e *drainTest) until(what string, come func() bool) {
 	e.t.Helper()
 	limit := time.Now().Add(20 * time.Second)
 	e.loop.RunUntil(func() bool { return come() || time.Now().After(limit) })
@@ -111,9 +111,9 @@
 }
 
 // after lets the clock go on in steps of a look; what is due then is done.
-func (e *ending) after(d time.Duration) {
-	for ; d > 0; d -= lookAgain {
-		e.now = e.now.Add(min(d, lookAgain))
+func (e *drainTest) after(d time.Duration) {
+	for ; d > 0; d -= drainPollInterval {
+		e.now = e.now.Add(min(d, drainPollInterval))
 		e.loop.Turn()
 	}
 }
@@ -125,7 +125,7 @@
 	got string
 }
 
-func (e *ending) call(addr, text string) *caller {
+func (e *drainTest) call(addr, text string) *caller {
 	e.t.Helper()
 	conn, err := stdnet.Dial("tcp", addr)
 	require.NoError(e.t, err)
@@ -162,13 +162,13 @@
 	return out
 }
 
-// beginning is what begins so long after the end has, or before.
-type beginning struct {
+// pendingWork is what begins so long after the end has, or before.
+type pendingWork struct {
 	since time.Duration
-	begin func(e *ending) (finish func())
+	begin func(e *drainTest) (finish func())
 }
 
-func (b beginning) begins(e *ending) (finish func()) {
+func (b pendingWork) begins(e *drainTest) (finish func()) {
 	if b.since == 0 {
 		finish = b.begin(e)
 		e.drain()
@@ -182,11 +182,11 @@
 // A courier that ends waits for what has begun: a request that has come in part, on either
 // front, and a notice without its answer. It does so before it stops deciding and after, and
 // not past the time that it has.
-func TestTheEndWaitsForWhatHasBegun(t *testing.T) {
+func TestDrainWaitsForPendingWork(t *testing.T) {
 	message := add("m2")
-	for name, way := range map[string]beginning{
+	for name, way := range map[string]pendingWork{
 		// A client may take 2 s over a request: it comes among the last.
-		"half a request": {since: listenFor - lookAgain, begin: func(e *ending) func() {
+		"half a request": {since: drainListenTime - drainPollInterval, begin: func(e *drainTest) func() {
 			c := e.call(e.platform.Addr(), message[:20])
 			e.until("a part is read", e.platform.Unanswered)
 			return func() {
@@ -195,7 +195,7 @@
 				e.until("it is answered", func() bool { return c.told("-BUSY") })
 			}
 		}},
-		"half a request to the push front": {begin: func(e *ending) func() {
+		"half a request to the push front": {begin: func(e *drainTest) func() {
 			c := e.call(e.push.Addr(), http2.ClientPreface[:20])
 			e.until("a part is read", e.push.Unanswered)
 			return func() {
@@ -204,7 +204,7 @@
 				e.until("it is read", func() bool { return !e.push.Unanswered() })
 			}
 		}},
-		"a notice": {begin: func(e *ending) func() {
+		"a notice": {begin: func(e *drainTest) func() {
 			e.platform.Ended(&store.Message{ID: "m3", State: store.Failed})
 			come := false
 			e.until("it goes", func() bool {
@@ -226,46 +226,46 @@
 	} {
 		for _, held := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, held %v", name, held), func(t *testing.T) {
-				e := newEnding(t)
+				e := newDrainTest(t)
 				if held { // what waits for an endpoint: deciding stops before it is over
 					c := e.call(e.platform.Addr(), add("m1"))
 					e.until("a message is read", func() bool { return e.core.Counters.In == 1 })
-					e.after(lookAgain)
+					e.after(drainPollInterval)
 					e.until("it is taken on", func() bool { return c.told("+OK") })
 				}
 				began := e.now
 				finish := way.begins(e)
-				wait := listenFor
+				wait := drainListenTime
 				if held {
-					wait = decideFor
+					wait = drainDecideTime
 				}
-				e.after(began.Add(wait + 2*lookAgain).Sub(e.now))
-				require.Equal(t, held, e.still)
+				e.after(began.Add(wait + 2*drainPollInterval).Sub(e.now))
+				require.Equal(t, held, e.decisionsStopped)
 				require.False(t, e.loop.Ended(), "it waits")
 				finish()
-				e.after(2 * lookAgain)
+				e.after(2 * drainPollInterval)
 				assert.True(t, e.loop.Ended(), "and ends at once then")
-				assert.Less(t, e.now.Sub(began), finishFor)
+				assert.Less(t, e.now.Sub(began), drainTimeout)
 			})
 		}
 		t.Run(name+", that never ends", func(t *testing.T) {
-			e := newEnding(t)
+			e := newDrainTest(t)
 			began := e.now
 			way.begins(e)
-			e.after(began.Add(finishFor + lookAgain).Sub(e.now))
+			e.after(began.Add(drainTimeout + drainPollInterval).Sub(e.now))
 			assert.True(t, e.loop.Ended())
 		})
 	}
 }
 
 // With nothing begun it ends as soon as no new clients come, or with the last call.
-func TestTheEndOfWhatOwesNothing(t *testing.T) {
-	e := newEnding(t)
+func TestDrainWithoutPendingWork(t *testing.T) {
+	e := newDrainTest(t)
 	c := e.call(e.platform.Addr(), "*1\r\n$4\r\nPING\r\n")
 	e.until("a client rests", func() bool { return c.told("+PONG") })
 	e.drain()
-	e.after(listenFor - lookAgain)
+	e.after(drainListenTime - drainPollInterval)
 	assert.False(t, e.loop.Ended(), "new clients are answered still")
-	e.after(2 * lookAgain)
+	e.after(2 * drainPollInterval)
 	assert.True(t, e.loop.Ended())
 }
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -7,35 +7,35 @@
 	"snowjunction/internal/notes"
 )
 
-// fleet is the other couriers, told by datagrams.
-type fleet struct{ socket *net.Datagrams }
+// peerSender is the other couriers, told by datagrams.
+type peerSender struct{ socket *net.Datagrams }
 
 // Tell sends notes to one of them.
-func (f fleet) Tell(peer int, items []snowjunction.Note) {
+func (f peerSender) Tell(peer int, items []snowjunction.Note) {
 	for _, b := range notes.Write(items) {
 		f.socket.Send(peer, b)
 	}
 }
 
-// join opens the way to the other couriers, where the configuration names one and the
+// openPeerSocket opens the way to the other couriers, where the configuration names one and the
 // operator file allows it. What cannot be opened costs the notes, not the start.
-func (c *courier) join(cfg *core.Config) {
+func (c *courier) openPeerSocket(cfg *core.Config) {
 	p := c.cfg.Peers
 	if !c.fleet.Notes || !p.Enabled() {
 		return
 	}
-	socket, err := net.Exchange(p.Listen, net.NewPeers(p.Addrs), notes.Most, c.loop.Post, c.log, c.noted)
+	socket, err := net.Exchange(p.Listen, net.NewPeers(p.Addrs), notes.Most, c.loop.Post, c.log, c.handlePeerMessage)
 	if err != nil {
 		c.log.Warn("no notes between couriers", "err", err)
 		return
 	}
 	c.datagrams = socket
-	cfg.Fleet, cfg.Settings.Notes = fleet{socket}, true
+	cfg.Fleet, cfg.Settings.Notes = peerSender{socket}, true
 	c.log.Info("notes between couriers", "listen", socket.Addr(), "peers", len(p.Addrs))
 }
 
-// noted reads what a peer has told. What cannot be read is dropped.
-func (c *courier) noted(peer int, b []byte) {
+// handlePeerMessage reads what a peer has told. What cannot be read is dropped.
+func (c *courier) handlePeerMessage(peer int, b []byte) {
 	if peer == c.cfg.Settings.Number {
 		return
 	}
@@ -47,8 +47,8 @@
 	c.core.Noted(peer, items)
 }
 
-// exchanged is what has gone to and fro between couriers.
-func (c *courier) exchanged() (n net.DatagramCounts) {
+// datagramCounts is what has gone to and fro between couriers.
+func (c *courier) datagramCounts() (n net.DatagramCounts) {
 	if c.datagrams != nil {
 		n = c.datagrams.Counts()
 	}
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	quietWithin = 500 * time.Millisecond // for notices and what cannot be handed over, before a handover
-	quietAgain  = 2 * time.Millisecond
-	haltWithin  = time.Second // for the engine to end
-	listMost    = 16 << 20    // bytes of the directory's list that are handed over
+	quiesceTimeout       = 500 * time.Millisecond // for notices and what cannot be handed over, before a handover
+	quiescePollInterval  = 2 * time.Millisecond
+	haltTimeout          = time.Second // for the engine to end
+	maxHandoverListBytes = 16 << 20    // bytes of the directory's list that are handed over
 )
 
 // openHandover lets another process ask for the folder. Where there are no such sockets this
@@ -34,7 +34,7 @@
 		return
 	}
 	var err error
-	c.handover, err = handover.Open(c.cfg.StateDir, c.hello, func(err error) {
+	c.handoverServer, err = handover.Open(c.cfg.StateDir, c.handleHandover, func(err error) {
 		c.log.Warn("a handover was refused", "err", err)
 	})
 	if err != nil {
@@ -42,8 +42,8 @@
 	}
 }
 
-// hello serves a connection of another process, by its first frame.
-func (c *courier) hello(link *handover.Link, f handover.Frame, err error) {
+// handleHandover serves a connection of another process, by its first frame.
+func (c *courier) handleHandover(link *handover.Link, f handover.Frame, err error) {
 	say := func(k handover.Kind, text string) {
 		_ = link.Send(handover.Frame{Kind: k, Text: text, FD: -1})
 		link.Close()
@@ -55,19 +55,19 @@
 		c.loop.Post(func() { c.signal(syscall.SIGTERM) })
 	case f.Kind == handover.Hello:
 		c.loop.Post(func() {
-			if c.draining || c.yielding {
+			if c.draining || c.handingOver {
 				go say(handover.Refusal, "it ends")
 				return
 			}
-			c.yield(link)
+			c.startHandover(link)
 		})
 	case f.Kind == handover.Ask:
 		got := make(chan string, 1)
-		c.loop.Post(func() { c.answer(f.Text, func(text string) { got <- text }) })
+		c.loop.Post(func() { c.answerQuery(f.Text, func(text string) { got <- text }) })
 		select {
 		case text := <-got:
 			say(handover.Told, text)
-		case <-time.After(handover.AskWithin):
+		case <-time.After(handover.QueryTimeout):
 			link.Close()
 		}
 	default:
@@ -76,15 +76,15 @@
 	}
 }
 
-// answer answers what a process that has handed over asks for its callers.
-func (c *courier) answer(text string, done func(string)) {
-	if c.yielding {
+// answerQuery answers what a process that has handed over asks for its callers.
+func (c *courier) answerQuery(text string, done func(string)) {
+	if c.handingOver {
 		return // the next owner is asked again
 	}
 	word, id, _ := strings.Cut(text, " ")
 	switch word {
 	case "exclude", "include":
-		c.core.Exclude(platformFront, id, word == "exclude", func(err error) {
+		c.core.Exclude(platformFrontNumber, id, word == "exclude", func(err error) {
 			if err != nil {
 				done("error " + err.Error())
 				return
@@ -92,7 +92,7 @@
 			done("done")
 		})
 	case "telemetry":
-		b, err := json.Marshal(c.core.Figures(platformFront))
+		b, err := json.Marshal(c.core.Figures(platformFrontNumber))
 		if err != nil {
 			b = nil
 		}
@@ -105,10 +105,10 @@
 	}
 }
 
-// yield hands over: nothing more is decided here, what is under way comes to a point where
+// startHandover hands over: nothing more is decided here, what is under way comes to a point where
 // another process can go on with it, and the loop ends with the estate in hand.
-func (c *courier) yield(link *handover.Link) {
-	c.yielding, c.link = true, link
+func (c *courier) startHandover(link *handover.Link) {
+	c.handingOver, c.link = true, link
 	c.log.Info("handing over", "held", c.core.Held(), "connections", c.engine.Open())
 	c.core.Hush()
 	c.platform.Hush()
@@ -117,36 +117,36 @@
 		c.console.Hush()
 	}
 	c.engine.Retire(func(fds map[string]int) {
-		limit := c.loop.Now().Add(quietWithin)
+		limit := c.loop.Now().Add(quiesceTimeout)
 		var look func()
 		look = func() {
 			unready := c.core.Unready()
 			if (unready > 0 || !c.platform.Hushed() || c.reading) && c.loop.Now().Before(limit) {
-				c.loop.After(quietAgain, look)
+				c.loop.After(quiescePollInterval, look)
 				return
 			}
 			if unready > 0 || !c.platform.Hushed() {
 				c.log.Warn("not all came to rest before the handover", "calls", unready, "notices", !c.platform.Hushed())
 			}
-			c.gather(fds)
+			c.collectState(fds)
 		}
 		look()
 	})
 }
 
-// gather takes all that is handed over out of this process's hands.
-func (c *courier) gather(fds map[string]int) {
+// collectState takes all that is handed over out of this process's hands.
+func (c *courier) collectState(fds map[string]int) {
 	e := &handover.Estate{}
-	c.second = -1
+	c.consoleFD = -1
 	for kind, fd := range fds {
 		if kind == console.ListenerKind {
-			c.second = fd
+			c.consoleFD = fd
 			continue
 		}
 		e.Listeners = append(e.Listeners, handover.Listener{Kind: kind, FD: fd})
 	}
-	_, _, e.Live = c.core.Word(platformFront)
-	e.List = c.list()
+	_, _, e.Live = c.core.Word(platformFrontNumber)
+	e.List = c.encodeList()
 	calls, clients := c.core.Hand(), c.platform.Hand()
 	callers := func() []handover.Conn { return nil }
 	if c.console != nil {
@@ -160,41 +160,41 @@
 			return
 		}
 		halted = true
-		e.Clients, c.callers = clients(), callers()
+		e.Clients, c.consoleConns = clients(), callers()
 		calls(e)
 		if c.reading { // the next owner has read its files before, perhaps
-			c.process.later(syscall.SIGHUP)
+			c.process.dispatch(syscall.SIGHUP)
 		}
-		c.estate = e
+		c.handoverState = e
 		c.loop.End()
 	}
 	c.engine.Halt(done)
-	c.loop.After(haltWithin, func() {
+	c.loop.After(haltTimeout, func() {
 		c.log.Error("the engine does not end: what it has read and not told may be lost")
 		done()
 	})
 }
 
-// list is the directory's list in the form in which it is kept.
-func (c *courier) list() []byte {
+// encodeList is the directory's list in the form in which it is kept.
+func (c *courier) encodeList() []byte {
 	gen, agent, known := c.platform.Told()
 	if !known {
 		return nil
 	}
 	told := c.loop.Now()
-	if _, age, live := c.core.Word(platformFront); !live {
+	if _, age, live := c.core.Word(platformFrontNumber); !live {
 		told = told.Add(-age)
 	}
 	partitions, of := c.platform.Holds()
 	w := dircache.NewWriter(dircache.Head{
 		Told: told, Generation: gen, Agent: agent, Zones: dircache.Names(c.cfg.Names.Zones), Kinds: dircache.Names(c.cfg.Names.Kinds),
 		Partitions: partitions, Of: of,
-	}, listMost)
-	for e := range c.core.Table(platformFront).From(0) {
+	}, maxHandoverListBytes)
+	for e := range c.core.Table(platformFrontNumber).From(0) {
 		w.Add(e)
 	}
 	b := w.Bytes()
-	if c.cache != nil && len(b) <= c.dir.CacheBytes {
+	if c.cache != nil && len(b) <= c.directoryConfig.CacheBytes {
 		c.cache.Put(b)
 	}
 	return b
@@ -202,39 +202,39 @@
 
 // close ends all parts. What is kept beside the journal is written before it returns.
 func (c *courier) close() {
-	if c.estate == nil {
+	if c.handoverState == nil {
 		c.platform.Close()
 		c.push.Close()
 	}
-	c.handover.Close()
+	c.handoverServer.Close()
 	if c.datagrams != nil {
 		c.datagrams.Close()
 	}
-	if c.socket != nil {
-		c.socket.Close()
+	if c.adminSocket != nil {
+		c.adminSocket.Close()
 	}
 	c.plugins.Close()
-	if c.store != nil {
-		c.store.Close()
+	if c.idleStore != nil {
+		c.idleStore.Close()
 	}
 	if c.cache != nil {
 		c.cache.Close()
 	}
-	if c.learnt != nil {
-		if c.estate != nil {
-			c.learnt.Put(c.known())
+	if c.learnedStore != nil {
+		if c.handoverState != nil {
+			c.learnedStore.Put(c.loadedDestinations())
 		}
-		c.learnt.Close()
+		c.learnedStore.Close()
 	}
-	c.excluded.Close()
+	c.exclusionFile.Close()
 	c.journal.Close()
-	c.count("ended")
+	c.logCounters("ended")
 }
 
-// known is what is handed over of destinations in use, for an ordinary restart should both
+// loadedDestinations is what is handed over of destinations in use, for an ordinary restart should both
 // processes die.
-func (c *courier) known() (out []learnt.Record) {
-	for _, k := range c.estate.Known {
+func (c *courier) loadedDestinations() (out []learnt.Record) {
+	for _, k := range c.handoverState.Known {
 		if k.Awake {
 			out = append(out, learnt.Record{Destination: k.Destination, At: k.At, Text: k.Text})
 		}
@@ -242,8 +242,8 @@
 	return out
 }
 
-// forgo ends the calls that were taken over and that nobody waits for.
-func (c *courier) forgo() {
+// closeAbandonedCalls ends the calls that were taken over and that nobody waits for.
+func (c *courier) closeAbandonedCalls() {
 	for _, x := range c.core.Forgone() {
 		if x.FD >= 0 {
 			_ = unix.Close(x.FD)
@@ -251,12 +251,12 @@
 	}
 }
 
-// linger keeps a process that has handed over answering at its second address, until it is
+// serveAfterHandover keeps a process that has handed over answering at its second address, until it is
 // told to end or has lingered for long. It returns true where the folder has no owner any
 // more: then this process owns it again.
-func (p *process) linger(callers []handover.Conn, second int) (owns bool) {
+func (p *process) serveAfterHandover(callers []handover.Conn, second int) (owns bool) {
 	loop := core.NewLoop(time.Now)
-	engine, err := net.New(net.Config{Post: loop.Post, Log: p.log, MaxConns: descriptors})
+	engine, err := net.New(net.Config{Post: loop.Post, Log: p.log, MaxConns: reservedDescriptors})
 	if err != nil {
 		p.log.Error("ends after the handover", "err", err)
 		return false
@@ -266,8 +266,8 @@
 		if err = engine.Inherit(console.ListenerKind, second); err == nil {
 			front, err = console.Start(console.Config{
 				Loop: loop, Engine: engine, Listen: p.files.cfg.Console, Ready: func() bool { return false },
-				Figures: func(done func(core.Figures)) { p.figures(loop, done) },
-				Exclude: func(id string, out bool, done func(error)) { p.exclude(loop, id, out, done) },
+				Figures: func(done func(core.Figures)) { p.ownerFigures(loop, done) },
+				Exclude: func(id string, out bool, done func(error)) { p.forwardExclusion(loop, id, out, done) },
 			})
 		}
 		if err != nil {
@@ -276,17 +276,17 @@
 			front.TakeOver(callers)
 		}
 	}
-	p.hear(func(s os.Signal) {
+	p.setSignalHandler(func(s os.Signal) {
 		loop.Post(func() {
 			switch s {
 			case syscall.SIGHUP:
-				go p.owner("reload")
+				go p.queryOwner("reload")
 			case syscall.SIGTERM, syscall.SIGINT:
 				loop.End()
 			}
 		})
 	})
-	loop.After(lingerFor, loop.End)
+	loop.After(maxServeAfterHandover, loop.End)
 	var look func()
 	look = func() {
 		if lock, err := handover.Acquire(p.files.cfg.StateDir); err == nil {
@@ -295,16 +295,16 @@
 			loop.End()
 			return
 		}
-		loop.After(lookForIt, look)
+		loop.After(lockPollInterval, look)
 	}
-	loop.After(lookForIt, look)
+	loop.After(lockPollInterval, look)
 	loop.Post(debug.FreeOSMemory)
 	loop.Run()
-	p.hear(nil)
+	p.setSignalHandler(nil)
 	ended := make(chan struct{})
 	engine.Stop()
 	engine.Halt(func() { close(ended) })
-	limit := time.Now().Add(haltWithin)
+	limit := time.Now().Add(haltTimeout)
 	loop.RunUntil(func() bool {
 		select {
 		case <-ended:
@@ -319,8 +319,8 @@
 	return owns
 }
 
-// owner asks the folder's owner, and once more where it changes meanwhile.
-func (p *process) owner(call string) (string, error) {
+// queryOwner asks the folder's owner, and once more where it changes meanwhile.
+func (p *process) queryOwner(call string) (string, error) {
 	var err error
 	for range 2 {
 		var link *handover.Link
@@ -329,7 +329,7 @@
 		}
 		if err = link.Send(handover.Frame{Kind: handover.Ask, Text: call, FD: -1}); err == nil {
 			var f handover.Frame
-			if f, err = link.Receive(handover.AskWithin); err == nil && f.Kind == handover.Told {
+			if f, err = link.Receive(handover.QueryTimeout); err == nil && f.Kind == handover.Told {
 				link.Close()
 				return f.Text, nil
 			}
@@ -342,13 +342,13 @@
 	return "", err
 }
 
-// figures are this process's counts, which stand, with how things are at the owner. What is
+// ownerFigures are this process's counts, which stand, with how things are at the owner. What is
 // open is counted there.
-func (p *process) figures(loop *core.Loop, done func(core.Figures)) {
-	x := p.stood
+func (p *process) ownerFigures(loop *core.Loop, done func(core.Figures)) {
+	x := p.previousFigures
 	x.Open = 0
 	go func() {
-		text, err := p.owner("telemetry")
+		text, err := p.queryOwner("telemetry")
 		var now core.Figures
 		if err == nil {
 			err = json.Unmarshal([]byte(text), &now)
@@ -360,13 +360,13 @@
 	}()
 }
 
-func (p *process) exclude(loop *core.Loop, id string, out bool, done func(error)) {
+func (p *process) forwardExclusion(loop *core.Loop, id string, out bool, done func(error)) {
 	call := "include "
 	if out {
 		call = "exclude "
 	}
 	go func() {
-		text, err := p.owner(call + id)
+		text, err := p.queryOwner(call + id)
 		if err != nil {
 			err = errors.New("the owner does not answer")
 		} else if why, bad := strings.CutPrefix(text, "error "); bad {
--- a/internal/daemon/partitions.go
+++ b/internal/daemon/partitions.go
@@ -8,9 +8,9 @@
 	"snowjunction/internal/store"
 )
 
-// divide makes the router of messages, where the operator file divides the destinations among
+// newRouter makes the router of messages, where the operator file divides the destinations among
 // couriers: nil else. What an earlier process left in the journal stays this courier's.
-func (c *courier) divide(left []*store.Message) *partition.Router {
+func (c *courier) newRouter(left []*store.Message) *partition.Router {
 	p, m := c.process.files.partitions, c.process.files.membership
 	if m == nil {
 		return nil
@@ -29,33 +29,33 @@
 			r.Took(partition.Message{Destination: msg.Destination, Key: msg.Key, Left: msg.Deadline.Sub(c.loop.Now())}, c.cfg.Name, 0)
 		}
 	}
-	c.owns(m)
+	c.logOwnership(m)
 	return r
 }
 
-// membership is the one that holds; nil: destinations are not divided.
-func (c *courier) membership() *partition.Membership {
+// currentMembership is the one that holds; nil: destinations are not divided.
+func (c *courier) currentMembership() *partition.Membership {
 	if r := c.platform.Router; r != nil {
 		return r.Membership()
 	}
 	return nil
 }
 
-// adopt takes another membership, where one holds and it divides as that one does: else it waits
+// adoptMembership takes another membership, where one holds and it divides as that one does: else it waits
 // for a restart.
-func (c *courier) adopt(m *partition.Membership) {
-	holds := c.membership()
+func (c *courier) adoptMembership(m *partition.Membership) {
+	holds := c.currentMembership()
 	if m == nil || holds == nil || m.Partitions() != holds.Partitions() || m.Copies() != holds.Copies() ||
 		slices.Equal(m.Members(), holds.Members()) {
 		return
 	}
 	c.platform.Adopt(m)
 	c.process.files.membership = m // for the next courier of this process
-	c.owns(m)
+	c.logOwnership(m)
 }
 
-// owns tells what this courier's part of a membership is.
-func (c *courier) owns(m *partition.Membership) {
+// logOwnership tells what this courier's part of a membership is.
+func (c *courier) logOwnership(m *partition.Membership) {
 	if _, member := m.Member(c.cfg.Name); !member {
 		c.log.Warn("no member of the partitions: it owns none and forwards all", "members", len(m.Members()))
 		return
--- a/internal/daemon/partitions_start_test.go
+++ b/internal/daemon/partitions_start_test.go
@@ -23,8 +23,8 @@
 	"snowjunction/internal/store"
 )
 
-// life is one of a courier's lives: its list, with a directory that is really there.
-type life struct {
+// testRun is one of a courier's lives: its list, with a directory that is really there.
+type testRun struct {
 	t      *testing.T
 	loop   *core.Loop
 	core   *core.Core
@@ -34,10 +34,10 @@
 	end    func()
 }
 
-// live begins a life on a folder.
-func live(t *testing.T, dir, discovery string, m *partition.Membership) *life {
+// startRun begins a life on a folder.
+func startRun(t *testing.T, dir, discovery string, m *partition.Membership) *testRun {
 	log := slog.New(slog.DiscardHandler)
-	l := &life{t: t, loop: core.NewLoop(time.Now), router: partition.NewRouter(partition.Options{Self: "c0", Linger: time.Second}, m, 0)}
+	l := &testRun{t: t, loop: core.NewLoop(time.Now), router: partition.NewRouter(partition.Options{Self: "c0", Linger: time.Second}, m, 0)}
 	engine, err := net.New(net.Config{Post: l.loop.Post, Log: log, MaxConns: 64})
 	require.NoError(t, err)
 	journal, _, err := store.Load(store.Options{Dir: t.TempDir(), Bytes: 3e6, Log: log})
@@ -55,15 +55,15 @@
 	}
 	l.cache, err = dircache.Open(dircache.Options{Dir: dir, Bytes: 1 << 20, Generations: 1, Log: log})
 	require.NoError(t, err)
-	k := &keeper{loop: l.loop, front: l.front, cache: l.cache, names: names, most: 1 << 20, fresh: time.Hour, every: time.Hour}
+	k := &listKeeper{loop: l.loop, front: l.front, cache: l.cache, names: names, maxBytes: 1 << 20, freshFor: time.Hour, refreshInterval: time.Hour}
 	l.core, err = core.New(core.Config{
-		Loop: l.loop, Log: log, Journal: journal, Settings: settings, Fronts: []core.Front{platformFront: l.front},
-		Directories: map[int]core.Directory{platformFront: {Belief: belief.Default(), Trust: distrust.Default()}},
-		Heard:       func(int) { k.core = l.core; k.heard() },
+		Loop: l.loop, Log: log, Journal: journal, Settings: settings, Fronts: []core.Front{platformFrontNumber: l.front},
+		Directories: map[int]core.Directory{platformFrontNumber: {Belief: belief.Default(), Trust: distrust.Default()}},
+		Heard:       func(int) { k.core = l.core; k.changed() },
 		ListedShare: func(int) float64 { return l.router.Share() },
 	})
 	require.NoError(t, err)
-	require.NoError(t, l.front.Start(l.core, startList(kept, config.List{}, discovery, time.Now())))
+	require.NoError(t, l.front.Start(l.core, chooseStartList(kept, config.List{}, discovery, time.Now())))
 	l.end = func() {
 		l.front.Close()
 		engine.Stop()
@@ -73,7 +73,7 @@
 	return l
 }
 
-func (l *life) until(what string, come func() bool) {
+func (l *testRun) until(what string, come func() bool) {
 	l.t.Helper()
 	limit := time.Now().Add(20 * time.Second)
 	l.loop.RunUntil(func() bool { return come() || time.Now().After(limit) })
@@ -81,7 +81,7 @@
 }
 
 // has waits until the list of a generation is held, whole and on disk, and ends the life.
-func (l *life) has(dir string, generation uint64) {
+func (l *testRun) has(dir string, generation uint64) {
 	l.t.Helper()
 	l.until("the list", func() bool {
 		g, _, held := l.front.Told()
@@ -98,8 +98,8 @@
 	l.end()
 }
 
-func (l *life) holds() (out []string) {
-	for e := range l.core.Table(platformFront).From(0) {
+func (l *testRun) holds() (out []string) {
+	for e := range l.core.Table(platformFrontNumber).From(0) {
 		out = append(out, e.Name)
 	}
 	slices.Sort(out)
@@ -108,7 +108,7 @@
 
 // A courier that starts again with its folder asks for what has changed in its partitions, and for
 // the list of those that it has gained meanwhile. What it has lost is not in its list any more.
-func TestStartsAgainWithItsPart(t *testing.T) {
+func TestRestartFetchesOnlyChanges(t *testing.T) {
 	const (
 		partitions   = 64
 		destinations = 4000
@@ -145,7 +145,7 @@
 		return want
 	}
 	said := func() int64 { return d.Traffic().Out }
-	l := live(t, dir, d.Addr(), all)
+	l := startRun(t, dir, d.Addr(), all)
 	l.has(dir, 1)
 	assert.Equal(t, part(all), l.holds())
 	whole := said()
@@ -157,7 +157,7 @@
 	list[own].Lifecycle, list[other].Lifecycle = "Gone", "Gone"
 	d.Change(list[own])
 	generation := d.Change(list[other])
-	l = live(t, dir, d.Addr(), all)
+	l = startRun(t, dir, d.Addr(), all)
 	assert.Empty(t, l.router.Wanted())
 	l.has(dir, generation)
 	assert.Equal(t, part(all), l.holds())
@@ -166,7 +166,7 @@
 
 	before = said()
 	fewer := fleet(8, 1, 2) // two have gone meanwhile: it gains
-	l = live(t, dir, d.Addr(), fewer)
+	l = startRun(t, dir, d.Addr(), fewer)
 	gained := len(part(fewer)) - len(part(all))
 	require.Positive(t, gained)
 	l.has(dir, generation)
@@ -176,7 +176,7 @@
 
 	before = said()
 	more := fleet(24) // many have come: it loses
-	l = live(t, dir, d.Addr(), more)
+	l = startRun(t, dir, d.Addr(), more)
 	require.Subset(t, fewer.Owned("c0"), more.Owned("c0"))
 	l.has(dir, generation)
 	assert.Equal(t, part(more), l.holds())
--- a/internal/daemon/partitions_test.go
+++ b/internal/daemon/partitions_test.go
@@ -18,8 +18,8 @@
 	"snowjunction/internal/store"
 )
 
-// divided is a courier of two members that has what it needs to divide and to adopt.
-func divided(t *testing.T, log *bytes.Buffer) *courier {
+// newPartitionedCourier is a courier of two members that has what it needs to divide and to adopt.
+func newPartitionedCourier(t *testing.T, log *bytes.Buffer) *courier {
 	now := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	p := &config.Partitions{Enabled: true, Partitions: 32, Copies: 1, Linger: 30 * time.Second, Members: []partition.Member{
 		{Name: "n0", Addr: "127.0.0.1:1"}, {Name: "n1", Addr: "127.0.0.1:2"},
@@ -38,9 +38,9 @@
 
 // What an earlier process left in the journal stays this courier's: its partitions are listed,
 // whoever owns them, and the next of its keys waits here, while one of another key goes to its owner.
-func TestLeftMessagesStay(t *testing.T) {
+func TestRestoredMessagesStayWithCourier(t *testing.T) {
 	var log bytes.Buffer
-	c := divided(t, &log)
+	c := newPartitionedCourier(t, &log)
 	m := c.process.files.membership
 	var theirs []uint32 // destinations of partitions apart
 	for _, p := range m.Owned("n1") {
@@ -57,7 +57,7 @@
 	}
 	assert.Equal(t, partition.Options{Self: "n0", Linger: 30 * time.Second, Longest: 9 * time.Second, Rest: 500 * time.Millisecond},
 		platform.Routing(c.cfg.Settings, c.cfg.Name, c.process.files.partitions.Region, c.process.files.partitions.Linger))
-	r := c.divide([]*store.Message{
+	r := c.newRouter([]*store.Message{
 		msg(theirs[0], "order", 7, store.Open), msg(theirs[1], "any", 8, store.Open), msg(theirs[2], "order", 9, store.Failed),
 	})
 	assert.Equal(t, "n0", r.Membership().Members()[0].Name)
@@ -75,37 +75,37 @@
 }
 
 // Another membership is taken up while it divides alike; what this courier becomes is told.
-func TestAdopt(t *testing.T) {
+func TestAdoptMembership(t *testing.T) {
 	var log bytes.Buffer
-	c := divided(t, &log)
+	c := newPartitionedCourier(t, &log)
 	var err error
 	c.engine, err = net.New(net.Config{Post: c.loop.Post, Log: c.log, MaxConns: 8})
 	require.NoError(t, err)
 	t.Cleanup(c.engine.Stop)
 	c.platform = platform.New(platform.Config{Loop: c.loop, Engine: c.engine, Log: c.log})
-	assert.Nil(t, c.membership())
-	c.adopt(c.process.files.membership)
-	assert.Nil(t, c.membership(), "it is off until a restart")
-	c.platform.Router = c.divide(nil)
-	first := c.membership()
+	assert.Nil(t, c.currentMembership())
+	c.adoptMembership(c.process.files.membership)
+	assert.Nil(t, c.currentMembership(), "it is off until a restart")
+	c.platform.Router = c.newRouter(nil)
+	first := c.currentMembership()
 	require.NotNil(t, first)
 	again := *c.process.files.partitions
 	same, err := again.Membership("n0", first)
 	require.NoError(t, err)
-	c.adopt(same)
-	assert.Same(t, first, c.membership(), "nothing is new")
-	c.adopt(nil)
-	assert.Same(t, first, c.membership(), "it is on until a restart")
+	c.adoptMembership(same)
+	assert.Same(t, first, c.currentMembership(), "nothing is new")
+	c.adoptMembership(nil)
+	assert.Same(t, first, c.currentMembership(), "it is on until a restart")
 	again.Partitions = 64
 	other, err := again.Membership("n0", first)
 	require.NoError(t, err)
-	c.adopt(other)
-	assert.Same(t, first, c.membership(), "it waits for a restart")
+	c.adoptMembership(other)
+	assert.Same(t, first, c.currentMembership(), "it waits for a restart")
 	again.Partitions, again.Members = 32, again.Members[1:]
 	without, err := again.Membership("n0", first)
 	require.NoError(t, err)
-	c.adopt(without)
-	assert.Same(t, without, c.membership())
+	c.adoptMembership(without)
+	assert.Same(t, without, c.currentMembership())
 	assert.Same(t, without, c.process.files.membership)
 	assert.Contains(t, log.String(), `level=WARN msg="no member of the partitions: it owns none and forwards all" members=1`)
 }
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -24,32 +24,32 @@
 // process is what outlasts the couriers of one process: a handover that fails makes it go on
 // with a new one of its own.
 type process struct {
-	o    Options
+	opts Options
 	log  *slog.Logger
 	api  *describe.API
 	life *describe.Life
 
-	files files
-	steps *start         // of the first courier, until it is ready
-	since time.Time      // it owns
-	lock  *handover.Lock // nil: the folder cannot be locked here, or is somebody else's
+	files      files
+	startSteps *startTimer    // of the first courier, until it is ready
+	ownerSince time.Time      // it owns
+	lock       *handover.Lock // nil: the folder cannot be locked here, or is somebody else's
 	// Of the courier before: what it counted, and how things stood.
-	counted *core.Counts
-	stood   core.Figures
+	previousCounts  *core.Counts
+	previousFigures core.Figures
 
-	mu      sync.Mutex
-	deliver func(os.Signal)
-	waiting []os.Signal
-	toldAt  time.Time // to end
+	mu              sync.Mutex
+	deliver         func(os.Signal)
+	queuedSignals   []os.Signal
+	terminationTime time.Time // to end
 }
 
 const (
-	askAgain    = 50 * time.Millisecond // between two looks at who owns the folder
-	tellEvery   = 5 * time.Second       // between lines that say why this process waits
-	lingerFor   = 10 * time.Second      // after a handover, where nobody ends this process
-	lookForIt   = 100 * time.Millisecond
-	elderWithin = 800 * time.Millisecond // for the other process's word, while nobody decides
-	reclaims    = 25                     // looks at the lock before a courier that gave it away leaves
+	ownerPollInterval     = 50 * time.Millisecond // between two looks at who owns the folder
+	waitLogInterval       = 5 * time.Second       // between lines that say why this process waits
+	maxServeAfterHandover = 10 * time.Second      // after a handover, where nobody ends this process
+	lockPollInterval      = 100 * time.Millisecond
+	successorTimeout      = 800 * time.Millisecond // for the other process's word, while nobody decides
+	maxReclaimTries       = 25                     // looks at the lock before a courier that gave it away leaves
 )
 
 // Run is the courier from its start to its end. An error means that it could not start; it
@@ -62,31 +62,31 @@
 		signal.Notify(own, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGUSR2, syscall.SIGHUP)
 		signals = own
 	}
-	steps := newStart(time.Now())
+	steps := newStartTimer(time.Now())
 	f, err := readAll(o.Env, nil, nil)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(float64(f.cfg.Limits.MemoryMB<<20) * memoryShare))
-	p := &process{o: o, files: f, steps: steps, log: o.Logger().With("courier", f.cfg.Name)}
+	debug.SetMemoryLimit(int64(float64(f.cfg.Limits.MemoryMB<<20) * heapShare))
+	p := &process{opts: o, files: f, startSteps: steps, log: o.Logger().With("courier", f.cfg.Name)}
 	if p.api, p.life, err = descriptions(f.push); err != nil {
 		return err
 	}
 	go func() {
 		for s := range signals {
-			p.later(s)
+			p.dispatch(s)
 		}
 	}()
-	p.did("files")
+	p.stepDone("files")
 	c, err := p.prepare()
 	if err != nil {
 		return err
 	}
-	p.did("plugins")
-	estate, err := p.own()
-	p.did("lock")
-	if err != nil || estate == nil && p.ended() {
+	p.stepDone("plugins")
+	estate, err := p.acquireFolder()
+	p.stepDone("lock")
+	if err != nil || estate == nil && p.terminating() {
 		c.plugins.Close()
 		return err
 	}
@@ -102,87 +102,87 @@
 			return err
 		}
 		estate = nil
-		p.hear(func(s os.Signal) { c.loop.Post(func() { c.signal(s) }) })
+		p.setSignalHandler(func(s os.Signal) { c.loop.Post(func() { c.signal(s) }) })
 		c.loop.Run()
-		p.hear(nil)
+		p.setSignalHandler(nil)
 		c.close()
-		if c.estate == nil {
+		if c.handoverState == nil {
 			p.lock.Close()
 			return nil
 		}
 		n := c.core.Counted()
-		p.counted, p.stood = &n, c.core.Figures(platformFront)
-		if p.give(c.link, c.estate) {
-			estate, p.since = c.estate, time.Now()
+		p.previousCounts, p.previousFigures = &n, c.core.Figures(platformFrontNumber)
+		if p.sendHandover(c.link, c.handoverState) {
+			estate, p.ownerSince = c.handoverState, time.Now()
 		} else {
-			c.estate.Close()
-			callers, second := c.callers, c.second
-			c = &courier{second: -1} // what it held is the next owner's; its memory counts with that one's
-			if !p.linger(callers, second) {
+			c.handoverState.Close()
+			callers, second := c.consoleConns, c.consoleFD
+			c = &courier{consoleFD: -1} // what it held is the next owner's; its memory counts with that one's
+			if !p.serveAfterHandover(callers, second) {
 				return nil
 			}
 		}
-		callers, second := c.callers, c.second
+		callers, second := c.consoleConns, c.consoleFD
 		if c, err = p.prepare(); err != nil {
 			return err
 		}
-		if c.callers = callers; second >= 0 && estate != nil {
+		if c.consoleConns = callers; second >= 0 && estate != nil {
 			estate.Listeners = append(estate.Listeners, handover.Listener{Kind: console.ListenerKind, FD: second})
 		}
 	}
 }
 
-// did counts a step of the start.
-func (p *process) did(step string) {
-	if p.steps != nil {
-		p.steps.did(step, time.Now())
+// stepDone counts a step of the start.
+func (p *process) stepDone(step string) {
+	if p.startSteps != nil {
+		p.startSteps.stepDone(step, time.Now())
 	}
 }
 
-// later has a signal heard by whoever hears them now, or next.
-func (p *process) later(s os.Signal) {
+// dispatch has a signal heard by whoever hears them now, or next.
+func (p *process) dispatch(s os.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if (s == syscall.SIGTERM || s == syscall.SIGINT) && p.toldAt.IsZero() {
-		p.toldAt = time.Now()
+	if (s == syscall.SIGTERM || s == syscall.SIGINT) && p.terminationTime.IsZero() {
+		p.terminationTime = time.Now()
 	}
 	if p.deliver != nil {
 		p.deliver(s)
 	} else {
-		p.waiting = append(p.waiting, s)
+		p.queuedSignals = append(p.queuedSignals, s)
 	}
 }
 
-// spent is how much of the time in which this process has to end has gone by already, in a
+// sinceTermination is how much of the time in which this process has to end has gone by already, in a
 // handover that came to nothing.
-func (p *process) spent() time.Duration {
+func (p *process) sinceTermination() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.toldAt.IsZero() {
+	if p.terminationTime.IsZero() {
 		return 0
 	}
-	return time.Since(p.toldAt)
+	return time.Since(p.terminationTime)
 }
 
-// hear has signals delivered from now on; nil: they wait.
-func (p *process) hear(deliver func(os.Signal)) {
+// setSignalHandler has signals delivered from now on; nil: they wait.
+func (p *process) setSignalHandler(deliver func(os.Signal)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.deliver = deliver
 	if deliver == nil {
 		return
 	}
-	for _, s := range p.waiting {
+	for _, s := range p.queuedSignals {
 		deliver(s)
 	}
-	p.waiting = nil
+	p.queuedSignals = nil
 }
 
-// ended tells that a process which owns nothing yet has been told to end.
-func (p *process) ended() bool {
+// terminating tells that a process which owns nothing yet has been told to end.
+func (p *process) terminating() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, s := range p.waiting {
+	for _, s := range p.queuedSignals {
 		if s == syscall.SIGTERM || s == syscall.SIGINT {
 			return true
 		}
@@ -190,15 +190,15 @@
 	return false
 }
 
-// own returns once this process owns the folder: it was free, or its owner has handed it over
+// acquireFolder returns once this process owns the folder: it was free, or its owner has handed it over
 // with an estate. Without both it waits, and says why, until it is told to end.
-func (p *process) own() (*handover.Estate, error) {
+func (p *process) acquireFolder() (*handover.Estate, error) {
 	dir := p.files.cfg.StateDir
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("open the journal: %w", err)
 	}
 	told, said, free := time.Time{}, "", false
-	for !p.ended() {
+	for !p.terminating() {
 		lock, err := handover.Acquire(dir)
 		if err == nil {
 			p.lock = lock
@@ -209,26 +209,26 @@
 			return nil, nil
 		}
 		if addr := p.files.cfg.Console; addr != "" && !free {
-			if err := net.Free(console.ListenerKind, addr); err != nil {
+			if err := net.CheckAddress(console.ListenerKind, addr); err != nil {
 				return nil, err // before the owner lets go of anything
 			}
 			free = true
 		}
-		estate, err := p.ask(dir)
+		estate, err := p.requestHandover(dir)
 		if err == nil {
 			return estate, nil
 		}
-		if now := time.Now(); now.Sub(told) >= tellEvery || err.Error() != said {
+		if now := time.Now(); now.Sub(told) >= waitLogInterval || err.Error() != said {
 			told, said = now, err.Error()
 			p.log.Warn("waits for the folder's owner to end", "why", said)
 		}
-		time.Sleep(askAgain)
+		time.Sleep(ownerPollInterval)
 	}
 	return nil, nil
 }
 
-// ask asks the owner to hand over.
-func (p *process) ask(dir string) (*handover.Estate, error) {
+// requestHandover asks the owner to hand over.
+func (p *process) requestHandover(dir string) (*handover.Estate, error) {
 	link, err := handover.Dial(dir)
 	if err != nil {
 		return nil, err
@@ -237,7 +237,7 @@
 	if err := link.Send(handover.Frame{Kind: handover.Hello, Text: p.files.cfg.Name, FD: -1}); err != nil {
 		return nil, err
 	}
-	var side handover.Younger
+	var side handover.Successor
 	got := handover.Collector{}
 	for {
 		f, err := link.Receive(handover.StepWithin)
@@ -247,23 +247,23 @@
 		case f.Kind == handover.Refusal:
 			err = fmt.Errorf("the owner does not hand over: %s", f.Text)
 		case f.Kind == handover.DeedTo:
-			ev = handover.GotDeed
+			ev = handover.GotLock
 		default:
 			var whole bool
 			if whole, err = got.Add(f); err == nil && !whole {
 				continue
 			}
 			if err == nil {
-				ev = handover.GotEstate
+				ev = handover.GotState
 			}
 		}
 		switch side.On(ev) {
-		case handover.Answer:
+		case handover.ConfirmState:
 			if err := link.Send(handover.Frame{Kind: handover.ReadyFor, FD: -1}); err == nil {
 				continue
 			}
-		case handover.Own:
-			p.lock, p.since = handover.Received(f.FD), time.Now()
+		case handover.TakeOwnership:
+			p.lock, p.ownerSince = handover.LockFromDescriptor(f.FD), time.Now()
 			_ = link.Send(handover.Frame{Kind: handover.Took, FD: -1}) // the lock is here, whatever the elder hears
 			return &got.Estate, nil
 		}
@@ -278,18 +278,18 @@
 	}
 }
 
-// give hands an estate over. It returns true where this process owns on: then the estate is
+// sendHandover hands an estate over. It returns true where this process owns on: then the estate is
 // still its own, but for what could not be kept meanwhile.
-func (p *process) give(link *handover.Link, e *handover.Estate) bool {
+func (p *process) sendHandover(link *handover.Link, e *handover.Estate) bool {
 	defer link.Close()
-	var side handover.Elder
+	var side handover.Predecessor
 	side.On(handover.GotHello)
-	event := handover.Quiet
+	event := handover.Quiesced
 	for {
 		switch side.On(event) {
-		case handover.Offer:
-			event = p.offer(link, e)
-		case handover.Deed:
+		case handover.SendState:
+			event = p.sendState(link, e)
+		case handover.SendLock:
 			if err := link.Send(handover.Frame{Kind: handover.DeedTo, FD: p.lock.FD()}); err != nil {
 				p.log.Warn("not handed over", "step", "lock", "err", err)
 				return true // it has not left
@@ -297,21 +297,21 @@
 			p.lock.Close()
 			p.lock = nil
 			event = handover.Broken
-			if f, err := link.Receive(elderWithin); err == nil && f.Kind == handover.Took {
-				event = handover.GotTaken
+			if f, err := link.Receive(successorTimeout); err == nil && f.Kind == handover.Took {
+				event = handover.GotOwned
 			}
-		case handover.Leave:
+		case handover.Exit:
 			p.log.Info("handed over", "clients", len(e.Clients), "calls", len(e.Calls))
 			return false
 		case handover.Reclaim:
-			for range reclaims {
+			for range maxReclaimTries {
 				lock, err := handover.Acquire(p.files.cfg.StateDir)
 				if err == nil {
 					p.lock = lock
 					p.log.Warn("not handed over", "step", "taken", "why", "the other process is gone")
 					return true
 				}
-				time.Sleep(lookForIt / 5)
+				time.Sleep(lockPollInterval / 5)
 			}
 			p.log.Warn("handed over", "why", "another process owns the folder, though none has said so")
 			return false
@@ -321,19 +321,19 @@
 	}
 }
 
-// offer sends an estate and waits for word that it has come. Where both processes together
+// sendState sends an estate and waits for word that it has come. Where both processes together
 // would hold too many descriptors, each is closed here as it leaves.
-func (p *process) offer(link *handover.Link, e *handover.Estate) handover.Event {
+func (p *process) sendState(link *handover.Link, e *handover.Estate) handover.Event {
 	n := 0
-	e.Each(func(*int) { n++ })
+	e.EachDescriptor(func(*int) { n++ })
 	var err error
-	tight := 2*n+2*descriptors > p.files.cfg.Limits.Sockets
+	tight := 2*n+2*reservedDescriptors > p.files.cfg.Limits.Sockets
 	for f := range e.Frames {
 		if err = link.Send(f); err != nil {
 			break
 		}
 		if tight && (f.Kind == handover.Clients || f.Kind == handover.Calls) {
-			e.Each(func(fd *int) {
+			e.EachDescriptor(func(fd *int) {
 				if *fd == f.FD {
 					_ = unix.Close(*fd)
 					*fd = -1
@@ -343,7 +343,7 @@
 	}
 	if err == nil {
 		var f handover.Frame
-		if f, err = link.Receive(elderWithin); err == nil && f.Kind == handover.ReadyFor {
+		if f, err = link.Receive(successorTimeout); err == nil && f.Kind == handover.ReadyFor {
 			return handover.GotReady
 		}
 	}
--- a/internal/daemon/steps.go
+++ b/internal/daemon/steps.go
@@ -22,27 +22,27 @@
 	"ready",     // a PING is answered +PONG; without a list, the directory was waited for
 }
 
-// start is the account of a start's steps.
-type start struct {
-	begun, last time.Time
-	took        map[string]time.Duration
+// startTimer is the account of a start's steps.
+type startTimer struct {
+	startedAt, last time.Time
+	durations       map[string]time.Duration
 }
 
-func newStart(begun time.Time) *start {
-	return &start{begun: begun, last: begun, took: map[string]time.Duration{}}
+func newStartTimer(begun time.Time) *startTimer {
+	return &startTimer{startedAt: begun, last: begun, durations: map[string]time.Duration{}}
 }
 
-// did counts the time since the step before to this one.
-func (s *start) did(step string, now time.Time) {
-	s.took[step] += now.Sub(s.last)
+// stepDone counts the time since the step before to this one.
+func (s *startTimer) stepDone(step string, now time.Time) {
+	s.durations[step] += now.Sub(s.last)
 	s.last = now
 }
 
 // LogValue has the steps in their order, in milliseconds.
-func (s *start) LogValue() slog.Value {
+func (s *startTimer) LogValue() slog.Value {
 	var out []slog.Attr
 	for _, step := range Steps {
-		out = append(out, slog.Float64(step, float64(s.took[step].Microseconds())/1000))
+		out = append(out, slog.Float64(step, float64(s.durations[step].Microseconds())/1000))
 	}
 	return slog.GroupValue(out...)
 }
--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -10,41 +10,42 @@
 	"snowjunction/internal/record"
 )
 
-// Version is that of the frames. A frame of another is known for one and not read further.
+// Version is the version of the frame format. The content of a frame of another version is not
+// read.
 const Version = 1
 
-// PacketMost bounds a frame, with its head.
-const PacketMost = 96 << 10
+// MaxPacketSize is the maximum size of a frame in bytes, including its header.
+const MaxPacketSize = 96 << 10
 
-// Kind is what a frame is.
+// Kind is the type of a frame.
 type Kind byte
 
-// The kinds. A frame with a descriptor has just one.
+// The frame kinds. A frame carries at most one descriptor.
 const (
-	Hello    Kind = iota + 1 // the younger asks; Text is its courier's name
-	Refusal                  // Text says why
-	Listens                  // a part of the estate; it has a descriptor
-	Clients                  // the same
-	Calls                    // the same
-	Dues                     // of the client before it
-	Reads                    // bytes of the client or call before it
-	Knows                    // parts of the estate without a descriptor
-	Keys                     //
-	Rests                    //
-	Lists                    // a piece of the list
-	End                      // of the estate; Number is how many frames it had
-	ReadyFor                 // the younger holds it
-	DeedTo                   // the lock; it has a descriptor
-	Took                     // the younger owns
-	Ask                      // Text is a call of the second address, for the owner
-	Told                     // Text is its answer
-	kinds
+	Hello    Kind = iota + 1 // the successor asks; Text is its courier's name
+	Refusal                  // the owner refuses; Text is the reason
+	Listens                  // a listener; carries a descriptor
+	Clients                  // a client connection; carries a descriptor
+	Calls                    // a call in flight; carries a descriptor
+	Dues                     // an outstanding answer of the preceding client
+	Reads                    // unprocessed bytes of the preceding client or call
+	Knows                    // state of a destination
+	Keys                     // an idempotency key
+	Rests                    // the pause of an ordering key
+	Lists                    // a chunk of the directory's list
+	End                      // end of the state; Number is the number of its frames
+	ReadyFor                 // the successor has received the state
+	DeedTo                   // the lock; carries a descriptor
+	Took                     // the successor owns the folder
+	Ask                      // a request from the second address for the owner, in Text
+	Told                     // the owner's answer, in Text
+	endOfKinds
 )
 
-// Errors of frames.
+// Errors of Decode and Collector.Add.
 var (
-	ErrFrame   = errors.New("no frame of a handover")
-	ErrVersion = errors.New("another version of handovers")
+	ErrFrame   = errors.New("invalid handover frame")
+	ErrVersion = errors.New("unsupported handover version")
 )
 
 // Frame is one packet.
@@ -52,26 +53,26 @@
 	Kind   Kind
 	Text   string
 	Number uint64
-	FD     int // -1: none
+	FD     int // -1 if there is no descriptor
 	body   []byte
 }
 
 const (
-	textMost  = 4 << 10
-	nameMost  = 256
-	pieceMost = 64 << 10
+	maxTextBytes  = 4 << 10
+	maxNameBytes  = 256
+	maxChunkBytes = 64 << 10
 )
 
-// Encode is the frame's packet, without its descriptor.
+// Encode returns the frame's packet, without its descriptor.
 func (f Frame) Encode() []byte {
 	b := append(make([]byte, record.Frame), Version, byte(f.Kind))
 	b = binary.AppendUvarint(record.AppendText(b, f.Text), f.Number)
 	return record.Seal(append(b, f.body...))
 }
 
-// Decode reads a packet that came with a descriptor, or with none (-1).
+// Decode decodes a packet that came with descriptor fd, or without one if fd is -1.
 func Decode(b []byte, fd int) (Frame, error) {
-	payload, rest, err := record.Open(b, PacketMost)
+	payload, rest, err := record.Open(b, MaxPacketSize)
 	switch {
 	case err != nil || len(rest) > 0:
 		return Frame{}, fmt.Errorf("%w: %d bytes", ErrFrame, len(b))
@@ -79,9 +80,9 @@
 		return Frame{}, fmt.Errorf("%w: %d", ErrVersion, payload[0])
 	}
 	r := record.Reader{B: payload[1:]}
-	f := Frame{Kind: Kind(r.Byte()), Text: r.Text(textMost), Number: r.Uint(math.MaxUint64), FD: fd, body: r.B}
-	carries := f.Kind == Listens || f.Kind == Clients || f.Kind == Calls || f.Kind == DeedTo
-	if r.Bad || f.Kind < Hello || f.Kind >= kinds || carries != (fd >= 0) {
+	f := Frame{Kind: Kind(r.Byte()), Text: r.Text(maxTextBytes), Number: r.Uint(math.MaxUint64), FD: fd, body: r.B}
+	hasDescriptor := f.Kind == Listens || f.Kind == Clients || f.Kind == Calls || f.Kind == DeedTo
+	if r.Bad || f.Kind < Hello || f.Kind >= endOfKinds || hasDescriptor != (fd >= 0) {
 		return Frame{}, fmt.Errorf("%w: kind %d", ErrFrame, f.Kind)
 	}
 	return f, nil
@@ -94,9 +95,9 @@
 	return binary.AppendVarint(b, t.UnixNano())
 }
 
-type fields struct{ record.Reader }
+type fieldReader struct{ record.Reader }
 
-func (r *fields) time() time.Time {
+func (r *fieldReader) time() time.Time {
 	n := r.Int()
 	if n == 0 {
 		return time.Time{}
@@ -104,11 +105,11 @@
 	return time.Unix(0, n)
 }
 
-func (r *fields) number() int { return int(r.Uint(math.MaxInt32)) }
+func (r *fieldReader) number() int { return int(r.Uint(math.MaxInt32)) }
 
-func (r *fields) flag() bool { return r.Byte() == 1 }
+func (r *fieldReader) flag() bool { return r.Byte() == 1 }
 
-func (r *fields) bytes(most int) []byte {
+func (r *fieldReader) bytes(most int) []byte {
 	b := r.Take(int(r.Uint(uint64(most))))
 	return append([]byte(nil), b...)
 }
@@ -125,54 +126,54 @@
 	return binary.AppendUvarint(binary.AppendUvarint(b, uint64(c.In)), uint64(c.Out))
 }
 
-func (r *fields) conn(fd int) Conn {
-	return Conn{FD: fd, Peer: r.Text(nameMost), Since: r.time(), In: r.number(), Out: r.number()}
+func (r *fieldReader) conn(fd int) Conn {
+	return Conn{FD: fd, Peer: r.Text(maxNameBytes), Since: r.time(), In: r.number(), Out: r.number()}
 }
 
-// Frames calls yield with the frames of an estate, in order, up to its End or until yield
-// returns false.
+// Frames calls yield with the frames of the state in order, up to and including the End frame or
+// until yield returns false.
 func (e *Estate) Frames(yield func(Frame) bool) {
-	n, going := uint64(0), true
-	put := func(k Kind, text string, fd int, body []byte) {
-		if going {
+	n, more := uint64(0), true
+	emit := func(k Kind, text string, fd int, body []byte) {
+		if more {
 			n++
-			going = yield(Frame{Kind: k, Text: text, FD: fd, body: body})
+			more = yield(Frame{Kind: k, Text: text, FD: fd, body: body})
 		}
 	}
-	pieces := func(k Kind, b []byte) {
+	emitChunks := func(k Kind, b []byte) {
 		for len(b) > 0 {
-			size := min(len(b), pieceMost)
-			put(k, "", -1, b[:size])
+			size := min(len(b), maxChunkBytes)
+			emit(k, "", -1, b[:size])
 			b = b[size:]
 		}
 	}
 	for _, l := range e.Listeners {
-		put(Listens, l.Kind, l.FD, nil)
+		emit(Listens, l.Kind, l.FD, nil)
 	}
 	for _, c := range e.Clients {
-		put(Clients, "", c.FD, appendTime(appendFlag(appendConn(nil, c.Conn), c.Served), c.Changed))
+		emit(Clients, "", c.FD, appendTime(appendFlag(appendConn(nil, c.Conn), c.Served), c.Changed))
 		for _, d := range c.Due {
-			put(Dues, "", -1, d.append(nil))
+			emit(Dues, "", -1, d.append(nil))
 		}
-		pieces(Reads, c.Bytes)
+		emitChunks(Reads, c.Bytes)
 	}
 	for _, c := range e.Calls {
-		put(Calls, "", c.FD, c.append(nil))
-		pieces(Reads, c.Bytes)
+		emit(Calls, "", c.FD, c.append(nil))
+		emitChunks(Reads, c.Bytes)
 	}
 	for _, k := range e.Known {
 		b := appendTime(binary.AppendUvarint(nil, uint64(k.Destination)), k.At)
-		put(Knows, "", -1, append(appendFlag(appendFlag(b, k.Awake), k.Restart), k.Text...))
+		emit(Knows, "", -1, append(appendFlag(appendFlag(b, k.Awake), k.Restart), k.Text...))
 	}
 	for _, k := range e.Keys {
 		b := record.AppendText(record.AppendText(binary.AppendUvarint(nil, uint64(k.Destination)), k.Text), k.ID)
-		put(Keys, "", -1, appendTime(appendTime(b, k.At), k.Until))
+		emit(Keys, "", -1, appendTime(appendTime(b, k.At), k.Until))
 	}
 	for _, k := range e.Rests {
-		put(Rests, "", -1, appendTime(binary.AppendUvarint(nil, k.Key), k.Until))
+		emit(Rests, "", -1, appendTime(binary.AppendUvarint(nil, k.Key), k.Until))
 	}
-	pieces(Lists, e.List)
-	if going {
+	emitChunks(Lists, e.List)
+	if more {
 		live := ""
 		if e.Live {
 			live = "live"
@@ -181,10 +182,10 @@
 	}
 }
 
-// Flags of a request. Before there were forwarded ones their byte was Again alone.
+// Flags of a request. The lowest bit was the whole byte before forwarded requests existed.
 const (
-	again = 1 << iota
-	forwarded
+	flagResubmitted = 1 << iota
+	flagForwarded
 )
 
 func (d Due) append(b []byte) []byte {
@@ -199,10 +200,10 @@
 	b = appendTime(b, q.Deadline)
 	flags := byte(0)
 	if q.Again {
-		flags |= again
+		flags |= flagResubmitted
 	}
 	if q.Forwarded {
-		flags |= forwarded
+		flags |= flagForwarded
 	}
 	b = binary.AppendUvarint(append(b, flags), q.Order)
 	return append(b, q.Body...)
@@ -219,25 +220,25 @@
 	return appendFlag(binary.AppendVarint(b, int64(c.Kept)), c.WholeWants)
 }
 
-// Collector puts an estate together from its frames.
+// Collector assembles a handover state from its frames.
 type Collector struct {
-	Estate Estate
-	bytes  *[]byte // where what was read goes
-	frames uint64
+	Estate      Estate
+	unprocessed *[]byte // destination of the next Reads frame
+	received    uint64
 }
 
-// Add takes a frame. done tells that the estate is whole. After an error what has come is of
-// no use, but for its descriptors, which are the caller's to close.
+// Add adds a frame. done is true once the state is complete. After an error the collected state is
+// unusable, but the caller must close its descriptors.
 func (c *Collector) Add(f Frame) (done bool, err error) {
-	e, r := &c.Estate, &fields{record.Reader{B: f.body}}
-	bad := func() error { return fmt.Errorf("%w: kind %d out of place or spoilt", ErrFrame, f.Kind) }
-	c.frames++
+	e, r := &c.Estate, &fieldReader{record.Reader{B: f.body}}
+	bad := func() error { return fmt.Errorf("%w: kind %d out of order or malformed", ErrFrame, f.Kind) }
+	c.received++
 	switch f.Kind {
 	case Listens:
 		e.Listeners = append(e.Listeners, Listener{f.Text, f.FD})
 	case Clients:
 		e.Clients = append(e.Clients, Client{Conn: r.conn(f.FD), Served: r.flag(), Changed: r.time()})
-		c.bytes = &e.Clients[len(e.Clients)-1].Bytes
+		c.unprocessed = &e.Clients[len(e.Clients)-1].Bytes
 	case Dues:
 		if len(e.Clients) == 0 || len(e.Calls) > 0 {
 			return false, bad()
@@ -246,26 +247,26 @@
 		last.Due = append(last.Due, r.due())
 	case Calls:
 		e.Calls = append(e.Calls, r.call(f.FD))
-		c.bytes = &e.Calls[len(e.Calls)-1].Bytes
+		c.unprocessed = &e.Calls[len(e.Calls)-1].Bytes
 	case Reads:
-		if c.bytes == nil {
+		if c.unprocessed == nil {
 			return false, bad()
 		}
-		*c.bytes = append(*c.bytes, f.body...)
+		*c.unprocessed = append(*c.unprocessed, f.body...)
 	case Knows:
 		k := Known{Destination: uint32(r.Uint(math.MaxUint32)), At: r.time(), Awake: r.flag(), Restart: r.flag()}
 		k.Text = append([]byte(nil), r.B...)
 		e.Known = append(e.Known, k)
 	case Keys:
-		e.Keys = append(e.Keys, Key{Destination: uint32(r.Uint(math.MaxUint32)), Text: r.Text(nameMost), ID: r.Text(nameMost), At: r.time(), Until: r.time()})
+		e.Keys = append(e.Keys, Key{Destination: uint32(r.Uint(math.MaxUint32)), Text: r.Text(maxNameBytes), ID: r.Text(maxNameBytes), At: r.time(), Until: r.time()})
 	case Rests:
 		e.Rests = append(e.Rests, Rest{r.Uint(math.MaxUint64), r.time()})
 	case Lists:
 		e.List = append(e.List, f.body...)
 	case End:
 		e.Live = f.Text == "live"
-		if f.Number != c.frames-1 {
-			return false, fmt.Errorf("%w: %d frames of %d", ErrFrame, c.frames-1, f.Number)
+		if f.Number != c.received-1 {
+			return false, fmt.Errorf("%w: %d frames of %d", ErrFrame, c.received-1, f.Number)
 		}
 		return true, nil
 	default:
@@ -277,22 +278,22 @@
 	return false, nil
 }
 
-func (r *fields) due() Due {
+func (r *fieldReader) due() Due {
 	if !r.flag() {
 		return Due{Text: append([]byte(nil), r.B...)}
 	}
-	q := &Request{ID: r.Text(nameMost), IdempotencyKey: r.Text(nameMost), Class: r.Text(nameMost), Tenant: r.Text(nameMost)}
+	q := &Request{ID: r.Text(maxNameBytes), IdempotencyKey: r.Text(maxNameBytes), Class: r.Text(maxNameBytes), Tenant: r.Text(maxNameBytes)}
 	q.Key, q.Destination = r.Uint(math.MaxUint64), uint32(r.Uint(math.MaxUint32))
 	q.Deadline = r.time()
 	flags := r.Byte()
-	q.Again, q.Forwarded, q.Order = flags&again != 0, flags&forwarded != 0, r.Uint(math.MaxUint64)
+	q.Again, q.Forwarded, q.Order = flags&flagResubmitted != 0, flags&flagForwarded != 0, r.Uint(math.MaxUint64)
 	q.Body = append([]byte(nil), r.B...)
 	return Due{Request: q}
 }
 
-func (r *fields) call(fd int) Call {
+func (r *fieldReader) call(fd int) Call {
 	c := Call{Conn: r.conn(fd), Seq: r.Uint(math.MaxUint64)}
-	c.Endpoint = Endpoint{Front: int(r.Uint(0)), Name: r.Text(nameMost), Addr: r.Text(nameMost), Destination: uint32(r.Uint(math.MaxUint32)), Zone: r.number(), Kind: r.number()}
+	c.Endpoint = Endpoint{Front: int(r.Uint(0)), Name: r.Text(maxNameBytes), Addr: r.Text(maxNameBytes), Destination: uint32(r.Uint(math.MaxUint32)), Zone: r.number(), Kind: r.number()}
 	if v := r.Take(8); len(v) == 8 {
 		c.Endpoint.Weight = math.Float64frombits(binary.BigEndian.Uint64(v))
 	}
--- a/internal/handover/frame_test.go
+++ b/internal/handover/frame_test.go
@@ -18,13 +18,13 @@
 
 var noon = time.Unix(1772366400, 5)
 
-// whole is an estate with everything in it; its descriptors are of its own making.
-func whole(t testing.TB) *Estate {
+// fullState returns a handover state with all fields set and descriptors of its own.
+func fullState(t testing.TB) *Estate {
 	fd := func() int {
 		f, err := os.Open(os.DevNull)
 		require.NoError(t, err)
 		defer f.Close()
-		n, err := Copy(int(f.Fd()))
+		n, err := DupDescriptor(int(f.Fd()))
 		require.NoError(t, err)
 		return n
 	}
@@ -38,7 +38,7 @@
 				{Request: &Request{ID: "m1", IdempotencyKey: "k", Key: 9, Class: "order", Tenant: "town", Destination: 7, Deadline: noon, Again: true, Forwarded: true, Order: 3, Body: []byte("x\x00y")}},
 				{Text: []byte("+OK\r\n")},
 			}},
-			{Conn: conn(strings.Repeat("long", pieceMost/3))},
+			{Conn: conn(strings.Repeat("long", maxChunkBytes/3))},
 		},
 		Calls: []Call{{
 			Conn: conn("HTTP/1.1 2"), Seq: 12, Endpoint: Endpoint{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Zone: 1, Kind: 2, Weight: 1.5},
@@ -51,22 +51,22 @@
 	}
 }
 
-func frames(e *Estate) (out []Frame) {
+func collectFrames(e *Estate) (out []Frame) {
 	for f := range e.Frames {
 		out = append(out, f)
 	}
 	return out
 }
 
-// What is handed over arrives as it was, however long.
-func TestEstateRoundTrip(t *testing.T) {
-	e := whole(t)
+// A state of any size is decoded as it was encoded.
+func TestStateRoundTrip(t *testing.T) {
+	e := fullState(t)
 	defer e.Close()
 	var got Collector
-	all := frames(e)
+	all := collectFrames(e)
 	for i, f := range all {
 		b := f.Encode()
-		require.LessOrEqual(t, len(b), PacketMost)
+		require.LessOrEqual(t, len(b), MaxPacketSize)
 		d, err := Decode(b, f.FD)
 		require.NoError(t, err)
 		done, err := got.Add(d)
@@ -76,9 +76,9 @@
 	assert.Equal(t, e, &got.Estate)
 }
 
-// A torn, foreign or other version's frame is told from a good one; one that is missing or out
-// of place makes the estate no estate.
-func TestBadFrames(t *testing.T) {
+// Truncated and corrupt frames and those of other protocols or versions are rejected; so is a state
+// with a missing or misplaced frame.
+func TestInvalidFrames(t *testing.T) {
 	good := Frame{Kind: Hello, Text: "n0", FD: -1}.Encode()
 	for at := range good {
 		_, err := Decode(good[:at], -1)
@@ -87,21 +87,21 @@
 	for what, b := range map[string][]byte{
 		"bit":     append(append([]byte{}, good[:len(good)-1]...), good[len(good)-1]^1),
 		"foreign": []byte("GET / HTTP/1.1\r\n\r\n"), "more": append(append([]byte{}, good...), 0),
-		"kind": Frame{Kind: kinds, FD: -1}.Encode(), "no descriptor": Frame{Kind: DeedTo}.Encode(),
+		"kind": Frame{Kind: endOfKinds, FD: -1}.Encode(), "no descriptor": Frame{Kind: DeedTo}.Encode(),
 	} {
 		_, err := Decode(b, -1)
 		assert.ErrorIs(t, err, ErrFrame, what)
 	}
 	_, err := Decode(good, 5)
-	assert.ErrorIs(t, err, ErrFrame, "a descriptor that nobody wants")
+	assert.ErrorIs(t, err, ErrFrame, "an unexpected descriptor")
 	other := append([]byte{}, good...)
 	other[record.Frame] = Version + 1
 	_, err = Decode(record.Seal(other), -1)
 	assert.ErrorIs(t, err, ErrVersion)
 
-	e := whole(t)
+	e := fullState(t)
 	defer e.Close()
-	all := frames(e)
+	all := collectFrames(e)
 	for i := range all {
 		var got Collector
 		var err error
@@ -120,9 +120,9 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	e := whole(f)
+	e := fullState(f)
 	defer e.Close()
-	for _, x := range frames(e) {
+	for _, x := range collectFrames(e) {
 		f.Add(x.Encode(), x.FD >= 0)
 	}
 	f.Fuzz(func(t *testing.T, b []byte, carries bool) {
@@ -138,58 +138,59 @@
 	})
 }
 
-// The lock passes with its descriptor: at no moment is it free, and it ends with its holder.
-func TestLockPasses(t *testing.T) {
+// The lock is held at every moment of its transfer and is released with its last holder.
+func TestLockIsHeldDuringTransfer(t *testing.T) {
 	dir := t.TempDir()
 	lock, err := Acquire(dir)
 	require.NoError(t, err)
-	taken := func() bool {
+	locked := func() bool {
 		l, err := Acquire(dir)
 		l.Close()
 		return errors.Is(err, ErrOwned)
 	}
-	got := make(chan *Lock)
-	door, err := Open(dir, func(l *Link, f Frame, err error) {
+	received := make(chan *Lock)
+	server, err := Open(dir, func(l *Link, f Frame, err error) {
 		assert.NoError(t, err)
-		got <- Received(f.FD)
+		received <- LockFromDescriptor(f.FD)
 		l.Close()
 	}, func(err error) { t.Error(err) })
 	require.NoError(t, err)
-	defer door.Close()
+	defer server.Close()
 	link, err := Dial(dir)
 	require.NoError(t, err)
 	defer link.Close()
 	require.NoError(t, link.Send(Frame{Kind: DeedTo, FD: lock.FD()}))
 	lock.Close()
-	assert.True(t, taken(), "on its way")
-	other := <-got
-	assert.True(t, taken(), "arrived")
+	assert.True(t, locked(), "in transit")
+	other := <-received
+	assert.True(t, locked(), "arrived")
 	other.Close()
-	assert.False(t, taken())
+	assert.False(t, locked())
 }
 
-// Descriptors that come with what is no frame are closed; a connection that ends is told of.
-func TestForeignPackets(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), strings.Repeat("a-long-name", 12)) // over what a socket's path may have
+// Guards against descriptor leaks: descriptors received with an invalid packet are closed. An ended
+// connection is reported as an error.
+func TestInvalidPacketsLeakNoDescriptors(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), strings.Repeat("a-long-name", 12)) // longer than a socket path may be
 	require.NoError(t, os.Mkdir(dir, 0o700))
-	told := make(chan error, 4)
-	door, err := Open(dir, func(l *Link, _ Frame, _ error) { l.Close() }, func(err error) { told <- err })
+	errs := make(chan error, 4)
+	server, err := Open(dir, func(l *Link, _ Frame, _ error) { l.Close() }, func(err error) { errs <- err })
 	require.NoError(t, err)
-	defer door.Close()
+	defer server.Close()
 	r, w, err := os.Pipe()
 	require.NoError(t, err)
 	defer r.Close()
 	link, err := Dial(dir)
 	require.NoError(t, err)
-	_, _, err = link.c.WriteMsgUnix([]byte("rubbish"), unix.UnixRights(int(w.Fd())), nil)
+	_, _, err = link.conn.WriteMsgUnix([]byte("rubbish"), unix.UnixRights(int(w.Fd())), nil)
 	require.NoError(t, err)
 	w.Close()
-	assert.ErrorIs(t, <-told, ErrFrame)
+	assert.ErrorIs(t, <-errs, ErrFrame)
 	_, err = r.Read(make([]byte, 1))
-	assert.Error(t, err, "nobody holds the other end any more")
+	assert.Error(t, err, "the other end must be closed")
 	link.Close()
 	link, err = Dial(dir)
 	require.NoError(t, err)
 	link.Close()
-	assert.ErrorIs(t, <-told, io.EOF)
+	assert.ErrorIs(t, <-errs, io.EOF)
 }
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -11,49 +11,49 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds of waits.
+// Timeouts.
 const (
-	StepWithin = 2 * time.Second        // for the other side's next frame
-	AskWithin  = 400 * time.Millisecond // for the owner to answer a call
+	StepWithin   = 2 * time.Second        // for the peer's next frame
+	QueryTimeout = 400 * time.Millisecond // for the owner's answer to a query
 )
 
 const socketName = "handover.sock"
 
 // Link is a connection between two couriers of one folder. It is not safe for concurrent use.
 type Link struct {
-	c   *net.UnixConn
-	buf []byte
-	oob []byte
+	conn *net.UnixConn
+	buf  []byte
+	oob  []byte
 }
 
-func newLink(c *net.UnixConn) *Link { return &Link{c: c} }
+func newLink(c *net.UnixConn) *Link { return &Link{conn: c} }
 
-// Send sends a frame, with a copy of its descriptor.
+// Send sends a frame and a copy of its descriptor.
 func (l *Link) Send(f Frame) error {
 	var rights []byte
 	if f.FD >= 0 {
 		rights = unix.UnixRights(f.FD)
 	}
-	if err := l.c.SetWriteDeadline(time.Now().Add(StepWithin)); err != nil {
-		return fmt.Errorf("hand over: %w", err)
+	if err := l.conn.SetWriteDeadline(time.Now().Add(StepWithin)); err != nil {
+		return fmt.Errorf("handover link: %w", err)
 	}
-	if _, _, err := l.c.WriteMsgUnix(f.Encode(), rights, nil); err != nil {
-		return fmt.Errorf("hand over: %w", err)
+	if _, _, err := l.conn.WriteMsgUnix(f.Encode(), rights, nil); err != nil {
+		return fmt.Errorf("handover link: %w", err)
 	}
 	return nil
 }
 
-// Receive waits so long for a frame. Its descriptor is the caller's.
+// Receive waits up to the given time for a frame. The caller owns its descriptor.
 func (l *Link) Receive(within time.Duration) (Frame, error) {
 	if l.buf == nil {
-		l.buf, l.oob = make([]byte, PacketMost+1), make([]byte, 256)
+		l.buf, l.oob = make([]byte, MaxPacketSize+1), make([]byte, 256)
 	}
-	if err := l.c.SetReadDeadline(time.Now().Add(within)); err != nil {
-		return Frame{}, fmt.Errorf("hand over: %w", err)
+	if err := l.conn.SetReadDeadline(time.Now().Add(within)); err != nil {
+		return Frame{}, fmt.Errorf("handover link: %w", err)
 	}
-	n, oobn, flags, _, err := l.c.ReadMsgUnix(l.buf, l.oob)
+	n, oobn, flags, _, err := l.conn.ReadMsgUnix(l.buf, l.oob)
 	if err != nil {
-		return Frame{}, fmt.Errorf("hand over: %w", err)
+		return Frame{}, fmt.Errorf("handover link: %w", err)
 	}
 	fds := descriptors(l.oob[:oobn])
 	fd := -1
@@ -65,7 +65,7 @@
 		err = net.ErrClosed
 	}
 	if len(fds) > 1 || flags&(unix.MSG_TRUNC|unix.MSG_CTRUNC) != 0 {
-		err = fmt.Errorf("%w: cut short", ErrFrame)
+		err = fmt.Errorf("%w: truncated", ErrFrame)
 	}
 	if err != nil {
 		for _, fd := range fds {
@@ -89,12 +89,12 @@
 	return fds
 }
 
-// Close ends the connection.
-func (l *Link) Close() { l.c.Close() }
+// Close closes the connection.
+func (l *Link) Close() { l.conn.Close() }
 
-// Close closes all descriptors of an estate.
+// Close closes all descriptors of the handover state.
 func (e *Estate) Close() {
-	e.Each(func(fd *int) {
+	e.EachDescriptor(func(fd *int) {
 		if *fd >= 0 {
 			unix.Close(*fd)
 			*fd = -1
@@ -102,17 +102,17 @@
 	})
 }
 
-// Copy is another descriptor of what fd stands for, which no program started later inherits.
-func Copy(fd int) (int, error) {
+// DupDescriptor duplicates a descriptor with close-on-exec set.
+func DupDescriptor(fd int) (int, error) {
 	n, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
-		return -1, fmt.Errorf("copy a descriptor: %w", err)
+		return -1, fmt.Errorf("duplicate a descriptor: %w", err)
 	}
 	return n, nil
 }
 
-// address is the socket of a folder. A path over what the kernel takes is reached by the
-// folder's own descriptor, which release closes.
+// address returns the address of a folder's socket. A path that is too long for the kernel is
+// reached through a descriptor of the folder, which release closes.
 func address(dir string) (addr *net.UnixAddr, release func(), err error) {
 	path := filepath.Join(dir, socketName)
 	if len(path) < 100 {
@@ -125,33 +125,33 @@
 	return &net.UnixAddr{Name: fmt.Sprintf("/proc/self/fd/%d/%s", f.Fd(), socketName), Net: "unixpacket"}, func() { f.Close() }, nil
 }
 
-// Dial reaches the owner of a folder.
+// Dial connects to the owner of a folder.
 func Dial(dir string) (*Link, error) {
 	addr, release, err := address(dir)
 	if err != nil {
-		return nil, fmt.Errorf("reach the owner: %w", err)
+		return nil, fmt.Errorf("connect to the folder's owner: %w", err)
 	}
 	defer release()
 	c, err := net.DialUnix("unixpacket", nil, addr)
 	if err != nil {
-		return nil, fmt.Errorf("reach the owner: %w", err)
+		return nil, fmt.Errorf("connect to the folder's owner: %w", err)
 	}
 	return newLink(c), nil
 }
 
-// Door is where the owner of a folder is asked.
-type Door struct {
+// Server accepts handover requests for a folder.
+type Server struct {
 	l    *net.UnixListener
 	path string
 }
 
-// doorMost bounds the connections that are served at once.
-const doorMost = 8
+// maxConnections limits the connections that are served at the same time.
+const maxConnections = 8
 
-// Open opens the door of a folder that the caller owns; what an earlier owner has left of it
-// is removed. hello is called for each connection with its first frame, on a goroutine of its
-// own, and closes the link. foreign is told of what cannot be read.
-func Open(dir string, hello func(*Link, Frame, error), foreign func(error)) (*Door, error) {
+// Open starts a Server for a folder that the caller owns and removes the socket of an earlier
+// owner. handle is called for each connection with its first frame, on a goroutine of its own, and
+// must close the link. onError is called for frames that cannot be read.
+func Open(dir string, handle func(*Link, Frame, error), onError func(error)) (*Server, error) {
 	path := filepath.Join(dir, socketName)
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("listen for handovers: %w", err)
@@ -171,7 +171,7 @@
 		return nil, fmt.Errorf("listen for handovers: %w", err)
 	}
 	go func() {
-		room := make(chan struct{}, doorMost)
+		slots := make(chan struct{}, maxConnections)
 		for {
 			c, err := l.AcceptUnix()
 			if errors.Is(err, net.ErrClosed) {
@@ -181,25 +181,25 @@
 				time.Sleep(10 * time.Millisecond)
 				continue
 			}
-			room <- struct{}{}
+			slots <- struct{}{}
 			go func() {
-				defer func() { <-room }()
+				defer func() { <-slots }()
 				link := newLink(c)
 				f, err := link.Receive(StepWithin)
 				if err != nil && !errors.Is(err, ErrVersion) {
-					foreign(err)
+					onError(err)
 					link.Close()
 					return
 				}
-				hello(link, f, err)
+				handle(link, f, err)
 			}()
 		}
 	}()
-	return &Door{l, path}, nil
+	return &Server{l, path}, nil
 }
 
-// Close shuts the door. The socket stays in the folder for the next owner to replace.
-func (d *Door) Close() {
+// Close stops the server. The socket file stays in the folder until the next owner replaces it.
+func (d *Server) Close() {
 	if d != nil {
 		d.l.Close()
 	}
--- a/internal/handover/lock.go
+++ b/internal/handover/lock.go
@@ -8,15 +8,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrOwned tells that another process owns the folder.
+// ErrOwned is returned by Acquire if another process holds the lock.
 var ErrOwned = errors.New("another process owns the folder")
 
-// Lock is the kernel's lock on a folder: whoever holds it owns what is in there. It ends with
-// the last process that holds it.
+// Lock is a kernel lock (flock) on a folder. Its holder owns the folder's content. The kernel
+// releases it with the last descriptor that refers to it.
 type Lock struct{ file *os.File }
 
-// Acquire takes the lock on a folder. ErrOwned tells that another process has it; any other error
-// that there are no such locks here.
+// Acquire takes the lock on a folder. It returns ErrOwned if another process holds it; any other
+// error means that the folder cannot be locked here.
 func Acquire(dir string) (*Lock, error) {
 	f, err := os.Open(dir)
 	if err != nil {
@@ -32,10 +32,10 @@
 	return &Lock{f}, nil
 }
 
-// Received is the lock that came with a deed.
-func Received(fd int) *Lock { return &Lock{os.NewFile(uintptr(fd), "folder")} }
+// LockFromDescriptor returns the lock whose descriptor was received in a KindLock frame.
+func LockFromDescriptor(fd int) *Lock { return &Lock{os.NewFile(uintptr(fd), "folder")} }
 
-// FD is its descriptor, which stays the lock's; -1: there is none.
+// FD returns the lock's descriptor, which the lock continues to own, or -1 for a nil lock.
 func (l *Lock) FD() int {
 	if l == nil {
 		return -1
@@ -43,7 +43,7 @@
 	return int(l.file.Fd())
 }
 
-// Close lets go of it: where no other process holds a copy the folder is free.
+// Close closes this copy of the lock. The folder is free if no other process holds a copy.
 func (l *Lock) Close() {
 	if l != nil {
 		l.file.Close()
--- a/internal/handover/steps.go
+++ b/internal/handover/steps.go
@@ -1,24 +1,24 @@
-// Package handover is how a courier's folder, clients and calls pass from the process that
-// owns them to one that was started beside it, so that one of them owns them at any moment.
+// Package handover passes a courier's folder, clients and calls from the process that owns them to
+// one that was started beside it, so that exactly one of them owns them at any time.
 //
-// Who owns is a kernel lock on the folder (lock.go). The steps are two machines without I/O
-// (this file); frames are read and written in frame.go, what is handed over is estate.go, and
-// link.go puts them on a Unix socket in the folder.
+// Ownership is a kernel lock on the folder (lock.go). The protocol's two state machines do no I/O
+// (this file). frame.go encodes and decodes frames, estate.go defines the handover state, and
+// link.go transports frames over a Unix socket in the folder.
 package handover
 
-// Event is what a side of a handover learns.
+// Event is an input to one side's state machine.
 type Event int
 
 // The events.
 const (
-	GotHello  Event = iota // the younger process asks, in this version
-	GotOther               // it asks in another version
-	Quiet                  // nothing more is decided here, and the estate is whole
-	GotEstate              // the estate has come whole
-	GotReady               // the younger one holds the estate
-	GotDeed                // the lock has come
-	GotTaken               // the younger one owns
-	Broken                 // the connection ended, a frame could not be read or written, or took too long
+	GotHello        Event = iota // the successor asks, in this protocol version
+	GotOtherVersion              // the successor asks in another protocol version
+	Quiesced                     // decisions have stopped and the state is complete
+	GotState                     // the state was received completely
+	GotReady                     // the successor has received the state
+	GotLock                      // the lock was received
+	GotOwned                     // the successor owns the folder
+	Broken                       // the connection ended, a frame could not be read or written, or a step timed out
 )
 
 // Action is what a side does next.
@@ -26,89 +26,89 @@
 
 // The actions.
 const (
-	Nothing  Action = iota
-	Hush            // the elder: decide nothing more, and gather the estate
-	Offer           // send the estate
-	Deed            // send the lock, and let go of it
-	Leave           // own nothing any more
-	Resume          // own and decide on: the lock was never given
-	Reclaim         // take the lock back if it is free, else leave
-	Refuse          // say that the versions differ, and end in order
-	Answer          // the younger: say that the estate is here
-	Own             // own from now on, and say so
-	Fallback        // forget what has come, and wait for the lock
+	Nothing       Action = iota
+	Quiesce              // predecessor: stop deciding and collect the state
+	SendState            // send the state
+	SendLock             // send the lock and close this copy
+	Exit                 // end without owning anything
+	Resume               // keep owning and resume deciding: the lock was not sent
+	Reclaim              // take the lock back if it is free, else end
+	Refuse               // report the version mismatch and shut down
+	ConfirmState         // successor: confirm that the state was received
+	TakeOwnership        // own the folder from now on and confirm it
+	Fallback             // discard what was received and wait for the lock
 )
 
-// Elder is the owner's side. Its zero value waits to be asked.
-type Elder struct{ at elderAt }
+// Predecessor is the current owner's state machine. Its zero value waits for a request.
+type Predecessor struct{ phase predecessorPhase }
 
-type elderAt int
+type predecessorPhase int
 
 const (
-	asked elderAt = iota
-	hushing
-	offered
-	deeded
-	over
+	predecessorIdle predecessorPhase = iota
+	predecessorQuiescing
+	predecessorStateSent
+	predecessorLockSent
+	predecessorDone
 )
 
-// On takes an event.
-func (e *Elder) On(ev Event) Action {
-	at := e.at
-	if at == over {
+// On processes an event and returns the next action.
+func (e *Predecessor) On(ev Event) Action {
+	phase := e.phase
+	if phase == predecessorDone {
 		return Nothing
 	}
-	e.at = over
+	e.phase = predecessorDone
 	switch {
-	case at == asked && ev == GotHello:
-		e.at = hushing
-		return Hush
-	case at == asked && ev == GotOther:
+	case phase == predecessorIdle && ev == GotHello:
+		e.phase = predecessorQuiescing
+		return Quiesce
+	case phase == predecessorIdle && ev == GotOtherVersion:
 		return Refuse
-	case at == hushing && ev == Quiet:
-		e.at = offered
-		return Offer
-	case at == offered && ev == GotReady:
-		e.at = deeded
-		return Deed
-	case at == deeded && ev == GotTaken:
-		return Leave
-	case at == deeded: // the lock is on its way, and may have arrived
+	case phase == predecessorQuiescing && ev == Quiesced:
+		e.phase = predecessorStateSent
+		return SendState
+	case phase == predecessorStateSent && ev == GotReady:
+		e.phase = predecessorLockSent
+		return SendLock
+	case phase == predecessorLockSent && ev == GotOwned:
+		return Exit
+	case phase == predecessorLockSent: // the lock is in transit and may have arrived
 		return Reclaim
-	case at == asked:
+	case phase == predecessorIdle:
 		return Nothing
 	}
 	return Resume
 }
 
-// Younger is the side of the process that was started beside the owner. Its zero value has
-// sent its hello.
-type Younger struct{ at youngerAt }
+// Successor is the state machine of the process that was started beside the owner. In its zero
+// value it has sent its hello.
+type Successor struct{ phase successorPhase }
 
-type youngerAt int
+type successorPhase int
 
 const (
-	waiting youngerAt = iota
-	holding
-	owning
-	fallen
+	successorWaiting successorPhase = iota
+	successorHoldingState
+	successorOwner
+	successorFailed
 )
 
-// Owns tells whether this side owns.
-func (y *Younger) Owns() bool { return y.at == owning }
+// IsOwner reports whether this side owns the folder.
+func (y *Successor) IsOwner() bool { return y.phase == successorOwner }
 
-// On takes an event.
-func (y *Younger) On(ev Event) Action {
+// On processes an event and returns the next action.
+func (y *Successor) On(ev Event) Action {
 	switch {
-	case y.at == waiting && ev == GotEstate:
-		y.at = holding
-		return Answer
-	case y.at == holding && ev == GotDeed:
-		y.at = owning
-		return Own
-	case y.at == owning || y.at == fallen:
+	case y.phase == successorWaiting && ev == GotState:
+		y.phase = successorHoldingState
+		return ConfirmState
+	case y.phase == successorHoldingState && ev == GotLock:
+		y.phase = successorOwner
+		return TakeOwnership
+	case y.phase == successorOwner || y.phase == successorFailed:
 		return Nothing
 	}
-	y.at = fallen
+	y.phase = successorFailed
 	return Fallback
 }
--- a/internal/handover/steps_test.go
+++ b/internal/handover/steps_test.go
@@ -7,79 +7,79 @@
 	"pgregory.net/rapid"
 )
 
-// play is a handover between two processes with a lock between them. Either may die, the
-// connection may break and any wait may end, at every step.
-type play struct {
-	elder            Elder
-	younger          Younger
-	elderUp, youngUp bool
-	linked           bool
-	lock             string  // who holds it: elder, flight, younger or nobody
-	toElder, toYoung []Event // what is on its way
-	elderOwns        bool
+// simulation is a handover between two processes and a lock. At every step either process may die,
+// the connection may break and any wait may time out.
+type simulation struct {
+	predecessor                      Predecessor
+	successor                        Successor
+	predecessorAlive, successorAlive bool
+	linked                           bool
+	lock                             string  // holder: "elder" (predecessor), "flight" (in transit), "younger" (successor) or "nobody"
+	toPredecessor, toSuccessor       []Event // events in transit
+	predecessorOwns                  bool
 }
 
-func newPlay() *play {
-	return &play{elderUp: true, youngUp: true, linked: true, lock: "elder", elderOwns: true, toElder: []Event{GotHello}}
+func newSimulation() *simulation {
+	return &simulation{predecessorAlive: true, successorAlive: true, linked: true, lock: "elder", predecessorOwns: true, toPredecessor: []Event{GotHello}}
 }
 
-// cut ends the connection: a lock on its way is let go of by the kernel.
-func (p *play) cut() {
-	p.linked, p.toYoung = false, nil
+// cut breaks the connection; the kernel releases a lock in transit.
+func (p *simulation) cut() {
+	p.linked, p.toSuccessor = false, nil
 	if p.lock == "flight" {
 		p.lock = "nobody"
 	}
-	p.toElder = append(p.toElder, Broken)
-	p.toYoung = append(p.toYoung, Broken)
+	p.toPredecessor = append(p.toPredecessor, Broken)
+	p.toSuccessor = append(p.toSuccessor, Broken)
 }
 
-func (p *play) elderOn(ev Event) {
-	if !p.elderUp {
+func (p *simulation) predecessorOn(ev Event) {
+	if !p.predecessorAlive {
 		return
 	}
-	send := func(ev Event) {
+	emit := func(ev Event) {
 		if p.linked {
-			p.toYoung = append(p.toYoung, ev)
+			p.toSuccessor = append(p.toSuccessor, ev)
 		}
 	}
-	switch p.elder.On(ev) {
-	case Hush:
-		p.elderOn(Quiet)
-	case Offer:
-		send(GotEstate)
-	case Deed:
+	switch p.predecessor.On(ev) {
+	case Quiesce:
+		p.predecessorOn(Quiesced)
+	case SendState:
+		emit(GotState)
+	case SendLock:
 		if p.linked {
-			p.lock, p.elderOwns = "flight", false
-			send(GotDeed)
+			p.lock, p.predecessorOwns = "flight", false
+			emit(GotLock)
 		} else {
-			p.elderOwns = true // it has not left
+			p.predecessorOwns = true // the lock was not sent
 		}
 	case Reclaim:
 		if p.lock == "nobody" {
-			p.lock, p.elderOwns = "elder", true
+			p.lock, p.predecessorOwns = "elder", true
 		}
 	case Resume:
-		p.elderOwns = true
+		p.predecessorOwns = true
 	}
 }
 
-func (p *play) youngerOn(ev Event) {
-	if !p.youngUp {
+func (p *simulation) successorOn(ev Event) {
+	if !p.successorAlive {
 		return
 	}
-	if ev == GotDeed && p.lock == "flight" {
+	if ev == GotLock && p.lock == "flight" {
 		p.lock = "younger"
 	}
 	send := func(ev Event) {
 		if p.linked {
-			p.toElder = append(p.toElder, ev)
+			p.toPredecessor = append(p.toPredecessor, ev)
 		}
 	}
-	switch p.younger.On(ev) {
-	case Answer:
+	switch p.successor.On(ev) {
+	case ConfirmState:
 		send(GotReady)
-	case Own:
-		send(GotTaken)
+	case TakeOwnership:
+		send(GotOwned)
 	case Fallback:
 		if p.lock == "younger" {
 			p.lock = "nobody"
@@ -90,38 +90,39 @@
 	}
 }
 
-// However a handover goes, never do both own, and whoever decides holds the lock.
-func TestOneOwner(t *testing.T) {
+// Whatever fails during a handover, at most one process owns the folder, and a process that decides
+// holds the lock.
+func TestAtMostOneOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlay()
+		p := newSimulation()
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			switch rapid.SampledFrom([]string{"elder", "elder", "younger", "younger", "cut", "kill elder", "kill younger", "elder late", "younger late"}).Draw(t, "what") {
 			case "elder":
-				if len(p.toElder) > 0 {
-					ev := p.toElder[0]
-					p.toElder = p.toElder[1:]
-					p.elderOn(ev)
+				if len(p.toPredecessor) > 0 {
+					ev := p.toPredecessor[0]
+					p.toPredecessor = p.toPredecessor[1:]
+					p.predecessorOn(ev)
 				}
 			case "younger":
-				if len(p.toYoung) > 0 {
-					ev := p.toYoung[0]
-					p.toYoung = p.toYoung[1:]
-					p.youngerOn(ev)
+				if len(p.toSuccessor) > 0 {
+					ev := p.toSuccessor[0]
+					p.toSuccessor = p.toSuccessor[1:]
+					p.successorOn(ev)
 				}
 			case "cut":
 				if p.linked {
 					p.cut()
 				}
 			case "kill elder":
-				if p.elderUp {
-					p.elderUp, p.elderOwns = false, false
+				if p.predecessorAlive {
+					p.predecessorAlive, p.predecessorOwns = false, false
 					if p.lock == "elder" {
 						p.lock = "nobody"
 					}
 				}
 			case "kill younger":
-				if p.youngUp {
-					p.youngUp = false
+				if p.successorAlive {
+					p.successorAlive = false
 					if p.lock == "younger" {
 						p.lock = "nobody"
 					}
@@ -130,40 +131,40 @@
 					}
 				}
 			case "elder late":
-				if p.elder.at > asked {
-					p.elderOn(Broken)
+				if p.predecessor.phase > predecessorIdle {
+					p.predecessorOn(Broken)
 				}
 			case "younger late":
-				p.youngerOn(Broken)
+				p.successorOn(Broken)
 			}
-			if p.elderOwns && p.lock != "elder" {
-				t.Fatalf("the elder decides, and the lock is with %s", p.lock)
+			if p.predecessorOwns && p.lock != "elder" {
+				t.Fatalf("the predecessor decides while the lock is held by %s", p.lock)
 			}
-			if p.youngUp && p.younger.Owns() && p.lock != "younger" {
-				t.Fatalf("the younger decides, and the lock is with %s", p.lock)
+			if p.successorAlive && p.successor.IsOwner() && p.lock != "younger" {
+				t.Fatalf("the successor decides while the lock is held by %s", p.lock)
 			}
 		}
 	})
 }
 
-// A handover without trouble takes these steps, and ends with the younger as the owner.
-func TestSteps(t *testing.T) {
-	p := newPlay()
-	for len(p.toElder)+len(p.toYoung) > 0 {
-		if len(p.toElder) > 0 {
-			ev := p.toElder[0]
-			p.toElder = p.toElder[1:]
-			p.elderOn(ev)
+// A handover without failures ends with the successor as the owner.
+func TestHandoverWithoutFailure(t *testing.T) {
+	p := newSimulation()
+	for len(p.toPredecessor)+len(p.toSuccessor) > 0 {
+		if len(p.toPredecessor) > 0 {
+			ev := p.toPredecessor[0]
+			p.toPredecessor = p.toPredecessor[1:]
+			p.predecessorOn(ev)
 		} else {
-			ev := p.toYoung[0]
-			p.toYoung = p.toYoung[1:]
-			p.youngerOn(ev)
+			ev := p.toSuccessor[0]
+			p.toSuccessor = p.toSuccessor[1:]
+			p.successorOn(ev)
 		}
 	}
 	assert.Equal(t, "younger", p.lock)
-	assert.True(t, p.younger.Owns())
-	assert.False(t, p.elderOwns)
-	var other Elder
-	assert.Equal(t, Refuse, other.On(GotOther))
+	assert.True(t, p.successor.IsOwner())
+	assert.False(t, p.predecessorOwns)
+	var other Predecessor
+	assert.Equal(t, Refuse, other.On(GotOtherVersion))
 	assert.Equal(t, Nothing, other.On(GotHello))
 }
--- a/internal/net/capacity_test.go
+++ b/internal/net/capacity_test.go
@@ -8,7 +8,7 @@
 	"snowjunction/internal/gauge"
 )
 
-// What a datagram costs its sender and its receiver together, one after another on loopback.
+// CPU time of the sender and the receiver together per datagram, one after another on loopback.
 func BenchmarkDatagram(b *testing.B) {
 	const n = 10_000
 	free := func() string {
@@ -20,9 +20,9 @@
 		return c.LocalAddr().String()
 	}
 	each := []string{free(), free()}
-	come := make(chan struct{}, 1)
+	received := make(chan struct{}, 1)
 	for i := range each {
-		d, err := Exchange(each[i], NewPeers(each), 256, func(f func()) { f() }, slog.New(slog.DiscardHandler), func(int, []byte) { come <- struct{}{} })
+		d, err := Exchange(each[i], NewPeers(each), 256, func(f func()) { f() }, slog.New(slog.DiscardHandler), func(int, []byte) { received <- struct{}{} })
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -31,7 +31,7 @@
 			gauge.CPU(b, n, "datagram", func() {
 				for range n {
 					d.Send(0, []byte("8 bytes."))
-					<-come
+					<-received
 				}
 			})
 		}
--- a/internal/net/conn.go
+++ b/internal/net/conn.go
@@ -13,55 +13,56 @@
 	"snowjunction/internal/handover"
 )
 
-// Conn is one connection. It belongs to the loop's goroutine.
+// Conn is a connection. It belongs to the loop's goroutine.
 type Conn struct {
-	engine   *Engine
-	kind     string
-	peer     string
-	since    time.Time
-	handler  Handler
-	nc       *nbio.Conn // nil until a dialled connection is up
-	plain    *plain     // in its place, where its other side may close alone
-	up       bool
-	over     bool
-	accepted bool
-	booked   bool // it counts as open
-	halves   bool // its other side may close its sending side and still be answered
-	in, out  int
-	written  atomic.Int64 // of out, what the kernel has taken
-	coming   atomic.Int64 // pieces read and not looked at
-	base     uint64       // bytes that earlier owners of the socket have read
-	handed   int          // bytes that its handler has been given since
-	cancel   func()       // calls off the dialling
-	detached bool
-	rest     []byte // what came while it was being detached
+	engine        *Engine
+	kind          string
+	peer          string
+	since         time.Time
+	handler       Handler
+	nc            *nbio.Conn // nil until a dialed connection is up
+	plain         *plain     // used instead of nc for kinds that may be half-closed
+	up            bool
+	closed        bool
+	accepted      bool
+	counted       bool // counted as open
+	halfClose     bool // the peer may close its sending side and still be answered
+	in, out       int
+	kernelWritten atomic.Int64 // bytes of out that the kernel has accepted
+	unprocessed   atomic.Int64 // chunks that were read and not yet processed by the loop
+	readBefore    uint64       // bytes that earlier owners of the socket read
+	delivered     int          // bytes passed to the handler by this owner
+	cancel        func()       // cancels dialing
+	detached      bool
+	leftover      []byte // bytes read while the connection was being detached
 }
 
-// Detach takes the connection from the engine, for another process to go on with: its socket
-// stays open under the descriptor returned. ok is false where it is not up, or bytes written
-// to it have not left yet. The handler hears nothing more; what had been read already is Rest,
-// once the engine has come to a halt.
+// Detach removes the connection from the engine so that another process can continue it: the socket
+// stays open under the returned descriptor. ok is false if the connection is not up or not all
+// written bytes have been sent. The handler receives no more events; bytes that had been read are
+// returned by Rest after the engine has halted.
 func (c *Conn) Detach() (from handover.Conn, ok bool) {
-	if !c.Up() || c.nc != nil && c.written.Load() != int64(c.out) {
+	if !c.Up() || c.nc != nil && c.kernelWritten.Load() != int64(c.out) {
 		return from, false
 	}
 	fd, err := -1, error(nil)
 	if c.plain != nil {
-		fd, err = copyOf(c.plain.raw)
+		fd, err = dupSocket(c.plain.raw)
 	} else {
-		fd, err = handover.Copy(c.nc.Hash())
+		fd, err = handover.DupDescriptor(c.nc.Hash())
 	}
 	if err != nil {
 		return from, false
 	}
-	// The engine's reader may have closed it meanwhile, which the loop is yet to hear: then its
-	// number may be another socket's by now, and the copy is of that.
-	if c.nc != nil && c.gone() {
+	// The engine's reader may have closed the connection before the loop was notified. The
+	// descriptor number may then belong to another socket, and the duplicate would be of that
+	// socket.
+	if c.nc != nil && c.closedByEngine() {
 		_ = unix.Close(fd)
 		return from, false
 	}
 	c.detached = true
-	c.end(HandedOver)
+	c.finish(HandedOver)
 	if c.plain != nil {
 		c.plain.raw.Close()
 	} else {
@@ -70,101 +71,103 @@
 	return handover.Conn{FD: fd, Peer: c.peer, Since: c.since, In: c.in, Out: c.out}, true
 }
 
-// Rest is what was read of a detached connection and never handed to its handler.
-func (c *Conn) Rest() []byte { return c.rest }
+// Rest returns the bytes that were read from a detached connection and not passed to its handler.
+func (c *Conn) Rest() []byte { return c.leftover }
 
-// Peer is the other side's address.
+// Peer returns the peer's address.
 func (c *Conn) Peer() string { return c.peer }
 
-// Up tells whether the connection is established and not ended.
-func (c *Conn) Up() bool { return c.up && !c.over }
+// Up reports whether the connection is established and not closed.
+func (c *Conn) Up() bool { return c.up && !c.closed }
 
-// Unread tells that bytes have come which its handler has not been given yet: in the socket, or
-// on their way to the loop.
+// Unread reports whether bytes have arrived that have not been passed to the handler: in the
+// socket, or on their way to the loop.
 func (c *Conn) Unread() bool {
 	bytes, _ := c.Look()
 	return bytes
 }
 
-// Look tells what has come on a connection that its handler has not been given yet: bytes, or the
-// other side's end. The system's own count of what has come is the one witness that cannot be
-// between two hands, as bytes are that the reader has taken and not counted yet. Where there is
-// no such count the socket and the reader are asked; where these do not tell, nothing has come.
+// Look reports what has arrived on a connection and has not been passed to its handler: bytes, or
+// the end of the stream. The kernel's count of received bytes is the only reliable source: bytes
+// that the reader has taken and not yet counted show up nowhere else. If the kernel does not count,
+// the socket and the reader are asked; if these show nothing, nothing is reported.
 func (c *Conn) Look() (bytes, ended bool) {
 	switch {
 	case !c.Up():
 		return false, true
-	case c.nc == nil: // a plain one's end comes by itself
+	case c.nc == nil: // the end of a plain connection is reported by its reader
 		c.plain.control(func(fd int) {
-			n, _, ok := received(fd)
-			if bytes = n-c.base != uint64(c.handed); !ok {
+			n, _, ok := receivedBytes(fd)
+			if bytes = n-c.readBefore != uint64(c.delivered); !ok {
 				bytes, _ = c.peek(fd)
 			}
 		})
 		return bytes, false
 	}
-	received, ended, ok := received(c.nc.Hash())
-	bytes = received-c.base != uint64(c.handed)
+	received, ended, ok := receivedBytes(c.nc.Hash())
+	bytes = received-c.readBefore != uint64(c.delivered)
 	if !ok {
 		bytes, ended = c.peek(c.nc.Hash())
 	}
-	if c.gone() { // what was looked at may be another's by now
+	if c.closedByEngine() { // the descriptor that was examined may belong to another socket
 		return bytes && !ok, true
 	}
 	return bytes, ended
 }
 
-// peek asks the socket and the reader.
+// peek looks for unread bytes or an end in the socket and in the reader's queue.
 func (c *Conn) peek(fd int) (bytes, ended bool) {
 	var b [1]byte
 	n, _, err := unix.Recvfrom(fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-	if c.coming.Load() > 0 {
+	if c.unprocessed.Load() > 0 {
 		return true, false
 	}
 	return n > 0, err == nil && n == 0 || errors.Is(err, unix.ECONNRESET) || errors.Is(err, unix.EPIPE)
 }
 
-// received is the system's count of the bytes that have come on a socket, and whether the other
-// side has ended it, which counts for one more; ok is false where the system does not count.
-func received(fd int) (n uint64, ended, ok bool) {
+// receivedBytes returns the kernel's count of bytes received on a socket and whether the peer has
+// closed it; the end of the stream counts as one byte in the kernel and is subtracted. ok is false
+// if the kernel does not count.
+func receivedBytes(fd int) (n uint64, ended, ok bool) {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
-	if err != nil || info.Bytes_received == 0 { // or nothing has come: then the socket tells as well
+	if err != nil || info.Bytes_received == 0 { // a count of 0 may also mean that nothing arrived, which peeking at the socket shows as well
 		return 0, false, false
 	}
-	if ended = info.State != established; ended {
+	if ended = info.State != tcpEstablished; ended {
 		return info.Bytes_received - 1, true, true
 	}
 	return info.Bytes_received, false, true
 }
 
-// established is the state of a connection that neither side has ended, by Linux.
-const established = 1
+// tcpEstablished is Linux's TCP_ESTABLISHED: neither side has closed the connection.
+const tcpEstablished = 1
 
-// count notes what earlier owners of a socket have read from it.
-func (c *Conn) count(fd int) {
+// recordReadBefore determines how many bytes earlier owners of a socket read from it.
+func (c *Conn) recordReadBefore(fd int) {
 	for {
-		before, ended, ok := received(fd)
+		before, ended, ok := receivedBytes(fd)
 		in, err := unix.IoctlGetInt(fd, unix.TIOCINQ)
-		after, _, _ := received(fd)
+		after, _, _ := receivedBytes(fd)
 		if !ok || err != nil || ended {
 			return
 		}
 		if before == after {
-			c.base = before - uint64(in)
+			c.readBefore = before - uint64(in)
 			return
 		}
 	}
 }
 
-// gone tells that the engine has closed the connection. It marks one as closed before it gives
-// its descriptor back, so that one which is not gone had its own until now.
-func (c *Conn) gone() bool {
+// closedByEngine reports whether the engine has closed the connection. The engine marks a
+// connection as closed before it releases the descriptor, so a connection that is not marked still
+// owns its descriptor.
+func (c *Conn) closedByEngine() bool {
 	closed, _ := c.nc.IsClosed()
 	return closed
 }
 
-// Write sends b and tells whether the socket took it: if not, none of it has
-// left and Closed follows.
+// Write sends b and reports whether the socket accepted it. If not, nothing was sent and Closed
+// follows.
 func (c *Conn) Write(b []byte) bool {
 	if !c.Up() {
 		return false
@@ -180,13 +183,13 @@
 	return true
 }
 
-// Close ends the connection for the reason given. The handler hears nothing
-// of it. Later calls do nothing.
+// Close closes the connection with the given code. The handler is not called. Further calls do
+// nothing.
 func (c *Conn) Close(code Code) {
-	if c == nil || c.over {
+	if c == nil || c.closed {
 		return
 	}
-	c.end(code)
+	c.finish(code)
 	if c.cancel != nil {
 		c.cancel()
 	}
@@ -198,20 +201,20 @@
 	}
 }
 
-// attach gives the connection to the engine. All of that happens on the loop's
-// goroutine, so that neither data nor an end can come before its handler.
+// attach adds the connection to the engine. It runs on the loop's goroutine, so that neither data
+// nor an end can arrive before the handler is set.
 func (c *Conn) attach(raw stdnet.Conn) bool {
-	if c.halves {
+	if c.halfClose {
 		c.attachPlain(raw)
 		return true
 	}
-	// nbio duplicates the descriptor for whatever process is started next to
-	// inherit: a plug-in's host would keep the connection open after its end
-	// here, and the poller would turn for ever on what is no connection any more.
+	// nbio duplicates the descriptor without close-on-exec. A child process such as a plug-in's
+	// host would inherit it and keep the connection open after it is closed here, and the poller
+	// would spin on the dead descriptor.
 	syscall.ForkLock.RLock()
 	nc, err := nbio.NBConn(raw)
 	if err == nil {
-		syscall.CloseOnExec(nc.Hash()) // which is the descriptor
+		syscall.CloseOnExec(nc.Hash()) // Hash returns the descriptor
 	}
 	syscall.ForkLock.RUnlock()
 	if err != nil {
@@ -219,8 +222,8 @@
 		return false
 	}
 	nc.SetSession(c)
-	c.count(nc.Hash())
-	c.engine.meet()
+	c.recordReadBefore(nc.Hash())
+	c.engine.synchronize()
 	if _, err := c.engine.nb.AddConn(nc); err != nil {
 		return false
 	}
@@ -230,36 +233,36 @@
 
 func (c *Conn) data(b []byte) {
 	if c.detached {
-		c.rest = append(c.rest, b...)
+		c.leftover = append(c.leftover, b...)
 		return
 	}
-	if c.over || c.handler == nil {
+	if c.closed || c.handler == nil {
 		return
 	}
 	c.in += len(b)
-	c.handed += len(b)
+	c.delivered += len(b)
 	c.handler.Data(b)
 }
 
-// ended is the other side's end, or the network's.
-func (c *Conn) ended(code Code) {
-	if c.over {
+// remoteClosed handles an end caused by the peer or the network.
+func (c *Conn) remoteClosed(code Code) {
+	if c.closed {
 		return
 	}
 	if !c.up && code != Limit {
 		code = DialFailed
 	}
-	c.end(code)
+	c.finish(code)
 	if c.handler != nil {
 		c.handler.Closed(code)
 	}
 }
 
-// end books the end and leaves the connection's one line in the log.
-func (c *Conn) end(code Code) {
-	c.over = true
-	if c.booked {
-		c.engine.book(c, -1)
+// finish updates the counts and logs the connection's one log line.
+func (c *Conn) finish(code Code) {
+	c.closed = true
+	if c.counted {
+		c.engine.countOpen(c, -1)
 	}
 	c.engine.cfg.Log.Info("connection ended", "kind", c.kind, "peer", c.peer, "code", string(code),
 		"in", c.in, "out", c.out, "ms", time.Since(c.since).Milliseconds())
--- a/internal/net/datagrams.go
+++ b/internal/net/datagrams.go
@@ -10,29 +10,29 @@
 	"time"
 )
 
-// Datagrams is a socket for notes between the couriers of a fleet. Its reader only hands
-// work to the loop's goroutine; nothing here waits for anybody, and what cannot be sent
-// or looked at in time is lost.
+// Datagrams is a UDP socket for messages between the couriers of a fleet. Its reader only posts
+// work to the loop's goroutine. It never blocks: datagrams that cannot be sent or processed in time
+// are dropped.
 type Datagrams struct {
-	conn    *stdnet.UDPConn
-	peers   *Peers
-	log     *slog.Logger
-	pending atomic.Int32
-	failed  bool // the last one could not be sent, which has been logged
+	conn       *stdnet.UDPConn
+	peers      *Peers
+	log        *slog.Logger
+	pending    atomic.Int32
+	sendFailed bool // the last send failed and was logged
 
-	sent, sentBytes, received, receivedBytes, strange, oversize, crowded atomic.Uint64
+	sent, sentBytes, received, receivedBytes, unknownSender, oversize, overflow atomic.Uint64
 }
 
-// DatagramCounts are since the socket was opened. Bytes are without headers.
+// DatagramCounts counts datagrams since the socket was opened. Bytes exclude headers.
 type DatagramCounts struct {
 	Sent, SentBytes         uint64
-	Received, ReceivedBytes uint64 // and handed on
-	Strange                 uint64 // dropped: from nobody's address
-	Oversize                uint64 // dropped: too long
-	Crowded                 uint64 // dropped: too many have not been looked at
+	Received, ReceivedBytes uint64 // and passed to the handler
+	Strange                 uint64 // dropped: unknown sender address
+	Oversize                uint64 // dropped: over the size limit
+	Crowded                 uint64 // dropped: too many unprocessed datagrams
 }
 
-// LogValue puts the counts in a line of the log.
+// LogValue returns the counts as a log group.
 func (n DatagramCounts) LogValue() slog.Value {
 	return slog.GroupValue(
 		slog.Uint64("sent", n.Sent), slog.Uint64("sent_bytes", n.SentBytes), slog.Uint64("received", n.Received),
@@ -41,13 +41,15 @@
 	)
 }
 
-// Peers are the couriers of a fleet by number. They may be shared, and do not change.
+// Peers is the address table of a fleet's couriers, by courier number. It is immutable and may be
+// shared.
 type Peers struct {
 	numbers map[netip.AddrPort]int
-	each    []netip.AddrPort
+	addrs   []netip.AddrPort
 }
 
-// NewPeers reads the peers' addresses by number. One that is none cannot be told anything.
+// NewPeers parses the peers' addresses, ordered by number. Nothing can be sent to a peer whose
+// address is invalid.
 func NewPeers(each []string) *Peers {
 	x := &Peers{numbers: map[netip.AddrPort]int{}}
 	for i, a := range each {
@@ -55,53 +57,55 @@
 		if err == nil {
 			x.numbers[p] = i
 		}
-		x.each = append(x.each, p)
+		x.addrs = append(x.addrs, p)
 	}
 	return x
 }
 
-// datagramsPending bounds those that have been read and not been looked at.
-const datagramsPending = 1024
+// maxPendingDatagrams limits the datagrams that are read and not yet processed.
+const maxPendingDatagrams = 1024
 
-// Datagram is told of what a peer, by its number, has sent. b is its to keep.
-type Datagram func(peer int, b []byte)
+// DatagramHandler is called with each datagram and the number of the peer that sent it. The handler
+// owns b.
+type DatagramHandler func(peer int, b []byte)
 
-// Exchange opens the socket at listen. Datagrams over most bytes, and from anybody but the
-// peers, are dropped.
-func Exchange(listen string, peers *Peers, most int, post func(func()), log *slog.Logger, got Datagram) (*Datagrams, error) {
-	at, err := netip.ParseAddrPort(listen)
+// Exchange opens the socket at listen. Datagrams over maxSize bytes and those of unknown senders
+// are dropped.
+func Exchange(listen string, peers *Peers, maxSize int, post func(func()), log *slog.Logger, handler DatagramHandler) (*Datagrams, error) {
+	addr, err := netip.ParseAddrPort(listen)
 	if err != nil {
-		return nil, fmt.Errorf("listen for notes: %w", err)
+		return nil, fmt.Errorf("listen for peer messages: %w", err)
 	}
 	d := &Datagrams{peers: peers, log: log}
-	if d.conn, err = stdnet.ListenUDP("udp4", stdnet.UDPAddrFromAddrPort(at)); err != nil {
-		return nil, fmt.Errorf("listen for notes: %w", err)
+	if d.conn, err = stdnet.ListenUDP("udp4", stdnet.UDPAddrFromAddrPort(addr)); err != nil {
+		return nil, fmt.Errorf("listen for peer messages: %w", err)
 	}
-	go d.read(d.conn, time.Sleep, most, post, got)
+	go d.read(d.conn, time.Sleep, maxSize, post, handler)
 	return d, nil
 }
 
-// readAgain is how long a reader rests after an error: one that lasts must not keep it busy.
-const readAgain = 10 * time.Millisecond
+// readRetryDelay is the pause after a read error, which keeps a persistent error from using up the
+// CPU.
+const readRetryDelay = 10 * time.Millisecond
 
-// datagramReader is what read needs of a socket.
+// datagramReader is the part of a UDP socket that read needs.
 type datagramReader interface {
 	ReadFromUDPAddrPort(b []byte) (n int, from netip.AddrPort, err error)
 }
 
-func (d *Datagrams) read(conn datagramReader, rest func(time.Duration), most int, post func(func()), got Datagram) {
-	buf := make([]byte, most+1)
+func (d *Datagrams) read(conn datagramReader, sleep func(time.Duration), maxSize int, post func(func()), handler DatagramHandler) {
+	buf := make([]byte, maxSize+1)
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, stdnet.ErrClosed) {
 			return
 		}
 		if err != nil {
-			rest(readAgain)
+			sleep(readRetryDelay)
 			continue
 		}
 		peer, known := d.peers.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if dropped := d.drop(known, n > most); dropped {
+		if dropped := d.drop(known, n > maxSize); dropped {
 			continue
 		}
 		d.received.Add(1)
@@ -110,52 +114,52 @@
 		d.pending.Add(1)
 		post(func() {
 			d.pending.Add(-1)
-			got(peer, b)
+			handler(peer, b)
 		})
 	}
 }
 
-// drop tells whether what has been read is dropped, and counts why.
+// drop reports whether a datagram is dropped, and counts the reason.
 func (d *Datagrams) drop(known, oversize bool) bool {
 	switch {
 	case !known:
-		d.strange.Add(1)
+		d.unknownSender.Add(1)
 	case oversize:
 		d.oversize.Add(1)
-	case d.pending.Load() >= datagramsPending:
-		d.crowded.Add(1)
+	case d.pending.Load() >= maxPendingDatagrams:
+		d.overflow.Add(1)
 	default:
 		return false
 	}
 	return true
 }
 
-// Counts tells what has gone to and fro. Any goroutine may ask.
+// Counts returns the current counts. It is safe for concurrent use.
 func (d *Datagrams) Counts() DatagramCounts {
 	return DatagramCounts{
 		Sent: d.sent.Load(), SentBytes: d.sentBytes.Load(), Received: d.received.Load(), ReceivedBytes: d.receivedBytes.Load(),
-		Strange: d.strange.Load(), Oversize: d.oversize.Load(), Crowded: d.crowded.Load(),
+		Strange: d.unknownSender.Load(), Oversize: d.oversize.Load(), Crowded: d.overflow.Load(),
 	}
 }
 
-// Send sends one datagram to a peer, by its number.
+// Send sends one datagram to the peer with this number.
 func (d *Datagrams) Send(peer int, b []byte) {
-	if peer < 0 || peer >= len(d.peers.each) || !d.peers.each[peer].IsValid() {
+	if peer < 0 || peer >= len(d.peers.addrs) || !d.peers.addrs[peer].IsValid() {
 		return
 	}
-	_, err := d.conn.WriteToUDPAddrPort(b, d.peers.each[peer])
+	_, err := d.conn.WriteToUDPAddrPort(b, d.peers.addrs[peer])
 	if err == nil {
 		d.sent.Add(1)
 		d.sentBytes.Add(uint64(len(b)))
 	}
-	if err != nil && !d.failed && !errors.Is(err, stdnet.ErrClosed) {
-		d.log.Warn("a note could not be sent", "to", d.peers.each[peer], "err", err)
+	if err != nil && !d.sendFailed && !errors.Is(err, stdnet.ErrClosed) {
+		d.log.Warn("cannot send a peer message", "to", d.peers.addrs[peer], "err", err)
 	}
-	d.failed = err != nil
+	d.sendFailed = err != nil
 }
 
-// Addr is where it listens.
+// Addr returns the local address.
 func (d *Datagrams) Addr() string { return d.conn.LocalAddr().String() }
 
-// Close ends it.
+// Close closes the socket.
 func (d *Datagrams) Close() { d.conn.Close() }
--- a/internal/net/engine.go
+++ b/internal/net/engine.go
@@ -1,6 +1,6 @@
-// Package net owns the sockets: the nbio engine, the limit on connections and
-// the codes with which connections end. Its callbacks only hand work to the
-// loop's goroutine; a Conn and its Handler belong to that goroutine.
+// Package net owns the sockets: the nbio engine, the limit on connections and the codes with which
+// connections end. Engine callbacks only post work to the loop's goroutine; a Conn and its Handler
+// belong to that goroutine.
 package net
 
 import (
@@ -24,108 +24,109 @@
 	"snowjunction/internal/handover"
 )
 
-// Code is the reason for which a connection ended; docs/oncall.md lists them.
+// Code is the reason why a connection ended; docs/oncall.md lists the codes.
 type Code string
 
-// The codes.
+// The connection end codes.
 const (
-	PeerClosed  Code = "peer_closed"  // the other side ended it
-	PeerReset   Code = "peer_reset"   // it broke
-	DialFailed  Code = "dial_failed"  // it never came up: refused or unreachable
-	DialTimeout Code = "dial_timeout" // it never came up: silence
-	CallTimeout Code = "call_timeout" // the call on it was given up
-	Protocol    Code = "protocol"     // the other side broke its protocol
-	Idle        Code = "idle"         // unused for too long
-	Stale       Code = "stale"        // an idle one that its other side has ended, or sent something on
-	Dropped     Code = "dropped"      // an idle one that the module no longer trusts
-	Drained     Code = "drained"      // its target leaves the target group
-	Moved       Code = "moved"        // the platform is at another address now
-	Finished    Code = "finished"     // one side had asked for an end after this exchange
-	Spared      Code = "spared"       // ended to make room for another
-	Limit       Code = "limit"        // no room for another connection
-	Slow        Code = "slow"         // the other side does not read what it is sent
-	Abuse       Code = "abuse"        // too much of what costs only this side
-	Shutdown    Code = "shutdown"     // the courier ends
-	Unknown     Code = "unknown"      // a message from it was forwarded, and what became of that is not known
-	ClientGone  Code = "client_gone"  // who handed in the message that was forwarded on it has gone
-	HandedOver  Code = "handed_over"  // another process of this courier goes on with it
+	PeerClosed  Code = "peer_closed"  // the peer closed the connection
+	PeerReset   Code = "peer_reset"   // the connection broke
+	DialFailed  Code = "dial_failed"  // dial failed: refused or unreachable
+	DialTimeout Code = "dial_timeout" // dial failed: no answer in time
+	CallTimeout Code = "call_timeout" // the call on the connection timed out
+	Protocol    Code = "protocol"     // the peer violated its protocol
+	Idle        Code = "idle"         // idle for too long
+	Stale       Code = "stale"        // an idle connection that the peer closed, or sent unexpected data on
+	Dropped     Code = "dropped"      // an idle connection that the decision module no longer trusts
+	Drained     Code = "drained"      // its target is leaving the target group
+	Moved       Code = "moved"        // the platform has moved to another address
+	Finished    Code = "finished"     // one side asked to close after this exchange
+	Spared      Code = "spared"       // evicted to make room for another connection
+	Limit       Code = "limit"        // the connection limit is reached
+	SlowPeer    Code = "slow"         // the peer does not read what it is sent
+	Abuse       Code = "abuse"        // too many requests that are costly for this side only
+	Shutdown    Code = "shutdown"     // the courier is shutting down
+	Unknown     Code = "unknown"      // a message from this connection was forwarded and its outcome is unknown
+	ClientGone  Code = "client_gone"  // the client of the message that was forwarded on this connection is gone
+	HandedOver  Code = "handed_over"  // another process of this courier took over the connection
 )
 
-// Handler is told what happens on a connection, on the loop's goroutine.
+// Handler receives the events of a connection, on the loop's goroutine.
 type Handler interface {
-	Opened()          // a dialled connection is up
-	Data(b []byte)    // b is the handler's to keep
-	Closed(code Code) // the last call; not made for a Close of one's own
+	Opened()          // a dialed connection is established
+	Data(b []byte)    // the handler owns b
+	Closed(code Code) // last call; not made after the handler's own Close
 }
 
-// Config is what an engine needs to know.
+// Config configures an Engine.
 type Config struct {
-	Post     func(func()) // hands work to the loop's goroutine
+	Post     func(func()) // posts work to the loop's goroutine
 	Log      *slog.Logger
-	MaxConns int // connections open at once, listeners' and targets' together
-	// Kept are connections, by kind, that are kept for it whatever the others need: clients that
-	// rest and calls to targets could else cut the courier off from those that it has to hear.
+	MaxConns int // limit on open connections, accepted and dialed together
+	// Kept is the number of connections, by kind, that are reserved for that kind. Without a
+	// reservation, idle clients and calls to targets could take all connections and cut the courier
+	// off from those it depends on.
 	Kept map[string]int
 }
 
 // Engine opens and accepts connections.
 type Engine struct {
-	cfg       Config
-	nb        *nbio.Engine
-	open      int
-	opened    map[string]int // of these, by kind
-	accepted  int            // of these, by listeners
-	listeners []listener
-	idle      []func() bool // each ends a dialled connection that is not in use, if there is one
-	accepting sync.WaitGroup
-	reading   sync.WaitGroup // of plain connections
-	plains    map[*plain]bool
-	halves    map[string]bool // kinds whose connections are plain
-	inherited map[string]stdnet.Listener
-	halting   atomic.Bool
-	stopped   chan struct{}
-
-	mu      sync.Mutex
-	looked  *sync.Cond // something pending has been looked at
-	pending int        // bytes
+	cfg           Config
+	nb            *nbio.Engine
+	openCount     int
+	openByKind    map[string]int // open connections by kind
+	acceptedCount int            // open connections that listeners accepted
+	listeners     []listener
+	idleEvictors  []func() bool // each closes one idle dialed connection and returns true, or returns false
+	accepting     sync.WaitGroup
+	plainReaders  sync.WaitGroup // readers of plain connections
+	plainConns    map[*plain]bool
+	halfClose     map[string]bool // kinds whose connections are plain and may be half-closed
+	inherited     map[string]stdnet.Listener
+	halting       atomic.Bool
+	stopped       chan struct{}
+
+	mu           sync.Mutex
+	processed    *sync.Cond // signaled when pending bytes have been processed
+	pendingBytes int        // bytes read and not yet processed by the loop
 }
 
-// acceptShare of the connections may be listeners'. The rest is kept for
-// targets and the platform, or clients could cut the courier off from both.
-const acceptShare = 0.7
+// maxAcceptedShare is the share of connections that listeners may accept. The rest is reserved for
+// targets and the platform: otherwise clients could cut the courier off from both.
+const maxAcceptedShare = 0.7
 
-// pendingMost bounds what has been read and not been looked at: a peer that
-// sends faster than the loop reads would have it pile up in memory.
-const pendingMost = 512 << 10
+// maxPendingBytes limits the bytes that are read and not yet processed: data of a peer that sends
+// faster than the loop processes would otherwise pile up in memory.
+const maxPendingBytes = 512 << 10
 
 const (
-	readBuffer  = 16 << 10
-	readTimes   = 8       // the engine drops what it has not read when the other side has closed: a whole answer must fit
-	writeBuffer = 1 << 20 // a peer that lets more pile up is too slow
+	readBufferSize   = 16 << 10
+	maxReadsPerEvent = 8       // nbio drops unread data once the peer has closed, so this must cover a whole answer
+	maxWriteBuffer   = 1 << 20 // bytes; a peer that leaves more unread is too slow
 )
 
 // New starts an engine.
 func New(cfg Config) (*Engine, error) {
 	logging.SetLevel(logging.LevelNone)
-	// The engine keeps a table of this size; its default is for two million.
+	// nbio allocates a table of this size; its default is two million entries.
 	nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, cfg.MaxConns+4096)
-	e := &Engine{cfg: cfg, opened: map[string]int{}, stopped: make(chan struct{}), plains: map[*plain]bool{}, halves: map[string]bool{}, nb: nbio.NewEngine(nbio.Config{
-		NPoller: 1, ReadBufferSize: readBuffer, MaxWriteBufferSize: writeBuffer,
-		MaxConnReadTimesPerEventLoop: readTimes,
+	e := &Engine{cfg: cfg, openByKind: map[string]int{}, stopped: make(chan struct{}), plainConns: map[*plain]bool{}, halfClose: map[string]bool{}, nb: nbio.NewEngine(nbio.Config{
+		NPoller: 1, ReadBufferSize: readBufferSize, MaxWriteBufferSize: maxWriteBuffer,
+		MaxConnReadTimesPerEventLoop: maxReadsPerEvent,
 	})}
-	e.looked = sync.NewCond(&e.mu)
+	e.processed = sync.NewCond(&e.mu)
 	e.nb.OnData(func(nc *nbio.Conn, data []byte) {
 		c, ok := nc.Session().(*Conn)
 		if !ok {
 			return
 		}
 		b := append([]byte(nil), data...)
-		e.queue(len(b))
-		c.coming.Add(1)
+		e.reservePending(len(b))
+		c.unprocessed.Add(1)
 		cfg.Post(func() {
-			c.coming.Add(-1)
+			c.unprocessed.Add(-1)
 			c.data(b)
-			e.unqueue(len(b))
+			e.releasePending(len(b))
 		})
 	})
 	e.nb.OnClose(func(nc *nbio.Conn, err error) {
@@ -134,13 +135,13 @@
 			if e.halting.Load() {
 				code = Shutdown
 			}
-			cfg.Post(func() { c.ended(code) })
+			cfg.Post(func() { c.remoteClosed(code) })
 		}
 	})
 	e.nb.OnWrittenSize(func(nc *nbio.Conn, _ []byte, n int) {
 		if c, ok := nc.Session().(*Conn); ok {
-			e.meet()
-			c.written.Add(int64(n))
+			e.synchronize()
+			c.kernelWritten.Add(int64(n))
 		}
 	})
 	if err := e.nb.Start(); err != nil {
@@ -149,36 +150,37 @@
 	return e, nil
 }
 
-// meet orders what the loop has done to a connection before what the engine's reader does: nbio
-// passes it between them by the kernel alone.
-func (e *Engine) meet() {
+// synchronize makes what the loop did to a connection happen before what the engine's reader does
+// next (in terms of the memory model): nbio passes connections between them through the kernel
+// only.
+func (e *Engine) synchronize() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 }
 
-// queue makes the engine's reader wait while too much is pending. The loop
-// never waits for the reader, so this ends.
-func (e *Engine) queue(n int) {
+// reservePending blocks the engine's reader while too many bytes are pending. The loop never waits
+// for the reader, so this cannot deadlock.
+func (e *Engine) reservePending(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for e.pending >= pendingMost {
-		e.looked.Wait()
+	for e.pendingBytes >= maxPendingBytes {
+		e.processed.Wait()
 	}
-	e.pending += n
+	e.pendingBytes += n
 }
 
-func (e *Engine) unqueue(n int) {
+func (e *Engine) releasePending(n int) {
 	e.mu.Lock()
-	e.pending -= n
+	e.pendingBytes -= n
 	e.mu.Unlock()
-	e.looked.Signal()
+	e.processed.Signal()
 }
 
-// Halves lets the other sides of a kind's accepted connections end what they send and still be
-// answered: their handlers are HalfClosed. It is called before the kind is listened for.
-func (e *Engine) Halves(kind string) { e.halves[kind] = true }
+// Halves allows the peers of a kind's accepted connections to close their sending side and still be
+// answered; their handlers implement HalfClosed. It must be called before Listen for that kind.
+func (e *Engine) Halves(kind string) { e.halfClose[kind] = true }
 
-// Stop closes the listeners; connections are their owners' to close.
+// Stop closes the listeners. Connections are closed by their owners.
 func (e *Engine) Stop() {
 	select {
 	case <-e.stopped:
@@ -190,10 +192,10 @@
 		l.Close()
 	}
 	e.listeners = nil
-	e.Disinherit()
+	e.CloseInherited()
 }
 
-// Unlisten closes the listener on an address. What it has accepted goes on.
+// Unlisten closes the listener on an address. Connections that it accepted stay open.
 func (e *Engine) Unlisten(addr string) {
 	e.listeners = slices.DeleteFunc(e.listeners, func(l listener) bool {
 		if l.Addr().String() != addr {
@@ -207,14 +209,14 @@
 type listener struct {
 	stdnet.Listener
 	kind  string
-	spare func() bool
+	evict func() bool
 }
 
-// Reserve binds the address that Listen will listen on for a kind, unless a listener has been
-// inherited for that.
+// Reserve binds the address that Listen will use for a kind, unless a listener was inherited for
+// it.
 func (e *Engine) Reserve(kind, addr string) error {
 	l := e.inherited[kind]
-	if l != nil && same(l.Addr().String(), addr) {
+	if l != nil && sameAddress(l.Addr().String(), addr) {
 		return nil
 	}
 	if l != nil {
@@ -229,8 +231,8 @@
 	return nil
 }
 
-// Free tells whether an address can be listened on, or why it cannot.
-func Free(kind, addr string) error {
+// CheckAddress returns an error if an address cannot be listened on.
+func CheckAddress(kind, addr string) error {
 	l, err := stdnet.Listen("tcp", addr)
 	if err != nil {
 		return fmt.Errorf("listen for %s: %w", kind, err)
@@ -238,8 +240,9 @@
 	return l.Close()
 }
 
-// same tells whether a listener at have is what want asks for, which may leave the port open.
-func same(have, want string) bool {
+// sameAddress reports whether a listener at have satisfies the address want, whose port may be 0
+// (any port).
+func sameAddress(have, want string) bool {
 	host, port, err := stdnet.SplitHostPort(want)
 	if err == nil && port == "0" {
 		at, _, _ := stdnet.SplitHostPort(have)
@@ -255,8 +258,8 @@
 	e.inherited[kind] = l
 }
 
-// Inherit has Listen go on, for a kind, with a socket that another process has listened on.
-// The descriptor is the engine's from then on.
+// Inherit makes Listen use, for a kind, a socket on which another process listened. The engine
+// takes ownership of the descriptor.
 func (e *Engine) Inherit(kind string, fd int) error {
 	f := os.NewFile(uintptr(fd), kind)
 	defer f.Close()
@@ -268,20 +271,20 @@
 	return nil
 }
 
-// Disinherit closes what was inherited or reserved and that nothing listens on.
-func (e *Engine) Disinherit() {
+// CloseInherited closes the listeners that were inherited or reserved and not used by Listen.
+func (e *Engine) CloseInherited() {
 	for _, l := range e.inherited {
 		l.Close()
 	}
 	e.inherited = nil
 }
 
-// Retire stops accepting and calls done with copies of the listening sockets, by kind, once
-// all that has been accepted has its handler. What waits in their queues stays there.
+// Retire stops accepting and calls done with duplicates of the listening sockets, by kind, once
+// every accepted connection has its handler. Connections in the accept queues stay there.
 func (e *Engine) Retire(done func(fds map[string]int)) {
 	fds := map[string]int{}
 	for _, l := range e.listeners {
-		if fd, err := copyOf(l.Listener); err == nil {
+		if fd, err := dupSocket(l.Listener); err == nil {
 			fds[l.kind] = fd
 		}
 		l.Close()
@@ -293,21 +296,21 @@
 	}()
 }
 
-// Halt ends the engine, with all connections that have not been detached, and calls done once
-// all that had been read has been looked at.
+// Halt stops the engine and all connections that are not detached, and calls done once all data
+// that was read has been processed.
 func (e *Engine) Halt(done func()) {
 	e.halting.Store(true)
-	for p := range e.plains {
+	for p := range e.plainConns {
 		p.raw.Close()
 	}
 	go func() {
 		e.nb.Stop()
-		e.reading.Wait()
+		e.plainReaders.Wait()
 		e.cfg.Post(done)
 	}()
 }
 
-func copyOf(x any) (int, error) {
+func dupSocket(x any) (int, error) {
 	sc, ok := x.(syscall.Conn)
 	if !ok {
 		return -1, errors.ErrUnsupported
@@ -317,74 +320,75 @@
 		return -1, err
 	}
 	fd, cerr := -1, error(nil)
-	if err := rc.Control(func(p uintptr) { fd, cerr = handover.Copy(int(p)) }); err != nil {
+	if err := rc.Control(func(p uintptr) { fd, cerr = handover.DupDescriptor(int(p)) }); err != nil {
 		return -1, err
 	}
 	return fd, cerr
 }
 
-// Adopt goes on with a connection that another process has had, whose descriptor is the
-// engine's from then on. kind and accepted are as for any; handler hears of what comes. It is
-// nil where there is no room or the descriptor is none.
+// Adopt continues a connection of another process. The engine takes ownership of its descriptor.
+// kind and accepted have the same meaning as for other connections; handler receives the events.
+// Adopt returns nil if there is no room or the descriptor is invalid.
 func (e *Engine) Adopt(kind string, accepted bool, from handover.Conn, handler Handler) *Conn {
 	f := os.NewFile(uintptr(from.FD), kind)
 	raw, err := stdnet.FileConn(f)
 	f.Close()
 	if err != nil {
-		e.cfg.Log.Warn("a connection could not be taken over", "kind", kind, "peer", from.Peer, "err", err)
+		e.cfg.Log.Warn("cannot take over a connection", "kind", kind, "peer", from.Peer, "err", err)
 		return nil
 	}
-	c := &Conn{engine: e, kind: kind, peer: from.Peer, since: from.Since, accepted: accepted, handler: handler, in: from.In, out: from.Out, halves: e.halves[kind]}
-	c.written.Store(int64(from.Out))
-	e.book(c, 1)
+	c := &Conn{engine: e, kind: kind, peer: from.Peer, since: from.Since, accepted: accepted, handler: handler, in: from.In, out: from.Out, halfClose: e.halfClose[kind]}
+	c.kernelWritten.Store(int64(from.Out))
+	e.countOpen(c, 1)
 	if !c.attach(raw) {
-		c.end(Limit)
+		c.finish(Limit)
 		return nil
 	}
 	return c
 }
 
-// book counts a connection that is opened, 1, or ends, -1.
-func (e *Engine) book(c *Conn, n int) {
-	c.booked = n > 0
-	e.open += n
-	e.opened[c.kind] += n
+// countOpen counts a connection that is opened (n is 1) or ends (n is -1).
+func (e *Engine) countOpen(c *Conn, n int) {
+	c.counted = n > 0
+	e.openCount += n
+	e.openByKind[c.kind] += n
 	if c.accepted {
-		e.accepted += n
+		e.acceptedCount += n
 	}
 }
 
-// over tells that a kind has more connections than there is room for, with what is kept for others.
-func (e *Engine) over(kind string) bool {
-	most := e.cfg.MaxConns
+// overLimit reports whether a kind has more connections than the limit allows, given the
+// reservations of other kinds.
+func (e *Engine) overLimit(kind string) bool {
+	limit := e.cfg.MaxConns
 	for k, n := range e.cfg.Kept {
 		if k != kind {
-			most -= max(0, n-e.opened[k])
+			limit -= max(0, n-e.openByKind[k])
 		}
 	}
-	return e.open > most
+	return e.openCount > limit
 }
 
-// SpareIdle has a connection that is dialled and not in use make room for others; spare ends one
-// and tells whether it has.
-func (e *Engine) SpareIdle(spare func() bool) { e.idle = append(e.idle, spare) }
+// SpareIdle registers a function that closes an idle dialed connection to make room. It returns
+// false if there is none.
+func (e *Engine) SpareIdle(evict func() bool) { e.idleEvictors = append(e.idleEvictors, evict) }
 
-// spareIdle makes room by a dialled connection that is not in use.
-func (e *Engine) spareIdle() bool {
-	for _, spare := range e.idle {
-		if spare() {
+// evictIdle closes an idle dialed connection to make room. It returns false if there is none.
+func (e *Engine) evictIdle() bool {
+	for _, evict := range e.idleEvictors {
+		if evict() {
 			return true
 		}
 	}
 	return false
 }
 
-// spareAccepted makes room for a kind by an accepted connection that is not needed: its own first,
-// then another's, if none are kept for that.
-func (e *Engine) spareAccepted(kind string) bool {
+// evictAccepted closes an accepted connection that is not needed to make room for one of a kind:
+// first one of the same kind, then one of a kind without reservations.
+func (e *Engine) evictAccepted(kind string) bool {
 	for _, own := range []bool{true, false} {
 		for _, l := range e.listeners {
-			if (l.kind == kind) == own && (own || e.cfg.Kept[l.kind] == 0) && l.spare() {
+			if (l.kind == kind) == own && (own || e.cfg.Kept[l.kind] == 0) && l.evict() {
 				return true
 			}
 		}
@@ -392,26 +396,25 @@
 	return false
 }
 
-// Most is the number of connections that may be open at once.
+// Most returns the limit on open connections.
 func (e *Engine) Most() int { return e.cfg.MaxConns }
 
-// Open is the number of connections that are open or being opened.
-func (e *Engine) Open() int { return e.open }
+// Open returns the number of connections that are open or being opened.
+func (e *Engine) Open() int { return e.openCount }
 
-// Kinds is the same number, by kind.
-func (e *Engine) Kinds() map[string]int { return maps.Clone(e.opened) }
+// Kinds returns the number of open connections by kind.
+func (e *Engine) Kinds() map[string]int { return maps.Clone(e.openByKind) }
 
-// Listen accepts connections on addr; accept gives each its handler. Where
-// there is no room, spare may end one that is not needed, and tells whether it
-// has. Listen returns the address, which tells the port where addr leaves it
-// open.
-func (e *Engine) Listen(kind, addr string, accept func(*Conn) Handler, spare func() bool) (string, error) {
+// Listen accepts connections on addr; accept returns the handler of each. If there is no room,
+// evict may close a connection that is not needed and then returns true. Listen returns the bound
+// address, which includes the port if addr leaves it open.
+func (e *Engine) Listen(kind, addr string, accept func(*Conn) Handler, evict func() bool) (string, error) {
 	if err := e.Reserve(kind, addr); err != nil {
 		return "", err
 	}
 	l := e.inherited[kind]
 	delete(e.inherited, kind)
-	e.listeners = append(e.listeners, listener{l, kind, spare})
+	e.listeners = append(e.listeners, listener{l, kind, evict})
 	e.accepting.Add(1)
 	go func() {
 		defer e.accepting.Done()
@@ -420,7 +423,7 @@
 			switch {
 			case errors.Is(err, stdnet.ErrClosed):
 				return
-			case err != nil: // out of descriptors, say: the next may do better
+			case err != nil: // for example, out of descriptors: a later attempt may succeed
 				time.Sleep(10 * time.Millisecond)
 				continue
 			}
@@ -430,68 +433,68 @@
 	return l.Addr().String(), nil
 }
 
-// roomTries is how often room is looked for, for one that has been accepted: what the others have
-// sent lies unread for no longer, and none of them can be spared before.
-const roomTries = 3
+// maxAdmitTries is how often room is looked for before an accepted connection is closed.
+// Connections show that they can be evicted only once their unread data has been processed.
+const maxAdmitTries = 3
 
-// admit has the loop accept a connection. One at a time: in a burst those not looked at yet would
-// hold descriptors that nothing counts.
+// admit makes the loop accept a connection and waits for the result, one connection at a time: in a
+// burst, pending ones would hold descriptors that are not counted.
 func (e *Engine) admit(kind string, raw stdnet.Conn, accept func(*Conn) Handler) {
 	for n := 1; ; n++ {
 		in := make(chan bool, 1)
-		e.cfg.Post(func() { in <- e.accept(kind, raw, accept, n >= roomTries) })
+		e.cfg.Post(func() { in <- e.accept(kind, raw, accept, n >= maxAdmitTries) })
 		select {
 		case ok := <-in:
 			if ok {
 				return
 			}
 		case <-e.stopped:
-			e.cfg.Post(func() { // which the loop does after the other
+			e.cfg.Post(func() { // runs on the loop after the first attempt
 				if !<-in {
 					e.accept(kind, raw, accept, true)
 				}
 			})
 			return
 		}
-		runtime.Gosched() // to who reads
+		runtime.Gosched() // let the readers run
 	}
 }
 
-// accept gives a connection its handler. Where there is no room it is closed, if this is the last
-// try, or else false is returned.
-func (e *Engine) accept(kind string, raw stdnet.Conn, accept func(*Conn) Handler, last bool) bool {
-	c := &Conn{engine: e, kind: kind, peer: raw.RemoteAddr().String(), since: time.Now(), accepted: true, halves: e.halves[kind]}
-	e.book(c, 1)
-	crowded := float64(e.accepted) > acceptShare*float64(e.cfg.MaxConns) && e.opened[kind] > e.cfg.Kept[kind]
-	if crowded && !e.spareAccepted(kind) || e.over(kind) && !e.spareIdle() && !e.spareAccepted(kind) {
-		if !last {
-			e.book(c, -1)
+// accept gives a connection its handler. If there is no room, it closes the connection on the last
+// try and returns false on earlier ones.
+func (e *Engine) accept(kind string, raw stdnet.Conn, accept func(*Conn) Handler, lastTry bool) bool {
+	c := &Conn{engine: e, kind: kind, peer: raw.RemoteAddr().String(), since: time.Now(), accepted: true, halfClose: e.halfClose[kind]}
+	e.countOpen(c, 1)
+	overShare := float64(e.acceptedCount) > maxAcceptedShare*float64(e.cfg.MaxConns) && e.openByKind[kind] > e.cfg.Kept[kind]
+	if overShare && !e.evictAccepted(kind) || e.overLimit(kind) && !e.evictIdle() && !e.evictAccepted(kind) {
+		if !lastTry {
+			e.countOpen(c, -1)
 			return false
 		}
-		c.end(Limit)
+		c.finish(Limit)
 		raw.Close()
 		return true
 	}
 	if !c.attach(raw) {
-		c.end(Limit)
+		c.finish(Limit)
 		return true
 	}
 	c.handler = accept(c)
 	return true
 }
 
-// Dial opens a connection; where there is no room, one that is not needed makes it. The handler
-// learns of its fate later, never within this call.
+// Dial opens a connection; if there is no room, it evicts one that is not needed. The handler is
+// called later, never within Dial.
 //
-// The engine's own DialAsync puts the first four bytes of a 16-byte address on
-// the wire, which are zeros for IPv4, so the standard library dials.
+// nbio's DialAsync puts the first four bytes of a 16-byte address on the wire, which are zeros for
+// IPv4, so the standard library dials.
 func (e *Engine) Dial(kind, addr string, h Handler) *Conn {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Conn{engine: e, kind: kind, peer: addr, since: time.Now(), handler: h, cancel: cancel}
-	e.book(c, 1)
-	if e.over(kind) && !e.spareIdle() && !e.spareAccepted(kind) {
-		e.book(c, -1) // before it hears of that: the next may be one that has room kept for it
-		e.cfg.Post(func() { c.ended(Limit) })
+	e.countOpen(c, 1)
+	if e.overLimit(kind) && !e.evictIdle() && !e.evictAccepted(kind) {
+		e.countOpen(c, -1) // uncount before the handler runs: its next connection may have a reservation
+		e.cfg.Post(func() { c.remoteClosed(Limit) })
 		return c
 	}
 	go func() {
@@ -500,13 +503,13 @@
 		e.cfg.Post(func() {
 			switch {
 			case err != nil:
-				c.ended(DialFailed)
-			case c.over: // closed while it was being opened
+				c.remoteClosed(DialFailed)
+			case c.closed: // closed while dialing
 				raw.Close()
 			case c.attach(raw):
 				c.handler.Opened()
 			default:
-				c.ended(DialFailed)
+				c.remoteClosed(DialFailed)
 			}
 		})
 	}()
@@ -516,7 +519,7 @@
 func codeOf(err error) Code {
 	switch {
 	case errors.Is(err, nbio.ErrOverflow):
-		return Slow
+		return SlowPeer
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE), errors.Is(err, syscall.ETIMEDOUT):
 		return PeerReset
 	}
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// bench runs an engine on a loop of its own and keeps its log.
-type bench struct {
+// testEngine runs an engine with a loop of its own and records its log.
+type testEngine struct {
 	t      *testing.T
 	engine *Engine
 	work   chan func()
@@ -24,20 +24,20 @@
 	log    strings.Builder
 }
 
-func (b *bench) Write(p []byte) (int, error) {
+func (b *testEngine) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.log.Write(p)
 }
 
-func (b *bench) lines() int {
+func (b *testEngine) lines() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return strings.Count(b.log.String(), "connection ended")
 }
 
-func newBench(t *testing.T, most int) *bench {
-	b := &bench{t: t, work: make(chan func(), 1000)}
+func newTestEngine(t *testing.T, most int) *testEngine {
+	b := &testEngine{t: t, work: make(chan func(), 1000)}
 	var err error
 	b.engine, err = New(Config{Post: func(f func()) { b.work <- f }, Log: slog.New(slog.NewTextHandler(b, nil)), MaxConns: most})
 	require.NoError(t, err)
@@ -45,26 +45,27 @@
 	return b
 }
 
-// until runs the loop up to the moment that done says so.
-func (b *bench) until(done func() bool) {
+// until runs the loop until done returns true.
+func (b *testEngine) until(done func() bool) {
 	b.t.Helper()
-	limit := time.After(within)
+	limit := time.After(waitLimit)
 	for !done() {
 		select {
 		case f := <-b.work:
 			f()
 		case <-limit:
-			b.t.Fatal("it does not happen")
+			b.t.Fatal("the condition was not reached in time")
 		}
 	}
 }
 
-// pair is a connection that the engine has accepted for h, its other end and the listener.
-func (b *bench) pair(h Handler) (accepted *Conn, c stdnet.Conn, addr string) {
+// pair returns a connection that the engine accepted for h, its client end and the listener's
+// address.
+func (b *testEngine) pair(h Handler) (accepted *Conn, c stdnet.Conn, addr string) {
 	addr, err := b.engine.Listen("test", "127.0.0.1:0", func(c *Conn) Handler {
 		accepted = c
 		return h
-	}, never)
+	}, neverEvict)
 	require.NoError(b.t, err)
 	c, err = stdnet.Dial("tcp", addr)
 	require.NoError(b.t, err)
@@ -73,29 +74,29 @@
 	return accepted, c, addr
 }
 
-// within is how long an event may fail to come before its test fails.
-const within = 90 * time.Second
+// waitLimit is the time after which a test fails whose event does not occur.
+const waitLimit = 90 * time.Second
 
-func never() bool { return false }
+func neverEvict() bool { return false }
 
-type end struct {
+type recorder struct {
 	opened bool
 	data   string
 	code   Code
 }
 
-func (e *end) Opened()          { e.opened = true }
-func (e *end) Data(b []byte)    { e.data += string(b) }
-func (e *end) Closed(code Code) { e.code = code }
+func (e *recorder) Opened()          { e.opened = true }
+func (e *recorder) Data(b []byte)    { e.data += string(b) }
+func (e *recorder) Closed(code Code) { e.code = code }
 
-func TestTalkAndOneLineForEachEnd(t *testing.T) {
-	b := newBench(t, 10)
-	server, client := &end{}, &end{}
+func TestExchangeLogsOneLinePerConnection(t *testing.T) {
+	b := newTestEngine(t, 10)
+	server, client := &recorder{}, &recorder{}
 	var accepted *Conn
 	addr, err := b.engine.Listen("test", "127.0.0.1:0", func(c *Conn) Handler {
 		accepted = c
 		return server
-	}, never)
+	}, neverEvict)
 	require.NoError(t, err)
 	conn := b.engine.Dial("test", addr, client)
 	assert.False(t, conn.Write([]byte("x")), "not up yet")
@@ -107,20 +108,21 @@
 	accepted.Close(Idle)
 	b.until(func() bool { return client.code != "" })
 	assert.Equal(t, PeerClosed, client.code)
-	assert.Empty(t, server.code, "its own end is told to nobody")
+	assert.Empty(t, server.code, "the handler is not notified of its own close")
 	assert.Equal(t, 2, b.lines())
 	assert.Zero(t, b.engine.Open())
 	assert.False(t, conn.Write([]byte("x")))
 }
 
-// The engine calls back alike for a refused connection and one that is up.
-func TestRefused(t *testing.T) {
-	b := newBench(t, 10)
+// nbio's callbacks do not distinguish a refused connection from one that was established; Dial
+// must.
+func TestDialRefused(t *testing.T) {
+	b := newTestEngine(t, 10)
 	l, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().String()
 	l.Close()
-	client := &end{}
+	client := &recorder{}
 	b.engine.Dial("test", addr, client)
 	b.until(func() bool { return client.code != "" })
 	assert.Equal(t, DialFailed, client.code)
@@ -128,23 +130,23 @@
 	assert.Equal(t, 1, b.lines())
 }
 
-// An address that is no longer listened on refuses, and may be listened on again; what was
-// accepted there and what listens elsewhere goes on.
+// An address refuses connections after Unlisten and can be listened on again; accepted connections
+// and other listeners are not affected.
 func TestUnlisten(t *testing.T) {
-	b := newBench(t, 20)
-	server := &end{}
+	b := newTestEngine(t, 20)
+	server := &recorder{}
 	_, c, addr := b.pair(server)
-	other := &end{}
+	other := &recorder{}
 	b.pair(other)
 	for range 2 {
 		b.engine.Unlisten(addr)
-		refused := &end{}
+		refused := &recorder{}
 		b.engine.Dial("test", addr, refused)
 		b.until(func() bool { return refused.code != "" })
 		assert.Equal(t, DialFailed, refused.code)
-		_, err := b.engine.Listen("test", addr, func(*Conn) Handler { return server }, never)
+		_, err := b.engine.Listen("test", addr, func(*Conn) Handler { return server }, neverEvict)
 		require.NoError(t, err)
-		again := &end{}
+		again := &recorder{}
 		b.engine.Dial("test", addr, again)
 		b.until(func() bool { return again.opened })
 	}
@@ -154,23 +156,23 @@
 	assert.Empty(t, other.code)
 }
 
-// Addresses other than 127.0.0.1 must be reached as they are.
-func TestDialsTheAddressItIsGiven(t *testing.T) {
-	b := newBench(t, 10)
+// Guards against dialing a wrong address: addresses other than 127.0.0.1 must be dialed as given.
+func TestDialUsesGivenAddress(t *testing.T) {
+	b := newTestEngine(t, 10)
 	l, err := stdnet.Listen("tcp", "127.8.1.2:0")
 	require.NoError(t, err)
 	defer l.Close()
-	client := &end{}
+	client := &recorder{}
 	b.engine.Dial("test", l.Addr().String(), client)
 	b.until(func() bool { return client.opened })
 }
 
-func TestClosedWhileDialling(t *testing.T) {
-	b := newBench(t, 10)
+func TestCloseWhileDialing(t *testing.T) {
+	b := newTestEngine(t, 10)
 	l, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	client := &end{}
+	client := &recorder{}
 	conn := b.engine.Dial("test", l.Addr().String(), client)
 	conn.Close(DialTimeout)
 	assert.Zero(t, b.engine.Open())
@@ -180,18 +182,18 @@
 	assert.Equal(t, 1, b.lines())
 }
 
-// Where there is no room a client takes the place of one that can be spared.
-func TestSpare(t *testing.T) {
-	b := newBench(t, 2)
+// If there is no room, a new client replaces a connection that can be evicted.
+func TestEvictionMakesRoom(t *testing.T) {
+	b := newTestEngine(t, 2)
 	var conns []*Conn
-	spare := func() bool {
+	evict := func() bool {
 		conns[0].Close(Spared)
 		return true
 	}
 	addr, err := b.engine.Listen("test", "127.0.0.1:0", func(c *Conn) Handler {
 		conns = append(conns, c)
-		return &end{}
-	}, spare)
+		return &recorder{}
+	}, evict)
 	require.NoError(t, err)
 	for n := 1; n <= 2; n++ {
 		c, err := stdnet.Dial("tcp", addr)
@@ -203,30 +205,31 @@
 	assert.True(t, conns[1].Up())
 }
 
-// A peer that sends faster than the loop looks at it waits, in its own memory.
-func TestReadsNoFasterThanLookedAt(t *testing.T) {
-	b := newBench(t, 2)
-	got := &end{}
-	addr, err := b.engine.Listen("test", "127.0.0.1:0", func(*Conn) Handler { return got }, never)
+// Guards against unbounded memory: data of a peer that sends faster than the loop processes stays
+// in the kernel and at the peer.
+func TestPendingBytesAreLimited(t *testing.T) {
+	b := newTestEngine(t, 2)
+	got := &recorder{}
+	addr, err := b.engine.Listen("test", "127.0.0.1:0", func(*Conn) Handler { return got }, neverEvict)
 	require.NoError(t, err)
 	c, err := stdnet.Dial("tcp", addr)
 	require.NoError(t, err)
 	defer c.Close()
 	b.until(func() bool { return b.engine.Open() == 1 })
-	const all = 8 * pendingMost
+	const all = 8 * maxPendingBytes
 	go func() { _, _ = c.Write(make([]byte, all)) }()
 	b.until(func() bool {
 		b.engine.mu.Lock()
 		defer b.engine.mu.Unlock()
-		require.Less(t, b.engine.pending, pendingMost+readBuffer)
+		require.Less(t, b.engine.pendingBytes, maxPendingBytes+readBufferSize)
 		return len(got.data) == all
 	})
 }
 
-// Clients get a share of the connections, targets the rest.
-func TestLimit(t *testing.T) {
-	b := newBench(t, 2)
-	addr, err := b.engine.Listen("test", "127.0.0.1:0", func(*Conn) Handler { return &end{} }, never)
+// Clients get a share of the connections, and targets the rest.
+func TestConnectionLimit(t *testing.T) {
+	b := newTestEngine(t, 2)
+	addr, err := b.engine.Listen("test", "127.0.0.1:0", func(*Conn) Handler { return &recorder{} }, neverEvict)
 	require.NoError(t, err)
 	first, err := stdnet.Dial("tcp", addr)
 	require.NoError(t, err)
@@ -241,7 +244,7 @@
 	l, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	target, more := &end{}, &end{}
+	target, more := &recorder{}, &recorder{}
 	b.engine.Dial("test", l.Addr().String(), target)
 	b.until(func() bool { return target.opened })
 	b.engine.Dial("test", l.Addr().String(), more)
@@ -250,14 +253,14 @@
 	assert.Equal(t, 2, b.engine.Open())
 }
 
-// A process that is started must not inherit connections: it would keep them open
-// after their end here, and the engine would turn on them for ever.
-func TestConnectionsAreNotInherited(t *testing.T) {
-	b := newBench(t, 4)
+// Guards against child processes that inherit connections: they would keep them open after their
+// end here, and the poller would spin on them.
+func TestConnectionsAreCloseOnExec(t *testing.T) {
+	b := newTestEngine(t, 4)
 	l, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	e := &end{}
+	e := &recorder{}
 	c := b.engine.Dial("test", l.Addr().String(), e)
 	b.until(func() bool { return e.opened })
 	flags, _, errno := syscall.Syscall(syscall.SYS_FCNTL, uintptr(c.nc.Hash()), syscall.F_GETFD, 0)
@@ -266,35 +269,35 @@
 	c.Close(Shutdown)
 }
 
-// What has come and not been looked at is known of, in the socket and on its way.
+// Unread reports unprocessed bytes, both in the socket and on their way to the loop.
 func TestUnread(t *testing.T) {
-	b := newBench(t, 10)
-	server := &end{}
+	b := newTestEngine(t, 10)
+	server := &recorder{}
 	accepted, c, _ := b.pair(server)
 	assert.False(t, accepted.Unread())
 	_, err := c.Write([]byte("x"))
 	require.NoError(t, err)
-	require.Eventually(t, accepted.Unread, within, time.Millisecond)
+	require.Eventually(t, accepted.Unread, waitLimit, time.Millisecond)
 	b.until(func() bool { return server.data == "x" })
 	assert.False(t, accepted.Unread())
 }
 
-// A connection that is detached goes on at another engine, with what had been read.
+// A detached connection continues at another engine without losing bytes that were read before.
 func TestDetachAndAdopt(t *testing.T) {
-	b, other := newBench(t, 10), newBench(t, 10)
-	first, second := &end{}, &end{}
+	b, other := newTestEngine(t, 10), newTestEngine(t, 10)
+	first, second := &recorder{}, &recorder{}
 	accepted, c, addr := b.pair(first)
 	_, err := c.Write([]byte("ab"))
 	require.NoError(t, err)
-	// Until its reader has begun nbio's engine cannot be stopped: it forgets that it was told to.
-	require.Eventually(t, func() bool { return accepted.coming.Load() > 0 }, within, time.Millisecond)
+	// Wait until nbio's poller runs: a stop before that is lost and the engine never ends.
+	require.Eventually(t, func() bool { return accepted.unprocessed.Load() > 0 }, waitLimit, time.Millisecond)
 	require.True(t, accepted.Unread())
 	from, ok := accepted.Detach()
 	require.True(t, ok)
 	var fds map[string]int
 	b.engine.Retire(func(m map[string]int) { fds = m })
 	b.until(func() bool { return fds != nil })
-	queued, err := stdnet.Dial("tcp", addr) // which nobody accepts here any more
+	queued, err := stdnet.Dial("tcp", addr) // stays in the accept queue
 	require.NoError(t, err)
 	defer queued.Close()
 	halted := false
@@ -306,8 +309,8 @@
 	var late *Conn
 	_, err = other.engine.Listen("test", addr, func(c *Conn) Handler {
 		late = c
-		return &end{}
-	}, never)
+		return &recorder{}
+	}, neverEvict)
 	require.NoError(t, err)
 	other.until(func() bool { return late != nil })
 	_, err = c.Write([]byte("c"))
@@ -322,39 +325,39 @@
 	assert.Contains(t, b.log.String(), "code=handed_over")
 }
 
-// A connection that the engine has closed, and the loop has not heard of, is not handed over: its
-// descriptor's number is another socket's by then.
-func TestDetachOfWhatIsGone(t *testing.T) {
-	b := newBench(t, 10)
-	accepted, c, _ := b.pair(&end{})
+// Guards against handing over a wrong socket: after the engine has closed a connection and before
+// the loop is notified, its descriptor number may already belong to another file.
+func TestDetachClosedConnection(t *testing.T) {
+	b := newTestEngine(t, 10)
+	accepted, c, _ := b.pair(&recorder{})
 	number := accepted.nc.Hash()
 	c.Close()
-	require.Eventually(t, accepted.gone, within, time.Millisecond)
-	for taken := -1; taken != number; { // somebody else is given that number
+	require.Eventually(t, accepted.closedByEngine, waitLimit, time.Millisecond)
+	for reused := -1; reused != number; { // reuse the descriptor number
 		r, w, err := os.Pipe()
 		require.NoError(t, err)
 		defer r.Close()
 		defer w.Close()
-		if taken = int(r.Fd()); taken != number {
-			taken = int(w.Fd())
+		if reused = int(r.Fd()); reused != number {
+			reused = int(w.Fd())
 		}
-		require.LessOrEqual(t, taken, number+64)
+		require.LessOrEqual(t, reused, number+64)
 	}
-	assert.True(t, accepted.Up(), "the loop has not heard of its end")
+	assert.True(t, accepted.Up(), "the loop is not yet notified of the end")
 	_, ok := accepted.Detach()
 	assert.False(t, ok)
 	assert.False(t, accepted.Unread())
 }
 
-// Who can be spared may show only once what lies unread has been read: room is looked for again
-// before a connection is turned away.
-func TestRoomAfterALook(t *testing.T) {
-	b := newBench(t, 10)
+// Guards against rejecting a connection too early: whether another one can be evicted may show only
+// after unread data has been processed, so room is looked for several times.
+func TestAcceptRetriesEviction(t *testing.T) {
+	b := newTestEngine(t, 10)
 	var accepted []*Conn
 	asked := 0
 	addr, err := b.engine.Listen("test", "127.0.0.1:0", func(c *Conn) Handler {
 		accepted = append(accepted, c)
-		return &end{}
+		return &recorder{}
 	}, func() bool {
 		if asked++; asked < 3 {
 			return false
@@ -363,7 +366,7 @@
 		return true
 	})
 	require.NoError(t, err)
-	for n := range 8 { // one more than the share
+	for n := range 8 { // one more than the share allows
 		c, err := stdnet.Dial("tcp", addr)
 		require.NoError(t, err)
 		defer c.Close()
@@ -372,5 +375,5 @@
 	assert.Len(t, accepted, 8)
 	assert.Equal(t, 3, asked)
 	assert.Equal(t, 7, b.engine.Open())
-	assert.Equal(t, 1, b.lines(), "the one that was spared, and none turned away")
+	assert.Equal(t, 1, b.lines(), "the evicted connection only, none rejected")
 }
--- a/internal/net/plain.go
+++ b/internal/net/plain.go
@@ -8,24 +8,26 @@
 	"time"
 )
 
-// HalfClosed is a Handler whose other side may end what it sends and still wait for an answer,
-// as programs do that send a line from a pipe. The engine ends such connections at once; for
-// kinds of few connections and short answers the standard library's are used in its place.
+// HalfClosed is a Handler whose peer may close its sending side and still wait for an answer, as
+// programs that send a line from a pipe do. nbio closes such connections at once; for kinds with
+// few connections and short answers, standard library connections are used instead.
 type HalfClosed interface {
-	// HalfClosed tells that nothing more comes. The connection is the handler's to close.
+	// HalfClosed is called when the peer has closed its sending side. The handler closes the
+	// connection.
 	HalfClosed()
 }
 
-// plain is a connection of the standard library's, with a goroutine that reads it.
+// plain is a standard library connection with a goroutine that reads from it.
 type plain struct{ raw stdnet.Conn }
 
-// writeWithin bounds a write: an answer fits into the socket's buffer, or its reader is too slow.
-const writeWithin = 20 * time.Millisecond
+// writeTimeout limits a write: an answer fits into the socket's buffer unless the peer reads too
+// slowly.
+const writeTimeout = 20 * time.Millisecond
 
-const plainBuffer = 1 << 10
+const plainReadBuffer = 1 << 10
 
 func (p *plain) write(b []byte) bool {
-	_ = p.raw.SetWriteDeadline(time.Now().Add(writeWithin))
+	_ = p.raw.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := p.raw.Write(b)
 	return err == nil
 }
@@ -39,25 +41,25 @@
 	}
 }
 
-// attachPlain reads the connection for a handler that hears of a half close.
+// attachPlain starts reading the connection for a handler that is notified of a half-close.
 func (c *Conn) attachPlain(raw stdnet.Conn) {
 	p, e := &plain{raw}, c.engine
-	c.plain, c.up, e.plains[p] = p, true, true
-	p.control(c.count)
-	e.reading.Add(1)
+	c.plain, c.up, e.plainConns[p] = p, true, true
+	p.control(c.recordReadBefore)
+	e.plainReaders.Add(1)
 	go func() {
-		defer e.reading.Done()
-		buf := make([]byte, plainBuffer)
+		defer e.plainReaders.Done()
+		buf := make([]byte, plainReadBuffer)
 		for {
 			n, err := raw.Read(buf)
 			if n > 0 {
 				b := append([]byte(nil), buf[:n]...)
-				e.queue(n)
-				c.coming.Add(1)
+				e.reservePending(n)
+				c.unprocessed.Add(1)
 				e.cfg.Post(func() {
-					c.coming.Add(-1)
+					c.unprocessed.Add(-1)
 					c.data(b)
-					e.unqueue(n)
+					e.releasePending(n)
 				})
 			}
 			if err == nil {
@@ -68,13 +70,13 @@
 				code = PeerReset
 			}
 			e.cfg.Post(func() {
-				delete(e.plains, p)
+				delete(e.plainConns, p)
 				h, ok := c.handler.(HalfClosed)
-				if ok && errors.Is(err, io.EOF) && !c.over {
+				if ok && errors.Is(err, io.EOF) && !c.closed {
 					h.HalfClosed()
 				} else {
 					raw.Close()
-					c.ended(code)
+					c.remoteClosed(code)
 				}
 			})
 			return
