--- a/internal/daemon/check.go
+++ b/internal/daemon/check.go
@@ -8,10 +8,9 @@
 	"snowjunction/internal/schema"
 )
 
-// Check reads everything that a start would read and returns a line for each
-// mistake; none: a start would not fail for what it is told. Notes are lines on what
-// this courier's part follows from. It opens no socket and leaves the folder that
-// lasts alone.
+// Check reads all files that a start would read and returns one line per mistake; without any, a
+// start would not fail because of its files. notes describe this courier's share of the partitions.
+// Check opens no socket and does not touch the state folder.
 func Check(o Options) (mistakes, notes []string) {
 	add := func(file string, err error) {
 		var m schema.Mistakes
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon is the courier as a process: it reads what it is told, wires
-// the core, the journal, the engine and the fronts together, and answers
-// signals. What it does in between is the core's.
+// Package daemon runs the courier as a process: it reads the configuration, connects the core, the
+// journal, the network engine and the fronts, and handles signals and handovers. Decisions are made
+// by the core.
 package daemon
 
 import (
@@ -33,27 +33,27 @@
 )
 
 const (
-	heapShare           = 0.6 // of the machine's memory, for the heap: the folder's files count too
-	reservedDescriptors = 32  // besides connections: journal, log, epoll, listeners
+	heapShare           = 0.6 // share of the machine's memory for the heap; page cache of the folder's files counts too
+	reservedDescriptors = 32  // file descriptors besides connections: journal, log, epoll, listeners
 )
 
-// A planned stop: decisions go on for a while, calls out are waited for, and
-// the process is gone before the platform would kill it.
+// Times of a planned stop: decisions continue for a while, calls in flight are awaited, and the
+// process ends before the platform would kill it.
 const (
-	drainListenTime   = 500 * time.Millisecond
-	drainPollInterval = 20 * time.Millisecond
-	directoryTimeout  = 80 * time.Millisecond   // for the directory to answer at a start: its agent is on this machine
-	drainDecideTime   = 2400 * time.Millisecond // the platform waits 3.7 s whatever this does: what is held is served meanwhile
-	drainTimeout      = 3400 * time.Millisecond
+	drainListenTime   = 500 * time.Millisecond  // listeners stay open
+	drainPollInterval = 20 * time.Millisecond   // between checks whether draining is complete
+	directoryTimeout  = 80 * time.Millisecond   // limit on waiting for the directory at a start; its agent runs on this machine
+	drainDecideTime   = 2400 * time.Millisecond // the platform always waits 3.7 s; held messages are delivered meanwhile
+	drainTimeout      = 3400 * time.Millisecond // the process ends
 )
 
-// The fronts' numbers, which stand in the journal too.
+// Numbers of the fronts. They are stored in the journal.
 const (
 	platformFrontNumber = iota
 	pushFrontNumber
 )
 
-// courier is the program's parts.
+// courier holds the components of one courier.
 type courier struct {
 	cfg             *config.Config
 	env             func(string) string
@@ -67,46 +67,47 @@
 	directoryConfig *config.Directory
 	begin           platform.Begin
 	learnedRecords  []learnt.Record
-	cache           *dircache.Cache  // nil: the list is not kept
-	learnedStore    *learnt.Store    // nil: nothing is
-	idleStore       *idlestore.Store // nil: none
+	cache           *dircache.Cache  // nil if the list is not kept on disk
+	learnedStore    *learnt.Store    // nil if learned state is not kept on disk
+	idleStore       *idlestore.Store // nil if disabled
 	exclusionFile   *exclusions.File
 	fleet           *config.Fleet
-	datagrams       *net.Datagrams // nil: no notes
+	datagrams       *net.Datagrams // nil if peer messages are disabled
 
 	process          *process
-	console          *console.Front   // nil: none
-	consoleConns     []handover.Conn  // of the second address, in an earlier life of this process
-	handoverServer   *handover.Server // nil: nobody can take over
-	draining         bool             // it ends in order
-	decisionsStopped bool             // and decides no more, with no call out
-	handingOver      bool             // another process is to go on
-	link             *handover.Link   // to that one
+	console          *console.Front   // nil if disabled
+	consoleConns     []handover.Conn  // connections to the second address, from an earlier courier of this process
+	handoverServer   *handover.Server // nil if no process can take over
+	draining         bool             // planned stop in progress
+	decisionsStopped bool             // decisions have stopped and no call is in flight
+	handingOver      bool             // handover to another process in progress
+	link             *handover.Link   // to that process
 	handoverState    *handover.Estate
-	consoleFD        int // the second address's socket, once handed over; -1: none
+	consoleFD        int // socket of the second address once it is handed over, else -1
 
-	adminPath       string             // path of the admin socket; "": none
-	adminSocket     *admin.Socket      // nil: none
-	reading         bool               // files are being read anew
-	reloadCallbacks []func(why string) // asked for meanwhile
+	adminPath       string             // path of the admin socket; empty if there is none
+	adminSocket     *admin.Socket      // nil if disabled
+	reading         bool               // a reload is in progress
+	reloadCallbacks []func(why string) // callbacks of reloads requested meanwhile
 	platform        *platform.Front
 	push            *push.Front
 }
 
-// Options are what the command line and the environment say.
+// Options are the settings from the command line and the environment.
 type Options struct {
-	Env       func(string) string // as os.Getenv
-	Log       io.Writer           // where log lines go
-	LogFormat string              // text or json; "": text
+	Env       func(string) string // lookup of environment variables, like os.Getenv
+	Log       io.Writer           // destination of log lines
+	LogFormat string              // "text" or "json"; empty means text
 	LogLevel  slog.Level
-	Host      []string // the command that starts a plug-in's host
-	// Unhurried is how long flows wait for a plug-in, and decisions for their plug-ins, in place of the
-	// budgets; 0: the budgets hold. For tests of what is no matter of time.
+	Host      []string // command that starts a plug-in's host
+	// Unhurried replaces the time budgets of plug-ins: how long flows wait for a plug-in and
+	// decisions for their plug-ins. Zero keeps the budgets. It is for tests that do not depend on
+	// time.
 	Unhurried time.Duration
-	Signals   <-chan os.Signal // nil: the process's own
+	Signals   <-chan os.Signal // if nil, the signals of the process
 }
 
-// Logger makes the log that the options name.
+// Logger returns a logger with the configured format and level.
 func (o Options) Logger() *slog.Logger {
 	opts := &slog.HandlerOptions{Level: o.LogLevel}
 	if o.LogFormat == "json" {
@@ -115,7 +116,7 @@
 	return slog.New(slog.NewTextHandler(o.Log, opts))
 }
 
-// prepare makes the parts that need nothing of the folder, plug-ins among them.
+// prepare creates the components that do not need the state folder, including the plug-ins.
 func (p *process) prepare() (*courier, error) {
 	f := p.files
 	c := &courier{
@@ -136,8 +137,8 @@
 	return c, nil
 }
 
-// build makes the other parts, of a folder that this process owns. The estate, if there is
-// one, is the courier's from then on.
+// build creates the other components, on a folder that this process owns. It takes ownership of the
+// handover state e, which may be nil.
 func (c *courier) build(e *handover.Estate) (left []*store.Message, err error) {
 	cfg, pushCfg := c.cfg, c.process.files.push
 	if c.engine, err = net.New(net.Config{
@@ -145,7 +146,7 @@
 	}); err != nil {
 		return nil, err
 	}
-	// An address that somebody else has ends the start before anything of the folder is touched.
+	// Bind first: an address in use must fail the start before anything in the folder is changed.
 	if err := c.bindListeners(e, pushCfg.Listen); err != nil {
 		return nil, err
 	}
@@ -196,7 +197,7 @@
 			Path: c.idle.StorePath, Bytes: c.idle.StoreBytes, Forget: c.idle.Dormancy.Forget,
 			Post: c.loop.Post, Log: c.log, Now: time.Now,
 		})
-		if err != nil { // it costs what is known, not the start
+		if err != nil { // the store is optional: continue without it
 			c.log.Warn("no idle store", "err", err)
 		} else {
 			coreCfg.Beyond = c.idleStore
@@ -211,9 +212,9 @@
 	return left, err
 }
 
-// reservedConns are the connections that are kept, whatever clients and targets need, for what a courier
-// has to hear and tell: the watch, a notice and, with a second address, a caller there who is
-// answered while another comes.
+// reservedConns returns the connections that are reserved, whatever clients and targets need, for a
+// courier's essential communication: the discovery watch, a notice and, with a second address, two
+// connections there, so that one client is answered while another connects.
 func reservedConns(cfg *config.Config) map[string]int {
 	n := map[string]int{platform.WatchKind: 1, platform.NoticeKind: 1}
 	if cfg.Console != "" {
@@ -222,13 +223,14 @@
 	return n
 }
 
-// bindListeners binds the clients' addresses, or goes on with the sockets that have been handed over.
+// bindListeners binds the clients' addresses, or continues to use the listeners that were handed
+// over.
 func (c *courier) bindListeners(e *handover.Estate, pushListen string) error {
 	if e != nil {
 		for i, l := range e.Listeners {
 			if l.FD >= 0 {
 				if err := c.engine.Inherit(l.Kind, l.FD); err != nil {
-					c.log.Warn("a listener could not be taken over", "kind", l.Kind, "err", err)
+					c.log.Warn("cannot take over a listener", "kind", l.Kind, "err", err)
 				}
 				e.Listeners[i].FD = -1
 			}
@@ -240,7 +242,7 @@
 	return c.engine.Reserve(push.ListenerKind, pushListen)
 }
 
-// descriptions reads the push front's documents, if it is on.
+// descriptions reads the push front's API documents if the front is enabled.
 func descriptions(p *config.Push) (*describe.API, *describe.Life, error) {
 	if p.Listen == "" {
 		return nil, nil, nil
@@ -260,7 +262,7 @@
 	return api, life, err
 }
 
-// start opens the fronts and takes up what an earlier process left, or hands over.
+// start opens the fronts and restores what the previous process left behind or handed over.
 func (c *courier) start(left []*store.Message, e *handover.Estate) error {
 	if err := c.push.Start(c.core, left); err != nil {
 		return err
@@ -281,7 +283,7 @@
 	if c.begin.Held && len(left) > 0 && (e == nil || !e.Live) {
 		c.core.Pause(directoryTimeout)
 	}
-	c.core.Restore(left) // before the loop runs: nothing new comes in front of it
+	c.core.Restore(left) // before the loop runs, so that no new message comes first
 	c.process.stepDone("restored")
 	if e != nil {
 		c.platform.TakeOver(e.Clients)
@@ -315,8 +317,9 @@
 	return nil
 }
 
-// onPlatformStep hears of the steps of the platform's front. The last is told on the loop, once clients
-// are answered that the courier is ready, and the account of the start is the log's then.
+// onPlatformStep is called at the steps of the platform front's start. The last one is reported on
+// the loop, after clients are told that the courier is ready; the durations of all steps are logged
+// then.
 func (c *courier) onPlatformStep(step platform.Step) {
 	switch step {
 	case platform.Listening:
@@ -336,7 +339,7 @@
 }
 
 func (c *courier) signal(s os.Signal) {
-	if c.handingOver { // whoever goes on is told
+	if c.handingOver { // passed on to the next owner
 		c.process.dispatch(s)
 		return
 	}
@@ -354,11 +357,10 @@
 	}
 }
 
-// reload reads the files anew. The platform may have moved to another address,
-// and the push front's targets, the plug-ins and the members that own partitions
-// may be others; what else differs waits for a restart. Where one is wrong, none changes anything. Reading takes a
-// while, schemas and modules among it, and is not the loop's to do: what comes
-// meanwhile is read after that.
+// reload reads the configuration files again. It applies the discovery address, the push front's
+// targets, the plug-ins and the members that own partitions; other changes require a restart. If
+// one file is invalid, nothing is changed. Files are read on a goroutine of their own, because
+// schemas and modules take time; reloads requested meanwhile run after it.
 func (c *courier) reload(done func(why string)) {
 	c.reloadCallbacks = append(c.reloadCallbacks, done)
 	if !c.reading {
@@ -387,7 +389,7 @@
 	}()
 }
 
-// applyFiles takes what has been read.
+// applyFiles applies files that were read by a reload.
 func (c *courier) applyFiles(f files, err error, done func(why string)) {
 	if err == nil {
 		err = c.push.Relist(f.push.Targets)
@@ -428,7 +430,7 @@
 	})
 }
 
-// openAdminSocket opens the admin socket, where there is to be one.
+// openAdminSocket opens the admin socket if one is configured.
 func (c *courier) openAdminSocket() (err error) {
 	if c.adminPath == "" {
 		return nil
@@ -439,7 +441,7 @@
 	return err
 }
 
-// handleAdminRequest answers at the admin socket.
+// handleAdminRequest answers a request at the admin socket.
 func (c *courier) handleAdminRequest(r admin.Request, done func(admin.Reply)) {
 	switch r.Do {
 	case "plugins":
@@ -451,7 +453,7 @@
 	case "telemetry":
 		done(admin.Reply{Value: c.core.Figures(platformFrontNumber)})
 	default:
-		done(admin.Reply{Error: fmt.Sprintf("no request %q: there are directory, plugins, reload and telemetry", r.Do)})
+		done(admin.Reply{Error: fmt.Sprintf("unknown request %q: valid requests are directory, plugins, reload and telemetry", r.Do)})
 	}
 }
 
@@ -467,15 +469,15 @@
 	c.log.Info(why, values...)
 }
 
-// liveHeapBytes is the bytes that were in use after the last collection of garbage.
+// liveHeapBytes returns the heap bytes in use after the last garbage collection.
 func liveHeapBytes() uint64 {
 	live := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 	metrics.Read(live)
 	return live[0].Value.Uint64()
 }
 
-// drain ends the courier in order: it takes nothing more, lets its clients go,
-// finishes what it can and leaves the rest in the journal.
+// drain shuts the courier down in order: it accepts no new messages, lets clients go, finishes what
+// it can and leaves the rest in the journal.
 func (c *courier) drain() {
 	c.draining = true
 	c.log.Info("draining", "held", c.core.Held())
@@ -491,9 +493,9 @@
 	c.loop.After(drainTimeout-spent, c.loop.End)
 }
 
-// endIfDone ends a draining courier that owes nothing any more, or has stopped deciding and has
-// no call out. Clients send until it is gone: nobody's request is left half read or unanswered,
-// and no notice without its answer.
+// endIfDone ends a draining courier that holds no more messages, or whose decisions have stopped
+// with no call in flight. Clients may send until then, so it waits for partly read and unanswered
+// requests and for unconfirmed notices.
 func (c *courier) endIfDone() {
 	done := c.core.Held() == 0 || c.decisionsStopped
 	if done && c.platform.Quiet() && !c.platform.Unanswered() && !c.push.Unanswered() {
--- a/internal/daemon/directory.go
+++ b/internal/daemon/directory.go
@@ -14,10 +14,10 @@
 	"snowjunction/internal/learnt"
 )
 
-// chooseStartList is the list to start with: the younger of the one kept on disk and the
-// configuration's. Both count generations of one directory; of equals the kept one is
-// as young, and its age is known. Another agent may count on its own, so that only the
-// list can be used then, and what is newer is asked for whole.
+// chooseStartList returns the list to start with: the newer of the one kept on disk and the one in
+// the configuration. Both carry generations of the same directory; if these are equal the kept list
+// is used, because its age is known. A kept list from another agent, which may count generations
+// independently, is still used, but the next list is requested in full.
 func chooseStartList(kept *dircache.Snapshot, known config.List, agent string, now time.Time) platform.Begin {
 	if kept == nil || known.Held && known.Generation > kept.Generation {
 		if !known.Held {
@@ -26,7 +26,7 @@
 		return platform.Begin{List: known, Source: belief.Known, Watch: true}
 	}
 	age := now.Sub(kept.Told)
-	if age < -clockTolerance { // the clock was set back: how old it is cannot be known
+	if age < -clockTolerance { // the clock was set back: the age is unknown
 		age = -1
 	} else {
 		age = max(age, 0)
@@ -38,11 +38,11 @@
 	}
 }
 
-// clockTolerance is how far a clock may seem set back without being.
+// clockTolerance is how far a clock may appear to be set back without affecting the age of a list.
 const clockTolerance = time.Second
 
-// listKeeper has the platform's list kept on disk as it changes, and now and then while
-// the directory vouches for it.
+// listKeeper writes the platform's list to disk when it changes, and periodically while the
+// directory confirms it.
 type listKeeper struct {
 	loop            *core.Loop
 	core            *core.Core
@@ -50,26 +50,26 @@
 	cache           *dircache.Cache
 	names           config.Names
 	maxBytes        int
-	freshFor        time.Duration // an older list counts as old
-	refreshInterval time.Duration // between writes that tell nothing but that the list is still true
+	freshFor        time.Duration // an older list is treated as old
+	refreshInterval time.Duration // between writes of an unchanged list that the directory still confirms
 
 	writeTimer   *core.Timer
 	refreshTimer *core.Timer
-	version      int // of the list
+	version      int // version of the list, incremented by changes
 	startedAt    time.Time
-	abandoned    int           // snapshots given up in a row, as the list changed meanwhile
-	lastDuration time.Duration // of the loop's time, for the last snapshot
+	abandoned    int           // consecutive snapshots abandoned because the list changed meanwhile
+	lastDuration time.Duration // loop time spent on the last snapshot
 }
 
-// minWriteInterval is the least time between two snapshots. The first change after a pause
-// is written at once: a draining endpoint must be known as one in the next life.
+// minWriteInterval is the minimum time between two snapshots. The first change after that time is
+// written at once, so that the next process run knows which endpoints are draining.
 const minWriteInterval = 200 * time.Millisecond
 
-// writeDutyFactor is how many times as long as a snapshot takes nothing is done for the next:
-// a long list that changes all the time must not keep the loop busy.
+// writeDutyFactor is the minimum pause after a snapshot as a multiple of the time it took, so that
+// a long list that changes all the time does not keep the loop busy.
 const writeDutyFactor = 20
 
-// changed tells that the list has changed, or has been vouched for after a silence.
+// changed schedules a write because the list has changed or was confirmed after a silence.
 func (k *listKeeper) changed() {
 	k.version++
 	if k.writeTimer == nil {
@@ -80,8 +80,8 @@
 	}
 }
 
-// write writes the list down in slices, so that a long one holds nobody up. Where it
-// changes meanwhile, that is begun anew.
+// write encodes the list in slices, so that a long list does not block the loop. If the list
+// changes meanwhile, encoding starts over.
 func (k *listKeeper) write() {
 	gen, agent, known := k.front.Told()
 	if !known {
@@ -92,7 +92,7 @@
 	told := k.loop.Now()
 	if source, age, live := k.core.Word(platformFrontNumber); !live {
 		if version == 1 {
-			return // the list of the start: it is on disk, or of no known age
+			return // the list of the start: it is already on disk, or its age is unknown
 		}
 		if source == belief.Known {
 			age = max(age, k.freshFor)
@@ -104,7 +104,7 @@
 		Told: told, Generation: gen, Agent: agent, Zones: dircache.Names(k.names.Zones), Kinds: dircache.Names(k.names.Kinds),
 		Partitions: partitions, Of: of,
 	}, k.maxBytes)
-	// Those in use come first, where not all have room.
+	// Entries of loaded destinations come first, in case not all entries fit.
 	at, second, spent := 0, false, time.Duration(0)
 	step := func() (more bool) {
 		begun := k.loop.Now()
@@ -140,18 +140,18 @@
 		k.loop.Slices(step)
 		return
 	}
-	for step() { // in one go: it changes too often for slices
+	for step() { // in one go, as the list changes too often for slices
 	}
 }
 
-// keepSlice is how many entries are written at once, keepTries after how many snapshots
-// given up, as the list had changed meanwhile, one is written in one go.
+// entriesPerSlice is the number of entries encoded per slice. After maxAbandoned abandoned
+// snapshots in a row, a snapshot is encoded in one go.
 const (
 	entriesPerSlice = 2048
 	maxAbandoned    = 5
 )
 
-// refresh writes the list anew, if the directory still vouches for it.
+// refresh writes the list again if the directory still confirms it.
 func (k *listKeeper) refresh() {
 	if _, _, live := k.core.Word(platformFrontNumber); live {
 		k.changed()
@@ -160,10 +160,10 @@
 	k.refreshTimer = k.loop.After(k.refreshInterval, k.refresh)
 }
 
-// openSideFiles reads what an earlier life has left beside its journal, and has this one leave
-// the like. What cannot be read or written costs what is known, not the start.
+// openSideFiles reads the state that an earlier process run left next to the journal, and opens it
+// for writing. Errors are logged and cost only that state, not the start.
 func (c *courier) openSideFiles(cfg *core.Config, e *handover.Estate) {
-	wrong := func(file string, err error) { c.log.Warn("not taken up", "file", file, "err", err) }
+	wrong := func(file string, err error) { c.log.Warn("cannot use a file", "file", file, "err", err) }
 	var kept *dircache.Snapshot
 	if e != nil && len(e.List) > 0 {
 		var err error
@@ -203,7 +203,7 @@
 		c.learnedRecords = learnt.Load(c.cfg.StateDir, wrong)
 		store, err := learnt.Open(learnt.Options{Dir: c.cfg.StateDir, Bytes: c.directoryConfig.LearnBytes, Log: c.log}, c.learnedRecords)
 		if err != nil {
-			c.log.Warn("what is learnt is not kept", "err", err)
+			c.log.Warn("learned state is not kept", "err", err)
 		} else {
 			c.learnedStore, cfg.Learnt = store, store
 		}
@@ -211,7 +211,7 @@
 	c.process.stepDone("learnt")
 }
 
-// directoryCounts tells of the list kept on disk.
+// directoryCounts returns the state of the directory and of the list kept on disk, for the log.
 func (c *courier) directoryCounts() slog.Value {
 	var n dircache.Counts
 	if c.cache != nil {
@@ -223,15 +223,15 @@
 	)
 }
 
-// Believed is what a running courier believes of its directory and its endpoints, as
-// the admin socket tells it.
+// Believed is the courier's assessment of its directory and endpoints, as the admin socket reports
+// it.
 type Believed struct {
 	Source     string             `json:"source"`
 	Live       bool               `json:"live"`
 	WordAgeS   float64            `json:"word_age_s"`
-	Conditions map[string]float64 `json:"conditions"` // in which the directory is, for so many seconds
+	Conditions map[string]float64 `json:"conditions"` // conditions of the directory and their ages in seconds
 	Listed     int                `json:"listed"`
-	Endpoints  []core.Believed    `json:"endpoints"` // up to believedMost
+	Endpoints  []core.Believed    `json:"endpoints"` // limited to maxReportedEndpoints
 }
 
 const maxReportedEndpoints = 10000
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -29,14 +29,14 @@
 	"snowjunction/internal/store"
 )
 
-// drainTest is a courier on real connections. Its loop turns only while the test waits for
-// something, and its clock goes only when told.
+// drainTest is a courier with real connections. Its loop runs only while the test waits for
+// something, and its clock is advanced by the test.
 type drainTest struct {
 	*courier
 	t       *testing.T
 	now     time.Time
-	notices chan struct{} // some have come
-	confirm chan struct{} // closed: notices are answered
+	notices chan struct{} // receives a value when a notice arrives
+	confirm chan struct{} // closed when notices are to be answered
 }
 
 func newDrainTest(t *testing.T) *drainTest {
@@ -52,7 +52,7 @@
 		}
 		select {
 		case e.notices <- struct{}{}:
-		default: // it goes again and again
+		default: // notices are resent
 		}
 		select {
 		case <-e.confirm:
@@ -61,7 +61,7 @@
 		w.WriteHeader(http.StatusNoContent)
 	}))
 	t.Cleanup(discovery.Close)
-	t.Cleanup(func() { close(over) }) // first of these
+	t.Cleanup(func() { close(over) }) // cleanups run in reverse: this one first
 	e.loop = core.NewLoop(func() time.Time { return e.now })
 	var err error
 	e.engine, err = net.New(net.Config{Post: e.loop.Post, Log: e.log, MaxConns: 64})
@@ -102,7 +102,7 @@
 	return e
 }
 
-// until turns the loop until what is awaited has come. Only a failure runs into the limit.
+// until runs the loop until the condition holds. Only a failure reaches the limit.
 func (e *drainTest) until(what string, come func() bool) {
 	e.t.Helper()
 	limit := time.Now().Add(20 * time.Second)
@@ -110,7 +110,7 @@
 	require.True(e.t, come(), what)
 }
 
-// after lets the clock go on in steps of a look; what is due then is done.
+// after advances the clock in steps of drainPollInterval and runs what is due.
 func (e *drainTest) after(d time.Duration) {
 	for ; d > 0; d -= drainPollInterval {
 		e.now = e.now.Add(min(d, drainPollInterval))
@@ -118,7 +118,7 @@
 	}
 }
 
-// caller is a client of a front, and what it has been told.
+// caller is a client of a front with the answers that it received.
 type caller struct {
 	stdnet.Conn
 	mu  sync.Mutex
@@ -162,7 +162,7 @@
 	return out
 }
 
-// pendingWork is what begins so long after the end has, or before.
+// pendingWork begins some time after the drain, or before it if since is zero.
 type pendingWork struct {
 	since time.Duration
 	begin func(e *drainTest) (finish func())
@@ -179,13 +179,12 @@
 	return b.begin(e)
 }
 
-// A courier that ends waits for what has begun: a request that has come in part, on either
-// front, and a notice without its answer. It does so before it stops deciding and after, and
-// not past the time that it has.
+// A draining courier waits for work in progress: a partly received request on either front, and an
+// unconfirmed notice. It does so before and after decisions stop, but not beyond drainTimeout.
 func TestDrainWaitsForPendingWork(t *testing.T) {
 	message := add("m2")
 	for name, way := range map[string]pendingWork{
-		// A client may take 2 s over a request: it comes among the last.
+		// A client may take 2 s to send a request; this one sends the rest among the last.
 		"half a request": {since: drainListenTime - drainPollInterval, begin: func(e *drainTest) func() {
 			c := e.call(e.platform.Addr(), message[:20])
 			e.until("a part is read", e.platform.Unanswered)
@@ -218,7 +217,7 @@
 			return func() {
 				close(e.confirm)
 				e.until("it is confirmed", func() bool {
-					e.now = e.now.Add(time.Millisecond) // between two tries nothing else comes
+					e.now = e.now.Add(time.Millisecond) // nothing happens between two tries
 					return e.platform.Quiet()
 				})
 			}
@@ -227,7 +226,7 @@
 		for _, held := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, held %v", name, held), func(t *testing.T) {
 				e := newDrainTest(t)
-				if held { // what waits for an endpoint: deciding stops before it is over
+				if held { // a message that waits for an endpoint: decisions stop before it is done
 					c := e.call(e.platform.Addr(), add("m1"))
 					e.until("a message is read", func() bool { return e.core.Counters.In == 1 })
 					e.after(drainPollInterval)
@@ -241,10 +240,10 @@
 				}
 				e.after(began.Add(wait + 2*drainPollInterval).Sub(e.now))
 				require.Equal(t, held, e.decisionsStopped)
-				require.False(t, e.loop.Ended(), "it waits")
+				require.False(t, e.loop.Ended(), "it must wait")
 				finish()
 				e.after(2 * drainPollInterval)
-				assert.True(t, e.loop.Ended(), "and ends at once then")
+				assert.True(t, e.loop.Ended(), "it must end at once")
 				assert.Less(t, e.now.Sub(began), drainTimeout)
 			})
 		}
@@ -258,14 +257,14 @@
 	}
 }
 
-// With nothing begun it ends as soon as no new clients come, or with the last call.
+// Without work in progress a courier ends when new clients are no longer accepted.
 func TestDrainWithoutPendingWork(t *testing.T) {
 	e := newDrainTest(t)
 	c := e.call(e.platform.Addr(), "*1\r\n$4\r\nPING\r\n")
-	e.until("a client rests", func() bool { return c.told("+PONG") })
+	e.until("a client is idle", func() bool { return c.told("+PONG") })
 	e.drain()
 	e.after(drainListenTime - drainPollInterval)
-	assert.False(t, e.loop.Ended(), "new clients are answered still")
+	assert.False(t, e.loop.Ended(), "new clients are still answered")
 	e.after(2 * drainPollInterval)
 	assert.True(t, e.loop.Ended())
 }
--- a/internal/daemon/files.go
+++ b/internal/daemon/files.go
@@ -9,7 +9,7 @@
 	"snowjunction/internal/plugin/manifest"
 )
 
-// The operator files, where no variable names others.
+// Default paths of the operator files, used if no environment variable names another.
 const (
 	pushFile       = "deploy/push.json"
 	idleFile       = "deploy/idle.json"
@@ -19,7 +19,7 @@
 	partitionsFile = "deploy/partitions.json"
 )
 
-// files are what the courier is told, as start, SIGHUP and check read it.
+// files are the decoded configuration and operator files, as read by start, SIGHUP and check.
 type files struct {
 	cfg        *config.Config
 	push       *config.Push
@@ -29,10 +29,10 @@
 	fleet      *config.Fleet
 	manifests  []*manifest.Manifest
 	partitions *config.Partitions
-	membership *partition.Membership // nil: destinations are not divided
+	membership *partition.Membership // nil if destinations are not divided
 }
 
-// envOrDefault is what a variable names, or the other.
+// envOrDefault returns the value of an environment variable, or fallback if it is not set.
 func envOrDefault(env func(string) string, name, fallback string) string {
 	if p := env(name); p != "" {
 		return p
@@ -40,19 +40,19 @@
 	return fallback
 }
 
-// DirectoryFile is the path of the operator file for the directory.
+// DirectoryFile returns the path of the operator file for the directory.
 func DirectoryFile(env func(string) string) string {
 	return envOrDefault(env, "SNOWJUNCTION_DIRECTORY", directoryFile)
 }
 
-// partitionsPath is the path of the operator file for partitions.
+// partitionsPath returns the path of the operator file for partitions.
 func partitionsPath(env func(string) string) string {
 	return envOrDefault(env, "SNOWJUNCTION_PARTITIONS", partitionsFile)
 }
 
-// readFiles reads all files. What is wrong with one is told with its name; the
-// others are read all the same. Lists are read by names, those of the
-// configuration if that is nil; the membership is made of the one that holds, if any.
+// readFiles reads all files. Errors are reported per file to onError and do not stop the others
+// from being read. Zone and kind names in lists are resolved by names, or by those of the
+// configuration if names is nil. The membership is derived from the current one, if any.
 func readFiles(env func(string) string, names *config.Names, current *partition.Membership, onError func(file string, err error)) (f files) {
 	report := func(file string, err error) {
 		if err != nil {
@@ -109,8 +109,7 @@
 	return f
 }
 
-// readAll is readFiles for whoever needs all of them right: the first mistake is
-// the error.
+// readAll is like readFiles but returns the first error.
 func readAll(env func(string) string, names *config.Names, current *partition.Membership) (f files, err error) {
 	f = readFiles(env, names, current, func(_ string, e error) {
 		if err == nil {
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -7,18 +7,18 @@
 	"snowjunction/internal/notes"
 )
 
-// peerSender is the other couriers, told by datagrams.
+// peerSender sends messages to the other couriers by datagrams.
 type peerSender struct{ socket *net.Datagrams }
 
-// Tell sends notes to one of them.
+// Tell sends messages to a peer.
 func (f peerSender) Tell(peer int, items []snowjunction.Note) {
 	for _, b := range notes.Write(items) {
 		f.socket.Send(peer, b)
 	}
 }
 
-// openPeerSocket opens the way to the other couriers, where the configuration names one and the
-// operator file allows it. What cannot be opened costs the notes, not the start.
+// openPeerSocket opens the socket for peer messages if the configuration has addresses and the
+// operator file allows it. If the socket cannot be opened, the courier runs without peer messages.
 func (c *courier) openPeerSocket(cfg *core.Config) {
 	p := c.cfg.Peers
 	if !c.fleet.Notes || !p.Enabled() {
@@ -34,7 +34,7 @@
 	c.log.Info("notes between couriers", "listen", socket.Addr(), "peers", len(p.Addrs))
 }
 
-// handlePeerMessage reads what a peer has told. What cannot be read is dropped.
+// handlePeerMessage processes a datagram from a peer. Invalid datagrams are counted and dropped.
 func (c *courier) handlePeerMessage(peer int, b []byte) {
 	if peer == c.cfg.Settings.Number {
 		return
@@ -47,7 +47,7 @@
 	c.core.Noted(peer, items)
 }
 
-// datagramCounts is what has gone to and fro between couriers.
+// datagramCounts returns the counts of datagrams exchanged with other couriers.
 func (c *courier) datagramCounts() (n net.DatagramCounts) {
 	if c.datagrams != nil {
 		n = c.datagrams.Counts()
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	quiesceTimeout       = 500 * time.Millisecond // for notices and what cannot be handed over, before a handover
-	quiescePollInterval  = 2 * time.Millisecond
-	haltTimeout          = time.Second // for the engine to end
-	maxHandoverListBytes = 16 << 20    // bytes of the directory's list that are handed over
+	quiesceTimeout       = 500 * time.Millisecond // for notices and calls that cannot be handed over, before a handover
+	quiescePollInterval  = 2 * time.Millisecond   // between checks whether they are done
+	haltTimeout          = time.Second            // for the engine to stop
+	maxHandoverListBytes = 16 << 20               // bytes of the directory's list that are handed over at most
 )
 
-// openHandover lets another process ask for the folder. Where there are no such sockets this
-// process serves all the same.
+// openHandover starts accepting handover requests. If that is not possible, this process runs
+// without.
 func (c *courier) openHandover() {
 	if c.process.lock == nil {
 		return
@@ -38,19 +38,19 @@
 		c.log.Warn("a handover was refused", "err", err)
 	})
 	if err != nil {
-		c.log.Warn("no handovers: another process has to wait for this one's end", "err", err)
+		c.log.Warn("no handovers: another process has to wait until this one ends", "err", err)
 	}
 }
 
-// handleHandover serves a connection of another process, by its first frame.
+// handleHandover handles a connection of another process, given its first frame.
 func (c *courier) handleHandover(link *handover.Link, f handover.Frame, err error) {
 	say := func(k handover.Kind, text string) {
 		_ = link.Send(handover.Frame{Kind: k, Text: text, FD: -1})
 		link.Close()
 	}
 	switch {
-	case err != nil: // another version: it has been started to go on, and has to without an estate
-		c.log.Warn("a handover was refused: this process ends, and the other starts as after any end", "err", err)
+	case err != nil: // another version: the new process must replace this one, without a handover
+		c.log.Warn("a handover was refused: this process ends and the other starts without its state", "err", err)
 		say(handover.Refusal, fmt.Sprintf("this process speaks version %d: it ends", handover.Version))
 		c.loop.Post(func() { c.signal(syscall.SIGTERM) })
 	case f.Kind == handover.Hello:
@@ -76,10 +76,10 @@
 	}
 }
 
-// answerQuery answers what a process that has handed over asks for its callers.
+// answerQuery answers a request that a process forwards for its clients after it has handed over.
 func (c *courier) answerQuery(text string, done func(string)) {
 	if c.handingOver {
-		return // the next owner is asked again
+		return // the client's process asks the next owner again
 	}
 	word, id, _ := strings.Cut(text, " ")
 	switch word {
@@ -105,8 +105,8 @@
 	}
 }
 
-// startHandover hands over: nothing more is decided here, what is under way comes to a point where
-// another process can go on with it, and the loop ends with the estate in hand.
+// startHandover begins a handover: it stops decisions, waits until work in progress can be
+// continued by another process, and collects the state.
 func (c *courier) startHandover(link *handover.Link) {
 	c.handingOver, c.link = true, link
 	c.log.Info("handing over", "held", c.core.Held(), "connections", c.engine.Open())
@@ -126,7 +126,7 @@
 				return
 			}
 			if unready > 0 || !c.platform.Hushed() {
-				c.log.Warn("not all came to rest before the handover", "calls", unready, "notices", !c.platform.Hushed())
+				c.log.Warn("not everything was finished before the handover", "calls", unready, "notices", !c.platform.Hushed())
 			}
 			c.collectState(fds)
 		}
@@ -134,7 +134,8 @@
 	})
 }
 
-// collectState takes all that is handed over out of this process's hands.
+// collectState collects the handover state, detaches its connections from this process and ends the
+// loop.
 func (c *courier) collectState(fds map[string]int) {
 	e := &handover.Estate{}
 	c.consoleFD = -1
@@ -162,7 +163,7 @@
 		halted = true
 		e.Clients, c.consoleConns = clients(), callers()
 		calls(e)
-		if c.reading { // the next owner has read its files before, perhaps
+		if c.reading { // the next owner may have read its files before this reload
 			c.process.dispatch(syscall.SIGHUP)
 		}
 		c.handoverState = e
@@ -170,12 +171,12 @@
 	}
 	c.engine.Halt(done)
 	c.loop.After(haltTimeout, func() {
-		c.log.Error("the engine does not end: what it has read and not told may be lost")
+		c.log.Error("the network engine does not stop: data that it has read may be lost")
 		done()
 	})
 }
 
-// encodeList is the directory's list in the form in which it is kept.
+// encodeList returns the directory's list, encoded as on disk.
 func (c *courier) encodeList() []byte {
 	gen, agent, known := c.platform.Told()
 	if !known {
@@ -200,7 +201,7 @@
 	return b
 }
 
-// close ends all parts. What is kept beside the journal is written before it returns.
+// close closes all components. State kept next to the journal is written before it returns.
 func (c *courier) close() {
 	if c.handoverState == nil {
 		c.platform.Close()
@@ -231,8 +232,8 @@
 	c.logCounters("ended")
 }
 
-// loadedDestinations is what is handed over of destinations in use, for an ordinary restart should both
-// processes die.
+// loadedDestinations returns the state of loaded destinations that is handed over, as a fallback
+// for an ordinary restart if both processes die.
 func (c *courier) loadedDestinations() (out []learnt.Record) {
 	for _, k := range c.handoverState.Known {
 		if k.Awake {
@@ -242,7 +243,7 @@
 	return out
 }
 
-// closeAbandonedCalls ends the calls that were taken over and that nobody waits for.
+// closeAbandonedCalls closes the calls that were taken over and whose result is no longer needed.
 func (c *courier) closeAbandonedCalls() {
 	for _, x := range c.core.Forgone() {
 		if x.FD >= 0 {
@@ -251,14 +252,14 @@
 	}
 }
 
-// serveAfterHandover keeps a process that has handed over answering at its second address, until it is
-// told to end or has lingered for long. It returns true where the folder has no owner any
-// more: then this process owns it again.
+// serveAfterHandover answers at the second address after a handover, until the process is told to
+// end or maxServeAfterHandover has passed. It returns true if the folder has no owner any more and
+// this process owns it again.
 func (p *process) serveAfterHandover(callers []handover.Conn, second int) (owns bool) {
 	loop := core.NewLoop(time.Now)
 	engine, err := net.New(net.Config{Post: loop.Post, Log: p.log, MaxConns: reservedDescriptors})
 	if err != nil {
-		p.log.Error("ends after the handover", "err", err)
+		p.log.Error("ends immediately after the handover", "err", err)
 		return false
 	}
 	var front *console.Front
@@ -271,7 +272,7 @@
 			})
 		}
 		if err != nil {
-			p.log.Error("the second address ends with the handover", "err", err)
+			p.log.Error("the second address is closed after the handover", "err", err)
 		} else {
 			front.TakeOver(callers)
 		}
@@ -319,7 +320,8 @@
 	return owns
 }
 
-// queryOwner asks the folder's owner, and once more where it changes meanwhile.
+// queryOwner sends a request to the folder's owner, and a second time if the owner may have changed
+// meanwhile.
 func (p *process) queryOwner(call string) (string, error) {
 	var err error
 	for range 2 {
@@ -342,8 +344,8 @@
 	return "", err
 }
 
-// ownerFigures are this process's counts, which stand, with how things are at the owner. What is
-// open is counted there.
+// ownerFigures reports this process's final counts together with the owner's current state. Open
+// messages are counted by the owner.
 func (p *process) ownerFigures(loop *core.Loop, done func(core.Figures)) {
 	x := p.previousFigures
 	x.Open = 0
--- a/internal/daemon/partitions.go
+++ b/internal/daemon/partitions.go
@@ -8,8 +8,9 @@
 	"snowjunction/internal/store"
 )
 
-// newRouter makes the router of messages, where the operator file divides the destinations among
-// couriers: nil else. What an earlier process left in the journal stays this courier's.
+// newRouter creates the message router if the operator file divides the destinations among
+// couriers, else it returns nil. Messages that the previous process left in the journal stay with
+// this courier.
 func (c *courier) newRouter(left []*store.Message) *partition.Router {
 	p, m := c.process.files.partitions, c.process.files.membership
 	if m == nil {
@@ -33,7 +34,7 @@
 	return r
 }
 
-// currentMembership is the one that holds; nil: destinations are not divided.
+// currentMembership returns the current membership, or nil if destinations are not divided.
 func (c *courier) currentMembership() *partition.Membership {
 	if r := c.platform.Router; r != nil {
 		return r.Membership()
@@ -41,8 +42,8 @@
 	return nil
 }
 
-// adoptMembership takes another membership, where one holds and it divides as that one does: else it waits
-// for a restart.
+// adoptMembership applies a new membership if it has the same numbers of partitions and copies as
+// the current one. Other changes require a restart.
 func (c *courier) adoptMembership(m *partition.Membership) {
 	holds := c.currentMembership()
 	if m == nil || holds == nil || m.Partitions() != holds.Partitions() || m.Copies() != holds.Copies() ||
@@ -54,7 +55,7 @@
 	c.logOwnership(m)
 }
 
-// logOwnership tells what this courier's part of a membership is.
+// logOwnership logs which partitions of a membership this courier owns.
 func (c *courier) logOwnership(m *partition.Membership) {
 	if _, member := m.Member(c.cfg.Name); !member {
 		c.log.Warn("no member of the partitions: it owns none and forwards all", "members", len(m.Members()))
--- a/internal/daemon/partitions_start_test.go
+++ b/internal/daemon/partitions_start_test.go
@@ -23,7 +23,7 @@
 	"snowjunction/internal/store"
 )
 
-// testRun is one of a courier's lives: its list, with a directory that is really there.
+// testRun is one run of a courier with a real directory server.
 type testRun struct {
 	t      *testing.T
 	loop   *core.Loop
@@ -34,7 +34,7 @@
 	end    func()
 }
 
-// startRun begins a life on a folder.
+// startRun starts a run on a folder.
 func startRun(t *testing.T, dir, discovery string, m *partition.Membership) *testRun {
 	log := slog.New(slog.DiscardHandler)
 	l := &testRun{t: t, loop: core.NewLoop(time.Now), router: partition.NewRouter(partition.Options{Self: "c0", Linger: time.Second}, m, 0)}
@@ -80,7 +80,7 @@
 	require.True(l.t, come(), what)
 }
 
-// has waits until the list of a generation is held, whole and on disk, and ends the life.
+// has waits until the complete list of a generation is held and on disk, and ends the run.
 func (l *testRun) has(dir string, generation uint64) {
 	l.t.Helper()
 	l.until("the list", func() bool {
@@ -106,13 +106,13 @@
 	return out
 }
 
-// A courier that starts again with its folder asks for what has changed in its partitions, and for
-// the list of those that it has gained meanwhile. What it has lost is not in its list any more.
+// A courier that restarts with its folder requests only what has changed in its partitions and the
+// lists of partitions it has gained. Partitions it has lost are no longer in its list.
 func TestRestartFetchesOnlyChanges(t *testing.T) {
 	const (
 		partitions   = 64
 		destinations = 4000
-		short        = 1000 // bytes of answers to some watches, with their heads
+		short        = 1000 // limit on the bytes of a few watch answers, including headers
 	)
 	fleet := func(n int, without ...int) *partition.Membership {
 		var all []partition.Member
@@ -162,20 +162,20 @@
 	l.has(dir, generation)
 	assert.Equal(t, part(all), l.holds())
 	again := said() - before
-	assert.Less(t, again, int64(short), "its changes, and no list")
+	assert.Less(t, again, int64(short), "only its changes, no full list")
 
 	before = said()
-	fewer := fleet(8, 1, 2) // two have gone meanwhile: it gains
+	fewer := fleet(8, 1, 2) // two members left: partitions are gained
 	l = startRun(t, dir, d.Addr(), fewer)
 	gained := len(part(fewer)) - len(part(all))
 	require.Positive(t, gained)
 	l.has(dir, generation)
 	assert.Equal(t, part(fewer), l.holds())
 	gains := said() - before
-	assert.Less(t, gains, int64(gained*200+10*short), "what it has gained, not what it had")
+	assert.Less(t, gains, int64(gained*200+10*short), "only the gained partitions")
 
 	before = said()
-	more := fleet(24) // many have come: it loses
+	more := fleet(24) // many members joined: partitions are lost
 	l = startRun(t, dir, d.Addr(), more)
 	require.Subset(t, fewer.Owned("c0"), more.Owned("c0"))
 	l.has(dir, generation)
--- a/internal/daemon/partitions_test.go
+++ b/internal/daemon/partitions_test.go
@@ -18,7 +18,8 @@
 	"snowjunction/internal/store"
 )
 
-// newPartitionedCourier is a courier of two members that has what it needs to divide and to adopt.
+// newPartitionedCourier returns a courier of a fleet of two with the parts that newRouter and
+// adoptMembership need.
 func newPartitionedCourier(t *testing.T, log *bytes.Buffer) *courier {
 	now := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	p := &config.Partitions{Enabled: true, Partitions: 32, Copies: 1, Linger: 30 * time.Second, Members: []partition.Member{
@@ -36,13 +37,14 @@
 	}
 }
 
-// What an earlier process left in the journal stays this courier's: its partitions are listed,
-// whoever owns them, and the next of its keys waits here, while one of another key goes to its owner.
+// Messages that an earlier process left in the journal stay with this courier: their partitions are
+// listed whoever owns them, and the next message of their ordering keys waits here, while those of
+// other keys go to the owner.
 func TestRestoredMessagesStayWithCourier(t *testing.T) {
 	var log bytes.Buffer
 	c := newPartitionedCourier(t, &log)
 	m := c.process.files.membership
-	var theirs []uint32 // destinations of partitions apart
+	var theirs []uint32 // destinations in different partitions
 	for _, p := range m.Owned("n1") {
 		for d := uint32(0); ; d++ {
 			if partition.Of(d, 32) == p {
@@ -63,18 +65,19 @@
 	assert.Equal(t, "n0", r.Membership().Members()[0].Name)
 	assert.True(t, r.Lists(theirs[0]))
 	assert.True(t, r.Lists(theirs[1]))
-	assert.False(t, r.Lists(theirs[2]), "it has ended")
+	assert.False(t, r.Lists(theirs[2]), "the message has ended")
 	way := func(d uint32, key uint64, now time.Duration) partition.Way {
 		return r.Route(partition.Message{Destination: d, Key: key}, nil, now).Way
 	}
-	assert.Equal(t, partition.Busy, way(theirs[0], 7, 2499*time.Millisecond), "with its way and the key's rest")
+	assert.Equal(t, partition.Busy, way(theirs[0], 7, 2499*time.Millisecond), "for the message's time and the pause of the key")
 	assert.Equal(t, partition.Forward, way(theirs[0], 7, 2500*time.Millisecond))
-	assert.Equal(t, partition.Forward, way(theirs[1], 8, 0), "that class keeps no order")
+	assert.Equal(t, partition.Forward, way(theirs[1], 8, 0), "the class is not ordered")
 	assert.Equal(t, partition.Forward, way(theirs[2], 9, 0))
 	assert.Contains(t, log.String(), "msg=partitions members=2 partitions=32 copies=1 own=")
 }
 
-// Another membership is taken up while it divides alike; what this courier becomes is told.
+// A new membership is adopted while its numbers of partitions and copies are unchanged; the
+// resulting ownership is logged.
 func TestAdoptMembership(t *testing.T) {
 	var log bytes.Buffer
 	c := newPartitionedCourier(t, &log)
@@ -85,7 +88,7 @@
 	c.platform = platform.New(platform.Config{Loop: c.loop, Engine: c.engine, Log: c.log})
 	assert.Nil(t, c.currentMembership())
 	c.adoptMembership(c.process.files.membership)
-	assert.Nil(t, c.currentMembership(), "it is off until a restart")
+	assert.Nil(t, c.currentMembership(), "partitioning stays disabled until a restart")
 	c.platform.Router = c.newRouter(nil)
 	first := c.currentMembership()
 	require.NotNil(t, first)
@@ -93,14 +96,14 @@
 	same, err := again.Membership("n0", first)
 	require.NoError(t, err)
 	c.adoptMembership(same)
-	assert.Same(t, first, c.currentMembership(), "nothing is new")
+	assert.Same(t, first, c.currentMembership(), "the members are unchanged")
 	c.adoptMembership(nil)
-	assert.Same(t, first, c.currentMembership(), "it is on until a restart")
+	assert.Same(t, first, c.currentMembership(), "partitioning stays enabled until a restart")
 	again.Partitions = 64
 	other, err := again.Membership("n0", first)
 	require.NoError(t, err)
 	c.adoptMembership(other)
-	assert.Same(t, first, c.currentMembership(), "it waits for a restart")
+	assert.Same(t, first, c.currentMembership(), "the change requires a restart")
 	again.Partitions, again.Members = 32, again.Members[1:]
 	without, err := again.Membership("n0", first)
 	require.NoError(t, err)
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -21,8 +21,8 @@
 	"snowjunction/internal/net"
 )
 
-// process is what outlasts the couriers of one process: a handover that fails makes it go on
-// with a new one of its own.
+// process holds the state that outlives the couriers of one process: after a failed handover the
+// process continues with a new courier.
 type process struct {
 	opts Options
 	log  *slog.Logger
@@ -30,32 +30,31 @@
 	life *describe.Life
 
 	files      files
-	startSteps *startTimer    // of the first courier, until it is ready
-	ownerSince time.Time      // it owns
-	lock       *handover.Lock // nil: the folder cannot be locked here, or is somebody else's
-	// Of the courier before: what it counted, and how things stood.
+	startSteps *startTimer    // of the first courier's start; nil once it is ready
+	ownerSince time.Time      // when this process became the folder's owner
+	lock       *handover.Lock // nil if the folder cannot be locked here, or another process owns it
+	// Counters and figures of the previous courier of this process.
 	previousCounts  *core.Counts
 	previousFigures core.Figures
 
 	mu              sync.Mutex
-	deliver         func(os.Signal)
-	queuedSignals   []os.Signal
-	terminationTime time.Time // to end
+	deliver         func(os.Signal) // nil while no courier handles signals
+	queuedSignals   []os.Signal     // received while deliver is nil
+	terminationTime time.Time       // when the process was told to end; zero if it was not
 }
 
 const (
-	ownerPollInterval     = 50 * time.Millisecond // between two looks at who owns the folder
-	waitLogInterval       = 5 * time.Second       // between lines that say why this process waits
-	maxServeAfterHandover = 10 * time.Second      // after a handover, where nobody ends this process
-	lockPollInterval      = 100 * time.Millisecond
-	successorTimeout      = 800 * time.Millisecond // for the other process's word, while nobody decides
-	maxReclaimTries       = 25                     // looks at the lock before a courier that gave it away leaves
+	ownerPollInterval     = 50 * time.Millisecond  // between checks of the folder's owner
+	waitLogInterval       = 5 * time.Second        // between log lines about why this process waits
+	maxServeAfterHandover = 10 * time.Second       // after a handover, if this process is not told to end
+	lockPollInterval      = 100 * time.Millisecond // between checks of the lock after a handover
+	successorTimeout      = 800 * time.Millisecond // for the successor's frames, while no process decides
+	maxReclaimTries       = 25                     // attempts to take the lock back before the process gives up ownership
 )
 
-// Run is the courier from its start to its end. An error means that it could not start; it
-// is one line.
+// Run runs the courier until it ends. An error, always one line, means that it could not start.
 func Run(o Options) error {
-	// First of all: a signal that came before would end the process there and then.
+	// Register first: an earlier signal would end the process immediately.
 	signals := o.Signals
 	if signals == nil {
 		own := make(chan os.Signal, 4)
@@ -117,7 +116,7 @@
 		} else {
 			c.handoverState.Close()
 			callers, second := c.consoleConns, c.consoleFD
-			c = &courier{consoleFD: -1} // what it held is the next owner's; its memory counts with that one's
+			c = &courier{consoleFD: -1} // release the old courier: its memory adds to the new owner's
 			if !p.serveAfterHandover(callers, second) {
 				return nil
 			}
@@ -132,14 +131,14 @@
 	}
 }
 
-// stepDone counts a step of the start.
+// stepDone records a step of the start.
 func (p *process) stepDone(step string) {
 	if p.startSteps != nil {
 		p.startSteps.stepDone(step, time.Now())
 	}
 }
 
-// dispatch has a signal heard by whoever hears them now, or next.
+// dispatch passes a signal to the current handler, or queues it for the next one.
 func (p *process) dispatch(s os.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,8 +152,8 @@
 	}
 }
 
-// sinceTermination is how much of the time in which this process has to end has gone by already, in a
-// handover that came to nothing.
+// sinceTermination returns how much of the time for a planned stop has passed already, during a
+// handover that failed.
 func (p *process) sinceTermination() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,7 +163,8 @@
 	return time.Since(p.terminationTime)
 }
 
-// setSignalHandler has signals delivered from now on; nil: they wait.
+// setSignalHandler sets the handler of signals and passes it the queued ones. If nil, signals are
+// queued.
 func (p *process) setSignalHandler(deliver func(os.Signal)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -178,7 +178,7 @@
 	p.queuedSignals = nil
 }
 
-// terminating tells that a process which owns nothing yet has been told to end.
+// terminating reports whether a process that does not own the folder yet was told to end.
 func (p *process) terminating() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -190,8 +190,8 @@
 	return false
 }
 
-// acquireFolder returns once this process owns the folder: it was free, or its owner has handed it over
-// with an estate. Without both it waits, and says why, until it is told to end.
+// acquireFolder returns once this process owns the folder: the folder was free, or its owner handed
+// it over with its state. Otherwise it waits, and logs why, until the process is told to end.
 func (p *process) acquireFolder() (*handover.Estate, error) {
 	dir := p.files.cfg.StateDir
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -205,12 +205,12 @@
 			return nil, nil
 		}
 		if !errors.Is(err, handover.ErrOwned) {
-			p.log.Warn("nothing tells who owns the folder: two processes must not run over it", "err", err)
+			p.log.Warn("cannot lock the folder; make sure that no other process uses it", "err", err)
 			return nil, nil
 		}
 		if addr := p.files.cfg.Console; addr != "" && !free {
 			if err := net.CheckAddress(console.ListenerKind, addr); err != nil {
-				return nil, err // before the owner lets go of anything
+				return nil, err // fail before the owner gives up anything
 			}
 			free = true
 		}
@@ -227,7 +227,7 @@
 	return nil, nil
 }
 
-// requestHandover asks the owner to hand over.
+// requestHandover asks the owner for a handover.
 func (p *process) requestHandover(dir string) (*handover.Estate, error) {
 	link, err := handover.Dial(dir)
 	if err != nil {
@@ -264,7 +264,7 @@
 			}
 		case handover.TakeOwnership:
 			p.lock, p.ownerSince = handover.LockFromDescriptor(f.FD), time.Now()
-			_ = link.Send(handover.Frame{Kind: handover.Took, FD: -1}) // the lock is here, whatever the elder hears
+			_ = link.Send(handover.Frame{Kind: handover.Took, FD: -1}) // the lock has arrived even if the predecessor does not receive this
 			return &got.Estate, nil
 		}
 		if f.Kind == handover.DeedTo && err == nil {
@@ -278,8 +278,8 @@
 	}
 }
 
-// sendHandover hands an estate over. It returns true where this process owns on: then the estate is
-// still its own, but for what could not be kept meanwhile.
+// sendHandover hands the state over. It returns true if this process remains the owner; the state
+// is then still its own, except for descriptors that were closed meanwhile.
 func (p *process) sendHandover(link *handover.Link, e *handover.Estate) bool {
 	defer link.Close()
 	var side handover.Predecessor
@@ -292,7 +292,7 @@
 		case handover.SendLock:
 			if err := link.Send(handover.Frame{Kind: handover.DeedTo, FD: p.lock.FD()}); err != nil {
 				p.log.Warn("not handed over", "step", "lock", "err", err)
-				return true // it has not left
+				return true // the lock was not sent
 			}
 			p.lock.Close()
 			p.lock = nil
@@ -313,7 +313,7 @@
 				}
 				time.Sleep(lockPollInterval / 5)
 			}
-			p.log.Warn("handed over", "why", "another process owns the folder, though none has said so")
+			p.log.Warn("handed over", "why", "another process owns the folder without having confirmed it")
 			return false
 		default:
 			return true
@@ -321,8 +321,8 @@
 	}
 }
 
-// sendState sends an estate and waits for word that it has come. Where both processes together
-// would hold too many descriptors, each is closed here as it leaves.
+// sendState sends the state and waits for its confirmation. If both processes together would exceed
+// the descriptor limit, each descriptor is closed here once it is sent.
 func (p *process) sendState(link *handover.Link, e *handover.Estate) handover.Event {
 	n := 0
 	e.EachDescriptor(func(*int) { n++ })
--- a/internal/daemon/steps.go
+++ b/internal/daemon/steps.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Steps are those of a start, in their order; a start that has nothing to do in one leaves it at
-// next to nothing. The time until a courier is ready is their sum.
+// Steps are the steps of a start, in order. A step without work takes almost no time. Their sum is
+// the time until a courier is ready.
 var Steps = []string{
-	"files",     // configuration and operator files are read
-	"plugins",   // their host is up
-	"lock",      // this process owns the folder
-	"address",   // the clients' addresses are bound: who connects now waits
-	"journal",   // it is read
-	"list",      // the list kept on disk is read
-	"learnt",    // what was learnt of destinations is read
-	"module",    // decision module and stores are up
-	"listener",  // clients are heard
-	"endpoints", // the list is taken up
-	"restored",  // messages of the journal are taken up
-	"ready",     // a PING is answered +PONG; without a list, the directory was waited for
+	"files",     // read the configuration and operator files
+	"plugins",   // start the plug-ins' host
+	"lock",      // become the folder's owner
+	"address",   // bind the clients' addresses: new connections are queued from now on
+	"journal",   // load the journal
+	"list",      // read the list from disk
+	"learnt",    // read the learned state of destinations
+	"module",    // start the decision module and the stores
+	"listener",  // accept clients
+	"endpoints", // load the list into the module
+	"restored",  // restore the messages of the journal
+	"ready",     // a PING is answered with +PONG; without a list, this includes waiting for the directory
 }
 
-// startTimer is the account of a start's steps.
+// startTimer measures the steps of a start.
 type startTimer struct {
 	startedAt, last time.Time
 	durations       map[string]time.Duration
@@ -32,13 +32,13 @@
 	return &startTimer{startedAt: begun, last: begun, durations: map[string]time.Duration{}}
 }
 
-// stepDone counts the time since the step before to this one.
+// stepDone adds the time since the previous step to this one.
 func (s *startTimer) stepDone(step string, now time.Time) {
 	s.durations[step] += now.Sub(s.last)
 	s.last = now
 }
 
-// LogValue has the steps in their order, in milliseconds.
+// LogValue returns the steps in order, in milliseconds.
 func (s *startTimer) LogValue() slog.Value {
 	var out []slog.Attr
 	for _, step := range Steps {
