--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -235,9 +235,9 @@
 	return v
 }
 
-func indexByName(names []*fastjson.Value) map[string]int {
+func indexByName(values []*fastjson.Value) map[string]int {
 	out := map[string]int{}
-	for i, n := range names {
+	for i, n := range values {
 		name, _ := n.StringBytes()
 		out[string(name)] = i
 	}
--- a/internal/config/directory.go
+++ b/internal/config/directory.go
@@ -73,8 +73,8 @@
 }
 
 // secondsField reads a number of seconds, if it is there.
-func secondsField(v *fastjson.Value, key string, to *time.Duration) {
+func secondsField(v *fastjson.Value, key string, target *time.Duration) {
 	if v.Exists(key) {
-		*to = Millis(1000 * v.GetFloat64(key))
+		*target = Millis(1000 * v.GetFloat64(key))
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -139,7 +139,7 @@
 
 // build creates the other components, on a folder that this process owns. It takes ownership of the
 // handover state e, which may be nil.
-func (c *courier) build(e *handover.Estate) (left []*store.Message, err error) {
+func (c *courier) build(e *handover.Estate) (messages []*store.Message, err error) {
 	cfg, pushCfg := c.cfg, c.process.files.push
 	if c.engine, err = net.New(net.Config{
 		Post: c.loop.Post, Log: c.log, MaxConns: max(cfg.Limits.Sockets-reservedDescriptors, cfg.Limits.Sockets/2), Kept: reservedConns(cfg),
@@ -151,16 +151,16 @@
 		return nil, err
 	}
 	c.process.stepDone("address")
-	goes := map[uint64]bool{}
+	inFlight := map[uint64]bool{}
 	if e != nil {
 		for _, x := range e.Calls {
-			goes[x.Seq] = x.FD >= 0
+			inFlight[x.Seq] = x.FD >= 0
 		}
 	}
-	c.journal, left, err = store.Load(store.Options{
+	c.journal, messages, err = store.Load(store.Options{
 		Dir: cfg.StateDir, Bytes: cfg.StateBytes() - c.directoryConfig.Room() - exclusions.Room(), Retain: pushCfg.Retain, Log: c.log,
 		Until: core.Until(cfg.Settings),
-		Goes:  func(seq uint64) bool { return goes[seq] },
+		Goes:  func(seq uint64) bool { return inFlight[seq] },
 	})
 	if err != nil {
 		return nil, err
@@ -170,7 +170,7 @@
 		Loop: c.loop, Engine: c.engine, Log: c.log, Number: platformFrontNumber, Listen: cfg.Listen,
 		Discovery: cfg.Discovery, Names: cfg.Names, Columns: cfg.ReportColumns, Settings: cfg.Settings,
 		Lists: platform.ListLimits{Bytes: c.idle.ListBytes, Entries: c.idle.ListEntries}, Started: c.onPlatformStep,
-		Router: c.newRouter(left),
+		Router: c.newRouter(messages),
 	})
 	c.push = push.New(push.Config{
 		Loop: c.loop, Engine: c.engine, Log: c.log, Number: pushFrontNumber, Push: pushCfg, API: c.process.api, Life: c.process.life,
@@ -209,7 +209,7 @@
 		c.core.Carry(*c.process.previousCounts)
 	}
 	c.process.stepDone("module")
-	return left, err
+	return messages, err
 }
 
 // reservedConns returns the connections that are reserved, whatever clients and targets need, for a
@@ -263,13 +263,13 @@
 }
 
 // start opens the fronts and restores what the previous process left behind or handed over.
-func (c *courier) start(left []*store.Message, e *handover.Estate) error {
-	if err := c.push.Start(c.core, left); err != nil {
+func (c *courier) start(messages []*store.Message, e *handover.Estate) error {
+	if err := c.push.Start(c.core, messages); err != nil {
 		return err
 	}
-	out := exclusions.New(c.cfg.Settings.WarmUp)
-	exclusions.Read(c.cfg.StateDir, out, c.log)
-	c.core.RecallOut(out)
+	excluded := exclusions.New(c.cfg.Settings.WarmUp)
+	exclusions.Read(c.cfg.StateDir, excluded, c.log)
+	c.core.RecallOut(excluded)
 	if e != nil {
 		c.core.TakeOver(e)
 	} else {
@@ -280,10 +280,10 @@
 	if err := c.platform.Start(c.core, c.begin); err != nil {
 		return err
 	}
-	if c.begin.Held && len(left) > 0 && (e == nil || !e.Live) {
+	if c.begin.Held && len(messages) > 0 && (e == nil || !e.Live) {
 		c.core.Pause(directoryTimeout)
 	}
-	c.core.Restore(left) // before the loop runs, so that no new message comes first
+	c.core.Restore(messages) // before the loop runs, so that no new message comes first
 	c.process.stepDone("restored")
 	if e != nil {
 		c.platform.TakeOver(e.Clients)
@@ -291,18 +291,20 @@
 			"ms", time.Since(c.process.ownerSince).Milliseconds())
 		c.closeAbandonedCalls()
 	}
-	second := ""
+	consoleAddr := ""
 	if c.cfg.Console != "" {
 		var err error
 		c.console, err = console.Start(console.Config{
 			Loop: c.loop, Engine: c.engine, Listen: c.cfg.Console, Ready: c.platform.Ready,
 			Figures: func(done func(core.Figures)) { done(c.core.Figures(platformFrontNumber)) },
-			Exclude: func(id string, out bool, done func(error)) { c.core.Exclude(platformFrontNumber, id, out, done) },
+			Exclude: func(id string, excluded bool, done func(error)) {
+				c.core.Exclude(platformFrontNumber, id, excluded, done)
+			},
 		})
 		if err != nil {
 			return err
 		}
-		second = c.console.Addr()
+		consoleAddr = c.console.Addr()
 		c.console.TakeOver(c.consoleConns)
 	}
 	c.engine.CloseInherited()
@@ -311,8 +313,8 @@
 	}
 	c.openHandover()
 	c.log.Info("started", "listen", c.platform.Addr(), "push", c.push.Addr(), "restored", c.core.Counters.Restored)
-	if second != "" {
-		c.log.Info("second address", "listen", second)
+	if consoleAddr != "" {
+		c.log.Info("second address", "listen", consoleAddr)
 	}
 	return nil
 }
@@ -370,15 +372,15 @@
 
 func (c *courier) startReload() {
 	c.reading = true
-	asked := c.reloadCallbacks
+	callbacks := c.reloadCallbacks
 	c.reloadCallbacks = nil
-	holds := c.currentMembership()
+	current := c.currentMembership()
 	go func() {
-		f, err := readAll(c.env, &c.cfg.Names, holds)
+		f, err := readAll(c.env, &c.cfg.Names, current)
 		c.loop.Post(func() {
 			c.applyFiles(f, err, func(why string) {
 				c.reading = false
-				for _, done := range asked {
+				for _, done := range callbacks {
 					done(why)
 				}
 				if len(c.reloadCallbacks) > 0 {
@@ -399,21 +401,21 @@
 		done(err.Error())
 		return
 	}
-	later := c.cfg.DifferingSections(f.cfg)
+	needRestart := c.cfg.DifferingSections(f.cfg)
 	if *f.directory != *c.directoryConfig {
-		later = append(later, "directory")
+		needRestart = append(needRestart, "directory")
 	}
 	if *f.fleet != *c.fleet {
-		later = append(later, "fleet")
+		needRestart = append(needRestart, "fleet")
 	}
 	if *f.idle != *c.idle {
-		later = append(later, "idle destinations")
+		needRestart = append(needRestart, "idle destinations")
 	}
 	if c.process.files.partitions.NeedsRestart(f.partitions) {
-		later = append(later, "partitions")
+		needRestart = append(needRestart, "partitions")
 	}
-	if len(later) > 0 {
-		c.log.Warn("these wait for a restart", "values", later)
+	if len(needRestart) > 0 {
+		c.log.Warn("these wait for a restart", "values", needRestart)
 	}
 	c.platform.Move(f.cfg.Discovery)
 	c.adoptMembership(f.membership)
--- a/internal/daemon/directory.go
+++ b/internal/daemon/directory.go
@@ -18,23 +18,23 @@
 // the configuration. Both carry generations of the same directory; if these are equal the kept list
 // is used, because its age is known. A kept list from another agent, which may count generations
 // independently, is still used, but the next list is requested in full.
-func chooseStartList(kept *dircache.Snapshot, known config.List, agent string, now time.Time) platform.Begin {
-	if kept == nil || known.Held && known.Generation > kept.Generation {
-		if !known.Held {
+func chooseStartList(cached *dircache.Snapshot, configured config.List, agent string, now time.Time) platform.Begin {
+	if cached == nil || configured.Held && configured.Generation > cached.Generation {
+		if !configured.Held {
 			return platform.Begin{}
 		}
-		return platform.Begin{List: known, Source: belief.Known, Watch: true}
+		return platform.Begin{List: configured, Source: belief.Known, Watch: true}
 	}
-	age := now.Sub(kept.Told)
+	age := now.Sub(cached.Told)
 	if age < -clockTolerance { // the clock was set back: the age is unknown
 		age = -1
 	} else {
 		age = max(age, 0)
 	}
 	return platform.Begin{
-		List:   config.List{Held: true, Generation: kept.Generation, Full: true, Targets: kept.Entries},
-		Source: belief.Cached, Age: age, Watch: !kept.Partial && kept.Agent == agent,
-		Partitions: kept.Partitions, Of: kept.Of,
+		List:   config.List{Held: true, Generation: cached.Generation, Full: true, Targets: cached.Entries},
+		Source: belief.Cached, Age: age, Watch: !cached.Partial && cached.Agent == agent,
+		Partitions: cached.Partitions, Of: cached.Of,
 	}
 }
 
@@ -83,13 +83,13 @@
 // write encodes the list in slices, so that a long list does not block the loop. If the list
 // changes meanwhile, encoding starts over.
 func (k *listKeeper) write() {
-	gen, agent, known := k.front.Told()
+	generation, agent, known := k.front.Told()
 	if !known {
 		return
 	}
 	k.startedAt = k.loop.Now()
 	version := k.version
-	told := k.loop.Now()
+	confirmedAt := k.loop.Now()
 	if source, age, live := k.core.Word(platformFrontNumber); !live {
 		if version == 1 {
 			return // the list of the start: it is already on disk, or its age is unknown
@@ -97,18 +97,18 @@
 		if source == belief.Known {
 			age = max(age, k.freshFor)
 		}
-		told = told.Add(-age)
+		confirmedAt = confirmedAt.Add(-age)
 	}
 	partitions, of := k.front.Holds()
 	w := dircache.NewWriter(dircache.Head{
-		Told: told, Generation: gen, Agent: agent, Zones: dircache.Names(k.names.Zones), Kinds: dircache.Names(k.names.Kinds),
+		Told: confirmedAt, Generation: generation, Agent: agent, Zones: dircache.Names(k.names.Zones), Kinds: dircache.Names(k.names.Kinds),
 		Partitions: partitions, Of: of,
 	}, k.maxBytes)
 	// Entries of loaded destinations come first, in case not all entries fit.
-	at, second, spent := 0, false, time.Duration(0)
+	position, unloadedPass, spent := 0, false, time.Duration(0)
 	step := func() (more bool) {
-		begun := k.loop.Now()
-		defer func() { spent += k.loop.Now().Sub(begun) }()
+		sliceStart := k.loop.Now()
+		defer func() { spent += k.loop.Now().Sub(sliceStart) }()
 		if version != k.version {
 			k.lastDuration = max(k.lastDuration, spent)
 			k.abandoned++
@@ -117,17 +117,17 @@
 		}
 		table := k.core.Table(platformFrontNumber)
 		n := 0
-		for e := range table.From(at) {
-			if awake := k.core.Awake(e.Destination); awake != second && (e.Phase == snowjunction.Ready || e.Phase == snowjunction.Draining) {
+		for e := range table.From(position) {
+			if awake := k.core.Awake(e.Destination); awake != unloadedPass && (e.Phase == snowjunction.Ready || e.Phase == snowjunction.Draining) {
 				w.Add(e)
 			}
-			at++
+			position++
 			if n++; n == entriesPerSlice {
 				return true
 			}
 		}
-		if !second {
-			at, second = 0, true
+		if !unloadedPass {
+			position, unloadedPass = 0, true
 			return true
 		}
 		k.cache.Put(w.Bytes())
@@ -163,20 +163,20 @@
 // openSideFiles reads the state that an earlier process run left next to the journal, and opens it
 // for writing. Errors are logged and cost only that state, not the start.
 func (c *courier) openSideFiles(cfg *core.Config, e *handover.Estate) {
-	wrong := func(file string, err error) { c.log.Warn("cannot use a file", "file", file, "err", err) }
-	var kept *dircache.Snapshot
+	warn := func(file string, err error) { c.log.Warn("cannot use a file", "file", file, "err", err) }
+	var cached *dircache.Snapshot
 	if e != nil && len(e.List) > 0 {
 		var err error
-		if kept, err = dircache.Decode(e.List); err != nil {
-			wrong("the list handed over", err)
+		if cached, err = dircache.Decode(e.List); err != nil {
+			warn("the list handed over", err)
 		}
 	}
-	if kept == nil && c.directoryConfig.Cache {
-		kept = dircache.Load(c.cfg.StateDir, wrong)
+	if cached == nil && c.directoryConfig.Cache {
+		cached = dircache.Load(c.cfg.StateDir, warn)
 	}
 	c.process.stepDone("list")
-	if kept != nil {
-		kept.Rename(c.cfg.Names.Zones, c.cfg.Names.Kinds)
+	if cached != nil {
+		cached.Rename(c.cfg.Names.Zones, c.cfg.Names.Kinds)
 	}
 	if c.directoryConfig.Cache {
 		cache, err := dircache.Open(dircache.Options{Dir: c.cfg.StateDir, Bytes: c.directoryConfig.CacheBytes, Generations: c.directoryConfig.Generations, Log: c.log})
@@ -195,12 +195,12 @@
 			}
 		}
 	}
-	c.begin = chooseStartList(kept, c.cfg.InitialList, c.cfg.Discovery, c.loop.Now())
+	c.begin = chooseStartList(cached, c.cfg.InitialList, c.cfg.Discovery, c.loop.Now())
 	if b := c.begin; b.Held {
 		c.log.Info("starting list", "source", b.Source.String(), "generation", b.Generation, "endpoints", len(b.Targets), "age", b.Age.Round(time.Millisecond))
 	}
 	if c.directoryConfig.Learn {
-		c.learnedRecords = learnt.Load(c.cfg.StateDir, wrong)
+		c.learnedRecords = learnt.Load(c.cfg.StateDir, warn)
 		store, err := learnt.Open(learnt.Options{Dir: c.cfg.StateDir, Bytes: c.directoryConfig.LearnBytes, Log: c.log}, c.learnedRecords)
 		if err != nil {
 			c.log.Warn("learned state is not kept", "err", err)
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -44,10 +44,10 @@
 		courier: &courier{log: slog.New(slog.DiscardHandler), process: &process{}}, t: t,
 		now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), notices: make(chan struct{}, 1), confirm: make(chan struct{}),
 	}
-	over := make(chan struct{})
+	testDone := make(chan struct{})
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/discovery") {
-			<-over
+			<-testDone
 			return
 		}
 		select {
@@ -56,12 +56,12 @@
 		}
 		select {
 		case <-e.confirm:
-		case <-over:
+		case <-testDone:
 		}
 		w.WriteHeader(http.StatusNoContent)
 	}))
 	t.Cleanup(discovery.Close)
-	t.Cleanup(func() { close(over) }) // cleanups run in reverse: this one first
+	t.Cleanup(func() { close(testDone) }) // cleanups run in reverse: this one first
 	e.loop = core.NewLoop(func() time.Time { return e.now })
 	var err error
 	e.engine, err = net.New(net.Config{Post: e.loop.Post, Log: e.log, MaxConns: 64})
@@ -93,44 +93,44 @@
 	})
 	require.NoError(t, err)
 	require.NoError(t, e.push.Start(e.core, nil))
-	known := platform.Begin{Watch: true}
-	known.Held, known.Full, known.Generation = true, true, 1
-	known.Targets = []core.Entry{{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Weight: 1, Phase: snowjunction.Draining}}
-	require.NoError(t, e.platform.Start(e.core, known))
+	initial := platform.Begin{Watch: true}
+	initial.Held, initial.Full, initial.Generation = true, true, 1
+	initial.Targets = []core.Entry{{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Weight: 1, Phase: snowjunction.Draining}}
+	require.NoError(t, e.platform.Start(e.core, initial))
 	t.Cleanup(e.platform.Close)
 	t.Cleanup(e.push.Close)
 	return e
 }
 
 // until runs the loop until the condition holds. Only a failure reaches the limit.
-func (e *drainTest) until(what string, come func() bool) {
+func (e *drainTest) until(what string, condition func() bool) {
 	e.t.Helper()
 	limit := time.Now().Add(20 * time.Second)
-	e.loop.RunUntil(func() bool { return come() || time.Now().After(limit) })
-	require.True(e.t, come(), what)
+	e.loop.RunUntil(func() bool { return condition() || time.Now().After(limit) })
+	require.True(e.t, condition(), what)
 }
 
-// after advances the clock in steps of drainPollInterval and runs what is due.
-func (e *drainTest) after(d time.Duration) {
+// advance advances the clock in steps of drainPollInterval and runs what is due.
+func (e *drainTest) advance(d time.Duration) {
 	for ; d > 0; d -= drainPollInterval {
 		e.now = e.now.Add(min(d, drainPollInterval))
 		e.loop.Turn()
 	}
 }
 
-// caller is a client of a front with the answers that it received.
-type caller struct {
+// client is a client of a front with the answers that it received.
+type client struct {
 	stdnet.Conn
 	mu  sync.Mutex
 	got string
 }
 
-func (e *drainTest) call(addr, text string) *caller {
+func (e *drainTest) connect(addr, text string) *client {
 	e.t.Helper()
 	conn, err := stdnet.Dial("tcp", addr)
 	require.NoError(e.t, err)
 	e.t.Cleanup(func() { conn.Close() })
-	c := &caller{Conn: conn}
+	c := &client{Conn: conn}
 	go func() {
 		b := make([]byte, 4096)
 		for {
@@ -148,7 +148,7 @@
 	return c
 }
 
-func (c *caller) told(text string) bool {
+func (c *client) received(text string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return strings.Contains(c.got, text)
@@ -164,18 +164,18 @@
 
 // pendingWork begins some time after the drain, or before it if since is zero.
 type pendingWork struct {
-	since time.Duration
+	delay time.Duration
 	begin func(e *drainTest) (finish func())
 }
 
-func (b pendingWork) begins(e *drainTest) (finish func()) {
-	if b.since == 0 {
+func (b pendingWork) start(e *drainTest) (finish func()) {
+	if b.delay == 0 {
 		finish = b.begin(e)
 		e.drain()
 		return finish
 	}
 	e.drain()
-	e.after(b.since)
+	e.advance(b.delay)
 	return b.begin(e)
 }
 
@@ -183,19 +183,19 @@
 // unconfirmed notice. It does so before and after decisions stop, but not beyond drainTimeout.
 func TestDrainWaitsForPendingWork(t *testing.T) {
 	message := add("m2")
-	for name, way := range map[string]pendingWork{
+	for name, work := range map[string]pendingWork{
 		// A client may take 2 s to send a request; this one sends the rest among the last.
-		"half a request": {since: drainListenTime - drainPollInterval, begin: func(e *drainTest) func() {
-			c := e.call(e.platform.Addr(), message[:20])
+		"half a request": {delay: drainListenTime - drainPollInterval, begin: func(e *drainTest) func() {
+			c := e.connect(e.platform.Addr(), message[:20])
 			e.until("a part is read", e.platform.Unanswered)
 			return func() {
 				_, err := io.WriteString(c, message[20:])
 				require.NoError(e.t, err)
-				e.until("it is answered", func() bool { return c.told("-BUSY") })
+				e.until("it is answered", func() bool { return c.received("-BUSY") })
 			}
 		}},
 		"half a request to the push front": {begin: func(e *drainTest) func() {
-			c := e.call(e.push.Addr(), http2.ClientPreface[:20])
+			c := e.connect(e.push.Addr(), http2.ClientPreface[:20])
 			e.until("a part is read", e.push.Unanswered)
 			return func() {
 				_, err := io.WriteString(c, http2.ClientPreface[20:])
@@ -227,22 +227,22 @@
 			t.Run(fmt.Sprintf("%s, held %v", name, held), func(t *testing.T) {
 				e := newDrainTest(t)
 				if held { // a message that waits for an endpoint: decisions stop before it is done
-					c := e.call(e.platform.Addr(), add("m1"))
+					c := e.connect(e.platform.Addr(), add("m1"))
 					e.until("a message is read", func() bool { return e.core.Counters.In == 1 })
-					e.after(drainPollInterval)
-					e.until("it is taken on", func() bool { return c.told("+OK") })
+					e.advance(drainPollInterval)
+					e.until("it is taken on", func() bool { return c.received("+OK") })
 				}
 				began := e.now
-				finish := way.begins(e)
+				finish := work.start(e)
 				wait := drainListenTime
 				if held {
 					wait = drainDecideTime
 				}
-				e.after(began.Add(wait + 2*drainPollInterval).Sub(e.now))
+				e.advance(began.Add(wait + 2*drainPollInterval).Sub(e.now))
 				require.Equal(t, held, e.decisionsStopped)
 				require.False(t, e.loop.Ended(), "it must wait")
 				finish()
-				e.after(2 * drainPollInterval)
+				e.advance(2 * drainPollInterval)
 				assert.True(t, e.loop.Ended(), "it must end at once")
 				assert.Less(t, e.now.Sub(began), drainTimeout)
 			})
@@ -250,8 +250,8 @@
 		t.Run(name+", that never ends", func(t *testing.T) {
 			e := newDrainTest(t)
 			began := e.now
-			way.begins(e)
-			e.after(began.Add(drainTimeout + drainPollInterval).Sub(e.now))
+			work.start(e)
+			e.advance(began.Add(drainTimeout + drainPollInterval).Sub(e.now))
 			assert.True(t, e.loop.Ended())
 		})
 	}
@@ -260,11 +260,11 @@
 // Without work in progress a courier ends when new clients are no longer accepted.
 func TestDrainWithoutPendingWork(t *testing.T) {
 	e := newDrainTest(t)
-	c := e.call(e.platform.Addr(), "*1\r\n$4\r\nPING\r\n")
-	e.until("a client is idle", func() bool { return c.told("+PONG") })
+	c := e.connect(e.platform.Addr(), "*1\r\n$4\r\nPING\r\n")
+	e.until("a client is idle", func() bool { return c.received("+PONG") })
 	e.drain()
-	e.after(drainListenTime - drainPollInterval)
+	e.advance(drainListenTime - drainPollInterval)
 	assert.False(t, e.loop.Ended(), "new clients are still answered")
-	e.after(2 * drainPollInterval)
+	e.advance(2 * drainPollInterval)
 	assert.True(t, e.loop.Ended())
 }
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -44,29 +44,29 @@
 
 // handleHandover handles a connection of another process, given its first frame.
 func (c *courier) handleHandover(link *handover.Link, f handover.Frame, err error) {
-	say := func(k handover.Kind, text string) {
+	reply := func(k handover.Kind, text string) {
 		_ = link.Send(handover.Frame{Kind: k, Text: text, FD: -1})
 		link.Close()
 	}
 	switch {
 	case err != nil: // another version: the new process must replace this one, without a handover
 		c.log.Warn("a handover was refused: this process ends and the other starts without its state", "err", err)
-		say(handover.Refusal, fmt.Sprintf("this process speaks version %d: it ends", handover.Version))
+		reply(handover.Refusal, fmt.Sprintf("this process speaks version %d: it ends", handover.Version))
 		c.loop.Post(func() { c.signal(syscall.SIGTERM) })
 	case f.Kind == handover.Hello:
 		c.loop.Post(func() {
 			if c.draining || c.handingOver {
-				go say(handover.Refusal, "it ends")
+				go reply(handover.Refusal, "it ends")
 				return
 			}
 			c.startHandover(link)
 		})
 	case f.Kind == handover.Ask:
-		got := make(chan string, 1)
-		c.loop.Post(func() { c.answerQuery(f.Text, func(text string) { got <- text }) })
+		answer := make(chan string, 1)
+		c.loop.Post(func() { c.answerQuery(f.Text, func(text string) { answer <- text }) })
 		select {
-		case text := <-got:
-			say(handover.Told, text)
+		case text := <-answer:
+			reply(handover.Told, text)
 		case <-time.After(handover.QueryTimeout):
 			link.Close()
 		}
@@ -81,10 +81,10 @@
 	if c.handingOver {
 		return // the client's process asks the next owner again
 	}
-	word, id, _ := strings.Cut(text, " ")
-	switch word {
+	command, id, _ := strings.Cut(text, " ")
+	switch command {
 	case "exclude", "include":
-		c.core.Exclude(platformFrontNumber, id, word == "exclude", func(err error) {
+		c.core.Exclude(platformFrontNumber, id, command == "exclude", func(err error) {
 			if err != nil {
 				done("error " + err.Error())
 				return
@@ -118,11 +118,11 @@
 	}
 	c.engine.Retire(func(fds map[string]int) {
 		limit := c.loop.Now().Add(quiesceTimeout)
-		var look func()
-		look = func() {
+		var poll func()
+		poll = func() {
 			unready := c.core.Unready()
 			if (unready > 0 || !c.platform.Hushed() || c.reading) && c.loop.Now().Before(limit) {
-				c.loop.After(quiescePollInterval, look)
+				c.loop.After(quiescePollInterval, poll)
 				return
 			}
 			if unready > 0 || !c.platform.Hushed() {
@@ -130,7 +130,7 @@
 			}
 			c.collectState(fds)
 		}
-		look()
+		poll()
 	})
 }
 
@@ -178,17 +178,17 @@
 
 // encodeList returns the directory's list, encoded as on disk.
 func (c *courier) encodeList() []byte {
-	gen, agent, known := c.platform.Told()
+	generation, agent, known := c.platform.Told()
 	if !known {
 		return nil
 	}
-	told := c.loop.Now()
+	confirmedAt := c.loop.Now()
 	if _, age, live := c.core.Word(platformFrontNumber); !live {
-		told = told.Add(-age)
+		confirmedAt = confirmedAt.Add(-age)
 	}
 	partitions, of := c.platform.Holds()
 	w := dircache.NewWriter(dircache.Head{
-		Told: told, Generation: gen, Agent: agent, Zones: dircache.Names(c.cfg.Names.Zones), Kinds: dircache.Names(c.cfg.Names.Kinds),
+		Told: confirmedAt, Generation: generation, Agent: agent, Zones: dircache.Names(c.cfg.Names.Zones), Kinds: dircache.Names(c.cfg.Names.Kinds),
 		Partitions: partitions, Of: of,
 	}, maxHandoverListBytes)
 	for e := range c.core.Table(platformFrontNumber).From(0) {
@@ -255,7 +255,7 @@
 // serveAfterHandover answers at the second address after a handover, until the process is told to
 // end or maxServeAfterHandover has passed. It returns true if the folder has no owner any more and
 // this process owns it again.
-func (p *process) serveAfterHandover(callers []handover.Conn, second int) (owns bool) {
+func (p *process) serveAfterHandover(consoleConns []handover.Conn, consoleFD int) (owns bool) {
 	loop := core.NewLoop(time.Now)
 	engine, err := net.New(net.Config{Post: loop.Post, Log: p.log, MaxConns: reservedDescriptors})
 	if err != nil {
@@ -263,8 +263,8 @@
 		return false
 	}
 	var front *console.Front
-	if second >= 0 {
-		if err = engine.Inherit(console.ListenerKind, second); err == nil {
+	if consoleFD >= 0 {
+		if err = engine.Inherit(console.ListenerKind, consoleFD); err == nil {
 			front, err = console.Start(console.Config{
 				Loop: loop, Engine: engine, Listen: p.files.cfg.Console, Ready: func() bool { return false },
 				Figures: func(done func(core.Figures)) { p.ownerFigures(loop, done) },
@@ -274,7 +274,7 @@
 		if err != nil {
 			p.log.Error("the second address is closed after the handover", "err", err)
 		} else {
-			front.TakeOver(callers)
+			front.TakeOver(consoleConns)
 		}
 	}
 	p.setSignalHandler(func(s os.Signal) {
@@ -288,27 +288,27 @@
 		})
 	})
 	loop.After(maxServeAfterHandover, loop.End)
-	var look func()
-	look = func() {
+	var pollLock func()
+	pollLock = func() {
 		if lock, err := handover.Acquire(p.files.cfg.StateDir); err == nil {
 			p.lock, owns = lock, true
 			p.log.Warn("owns the folder again", "why", "the process that took it over is gone")
 			loop.End()
 			return
 		}
-		loop.After(lockPollInterval, look)
+		loop.After(lockPollInterval, pollLock)
 	}
-	loop.After(lockPollInterval, look)
+	loop.After(lockPollInterval, pollLock)
 	loop.Post(debug.FreeOSMemory)
 	loop.Run()
 	p.setSignalHandler(nil)
-	ended := make(chan struct{})
+	halted := make(chan struct{})
 	engine.Stop()
-	engine.Halt(func() { close(ended) })
+	engine.Halt(func() { close(halted) })
 	limit := time.Now().Add(haltTimeout)
 	loop.RunUntil(func() bool {
 		select {
-		case <-ended:
+		case <-halted:
 			return true
 		default:
 			return time.Now().After(limit)
@@ -322,14 +322,14 @@
 
 // queryOwner sends a request to the folder's owner, and a second time if the owner may have changed
 // meanwhile.
-func (p *process) queryOwner(call string) (string, error) {
+func (p *process) queryOwner(request string) (string, error) {
 	var err error
 	for range 2 {
 		var link *handover.Link
 		if link, err = handover.Dial(p.files.cfg.StateDir); err != nil {
 			continue
 		}
-		if err = link.Send(handover.Frame{Kind: handover.Ask, Text: call, FD: -1}); err == nil {
+		if err = link.Send(handover.Frame{Kind: handover.Ask, Text: request, FD: -1}); err == nil {
 			var f handover.Frame
 			if f, err = link.Receive(handover.QueryTimeout); err == nil && f.Kind == handover.Told {
 				link.Close()
@@ -347,28 +347,28 @@
 // ownerFigures reports this process's final counts together with the owner's current state. Open
 // messages are counted by the owner.
 func (p *process) ownerFigures(loop *core.Loop, done func(core.Figures)) {
-	x := p.previousFigures
-	x.Open = 0
+	figures := p.previousFigures
+	figures.Open = 0
 	go func() {
 		text, err := p.queryOwner("telemetry")
-		var now core.Figures
+		var current core.Figures
 		if err == nil {
-			err = json.Unmarshal([]byte(text), &now)
+			err = json.Unmarshal([]byte(text), &current)
 		}
 		if err == nil {
-			x.Entries, x.OutOfRotation = now.Entries, now.OutOfRotation
+			figures.Entries, figures.OutOfRotation = current.Entries, current.OutOfRotation
 		}
-		loop.Post(func() { done(x) })
+		loop.Post(func() { done(figures) })
 	}()
 }
 
 func (p *process) forwardExclusion(loop *core.Loop, id string, out bool, done func(error)) {
-	call := "include "
+	command := "include "
 	if out {
-		call = "exclude "
+		command = "exclude "
 	}
 	go func() {
-		text, err := p.queryOwner(call + id)
+		text, err := p.queryOwner(command + id)
 		if err != nil {
 			err = errors.New("the owner does not answer")
 		} else if why, bad := strings.CutPrefix(text, "error "); bad {
--- a/internal/daemon/partitions.go
+++ b/internal/daemon/partitions.go
@@ -11,7 +11,7 @@
 // newRouter creates the message router if the operator file divides the destinations among
 // couriers, else it returns nil. Messages that the previous process left in the journal stay with
 // this courier.
-func (c *courier) newRouter(left []*store.Message) *partition.Router {
+func (c *courier) newRouter(messages []*store.Message) *partition.Router {
 	p, m := c.process.files.partitions, c.process.files.membership
 	if m == nil {
 		return nil
@@ -21,7 +21,7 @@
 		inOrder[class.Name] = class.InOrder
 	}
 	r := partition.NewRouter(platform.Routing(c.cfg.Settings, c.cfg.Name, p.Region, p.Linger), m, 0)
-	for _, msg := range left {
+	for _, msg := range messages {
 		if msg.State != store.Open {
 			continue
 		}
@@ -45,9 +45,9 @@
 // adoptMembership applies a new membership if it has the same numbers of partitions and copies as
 // the current one. Other changes require a restart.
 func (c *courier) adoptMembership(m *partition.Membership) {
-	holds := c.currentMembership()
-	if m == nil || holds == nil || m.Partitions() != holds.Partitions() || m.Copies() != holds.Copies() ||
-		slices.Equal(m.Members(), holds.Members()) {
+	current := c.currentMembership()
+	if m == nil || current == nil || m.Partitions() != current.Partitions() || m.Copies() != current.Copies() ||
+		slices.Equal(m.Members(), current.Members()) {
 		return
 	}
 	c.platform.Adopt(m)
--- a/internal/daemon/partitions_start_test.go
+++ b/internal/daemon/partitions_start_test.go
@@ -31,7 +31,7 @@
 	front  *platform.Front
 	router *partition.Router
 	cache  *dircache.Cache
-	end    func()
+	stop   func()
 }
 
 // startRun starts a run on a folder.
@@ -64,7 +64,7 @@
 	})
 	require.NoError(t, err)
 	require.NoError(t, l.front.Start(l.core, chooseStartList(kept, config.List{}, discovery, time.Now())))
-	l.end = func() {
+	l.stop = func() {
 		l.front.Close()
 		engine.Stop()
 		l.cache.Close()
@@ -73,15 +73,15 @@
 	return l
 }
 
-func (l *testRun) until(what string, come func() bool) {
+func (l *testRun) until(what string, condition func() bool) {
 	l.t.Helper()
 	limit := time.Now().Add(20 * time.Second)
-	l.loop.RunUntil(func() bool { return come() || time.Now().After(limit) })
-	require.True(l.t, come(), what)
+	l.loop.RunUntil(func() bool { return condition() || time.Now().After(limit) })
+	require.True(l.t, condition(), what)
 }
 
-// has waits until the complete list of a generation is held and on disk, and ends the run.
-func (l *testRun) has(dir string, generation uint64) {
+// awaitList waits until the complete list of a generation is held and on disk, and ends the run.
+func (l *testRun) awaitList(dir string, generation uint64) {
 	l.t.Helper()
 	l.until("the list", func() bool {
 		g, _, held := l.front.Told()
@@ -95,10 +95,10 @@
 		s, err := dircache.Read(files[0])
 		return err == nil && s.Generation == generation && slices.Equal(s.Of, l.router.Listed())
 	})
-	l.end()
+	l.stop()
 }
 
-func (l *testRun) holds() (out []string) {
+func (l *testRun) endpoints() (out []string) {
 	for e := range l.core.Table(platformFrontNumber).From(0) {
 		out = append(out, e.Name)
 	}
@@ -110,9 +110,9 @@
 // lists of partitions it has gained. Partitions it has lost are no longer in its list.
 func TestRestartFetchesOnlyChanges(t *testing.T) {
 	const (
-		partitions   = 64
-		destinations = 4000
-		short        = 1000 // limit on the bytes of a few watch answers, including headers
+		partitions    = 64
+		destinations  = 4000
+		maxWatchBytes = 1000 // limit on the bytes of a few watch answers, including headers
 	)
 	fleet := func(n int, without ...int) *partition.Membership {
 		var all []partition.Member
@@ -125,17 +125,17 @@
 		require.NoError(t, err)
 		return m
 	}
-	var ends []standin.Endpoint
+	var endpoints []standin.Endpoint
 	for i := range destinations {
-		ends = append(ends, standin.Endpoint{Name: fmt.Sprintf("e%d", i), Addr: fmt.Sprintf("127.1.%d.%d:1", i>>8, i&255), Destination: uint32(i + 1)})
+		endpoints = append(endpoints, standin.Endpoint{Name: fmt.Sprintf("e%d", i), Addr: fmt.Sprintf("127.1.%d.%d:1", i>>8, i&255), Destination: uint32(i + 1)})
 	}
-	list := standin.List(ends)
+	list := standin.List(endpoints)
 	d, err := standin.NewDirectory(list)
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
 	dir := t.TempDir()
 	all := fleet(8)
-	part := func(m *partition.Membership) (want []string) {
+	ownedEndpoints := func(m *partition.Membership) (want []string) {
 		for _, x := range list {
 			if slices.Contains(m.Owned("c0"), partition.Of(x.Cell, partitions)) && x.Lifecycle != "Gone" {
 				want = append(want, x.InstanceID)
@@ -144,43 +144,43 @@
 		slices.Sort(want)
 		return want
 	}
-	said := func() int64 { return d.Traffic().Out }
+	bytesSent := func() int64 { return d.Traffic().Out }
 	l := startRun(t, dir, d.Addr(), all)
-	l.has(dir, 1)
-	assert.Equal(t, part(all), l.holds())
-	whole := said()
-	require.Greater(t, whole, int64(len(part(all))*100))
+	l.awaitList(dir, 1)
+	assert.Equal(t, ownedEndpoints(all), l.endpoints())
+	fullBytes := bytesSent()
+	require.Greater(t, fullBytes, int64(len(ownedEndpoints(all))*100))
 
-	before := said()
-	own := slices.IndexFunc(list, func(x standin.Instance) bool { return slices.Contains(part(all), x.InstanceID) })
-	other := slices.IndexFunc(list, func(x standin.Instance) bool { return !slices.Contains(part(all), x.InstanceID) })
+	before := bytesSent()
+	own := slices.IndexFunc(list, func(x standin.Instance) bool { return slices.Contains(ownedEndpoints(all), x.InstanceID) })
+	other := slices.IndexFunc(list, func(x standin.Instance) bool { return !slices.Contains(ownedEndpoints(all), x.InstanceID) })
 	list[own].Lifecycle, list[other].Lifecycle = "Gone", "Gone"
 	d.Change(list[own])
 	generation := d.Change(list[other])
 	l = startRun(t, dir, d.Addr(), all)
 	assert.Empty(t, l.router.Wanted())
-	l.has(dir, generation)
-	assert.Equal(t, part(all), l.holds())
-	again := said() - before
-	assert.Less(t, again, int64(short), "only its changes, no full list")
+	l.awaitList(dir, generation)
+	assert.Equal(t, ownedEndpoints(all), l.endpoints())
+	restartBytes := bytesSent() - before
+	assert.Less(t, restartBytes, int64(maxWatchBytes), "only its changes, no full list")
 
-	before = said()
+	before = bytesSent()
 	fewer := fleet(8, 1, 2) // two members left: partitions are gained
 	l = startRun(t, dir, d.Addr(), fewer)
-	gained := len(part(fewer)) - len(part(all))
+	gained := len(ownedEndpoints(fewer)) - len(ownedEndpoints(all))
 	require.Positive(t, gained)
-	l.has(dir, generation)
-	assert.Equal(t, part(fewer), l.holds())
-	gains := said() - before
-	assert.Less(t, gains, int64(gained*200+10*short), "only the gained partitions")
+	l.awaitList(dir, generation)
+	assert.Equal(t, ownedEndpoints(fewer), l.endpoints())
+	gainBytes := bytesSent() - before
+	assert.Less(t, gainBytes, int64(gained*200+10*maxWatchBytes), "only the gained partitions")
 
-	before = said()
+	before = bytesSent()
 	more := fleet(24) // many members joined: partitions are lost
 	l = startRun(t, dir, d.Addr(), more)
 	require.Subset(t, fewer.Owned("c0"), more.Owned("c0"))
-	l.has(dir, generation)
-	assert.Equal(t, part(more), l.holds())
-	loses := said() - before
-	assert.Less(t, loses, int64(short))
-	t.Logf("bytes of the directory: first start %d, again %d, with %d destinations gained %d, with some lost %d", whole, again, gained, gains, loses)
+	l.awaitList(dir, generation)
+	assert.Equal(t, ownedEndpoints(more), l.endpoints())
+	lossBytes := bytesSent() - before
+	assert.Less(t, lossBytes, int64(maxWatchBytes))
+	t.Logf("bytes of the directory: first start %d, again %d, with %d destinations gained %d, with some lost %d", fullBytes, restartBytes, gained, gainBytes, lossBytes)
 }
--- a/internal/daemon/partitions_test.go
+++ b/internal/daemon/partitions_test.go
@@ -66,13 +66,13 @@
 	assert.True(t, r.Lists(theirs[0]))
 	assert.True(t, r.Lists(theirs[1]))
 	assert.False(t, r.Lists(theirs[2]), "the message has ended")
-	way := func(d uint32, key uint64, now time.Duration) partition.Way {
+	route := func(d uint32, key uint64, now time.Duration) partition.Way {
 		return r.Route(partition.Message{Destination: d, Key: key}, nil, now).Way
 	}
-	assert.Equal(t, partition.Busy, way(theirs[0], 7, 2499*time.Millisecond), "for the message's time and the pause of the key")
-	assert.Equal(t, partition.Forward, way(theirs[0], 7, 2500*time.Millisecond))
-	assert.Equal(t, partition.Forward, way(theirs[1], 8, 0), "the class is not ordered")
-	assert.Equal(t, partition.Forward, way(theirs[2], 9, 0))
+	assert.Equal(t, partition.Busy, route(theirs[0], 7, 2499*time.Millisecond), "for the message's time and the pause of the key")
+	assert.Equal(t, partition.Forward, route(theirs[0], 7, 2500*time.Millisecond))
+	assert.Equal(t, partition.Forward, route(theirs[1], 8, 0), "the class is not ordered")
+	assert.Equal(t, partition.Forward, route(theirs[2], 9, 0))
 	assert.Contains(t, log.String(), "msg=partitions members=2 partitions=32 copies=1 own=")
 }
 
@@ -92,20 +92,20 @@
 	c.platform.Router = c.newRouter(nil)
 	first := c.currentMembership()
 	require.NotNil(t, first)
-	again := *c.process.files.partitions
-	same, err := again.Membership("n0", first)
+	partitions := *c.process.files.partitions
+	same, err := partitions.Membership("n0", first)
 	require.NoError(t, err)
 	c.adoptMembership(same)
 	assert.Same(t, first, c.currentMembership(), "the members are unchanged")
 	c.adoptMembership(nil)
 	assert.Same(t, first, c.currentMembership(), "partitioning stays enabled until a restart")
-	again.Partitions = 64
-	other, err := again.Membership("n0", first)
+	partitions.Partitions = 64
+	other, err := partitions.Membership("n0", first)
 	require.NoError(t, err)
 	c.adoptMembership(other)
 	assert.Same(t, first, c.currentMembership(), "the change requires a restart")
-	again.Partitions, again.Members = 32, again.Members[1:]
-	without, err := again.Membership("n0", first)
+	partitions.Partitions, partitions.Members = 32, partitions.Members[1:]
+	without, err := partitions.Membership("n0", first)
 	require.NoError(t, err)
 	c.adoptMembership(without)
 	assert.Same(t, without, c.currentMembership())
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -57,9 +57,9 @@
 	// Register first: an earlier signal would end the process immediately.
 	signals := o.Signals
 	if signals == nil {
-		own := make(chan os.Signal, 4)
-		signal.Notify(own, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGUSR2, syscall.SIGHUP)
-		signals = own
+		notified := make(chan os.Signal, 4)
+		signal.Notify(notified, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGUSR2, syscall.SIGHUP)
+		signals = notified
 	}
 	steps := newStartTimer(time.Now())
 	f, err := readAll(o.Env, nil, nil)
@@ -83,16 +83,16 @@
 		return err
 	}
 	p.stepDone("plugins")
-	estate, err := p.acquireFolder()
+	state, err := p.acquireFolder()
 	p.stepDone("lock")
-	if err != nil || estate == nil && p.terminating() {
+	if err != nil || state == nil && p.terminating() {
 		c.plugins.Close()
 		return err
 	}
 	for {
-		left, err := c.build(estate)
+		left, err := c.build(state)
 		if err == nil {
-			err = c.start(left, estate)
+			err = c.start(left, state)
 		}
 		if err != nil {
 			if c.journal != nil {
@@ -100,7 +100,7 @@
 			}
 			return err
 		}
-		estate = nil
+		state = nil
 		p.setSignalHandler(func(s os.Signal) { c.loop.Post(func() { c.signal(s) }) })
 		c.loop.Run()
 		p.setSignalHandler(nil)
@@ -112,21 +112,21 @@
 		n := c.core.Counted()
 		p.previousCounts, p.previousFigures = &n, c.core.Figures(platformFrontNumber)
 		if p.sendHandover(c.link, c.handoverState) {
-			estate, p.ownerSince = c.handoverState, time.Now()
+			state, p.ownerSince = c.handoverState, time.Now()
 		} else {
 			c.handoverState.Close()
-			callers, second := c.consoleConns, c.consoleFD
+			consoleConns, consoleFD := c.consoleConns, c.consoleFD
 			c = &courier{consoleFD: -1} // release the old courier: its memory adds to the new owner's
-			if !p.serveAfterHandover(callers, second) {
+			if !p.serveAfterHandover(consoleConns, consoleFD) {
 				return nil
 			}
 		}
-		callers, second := c.consoleConns, c.consoleFD
+		consoleConns, consoleFD := c.consoleConns, c.consoleFD
 		if c, err = p.prepare(); err != nil {
 			return err
 		}
-		if c.consoleConns = callers; second >= 0 && estate != nil {
-			estate.Listeners = append(estate.Listeners, handover.Listener{Kind: console.ListenerKind, FD: second})
+		if c.consoleConns = consoleConns; consoleFD >= 0 && state != nil {
+			state.Listeners = append(state.Listeners, handover.Listener{Kind: console.ListenerKind, FD: consoleFD})
 		}
 	}
 }
@@ -197,7 +197,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("open the journal: %w", err)
 	}
-	told, said, free := time.Time{}, "", false
+	lastLogged, lastReason, addressChecked := time.Time{}, "", false
 	for !p.terminating() {
 		lock, err := handover.Acquire(dir)
 		if err == nil {
@@ -208,19 +208,19 @@
 			p.log.Warn("cannot lock the folder; make sure that no other process uses it", "err", err)
 			return nil, nil
 		}
-		if addr := p.files.cfg.Console; addr != "" && !free {
+		if addr := p.files.cfg.Console; addr != "" && !addressChecked {
 			if err := net.CheckAddress(console.ListenerKind, addr); err != nil {
 				return nil, err // fail before the owner gives up anything
 			}
-			free = true
+			addressChecked = true
 		}
 		estate, err := p.requestHandover(dir)
 		if err == nil {
 			return estate, nil
 		}
-		if now := time.Now(); now.Sub(told) >= waitLogInterval || err.Error() != said {
-			told, said = now, err.Error()
-			p.log.Warn("waits for the folder's owner to end", "why", said)
+		if now := time.Now(); now.Sub(lastLogged) >= waitLogInterval || err.Error() != lastReason {
+			lastLogged, lastReason = now, err.Error()
+			p.log.Warn("waits for the folder's owner to end", "why", lastReason)
 		}
 		time.Sleep(ownerPollInterval)
 	}
@@ -237,27 +237,27 @@
 	if err := link.Send(handover.Frame{Kind: handover.Hello, Text: p.files.cfg.Name, FD: -1}); err != nil {
 		return nil, err
 	}
-	var side handover.Successor
-	got := handover.Collector{}
+	var successor handover.Successor
+	collector := handover.Collector{}
 	for {
 		f, err := link.Receive(handover.StepWithin)
-		ev := handover.Broken
+		event := handover.Broken
 		switch {
 		case err != nil:
 		case f.Kind == handover.Refusal:
 			err = fmt.Errorf("the owner does not hand over: %s", f.Text)
 		case f.Kind == handover.DeedTo:
-			ev = handover.GotLock
+			event = handover.GotLock
 		default:
 			var whole bool
-			if whole, err = got.Add(f); err == nil && !whole {
+			if whole, err = collector.Add(f); err == nil && !whole {
 				continue
 			}
 			if err == nil {
-				ev = handover.GotState
+				event = handover.GotState
 			}
 		}
-		switch side.On(ev) {
+		switch successor.On(event) {
 		case handover.ConfirmState:
 			if err := link.Send(handover.Frame{Kind: handover.ReadyFor, FD: -1}); err == nil {
 				continue
@@ -265,12 +265,12 @@
 		case handover.TakeOwnership:
 			p.lock, p.ownerSince = handover.LockFromDescriptor(f.FD), time.Now()
 			_ = link.Send(handover.Frame{Kind: handover.Took, FD: -1}) // the lock has arrived even if the predecessor does not receive this
-			return &got.Estate, nil
+			return &collector.Estate, nil
 		}
 		if f.Kind == handover.DeedTo && err == nil {
 			_ = unix.Close(f.FD)
 		}
-		got.Estate.Close()
+		collector.Estate.Close()
 		if err == nil {
 			err = handover.ErrFrame
 		}
@@ -282,11 +282,11 @@
 // is then still its own, except for descriptors that were closed meanwhile.
 func (p *process) sendHandover(link *handover.Link, e *handover.Estate) bool {
 	defer link.Close()
-	var side handover.Predecessor
-	side.On(handover.GotHello)
+	var predecessor handover.Predecessor
+	predecessor.On(handover.GotHello)
 	event := handover.Quiesced
 	for {
-		switch side.On(event) {
+		switch predecessor.On(event) {
 		case handover.SendState:
 			event = p.sendState(link, e)
 		case handover.SendLock:
@@ -327,12 +327,12 @@
 	n := 0
 	e.EachDescriptor(func(*int) { n++ })
 	var err error
-	tight := 2*n+2*reservedDescriptors > p.files.cfg.Limits.Sockets
+	nearLimit := 2*n+2*reservedDescriptors > p.files.cfg.Limits.Sockets
 	for f := range e.Frames {
 		if err = link.Send(f); err != nil {
 			break
 		}
-		if tight && (f.Kind == handover.Clients || f.Kind == handover.Calls) {
+		if nearLimit && (f.Kind == handover.Clients || f.Kind == handover.Calls) {
 			e.EachDescriptor(func(fd *int) {
 				if *fd == f.FD {
 					_ = unix.Close(*fd)
--- a/internal/dircache/form.go
+++ b/internal/dircache/form.go
@@ -213,25 +213,25 @@
 // Rename replaces the snapshot's zone and kind numbers with those of the given configuration,
 // matched by name. An unknown name gets the number after the last.
 func (s *Snapshot) Rename(zones, kinds map[string]int) {
-	to := func(names []string, by map[string]int, no int) int {
+	newNumber := func(names []string, numbers map[string]int, no int) int {
 		if no < len(names) {
-			if n, ok := by[names[no]]; ok {
+			if n, ok := numbers[names[no]]; ok {
 				return n
 			}
 		}
-		return len(by)
+		return len(numbers)
 	}
 	for i := range s.Entries {
 		e := &s.Entries[i]
-		e.Zone, e.Kind = to(s.Zones, zones, e.Zone), to(s.Kinds, kinds, e.Kind)
+		e.Zone, e.Kind = newNumber(s.Zones, zones, e.Zone), newNumber(s.Kinds, kinds, e.Kind)
 	}
 	s.Zones, s.Kinds = names(zones), names(kinds)
 }
 
 // names returns the names ordered by their numbers.
-func names(by map[string]int) []string {
-	out := make([]string, len(by))
-	for name, n := range by {
+func names(numbers map[string]int) []string {
+	out := make([]string, len(numbers))
+	for name, n := range numbers {
 		if n >= 0 && n < len(out) {
 			out[n] = name
 		}
@@ -240,4 +240,4 @@
 }
 
 // Names returns the names of zones or kinds ordered by their numbers, for a Head.
-func Names(by map[string]int) []string { return names(by) }
+func Names(numbers map[string]int) []string { return names(numbers) }
--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -244,7 +244,7 @@
 			return false, bad()
 		}
 		last := &e.Clients[len(e.Clients)-1]
-		last.Due = append(last.Due, r.due())
+		last.Due = append(last.Due, r.reply())
 	case Calls:
 		e.Calls = append(e.Calls, r.call(f.FD))
 		c.unprocessed = &e.Calls[len(e.Calls)-1].Bytes
@@ -278,7 +278,7 @@
 	return false, nil
 }
 
-func (r *fieldReader) due() Due {
+func (r *fieldReader) reply() Due {
 	if !r.flag() {
 		return Due{Text: append([]byte(nil), r.B...)}
 	}
--- a/internal/net/datagrams.go
+++ b/internal/net/datagrams.go
@@ -51,15 +51,15 @@
 // NewPeers parses the peers' addresses, ordered by number. Nothing can be sent to a peer whose
 // address is invalid.
 func NewPeers(each []string) *Peers {
-	x := &Peers{numbers: map[netip.AddrPort]int{}}
+	peers := &Peers{numbers: map[netip.AddrPort]int{}}
 	for i, a := range each {
-		p, err := netip.ParseAddrPort(a)
+		addr, err := netip.ParseAddrPort(a)
 		if err == nil {
-			x.numbers[p] = i
+			peers.numbers[addr] = i
 		}
-		x.addrs = append(x.addrs, p)
+		peers.addrs = append(peers.addrs, addr)
 	}
-	return x
+	return peers
 }
 
 // maxPendingDatagrams limits the datagrams that are read and not yet processed.
--- a/internal/net/engine.go
+++ b/internal/net/engine.go
@@ -441,16 +441,16 @@
 // burst, pending ones would hold descriptors that are not counted.
 func (e *Engine) admit(kind string, raw stdnet.Conn, accept func(*Conn) Handler) {
 	for n := 1; ; n++ {
-		in := make(chan bool, 1)
-		e.cfg.Post(func() { in <- e.accept(kind, raw, accept, n >= maxAdmitTries) })
+		accepted := make(chan bool, 1)
+		e.cfg.Post(func() { accepted <- e.accept(kind, raw, accept, n >= maxAdmitTries) })
 		select {
-		case ok := <-in:
+		case ok := <-accepted:
 			if ok {
 				return
 			}
 		case <-e.stopped:
 			e.cfg.Post(func() { // runs on the loop after the first attempt
-				if !<-in {
+				if !<-accepted {
 					e.accept(kind, raw, accept, true)
 				}
 			})
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -141,13 +141,13 @@
 	if err := j.roll(); err != nil {
 		return nil, nil, fmt.Errorf("open the journal: %w", err)
 	}
-	var out []*Message
+	var messages []*Message
 	for _, e := range j.live {
-		out = append(out, e.message)
+		messages = append(messages, e.message)
 	}
-	slices.SortFunc(out, func(a, b *Message) int { return int(int64(a.Seq) - int64(b.Seq)) })
-	unsettled := out[:0]
-	for _, m := range out {
+	slices.SortFunc(messages, func(a, b *Message) int { return int(int64(a.Seq) - int64(b.Seq)) })
+	unsettled := messages[:0]
+	for _, m := range messages {
 		if m.Settled && !j.isRetained(m) {
 			j.remember(m.Seq)
 		} else if unsettled = append(unsettled, m); m.Settled {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -75,14 +75,14 @@
 			dir := t.TempDir()
 			require.NoError(t, os.WriteFile(filepath.Join(dir, "journal-000000001"), b, 0o600))
 			j, left := load(t, dir, 3e6)
-			most := 1
+			want := 1
 			if kind == "torn" && cut < len(whole)/2 || kind == "flipped" && cut < len(whole)/2 {
-				most = 0
+				want = 0
 			}
-			require.Len(t, left, most, "%s at %d", kind, cut)
+			require.Len(t, left, want, "%s at %d", kind, cut)
 			accept(t, j, "new", 1) // and the journal accepts new records
 			_, left = load(t, dir, 3e6)
-			require.Len(t, left, most+1, "%s at %d", kind, cut)
+			require.Len(t, left, want+1, "%s at %d", kind, cut)
 		}
 	}
 }
@@ -90,9 +90,9 @@
 // Guards against exceeding the disk limit, also during compaction, and against losing live
 // messages.
 func TestCompaction(t *testing.T) {
-	const most = 200_000
+	const maxBytes = 200_000
 	dir := t.TempDir()
-	j, _ := load(t, dir, most)
+	j, _ := load(t, dir, maxBytes)
 	var live []*Message
 	for i := range 3000 {
 		if !j.Room(700) {
@@ -105,15 +105,15 @@
 			require.NoError(t, j.Sent(live[len(live)/2], at))
 			require.NoError(t, j.Came(live[len(live)/2], i%2 == 0, time.Time{}))
 		}
-		require.LessOrEqual(t, diskUsage(t, dir), int64(most), "after %d", i)
+		require.LessOrEqual(t, diskUsage(t, dir), int64(maxBytes), "after %d", i)
 	}
 	require.Greater(t, len(live), 50)
-	_, left := load(t, dir, most)
+	_, left := load(t, dir, maxBytes)
 	require.Len(t, left, len(live))
 	for i := range live {
 		require.Equal(t, *live[i], *left[i])
 	}
-	assert.ErrorIs(t, j.Take(&Message{ID: "big", Body: make([]byte, most)}), ErrFull)
+	assert.ErrorIs(t, j.Take(&Message{ID: "big", Body: make([]byte, maxBytes)}), ErrFull)
 }
 
 func diskUsage(t *testing.T, dir string) (total int64) {
@@ -214,7 +214,7 @@
 // An attempt of a settled message that may have run stays remembered over compactions and kills, in
 // any order, until it is no longer relevant.
 func TestRememberedSurvivesCompactionAndRestart(t *testing.T) {
-	for name, end := range map[string]struct {
+	for name, tc := range map[string]struct {
 		state State
 		came  []bool // whether the attempt may have run
 		after bool   // the outcome is recorded after the final state
@@ -233,21 +233,21 @@
 			j := loadRemembering(t, dir, room)
 			m := accept(t, j, "a", 1000)
 			require.NoError(t, j.Sent(m, at))
-			came := func() {
-				for _, ran := range end.came {
+			recordOutcomes := func() {
+				for _, ran := range tc.came {
 					require.NoError(t, j.Came(m, ran, at.Add(100*time.Millisecond)))
 				}
 			}
-			if !end.after {
-				came()
+			if !tc.after {
+				recordOutcomes()
 			}
-			require.NoError(t, j.Ended(m, end.state, 0, at.Add(time.Second)))
+			require.NoError(t, j.Ended(m, tc.state, 0, at.Add(time.Second)))
 			require.NoError(t, j.Settle(m))
-			if end.after {
-				came()
+			if tc.after {
+				recordOutcomes()
 			}
 			since := at
-			if len(end.came) > 0 {
+			if len(tc.came) > 0 {
 				since = at.Add(100 * time.Millisecond)
 			}
 			for _, step := range []string{"kill", "compact", "compact", "kill", "compact", "kill", "kill", "compact", "compact", "kill"} {
@@ -256,20 +256,20 @@
 				} else {
 					j = loadRemembering(t, dir, room) // the previous journal was never closed, as after SIGKILL
 				}
-				if !end.kept {
+				if !tc.kept {
 					assert.Empty(t, j.Ran(), step)
 					continue
 				}
 				require.Len(t, j.Ran(), 1, step)
 				got := j.Ran()[0]
-				assert.Equal(t, []any{"a", "k", uint64(5), uint32(7), "order", end.state, 1},
+				assert.Equal(t, []any{"a", "k", uint64(5), uint32(7), "order", tc.state, 1},
 					[]any{got.ID, got.IdempotencyKey, got.Key, got.Destination, got.Class, got.State, got.Attempts}, step)
 				assert.Empty(t, got.Body)
 				if got.Ran {
 					assert.Equal(t, since, got.RanSince, step)
 				}
 			}
-			if end.kept {
+			if tc.kept {
 				require.True(t, j.Ran()[0].Ran)
 			}
 			compactAll(t, j, at.Add(6*time.Second))
@@ -293,23 +293,23 @@
 		require.NoError(t, j.Settle(m))
 		require.LessOrEqual(t, diskUsage(t, dir), int64(room), "after %d", i)
 	}
-	many := j.Ran()
-	require.Greater(t, len(many), 500)
-	assert.Equal(t, "ran2999", many[len(many)-1].ID)
-	assert.Equal(t, fmt.Sprint("ran", 3000-len(many)), many[0].ID, "the most recent messages remain")
+	before := j.Ran()
+	require.Greater(t, len(before), 500)
+	assert.Equal(t, "ran2999", before[len(before)-1].ID)
+	assert.Equal(t, fmt.Sprint("ran", 3000-len(before)), before[0].ID, "the most recent messages remain")
 	j = loadRemembering(t, dir, room)
-	assert.GreaterOrEqual(t, len(j.Ran()), len(many))
+	assert.GreaterOrEqual(t, len(j.Ran()), len(before))
 	held := 0
 	for ; j.Room(1000); held++ {
 		accept(t, j, fmt.Sprint("held", held), 900)
 		require.LessOrEqual(t, diskUsage(t, dir), int64(room), "with %d held", held)
 	}
-	empty, plain := loadRemembering(t, t.TempDir(), room), 0
-	for ; empty.Room(1000); plain++ {
-		accept(t, empty, fmt.Sprint("held", plain), 900)
+	empty, baseline := loadRemembering(t, t.TempDir(), room), 0
+	for ; empty.Room(1000); baseline++ {
+		accept(t, empty, fmt.Sprint("held", baseline), 900)
 	}
-	assert.Equal(t, plain, held, "as many messages are accepted as without remembered ones")
-	assert.Less(t, len(j.Ran()), len(many))
+	assert.Equal(t, baseline, held, "as many messages are accepted as without remembered ones")
+	assert.Less(t, len(j.Ran()), len(before))
 	assert.Greater(t, len(j.Ran()), 100, "and some are still remembered")
 	var live, past int64
 	for _, e := range j.live {
