--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -65,7 +65,7 @@
 	plugins         *plugin.Set
 	idle            *config.Idle
 	directoryConfig *config.Directory
-	begin           platform.Begin
+	startList       platform.Begin
 	learnedRecords  []learnt.Record
 	cache           *dircache.Cache  // nil if the list is not kept on disk
 	learnedStore    *learnt.Store    // nil if learned state is not kept on disk
@@ -277,10 +277,10 @@
 	}
 	c.learnedRecords = nil
 	c.core.Remember(c.journal.Ran())
-	if err := c.platform.Start(c.core, c.begin); err != nil {
+	if err := c.platform.Start(c.core, c.startList); err != nil {
 		return err
 	}
-	if c.begin.Held && len(messages) > 0 && (e == nil || !e.Live) {
+	if c.startList.Held && len(messages) > 0 && (e == nil || !e.Live) {
 		c.core.Pause(directoryTimeout)
 	}
 	c.core.Restore(messages) // before the loop runs, so that no new message comes first
@@ -334,7 +334,7 @@
 				c.process.stepDone("ready")
 				c.process.startSteps = nil
 				c.log.Info("ready", "ms", float64(s.last.Sub(s.startedAt).Microseconds())/1000, "steps_ms", s,
-					"restored", c.core.Counters.Restored, "endpoints", len(c.begin.Targets), "journal", c.journal.Size())
+					"restored", c.core.Counters.Restored, "endpoints", len(c.startList.Targets), "journal", c.journal.Size())
 			}
 		})
 	}
--- a/internal/daemon/directory.go
+++ b/internal/daemon/directory.go
@@ -195,8 +195,8 @@
 			}
 		}
 	}
-	c.begin = chooseStartList(cached, c.cfg.InitialList, c.cfg.Discovery, c.loop.Now())
-	if b := c.begin; b.Held {
+	c.startList = chooseStartList(cached, c.cfg.InitialList, c.cfg.Discovery, c.loop.Now())
+	if b := c.startList; b.Held {
 		c.log.Info("starting list", "source", b.Source.String(), "generation", b.Generation, "endpoints", len(b.Targets), "age", b.Age.Round(time.Millisecond))
 	}
 	if c.directoryConfig.Learn {
--- a/internal/handover/steps.go
+++ b/internal/handover/steps.go
@@ -53,23 +53,23 @@
 )
 
 // On processes an event and returns the next action.
-func (e *Predecessor) On(ev Event) Action {
-	phase := e.phase
+func (p *Predecessor) On(ev Event) Action {
+	phase := p.phase
 	if phase == predecessorDone {
 		return Nothing
 	}
-	e.phase = predecessorDone
+	p.phase = predecessorDone
 	switch {
 	case phase == predecessorIdle && ev == GotHello:
-		e.phase = predecessorQuiescing
+		p.phase = predecessorQuiescing
 		return Quiesce
 	case phase == predecessorIdle && ev == GotOtherVersion:
 		return Refuse
 	case phase == predecessorQuiescing && ev == Quiesced:
-		e.phase = predecessorStateSent
+		p.phase = predecessorStateSent
 		return SendState
 	case phase == predecessorStateSent && ev == GotReady:
-		e.phase = predecessorLockSent
+		p.phase = predecessorLockSent
 		return SendLock
 	case phase == predecessorLockSent && ev == GotOwned:
 		return Exit
@@ -95,20 +95,20 @@
 )
 
 // IsOwner reports whether this side owns the folder.
-func (y *Successor) IsOwner() bool { return y.phase == successorOwner }
+func (s *Successor) IsOwner() bool { return s.phase == successorOwner }
 
 // On processes an event and returns the next action.
-func (y *Successor) On(ev Event) Action {
+func (s *Successor) On(ev Event) Action {
 	switch {
-	case y.phase == successorWaiting && ev == GotState:
-		y.phase = successorHoldingState
+	case s.phase == successorWaiting && ev == GotState:
+		s.phase = successorHoldingState
 		return ConfirmState
-	case y.phase == successorHoldingState && ev == GotLock:
-		y.phase = successorOwner
+	case s.phase == successorHoldingState && ev == GotLock:
+		s.phase = successorOwner
 		return TakeOwnership
-	case y.phase == successorOwner || y.phase == successorFailed:
+	case s.phase == successorOwner || s.phase == successorFailed:
 		return Nothing
 	}
-	y.phase = successorFailed
+	s.phase = successorFailed
 	return Fallback
 }
