--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -155,9 +155,9 @@
 // Peer messages are sent only if the platform permits them and the addresses are valid; the
 // operator file can disable them.
 func TestPeers(t *testing.T) {
-	parse := func(more, may string) Peers {
+	parse := func(peerFields, permitted string) Peers {
 		c, err := Parse([]byte(`{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1",
-			"settings":{"my-number":1,"limits":{"may-tell":`+may+`}}`+more+`}`), func(name string) string {
+			"settings":{"my-number":1,"limits":{"may-tell":`+permitted+`}}`+peerFields+`}`), func(name string) string {
 			return strings.TrimPrefix(name, "GW_CONSOLE")
 		})
 		require.NoError(t, err)
@@ -167,11 +167,11 @@
 	both := `,"peer_listen":"127.0.0.1:3","peers":["127.0.0.1:4","127.0.0.1:5"]`
 	assert.Equal(t, Peers{Listen: "127.0.0.1:3", Addrs: []string{"127.0.0.1:4", "127.0.0.1:5"}}, parse(both, "true"))
 	assert.True(t, parse(both, "true").Enabled())
-	for more, may := range map[string]string{
+	for peerFields, permitted := range map[string]string{
 		both: "false", `,"peer_listen":"x","peers":["127.0.0.1:4","127.0.0.1:5"]`: "true",
 		`,"peer_listen":"127.0.0.1:3","peers":["127.0.0.1:4"]`: "true", `,"peers":7`: "true", ``: "true",
 	} {
-		assert.False(t, parse(more, may).Enabled(), more)
+		assert.False(t, parse(peerFields, permitted).Enabled(), peerFields)
 	}
 	for text, want := range map[string]bool{`{}`: true, `{"notes":true}`: true, `{"notes":false}`: false} {
 		path := filepath.Join(t.TempDir(), "fleet.json")
--- a/internal/daemon/check.go
+++ b/internal/daemon/check.go
@@ -11,7 +11,7 @@
 // Check reads all files that a start would read and returns one line per mistake; without any, a
 // start would not fail because of its files. notes describe this courier's share of the partitions.
 // Check opens no socket and does not touch the state folder.
-func Check(o Options) (mistakes, notes []string) {
+func Check(opts Options) (mistakes, notes []string) {
 	add := func(file string, err error) {
 		var m schema.Mistakes
 		if errors.As(err, &m) {
@@ -22,19 +22,19 @@
 			mistakes = append(mistakes, err.Error())
 		}
 	}
-	f := readFiles(o.Env, nil, nil, add)
+	f := readFiles(opts.Env, nil, nil, add)
 	if f.push != nil {
 		_, _, err := descriptions(f.push)
 		add("", err)
 	}
 	for _, m := range f.manifests {
-		for _, why := range plugin.Check(o.Host, m) {
+		for _, why := range plugin.Check(opts.Host, m) {
 			mistakes = append(mistakes, m.Dir+": "+why)
 		}
 	}
 	if m := f.membership; m != nil {
 		notes = append(notes, fmt.Sprintf("%s: members=%d regions=%d partitions=%d copies=%d; %s owns %d",
-			partitionsPath(o.Env), len(m.Members()), m.Regions(), m.Partitions(), m.Copies(), f.cfg.Name, len(m.Owned(f.cfg.Name))))
+			partitionsPath(opts.Env), len(m.Members()), m.Regions(), m.Partitions(), m.Copies(), f.cfg.Name, len(m.Owned(f.cfg.Name))))
 	}
 	return mistakes, notes
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -87,7 +87,7 @@
 
 	adminPath       string             // path of the admin socket; empty if there is none
 	adminSocket     *admin.Socket      // nil if disabled
-	reading         bool               // a reload is in progress
+	reloading       bool               // a reload is in progress
 	reloadCallbacks []func(why string) // callbacks of reloads requested meanwhile
 	platform        *platform.Front
 	push            *push.Front
@@ -365,13 +365,13 @@
 // schemas and modules take time; reloads requested meanwhile run after it.
 func (c *courier) reload(done func(why string)) {
 	c.reloadCallbacks = append(c.reloadCallbacks, done)
-	if !c.reading {
+	if !c.reloading {
 		c.startReload()
 	}
 }
 
 func (c *courier) startReload() {
-	c.reading = true
+	c.reloading = true
 	callbacks := c.reloadCallbacks
 	c.reloadCallbacks = nil
 	current := c.currentMembership()
@@ -379,7 +379,7 @@
 		f, err := readAll(c.env, &c.cfg.Names, current)
 		c.loop.Post(func() {
 			c.applyFiles(f, err, func(why string) {
-				c.reading = false
+				c.reloading = false
 				for _, done := range callbacks {
 					done(why)
 				}
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -121,8 +121,8 @@
 // client is a client of a front with the answers that it received.
 type client struct {
 	stdnet.Conn
-	mu  sync.Mutex
-	got string
+	mu      sync.Mutex
+	answers string
 }
 
 func (e *drainTest) connect(addr, text string) *client {
@@ -136,7 +136,7 @@
 		for {
 			n, err := conn.Read(b)
 			c.mu.Lock()
-			c.got += string(b[:n])
+			c.answers += string(b[:n])
 			c.mu.Unlock()
 			if err != nil {
 				return
@@ -151,7 +151,7 @@
 func (c *client) received(text string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return strings.Contains(c.got, text)
+	return strings.Contains(c.answers, text)
 }
 
 func add(id string) string {
@@ -162,21 +162,21 @@
 	return out
 }
 
-// pendingWork begins some time after the drain, or before it if since is zero.
+// pendingWork begins some time after the drain, or before it if delay is zero.
 type pendingWork struct {
 	delay time.Duration
 	begin func(e *drainTest) (finish func())
 }
 
-func (b pendingWork) start(e *drainTest) (finish func()) {
-	if b.delay == 0 {
-		finish = b.begin(e)
+func (w pendingWork) start(e *drainTest) (finish func()) {
+	if w.delay == 0 {
+		finish = w.begin(e)
 		e.drain()
 		return finish
 	}
 	e.drain()
-	e.advance(b.delay)
-	return b.begin(e)
+	e.advance(w.delay)
+	return w.begin(e)
 }
 
 // A draining courier waits for work in progress: a partly received request on either front, and an
@@ -191,7 +191,7 @@
 			return func() {
 				_, err := io.WriteString(c, message[20:])
 				require.NoError(e.t, err)
-				e.until("it is answered", func() bool { return c.received("-BUSY") })
+				e.until("the request is answered", func() bool { return c.received("-BUSY") })
 			}
 		}},
 		"half a request to the push front": {begin: func(e *drainTest) func() {
@@ -200,23 +200,23 @@
 			return func() {
 				_, err := io.WriteString(c, http2.ClientPreface[20:])
 				require.NoError(e.t, err)
-				e.until("it is read", func() bool { return !e.push.Unanswered() })
+				e.until("the request is read", func() bool { return !e.push.Unanswered() })
 			}
 		}},
 		"a notice": {begin: func(e *drainTest) func() {
 			e.platform.Ended(&store.Message{ID: "m3", State: store.Failed})
-			come := false
-			e.until("it goes", func() bool {
+			arrived := false
+			e.until("the notice is sent", func() bool {
 				select {
 				case <-e.notices:
-					come = true
+					arrived = true
 				default:
 				}
-				return come
+				return arrived
 			})
 			return func() {
 				close(e.confirm)
-				e.until("it is confirmed", func() bool {
+				e.until("the notice is confirmed", func() bool {
 					e.now = e.now.Add(time.Millisecond) // nothing happens between two tries
 					return e.platform.Quiet()
 				})
@@ -230,7 +230,7 @@
 					c := e.connect(e.platform.Addr(), add("m1"))
 					e.until("a message is read", func() bool { return e.core.Counters.In == 1 })
 					e.advance(drainPollInterval)
-					e.until("it is taken on", func() bool { return c.received("+OK") })
+					e.until("the message is accepted", func() bool { return c.received("+OK") })
 				}
 				began := e.now
 				finish := work.start(e)
@@ -247,7 +247,7 @@
 				assert.Less(t, e.now.Sub(began), drainTimeout)
 			})
 		}
-		t.Run(name+", that never ends", func(t *testing.T) {
+		t.Run(name+", never finished", func(t *testing.T) {
 			e := newDrainTest(t)
 			began := e.now
 			work.start(e)
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -11,9 +11,9 @@
 type peerSender struct{ socket *net.Datagrams }
 
 // Tell sends messages to a peer.
-func (f peerSender) Tell(peer int, items []snowjunction.Note) {
+func (s peerSender) Tell(peer int, items []snowjunction.Note) {
 	for _, b := range notes.Write(items) {
-		f.socket.Send(peer, b)
+		s.socket.Send(peer, b)
 	}
 }
 
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -121,7 +121,7 @@
 		var poll func()
 		poll = func() {
 			unready := c.core.Unready()
-			if (unready > 0 || !c.platform.Hushed() || c.reading) && c.loop.Now().Before(limit) {
+			if (unready > 0 || !c.platform.Hushed() || c.reloading) && c.loop.Now().Before(limit) {
 				c.loop.After(quiescePollInterval, poll)
 				return
 			}
@@ -148,10 +148,10 @@
 	}
 	_, _, e.Live = c.core.Word(platformFrontNumber)
 	e.List = c.encodeList()
-	calls, clients := c.core.Hand(), c.platform.Hand()
-	callers := func() []handover.Conn { return nil }
+	takeCalls, takeClients := c.core.Hand(), c.platform.Hand()
+	takeConsoleConns := func() []handover.Conn { return nil }
 	if c.console != nil {
-		callers = c.console.Hand()
+		takeConsoleConns = c.console.Hand()
 	}
 	c.platform.Close()
 	c.push.Close()
@@ -161,9 +161,9 @@
 			return
 		}
 		halted = true
-		e.Clients, c.consoleConns = clients(), callers()
-		calls(e)
-		if c.reading { // the next owner may have read its files before this reload
+		e.Clients, c.consoleConns = takeClients(), takeConsoleConns()
+		takeCalls(e)
+		if c.reloading { // the next owner may have read its files before this reload
 			c.process.dispatch(syscall.SIGHUP)
 		}
 		c.handoverState = e
--- a/internal/daemon/partitions_start_test.go
+++ b/internal/daemon/partitions_start_test.go
@@ -37,8 +37,8 @@
 // startRun starts a run on a folder.
 func startRun(t *testing.T, dir, discovery string, m *partition.Membership) *testRun {
 	log := slog.New(slog.DiscardHandler)
-	l := &testRun{t: t, loop: core.NewLoop(time.Now), router: partition.NewRouter(partition.Options{Self: "c0", Linger: time.Second}, m, 0)}
-	engine, err := net.New(net.Config{Post: l.loop.Post, Log: log, MaxConns: 64})
+	r := &testRun{t: t, loop: core.NewLoop(time.Now), router: partition.NewRouter(partition.Options{Self: "c0", Linger: time.Second}, m, 0)}
+	engine, err := net.New(net.Config{Post: r.loop.Post, Log: log, MaxConns: 64})
 	require.NoError(t, err)
 	journal, _, err := store.Load(store.Options{Dir: t.TempDir(), Bytes: 3e6, Log: log})
 	require.NoError(t, err)
@@ -48,58 +48,58 @@
 		Classes: []snowjunction.Class{{Name: "status", Aim: time.Second, Deadline: 20 * time.Second, Worth: 2}},
 	}
 	names := config.Names{Zones: map[string]int{"a": 0}, Kinds: map[string]int{"k": 0}}
-	l.front = platform.New(platform.Config{Loop: l.loop, Engine: engine, Log: log, Discovery: discovery, Names: names, Settings: settings, Router: l.router})
-	kept := dircache.Load(dir, func(file string, err error) { t.Error(file, err) })
-	if kept != nil {
-		kept.Rename(names.Zones, names.Kinds)
+	r.front = platform.New(platform.Config{Loop: r.loop, Engine: engine, Log: log, Discovery: discovery, Names: names, Settings: settings, Router: r.router})
+	cached := dircache.Load(dir, func(file string, err error) { t.Error(file, err) })
+	if cached != nil {
+		cached.Rename(names.Zones, names.Kinds)
 	}
-	l.cache, err = dircache.Open(dircache.Options{Dir: dir, Bytes: 1 << 20, Generations: 1, Log: log})
+	r.cache, err = dircache.Open(dircache.Options{Dir: dir, Bytes: 1 << 20, Generations: 1, Log: log})
 	require.NoError(t, err)
-	k := &listKeeper{loop: l.loop, front: l.front, cache: l.cache, names: names, maxBytes: 1 << 20, freshFor: time.Hour, refreshInterval: time.Hour}
-	l.core, err = core.New(core.Config{
-		Loop: l.loop, Log: log, Journal: journal, Settings: settings, Fronts: []core.Front{platformFrontNumber: l.front},
+	k := &listKeeper{loop: r.loop, front: r.front, cache: r.cache, names: names, maxBytes: 1 << 20, freshFor: time.Hour, refreshInterval: time.Hour}
+	r.core, err = core.New(core.Config{
+		Loop: r.loop, Log: log, Journal: journal, Settings: settings, Fronts: []core.Front{platformFrontNumber: r.front},
 		Directories: map[int]core.Directory{platformFrontNumber: {Belief: belief.Default(), Trust: distrust.Default()}},
-		Heard:       func(int) { k.core = l.core; k.changed() },
-		ListedShare: func(int) float64 { return l.router.Share() },
+		Heard:       func(int) { k.core = r.core; k.changed() },
+		ListedShare: func(int) float64 { return r.router.Share() },
 	})
 	require.NoError(t, err)
-	require.NoError(t, l.front.Start(l.core, chooseStartList(kept, config.List{}, discovery, time.Now())))
-	l.stop = func() {
-		l.front.Close()
+	require.NoError(t, r.front.Start(r.core, chooseStartList(cached, config.List{}, discovery, time.Now())))
+	r.stop = func() {
+		r.front.Close()
 		engine.Stop()
-		l.cache.Close()
+		r.cache.Close()
 		journal.Close()
 	}
-	return l
+	return r
 }
 
-func (l *testRun) until(what string, condition func() bool) {
-	l.t.Helper()
+func (r *testRun) until(what string, condition func() bool) {
+	r.t.Helper()
 	limit := time.Now().Add(20 * time.Second)
-	l.loop.RunUntil(func() bool { return condition() || time.Now().After(limit) })
-	require.True(l.t, condition(), what)
+	r.loop.RunUntil(func() bool { return condition() || time.Now().After(limit) })
+	require.True(r.t, condition(), what)
 }
 
 // awaitList waits until the complete list of a generation is held and on disk, and ends the run.
-func (l *testRun) awaitList(dir string, generation uint64) {
-	l.t.Helper()
-	l.until("the list", func() bool {
-		g, _, held := l.front.Told()
-		return held && g == generation && len(l.router.Wanted()) == 0
+func (r *testRun) awaitList(dir string, generation uint64) {
+	r.t.Helper()
+	r.until("the list", func() bool {
+		g, _, held := r.front.Told()
+		return held && g == generation && len(r.router.Wanted()) == 0
 	})
-	l.until("the list on disk", func() bool {
+	r.until("the list on disk", func() bool {
 		files, err := dircache.Files(dir)
 		if err != nil || len(files) == 0 {
 			return false
 		}
 		s, err := dircache.Read(files[0])
-		return err == nil && s.Generation == generation && slices.Equal(s.Of, l.router.Listed())
+		return err == nil && s.Generation == generation && slices.Equal(s.Of, r.router.Listed())
 	})
-	l.stop()
+	r.stop()
 }
 
-func (l *testRun) endpoints() (out []string) {
-	for e := range l.core.Table(platformFrontNumber).From(0) {
+func (r *testRun) endpoints() (out []string) {
+	for e := range r.core.Table(platformFrontNumber).From(0) {
 		out = append(out, e.Name)
 	}
 	slices.Sort(out)
@@ -130,9 +130,9 @@
 		endpoints = append(endpoints, standin.Endpoint{Name: fmt.Sprintf("e%d", i), Addr: fmt.Sprintf("127.1.%d.%d:1", i>>8, i&255), Destination: uint32(i + 1)})
 	}
 	list := standin.List(endpoints)
-	d, err := standin.NewDirectory(list)
+	directory, err := standin.NewDirectory(list)
 	require.NoError(t, err)
-	t.Cleanup(d.Close)
+	t.Cleanup(directory.Close)
 	dir := t.TempDir()
 	all := fleet(8)
 	ownedEndpoints := func(m *partition.Membership) (want []string) {
@@ -144,10 +144,10 @@
 		slices.Sort(want)
 		return want
 	}
-	bytesSent := func() int64 { return d.Traffic().Out }
-	l := startRun(t, dir, d.Addr(), all)
-	l.awaitList(dir, 1)
-	assert.Equal(t, ownedEndpoints(all), l.endpoints())
+	bytesSent := func() int64 { return directory.Traffic().Out }
+	run := startRun(t, dir, directory.Addr(), all)
+	run.awaitList(dir, 1)
+	assert.Equal(t, ownedEndpoints(all), run.endpoints())
 	fullBytes := bytesSent()
 	require.Greater(t, fullBytes, int64(len(ownedEndpoints(all))*100))
 
@@ -155,32 +155,32 @@
 	own := slices.IndexFunc(list, func(x standin.Instance) bool { return slices.Contains(ownedEndpoints(all), x.InstanceID) })
 	other := slices.IndexFunc(list, func(x standin.Instance) bool { return !slices.Contains(ownedEndpoints(all), x.InstanceID) })
 	list[own].Lifecycle, list[other].Lifecycle = "Gone", "Gone"
-	d.Change(list[own])
-	generation := d.Change(list[other])
-	l = startRun(t, dir, d.Addr(), all)
-	assert.Empty(t, l.router.Wanted())
-	l.awaitList(dir, generation)
-	assert.Equal(t, ownedEndpoints(all), l.endpoints())
+	directory.Change(list[own])
+	generation := directory.Change(list[other])
+	run = startRun(t, dir, directory.Addr(), all)
+	assert.Empty(t, run.router.Wanted())
+	run.awaitList(dir, generation)
+	assert.Equal(t, ownedEndpoints(all), run.endpoints())
 	restartBytes := bytesSent() - before
 	assert.Less(t, restartBytes, int64(maxWatchBytes), "only its changes, no full list")
 
 	before = bytesSent()
 	fewer := fleet(8, 1, 2) // two members left: partitions are gained
-	l = startRun(t, dir, d.Addr(), fewer)
+	run = startRun(t, dir, directory.Addr(), fewer)
 	gained := len(ownedEndpoints(fewer)) - len(ownedEndpoints(all))
 	require.Positive(t, gained)
-	l.awaitList(dir, generation)
-	assert.Equal(t, ownedEndpoints(fewer), l.endpoints())
+	run.awaitList(dir, generation)
+	assert.Equal(t, ownedEndpoints(fewer), run.endpoints())
 	gainBytes := bytesSent() - before
 	assert.Less(t, gainBytes, int64(gained*200+10*maxWatchBytes), "only the gained partitions")
 
 	before = bytesSent()
 	more := fleet(24) // many members joined: partitions are lost
-	l = startRun(t, dir, d.Addr(), more)
+	run = startRun(t, dir, directory.Addr(), more)
 	require.Subset(t, fewer.Owned("c0"), more.Owned("c0"))
-	l.awaitList(dir, generation)
-	assert.Equal(t, ownedEndpoints(more), l.endpoints())
+	run.awaitList(dir, generation)
+	assert.Equal(t, ownedEndpoints(more), run.endpoints())
 	lossBytes := bytesSent() - before
 	assert.Less(t, lossBytes, int64(maxWatchBytes))
-	t.Logf("bytes of the directory: first start %d, again %d, with %d destinations gained %d, with some lost %d", fullBytes, restartBytes, gained, gainBytes, lossBytes)
+	t.Logf("bytes sent by the directory: first start %d, restart %d, with %d destinations gained %d, with some lost %d", fullBytes, restartBytes, gained, gainBytes, lossBytes)
 }
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -53,22 +53,22 @@
 )
 
 // Run runs the courier until it ends. An error, always one line, means that it could not start.
-func Run(o Options) error {
+func Run(opts Options) error {
 	// Register first: an earlier signal would end the process immediately.
-	signals := o.Signals
+	signals := opts.Signals
 	if signals == nil {
 		notified := make(chan os.Signal, 4)
 		signal.Notify(notified, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGUSR2, syscall.SIGHUP)
 		signals = notified
 	}
 	steps := newStartTimer(time.Now())
-	f, err := readAll(o.Env, nil, nil)
+	f, err := readAll(opts.Env, nil, nil)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(float64(f.cfg.Limits.MemoryMB<<20) * heapShare))
-	p := &process{opts: o, files: f, startSteps: steps, log: o.Logger().With("courier", f.cfg.Name)}
+	p := &process{opts: opts, files: f, startSteps: steps, log: opts.Logger().With("courier", f.cfg.Name)}
 	if p.api, p.life, err = descriptions(f.push); err != nil {
 		return err
 	}
--- a/internal/dircache/dircache.go
+++ b/internal/dircache/dircache.go
@@ -71,7 +71,7 @@
 // maxFileBytes limits the size of a file that is read.
 const maxFileBytes = 256 << 20
 
-// Read reads a snapshot file. An error in its content wraps ErrForm.
+// Read reads and decodes a snapshot file.
 func Read(path string) (*Snapshot, error) {
 	if i, err := os.Stat(path); err != nil {
 		return nil, err
--- a/internal/dircache/form.go
+++ b/internal/dircache/form.go
@@ -20,7 +20,7 @@
 	"snowjunction/internal/record"
 )
 
-// Snapshot format versions. Writer uses Version for a list of all destinations and VersionParts for
+// Snapshot format versions. Writer uses the first for a list of all destinations and the second for
 // a list of some partitions; Decode reads both.
 const (
 	Version      = 1
@@ -163,7 +163,7 @@
 	return partitions, of
 }
 
-// Decode decodes a snapshot. Its errors wrap ErrForm.
+// Decode decodes a snapshot. An invalid one results in a wrapped format error.
 func Decode(b []byte) (*Snapshot, error) {
 	bad := func(what string) (*Snapshot, error) { return nil, fmt.Errorf("%w: %s", ErrForm, what) }
 	switch {
--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -223,7 +223,7 @@
 // Collector assembles a handover state from its frames.
 type Collector struct {
 	Estate      Estate
-	unprocessed *[]byte // destination of the next Reads frame
+	unprocessed *[]byte // target of the next frame of unprocessed bytes
 	received    uint64
 }
 
--- a/internal/net/conn.go
+++ b/internal/net/conn.go
@@ -39,8 +39,8 @@
 
 // Detach removes the connection from the engine so that another process can continue it: the socket
 // stays open under the returned descriptor. ok is false if the connection is not up or not all
-// written bytes have been sent. The handler receives no more events; bytes that had been read are
-// returned by Rest after the engine has halted.
+// written bytes have been sent. The handler receives no more events; bytes that had been read
+// become available once the engine has halted.
 func (c *Conn) Detach() (from handover.Conn, ok bool) {
 	if !c.Up() || c.nc != nil && c.kernelWritten.Load() != int64(c.out) {
 		return from, false
--- a/internal/net/engine.go
+++ b/internal/net/engine.go
@@ -347,7 +347,8 @@
 	return c
 }
 
-// countOpen counts a connection that is opened (n is 1) or ends (n is -1).
+// countOpen adds n to the counts of open connections: 1 for a connection that opens, -1 for one
+// that ends.
 func (e *Engine) countOpen(c *Conn, n int) {
 	c.counted = n > 0
 	e.openCount += n
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -19,7 +19,7 @@
 type testEngine struct {
 	t      *testing.T
 	engine *Engine
-	work   chan func()
+	tasks  chan func()
 	mu     sync.Mutex
 	log    strings.Builder
 }
@@ -37,9 +37,9 @@
 }
 
 func newTestEngine(t *testing.T, most int) *testEngine {
-	b := &testEngine{t: t, work: make(chan func(), 1000)}
+	b := &testEngine{t: t, tasks: make(chan func(), 1000)}
 	var err error
-	b.engine, err = New(Config{Post: func(f func()) { b.work <- f }, Log: slog.New(slog.NewTextHandler(b, nil)), MaxConns: most})
+	b.engine, err = New(Config{Post: func(f func()) { b.tasks <- f }, Log: slog.New(slog.NewTextHandler(b, nil)), MaxConns: most})
 	require.NoError(t, err)
 	t.Cleanup(b.engine.Stop)
 	return b
@@ -51,7 +51,7 @@
 	limit := time.After(waitLimit)
 	for !done() {
 		select {
-		case f := <-b.work:
+		case f := <-b.tasks:
 			f()
 		case <-limit:
 			b.t.Fatal("the condition was not reached in time")
@@ -80,13 +80,13 @@
 func neverEvict() bool { return false }
 
 type recorder struct {
-	opened bool
-	data   string
-	code   Code
+	opened   bool
+	received string
+	code     Code
 }
 
 func (e *recorder) Opened()          { e.opened = true }
-func (e *recorder) Data(b []byte)    { e.data += string(b) }
+func (e *recorder) Data(b []byte)    { e.received += string(b) }
 func (e *recorder) Closed(code Code) { e.code = code }
 
 func TestExchangeLogsOneLinePerConnection(t *testing.T) {
@@ -102,7 +102,7 @@
 	assert.False(t, conn.Write([]byte("x")), "not up yet")
 	b.until(func() bool { return client.opened && accepted != nil })
 	require.True(t, conn.Write([]byte("hello")))
-	b.until(func() bool { return server.data == "hello" })
+	b.until(func() bool { return server.received == "hello" })
 	assert.Equal(t, 2, b.engine.Open())
 	accepted.Close(Finished)
 	accepted.Close(Idle)
@@ -152,7 +152,7 @@
 	}
 	_, err := c.Write([]byte("x"))
 	require.NoError(t, err)
-	b.until(func() bool { return server.data == "x" })
+	b.until(func() bool { return server.received == "x" })
 	assert.Empty(t, other.code)
 }
 
@@ -176,7 +176,7 @@
 	conn := b.engine.Dial("test", l.Addr().String(), client)
 	conn.Close(DialTimeout)
 	assert.Zero(t, b.engine.Open())
-	(<-b.work)()
+	(<-b.tasks)()
 	assert.False(t, client.opened)
 	assert.Empty(t, client.code)
 	assert.Equal(t, 1, b.lines())
@@ -222,7 +222,7 @@
 		b.engine.mu.Lock()
 		defer b.engine.mu.Unlock()
 		require.Less(t, b.engine.pendingBytes, maxPendingBytes+readBufferSize)
-		return len(got.data) == all
+		return len(got.received) == all
 	})
 }
 
@@ -278,7 +278,7 @@
 	_, err := c.Write([]byte("x"))
 	require.NoError(t, err)
 	require.Eventually(t, accepted.Unread, waitLimit, time.Millisecond)
-	b.until(func() bool { return server.data == "x" })
+	b.until(func() bool { return server.received == "x" })
 	assert.False(t, accepted.Unread())
 }
 
@@ -315,8 +315,8 @@
 	other.until(func() bool { return late != nil })
 	_, err = c.Write([]byte("c"))
 	require.NoError(t, err)
-	other.until(func() bool { return strings.HasSuffix(second.data, "c") })
-	assert.Equal(t, "abc", string(accepted.Rest())+second.data)
+	other.until(func() bool { return strings.HasSuffix(second.received, "c") })
+	assert.Equal(t, "abc", string(accepted.Rest())+second.received)
 	require.True(t, conn.Write([]byte("d")))
 	got := make([]byte, 1)
 	_, err = c.Read(got)
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -49,8 +49,8 @@
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// Reader decodes fields from B. The first field that is missing or over its limit sets Bad; after
-// that, all fields decode as zero values.
+// Reader decodes fields from a byte slice. After the first field that is missing or over its limit,
+// decoding has failed and all fields decode as zero values.
 type Reader struct {
 	B   []byte
 	Bad bool
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -26,7 +26,7 @@
 	"snowjunction/internal/record"
 )
 
-// ErrFull is returned by Take if the message does not fit into the journal.
+// ErrFull is returned if a message does not fit into the journal.
 var ErrFull = errors.New("the journal is full")
 
 // Shares of the disk space and size limits of the journal.
@@ -81,7 +81,7 @@
 	Log    *slog.Logger
 
 	// Until returns the time until which a settled message is remembered whose attempt may have run
-	// (Ran), or may still be running (Out). If nil, no settled message is remembered.
+	// or may still be running. If nil, no settled message is remembered.
 	Until func(m *Message) time.Time
 
 	// Goes reports whether the attempt of the message with this sequence number that is in flight
@@ -236,6 +236,7 @@
 	}
 }
 
+// markMayHaveRun records that the attempt in flight has ended and may have run.
 func (j *Journal) markMayHaveRun(m *Message) {
 	if m.Out = false; !m.Ran {
 		m.Ran, m.RanSince = true, m.OutSince
@@ -245,12 +246,14 @@
 // isRetained reports whether a settled message's final state can still be queried.
 func (j *Journal) isRetained(m *Message) bool { return m.Origin != 0 && j.retain > 0 }
 
+// track adds a message whose record of this size was written to segment s.
 func (j *Journal) track(m *Message, s *segment, size int64) {
 	j.live[m.Seq] = &entry{message: m, segment: s, size: size}
 	s.seqs[m.Seq] = true
 	j.addSize(j.live[m.Seq], 1)
 }
 
+// forget removes a message from the index; its records are deleted with their segments.
 func (j *Journal) forget(seq uint64) {
 	if e := j.live[seq]; e != nil {
 		delete(j.live, seq)
@@ -354,8 +357,8 @@
 // Sent records that an attempt is about to be sent.
 func (j *Journal) Sent(m *Message, at time.Time) error { return j.appendChange(m, kindSent, at, 0, 0) }
 
-// Came records the outcome of the attempt in flight and, if its first byte left, when that was: the
-// write of the Sent record may have delayed the attempt.
+// Came records the outcome of the attempt in flight and, if its first byte left, when that was:
+// writing the attempt's record may have delayed it.
 func (j *Journal) Came(m *Message, mayHaveRun bool, left time.Time) error {
 	n := byte(0)
 	if mayHaveRun {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var at = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).Local()
+var noon = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).Local()
 
 func load(t *testing.T, dir string, bytes int64) (*Journal, []*Message) {
 	t.Helper()
@@ -27,7 +27,7 @@
 func accept(t *testing.T, j *Journal, id string, size int) *Message {
 	t.Helper()
 	m := &Message{ID: id, IdempotencyKey: "k", Key: 5, Destination: 7, Class: "order", Tenant: "town",
-		Deadline: at.Add(time.Second), Again: true, Body: make([]byte, size)}
+		Deadline: noon.Add(time.Second), Again: true, Body: make([]byte, size)}
 	require.NoError(t, j.Take(m))
 	return m
 }
@@ -37,25 +37,25 @@
 	j, left := load(t, dir, 3e6)
 	require.Empty(t, left)
 	first, second, third := accept(t, j, "a", 10), accept(t, j, "b", 20), accept(t, j, "c", 0)
-	require.NoError(t, j.Sent(first, at))
+	require.NoError(t, j.Sent(first, noon))
 	require.NoError(t, j.Came(first, false, time.Time{}))
-	require.NoError(t, j.Sent(first, at.Add(time.Second)))
-	require.NoError(t, j.Sent(second, at))
+	require.NoError(t, j.Sent(first, noon.Add(time.Second)))
+	require.NoError(t, j.Sent(second, noon))
 	require.NoError(t, j.Came(second, true, time.Time{}))
-	require.NoError(t, j.Sent(second, at.Add(time.Second)))
+	require.NoError(t, j.Sent(second, noon.Add(time.Second)))
 	require.NoError(t, j.Came(second, true, time.Time{}))
-	require.NoError(t, j.Ended(second, Returned, 300*time.Millisecond, at))
-	require.NoError(t, j.Ended(third, Delivered, 0, at))
+	require.NoError(t, j.Ended(second, Returned, 300*time.Millisecond, noon))
+	require.NoError(t, j.Ended(third, Delivered, 0, noon))
 	require.NoError(t, j.Settle(third))
 
 	j, left = load(t, dir, 3e6) // the first journal was never closed, as after SIGKILL
 	require.Len(t, left, 2)
 	want := *first
-	want.Out, want.Ran, want.RanSince = false, true, at.Add(time.Second)
+	want.Out, want.Ran, want.RanSince = false, true, noon.Add(time.Second)
 	assert.Equal(t, want, *left[0], "the attempt in flight may have run")
 	assert.Equal(t, 2, left[0].Attempts)
 	assert.Equal(t, *second, *left[1])
-	assert.Equal(t, at, left[1].RanSince, "the window starts with the first attempt that may have run")
+	assert.Equal(t, noon, left[1].RanSince, "the window starts with the first attempt that may have run")
 	assert.Greater(t, accept(t, j, "d", 1).Seq, third.Seq, "sequence numbers are not reused")
 }
 
@@ -96,13 +96,13 @@
 	var live []*Message
 	for i := range 3000 {
 		if !j.Room(700) {
-			require.NoError(t, j.Ended(live[0], Failed, 0, at))
+			require.NoError(t, j.Ended(live[0], Failed, 0, noon))
 			require.NoError(t, j.Settle(live[0]))
 			live = live[1:]
 		}
 		live = append(live, accept(t, j, fmt.Sprint("m", i), 600))
 		if i%3 == 0 {
-			require.NoError(t, j.Sent(live[len(live)/2], at))
+			require.NoError(t, j.Sent(live[len(live)/2], noon))
 			require.NoError(t, j.Came(live[len(live)/2], i%2 == 0, time.Time{}))
 		}
 		require.LessOrEqual(t, diskUsage(t, dir), int64(maxBytes), "after %d", i)
@@ -132,24 +132,24 @@
 	j, _ := load(t, dir, 3e6)
 	m := &Message{Origin: 1, ID: "p", Body: []byte("x"), Class: "order"}
 	require.NoError(t, j.Take(m))
-	require.NoError(t, j.Ended(m, Delivered, 0, at))
+	require.NoError(t, j.Ended(m, Delivered, 0, noon))
 	require.NoError(t, j.Settle(m))
 	j, left := load(t, dir, 3e6)
 	require.Len(t, left, 1)
 	assert.Equal(t, Delivered, left[0].State)
 	other := &Message{Origin: 1, ID: "q", Class: "order"}
 	require.NoError(t, j.Take(other))
-	require.NoError(t, j.Ended(other, Failed, 0, at.Add(2*time.Minute)))
+	require.NoError(t, j.Ended(other, Failed, 0, noon.Add(2*time.Minute)))
 	require.NoError(t, j.Settle(other))
 	_, left = load(t, dir, 3e6)
 	require.Len(t, left, 2, "on disk until compaction")
-	j.expireRetained(at.Add(2 * time.Minute))
+	j.expireRetained(noon.Add(2 * time.Minute))
 	assert.Len(t, j.live, 1, "the first message's retention time has passed")
 }
 
 func FuzzOpen(f *testing.F) {
 	f.Add(encode(&Message{Seq: 1, ID: "a", Class: "b", Body: []byte("c")}))
-	f.Add(encode(&Message{Seq: 1, ID: "a", IdempotencyKey: "k", Ran: true, RanSince: at, State: Failed, Settled: true})) // a remembered message
+	f.Add(encode(&Message{Seq: 1, ID: "a", IdempotencyKey: "k", Ran: true, RanSince: noon, State: Failed, Settled: true})) // a remembered message
 	f.Fuzz(func(t *testing.T, b []byte) {
 		j := &Journal{live: map[uint64]*entry{}, log: slog.New(slog.DiscardHandler)}
 		j.replay(&segment{seqs: map[uint64]bool{}}, b)
@@ -169,15 +169,15 @@
 func TestOutcomeSurvivesTwoCrashes(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := load(t, dir, 3e6)
-	require.NoError(t, j.Sent(accept(t, j, "a", 10), at))
+	require.NoError(t, j.Sent(accept(t, j, "a", 10), noon))
 	j, left := load(t, dir, 3e6)
 	require.Len(t, left, 1)
-	require.NoError(t, j.Sent(left[0], at.Add(time.Second)))
+	require.NoError(t, j.Sent(left[0], noon.Add(time.Second)))
 	require.NoError(t, j.Came(left[0], false, time.Time{}))
 	_, left = load(t, dir, 3e6)
 	require.Len(t, left, 1)
 	assert.True(t, left[0].Ran)
-	assert.Equal(t, at, left[0].RanSince, "the window starts with the first attempt")
+	assert.Equal(t, noon, left[0].RanSince, "the window starts with the first attempt")
 	assert.Equal(t, 2, left[0].Attempts)
 }
 
@@ -232,27 +232,27 @@
 			dir := t.TempDir()
 			j := loadRemembering(t, dir, room)
 			m := accept(t, j, "a", 1000)
-			require.NoError(t, j.Sent(m, at))
+			require.NoError(t, j.Sent(m, noon))
 			recordOutcomes := func() {
 				for _, ran := range tc.came {
-					require.NoError(t, j.Came(m, ran, at.Add(100*time.Millisecond)))
+					require.NoError(t, j.Came(m, ran, noon.Add(100*time.Millisecond)))
 				}
 			}
 			if !tc.after {
 				recordOutcomes()
 			}
-			require.NoError(t, j.Ended(m, tc.state, 0, at.Add(time.Second)))
+			require.NoError(t, j.Ended(m, tc.state, 0, noon.Add(time.Second)))
 			require.NoError(t, j.Settle(m))
 			if tc.after {
 				recordOutcomes()
 			}
-			since := at
+			since := noon
 			if len(tc.came) > 0 {
-				since = at.Add(100 * time.Millisecond)
+				since = noon.Add(100 * time.Millisecond)
 			}
 			for _, step := range []string{"kill", "compact", "compact", "kill", "compact", "kill", "kill", "compact", "compact", "kill"} {
 				if step == "compact" {
-					compactAll(t, j, at.Add(2*time.Second))
+					compactAll(t, j, noon.Add(2*time.Second))
 				} else {
 					j = loadRemembering(t, dir, room) // the previous journal was never closed, as after SIGKILL
 				}
@@ -272,7 +272,7 @@
 			if tc.kept {
 				require.True(t, j.Ran()[0].Ran)
 			}
-			compactAll(t, j, at.Add(6*time.Second))
+			compactAll(t, j, noon.Add(6*time.Second))
 			j = loadRemembering(t, dir, room)
 			assert.Empty(t, j.Ran(), "it is no longer relevant")
 			assert.Zero(t, j.rememberedSize)
@@ -288,8 +288,8 @@
 	j := loadRemembering(t, dir, room)
 	for i := range 3000 {
 		m := accept(t, j, fmt.Sprint("ran", i), 30)
-		require.NoError(t, j.Sent(m, at))
-		require.NoError(t, j.Ended(m, Delivered, 0, at))
+		require.NoError(t, j.Sent(m, noon))
+		require.NoError(t, j.Ended(m, Delivered, 0, noon))
 		require.NoError(t, j.Settle(m))
 		require.LessOrEqual(t, diskUsage(t, dir), int64(room), "after %d", i)
 	}
@@ -311,13 +311,13 @@
 	assert.Equal(t, baseline, held, "as many messages are accepted as without remembered ones")
 	assert.Less(t, len(j.Ran()), len(before))
 	assert.Greater(t, len(j.Ran()), 100, "and some are still remembered")
-	var live, past int64
+	var liveSize, rememberedSize int64
 	for _, e := range j.live {
 		if e.remembered {
-			past += e.size
+			rememberedSize += e.size
 		} else {
-			live += e.size + progressReserve
+			liveSize += e.size + progressReserve
 		}
 	}
-	assert.Equal(t, []int64{live, past}, []int64{j.liveSize, j.rememberedSize})
+	assert.Equal(t, []int64{liveSize, rememberedSize}, []int64{j.liveSize, j.rememberedSize})
 }
