--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -33,7 +33,7 @@
 )
 
 const (
-	heapShare           = 0.6 // share of the machine's memory for the heap; page cache of the folder's files counts too
+	heapShare           = 0.6 // share of the machine's memory; the folder's files need memory too
 	reservedDescriptors = 32  // file descriptors besides connections: journal, log, epoll, listeners
 )
 
@@ -42,8 +42,8 @@
 const (
 	drainListenTime   = 500 * time.Millisecond  // listeners stay open
 	drainPollInterval = 20 * time.Millisecond   // between checks whether draining is complete
-	directoryTimeout  = 80 * time.Millisecond   // limit on waiting for the directory at a start; its agent runs on this machine
-	drainDecideTime   = 2400 * time.Millisecond // the platform always waits 3.7 s; held messages are delivered meanwhile
+	directoryTimeout  = 80 * time.Millisecond   // for the directory's answer at a start; its agent is local
+	drainDecideTime   = 2400 * time.Millisecond // the platform always waits 3.7 s: serve held messages
 	drainTimeout      = 3400 * time.Millisecond // the process ends
 )
 
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	quiesceTimeout       = 500 * time.Millisecond // for notices and calls that cannot be handed over, before a handover
+	quiesceTimeout       = 500 * time.Millisecond // for work that cannot be handed over
 	quiescePollInterval  = 2 * time.Millisecond   // between checks whether they are done
 	haltTimeout          = time.Second            // for the engine to stop
 	maxHandoverListBytes = 16 << 20               // bytes of the directory's list that are handed over at most
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -49,7 +49,7 @@
 	maxServeAfterHandover = 10 * time.Second       // after a handover, if this process is not told to end
 	lockPollInterval      = 100 * time.Millisecond // between checks of the lock after a handover
 	successorTimeout      = 800 * time.Millisecond // for the successor's frames, while no process decides
-	maxReclaimTries       = 25                     // attempts to take the lock back before the process gives up ownership
+	maxReclaimTries       = 25                     // attempts to take the lock back before giving up
 )
 
 // Run runs the courier until it ends. An error, always one line, means that it could not start.
@@ -264,7 +264,8 @@
 			}
 		case handover.TakeOwnership:
 			p.lock, p.ownerSince = handover.LockFromDescriptor(f.FD), time.Now()
-			_ = link.Send(handover.Frame{Kind: handover.Took, FD: -1}) // the lock has arrived even if the predecessor does not receive this
+			// The lock has arrived even if the predecessor does not receive this frame.
+			_ = link.Send(handover.Frame{Kind: handover.Took, FD: -1})
 			return &collector.Estate, nil
 		}
 		if f.Kind == handover.DeedTo && err == nil {
--- a/internal/handover/steps_test.go
+++ b/internal/handover/steps_test.go
@@ -14,7 +14,7 @@
 	successor                        Successor
 	predecessorAlive, successorAlive bool
 	linked                           bool
-	lock                             string  // holder: "elder" (predecessor), "flight" (in transit), "younger" (successor) or "nobody"
+	lock                             string  // "elder" (predecessor), "flight" (in transit), "younger" (successor), "nobody"
 	toPredecessor, toSuccessor       []Event // events in transit
 	predecessorOwns                  bool
 }
--- a/internal/net/conn.go
+++ b/internal/net/conn.go
@@ -130,7 +130,8 @@
 // if the kernel does not count.
 func receivedBytes(fd int) (n uint64, ended, ok bool) {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
-	if err != nil || info.Bytes_received == 0 { // a count of 0 may also mean that nothing arrived, which peeking at the socket shows as well
+	// A count of 0 may also mean that nothing arrived, which peeking at the socket shows as well.
+	if err != nil || info.Bytes_received == 0 {
 		return 0, false, false
 	}
 	if ended = info.State != tcpEstablished; ended {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -34,11 +34,11 @@
 	usableShare     = 0.92     // share of Options.Bytes that is used; leaves room for block rounding and the folder
 	segmentShare    = 1.0 / 16 // of maxBytes: a larger segment is followed by a new one
 	compactionShare = 0.75     // of maxBytes: above this the oldest segment is compacted
-	maxLiveShare    = 0.55     // of maxBytes: no more messages are accepted above this, so that compaction frees space
+	maxLiveShare    = 0.55     // of maxBytes: accepting stops above this, so that compaction frees space
 	blockSize       = 512      // bytes; file sizes are rounded up to this
 	progressReserve = 256      // bytes reserved per message for the records of its progress
 	maxRemembered   = 8192     // number of settled messages that are remembered
-	rememberedShare = 1.0 / 8  // of maxBytes, beyond maxLiveShare: remembered messages are evicted above the sum
+	rememberedShare = 1.0 / 8  // of maxBytes, on top of maxLiveShare: limit for live and remembered messages
 )
 
 // Journal is the on-disk store of accepted messages. It is not safe for concurrent use.
@@ -153,7 +153,8 @@
 		} else if unsettled = append(unsettled, m); m.Settled {
 			j.retained = append(j.retained, m.Seq)
 		}
-		if m.Out && (opts.Goes == nil || !opts.Goes(m.Seq)) { // the previous process ended with the attempt in flight: it may have run
+		// The previous process ended with the attempt in flight: it may have run.
+		if m.Out && (opts.Goes == nil || !opts.Goes(m.Seq)) {
 			j.markMayHaveRun(m)
 		}
 	}
