--- a/internal/dircache/form.go
+++ b/internal/dircache/form.go
@@ -50,8 +50,8 @@
 	Partial    bool     // the snapshot does not contain all entries
 	Zones      []string // zone names by number
 	Kinds      []string // names of target kinds by number
-	// Of lists the partitions, out of Partitions, that the list covers completely. If Partitions is
-	// zero the list covers all destinations.
+	// Partitions is the total number of partitions; the next field lists those that the list covers
+	// completely. Zero means that the list covers all destinations.
 	Partitions int
 	Of         []int // ascending, without duplicates
 }
