--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon is the courier as a process: it reads what it is told, wires
-// the core, the journal, the engine and the fronts together, and answers
-// signals. What it does in between is the core's.
+// Package daemon runs the courier as a process: it reads the configuration, connects the core, the
+// journal, the network engine and the fronts, and handles signals and handovers. Decisions are made
+// by the core.
 package daemon
 
 import (
@@ -33,80 +33,81 @@
 )
 
 const (
-	memoryShare = 0.6 // of the machine's memory, for the heap: the folder's files count too
-	descriptors = 32  // besides connections: journal, log, epoll, listeners
+	heapShare           = 0.6 // share of the machine's memory; the folder's files need memory too
+	reservedDescriptors = 32  // file descriptors besides connections: journal, log, epoll, listeners
 )
 
-// A planned stop: decisions go on for a while, calls out are waited for, and
-// the process is gone before the platform would kill it.
+// Times of a planned stop: decisions continue for a while, calls in flight are awaited, and the
+// process ends before the platform would kill it.
 const (
-	listenFor  = 500 * time.Millisecond
-	lookAgain  = 20 * time.Millisecond
-	wordWithin = 80 * time.Millisecond   // for the directory to answer at a start: its agent is on this machine
-	decideFor  = 2400 * time.Millisecond // the platform waits 3.7 s whatever this does: what is held is served meanwhile
-	finishFor  = 3400 * time.Millisecond
+	drainListenTime   = 500 * time.Millisecond  // listeners stay open
+	drainPollInterval = 20 * time.Millisecond   // between checks whether draining is complete
+	directoryTimeout  = 80 * time.Millisecond   // for the directory's answer at a start; its agent is local
+	drainDecideTime   = 2400 * time.Millisecond // the platform always waits 3.7 s: serve held messages
+	drainTimeout      = 3400 * time.Millisecond // the process ends
 )
 
-// The fronts' numbers, which stand in the journal too.
+// Numbers of the fronts. They are stored in the journal.
 const (
-	platformFront = iota
-	pushFront
+	platformFrontNumber = iota
+	pushFrontNumber
 )
 
-// courier is the program's parts.
+// courier holds the components of one courier.
 type courier struct {
-	cfg       *config.Config
-	env       func(string) string
-	log       *slog.Logger
-	loop      *core.Loop
-	journal   *store.Journal
-	engine    *net.Engine
-	core      *core.Core
-	plugins   *plugin.Set
-	idle      *config.Idle
-	dir       *config.Directory
-	begin     platform.Begin
-	recalled  []learnt.Record
-	cache     *dircache.Cache  // nil: the list is not kept
-	learnt    *learnt.Store    // nil: nothing is
-	store     *idlestore.Store // nil: none
-	excluded  *exclusions.File
-	fleet     *config.Fleet
-	datagrams *net.Datagrams // nil: no notes
+	cfg             *config.Config
+	env             func(string) string
+	log             *slog.Logger
+	loop            *core.Loop
+	journal         *store.Journal
+	engine          *net.Engine
+	core            *core.Core
+	plugins         *plugin.Set
+	idle            *config.Idle
+	directoryConfig *config.Directory
+	startList       platform.Begin
+	learnedRecords  []learnt.Record
+	cache           *dircache.Cache  // nil if the list is not kept on disk
+	learnedStore    *learnt.Store    // nil if learned state is not kept on disk
+	idleStore       *idlestore.Store // nil if disabled
+	exclusionFile   *exclusions.File
+	fleet           *config.Fleet
+	datagrams       *net.Datagrams // nil if peer messages are disabled
 
-	process  *process
-	console  *console.Front  // nil: none
-	callers  []handover.Conn // of the second address, in an earlier life of this process
-	handover *handover.Door  // nil: nobody can take over
-	draining bool            // it ends in order
-	still    bool            // and decides no more, with no call out
-	yielding bool            // another process is to go on
-	link     *handover.Link  // to that one
-	estate   *handover.Estate
-	second   int // the second address's socket, once handed over; -1: none
+	process          *process
+	console          *console.Front   // nil if disabled
+	consoleConns     []handover.Conn  // connections to the second address, from an earlier courier of this process
+	handoverServer   *handover.Server // nil if no process can take over
+	draining         bool             // planned stop in progress
+	decisionsStopped bool             // decisions have stopped and no call is in flight
+	handingOver      bool             // handover to another process in progress
+	link             *handover.Link   // to that process
+	handoverState    *handover.Estate
+	consoleFD        int // socket of the second address once it is handed over, else -1
 
-	door     string             // path of the admin socket; "": none
-	socket   *admin.Socket      // nil: none
-	reading  bool               // files are being read anew
-	reloads  []func(why string) // asked for meanwhile
-	platform *platform.Front
-	push     *push.Front
+	adminPath       string             // path of the admin socket; empty if there is none
+	adminSocket     *admin.Socket      // nil if disabled
+	reloading       bool               // a reload is in progress
+	reloadCallbacks []func(why string) // callbacks of reloads requested meanwhile
+	platform        *platform.Front
+	push            *push.Front
 }
 
-// Options are what the command line and the environment say.
+// Options are the settings from the command line and the environment.
 type Options struct {
-	Env       func(string) string // as os.Getenv
-	Log       io.Writer           // where log lines go
-	LogFormat string              // text or json; "": text
+	Env       func(string) string // lookup of environment variables, like os.Getenv
+	Log       io.Writer           // destination of log lines
+	LogFormat string              // "text" or "json"; empty means text
 	LogLevel  slog.Level
-	Host      []string // the command that starts a plug-in's host
-	// Unhurried is how long flows wait for a plug-in, and decisions for their plug-ins, in place of the
-	// budgets; 0: the budgets hold. For tests of what is no matter of time.
+	Host      []string // command that starts a plug-in's host
+	// Unhurried replaces the time budgets of plug-ins: how long flows wait for a plug-in and
+	// decisions for their plug-ins. Zero keeps the budgets. It is for tests that do not depend on
+	// time.
 	Unhurried time.Duration
-	Signals   <-chan os.Signal // nil: the process's own
+	Signals   <-chan os.Signal // if nil, the signals of the process
 }
 
-// Logger makes the log that the options name.
+// Logger returns a logger with the configured format and level.
 func (o Options) Logger() *slog.Logger {
 	opts := &slog.HandlerOptions{Level: o.LogLevel}
 	if o.LogFormat == "json" {
@@ -115,16 +116,16 @@
 	return slog.New(slog.NewTextHandler(o.Log, opts))
 }
 
-// prepare makes the parts that need nothing of the folder, plug-ins among them.
+// prepare creates the components that do not need the state folder, including the plug-ins.
 func (p *process) prepare() (*courier, error) {
 	f := p.files
 	c := &courier{
-		process: p, cfg: f.cfg, env: p.o.Env, idle: f.idle, dir: f.directory, fleet: f.fleet, door: f.plugins.Admin,
+		process: p, cfg: f.cfg, env: p.opts.Env, idle: f.idle, directoryConfig: f.directory, fleet: f.fleet, adminPath: f.plugins.Admin,
 		loop: core.NewLoop(time.Now), log: p.log,
 	}
 	c.plugins = plugin.New(plugin.Config{
-		Loop: c.loop, Log: c.log, Command: p.o.Host, Bodies: f.plugins.Bodies, StartWithin: f.plugins.StartWithin,
-		AnswerWithin: p.o.Unhurried,
+		Loop: c.loop, Log: c.log, Command: p.opts.Host, Bodies: f.plugins.Bodies, StartWithin: f.plugins.StartWithin,
+		AnswerWithin: p.opts.Unhurried,
 	})
 	if len(f.manifests) > 0 {
 		why, done := "", false
@@ -136,85 +137,85 @@
 	return c, nil
 }
 
-// build makes the other parts, of a folder that this process owns. The estate, if there is
-// one, is the courier's from then on.
-func (c *courier) build(e *handover.Estate) (left []*store.Message, err error) {
+// build creates the other components, on a folder that this process owns. It takes ownership of the
+// handover state e, which may be nil.
+func (c *courier) build(e *handover.Estate) (messages []*store.Message, err error) {
 	cfg, pushCfg := c.cfg, c.process.files.push
 	if c.engine, err = net.New(net.Config{
-		Post: c.loop.Post, Log: c.log, MaxConns: max(cfg.Limits.Sockets-descriptors, cfg.Limits.Sockets/2), Kept: kept(cfg),
+		Post: c.loop.Post, Log: c.log, MaxConns: max(cfg.Limits.Sockets-reservedDescriptors, cfg.Limits.Sockets/2), Kept: reservedConns(cfg),
 	}); err != nil {
 		return nil, err
 	}
-	// An address that somebody else has ends the start before anything of the folder is touched.
-	if err := c.reserve(e, pushCfg.Listen); err != nil {
+	// Bind first: an address in use must fail the start before anything in the folder is changed.
+	if err := c.bindListeners(e, pushCfg.Listen); err != nil {
 		return nil, err
 	}
-	c.process.did("address")
-	goes := map[uint64]bool{}
+	c.process.stepDone("address")
+	inFlight := map[uint64]bool{}
 	if e != nil {
 		for _, x := range e.Calls {
-			goes[x.Seq] = x.FD >= 0
+			inFlight[x.Seq] = x.FD >= 0
 		}
 	}
-	c.journal, left, err = store.Load(store.Options{
-		Dir: cfg.State, Bytes: cfg.Bytes() - c.dir.Room() - exclusions.Room(), Retain: pushCfg.Retain, Log: c.log,
+	c.journal, messages, err = store.Load(store.Options{
+		Dir: cfg.StateDir, Bytes: cfg.StateBytes() - c.directoryConfig.Room() - exclusions.Room(), Retain: pushCfg.Retain, Log: c.log,
 		Until: core.Until(cfg.Settings),
-		Goes:  func(seq uint64) bool { return goes[seq] },
+		Goes:  func(seq uint64) bool { return inFlight[seq] },
 	})
 	if err != nil {
 		return nil, err
 	}
-	c.process.did("journal")
+	c.process.stepDone("journal")
 	c.platform = platform.New(platform.Config{
-		Loop: c.loop, Engine: c.engine, Log: c.log, Number: platformFront, Listen: cfg.Listen,
-		Discovery: cfg.Discovery, Names: cfg.Names, Columns: cfg.Columns, Settings: cfg.Settings,
-		Lists: platform.ListLimits{Bytes: c.idle.ListBytes, Entries: c.idle.ListEntries}, Started: c.started,
-		Router: c.divide(left),
+		Loop: c.loop, Engine: c.engine, Log: c.log, Number: platformFrontNumber, Listen: cfg.Listen,
+		Discovery: cfg.Discovery, Names: cfg.Names, Columns: cfg.ReportColumns, Settings: cfg.Settings,
+		Lists: platform.ListLimits{Bytes: c.idle.ListBytes, Entries: c.idle.ListEntries}, Started: c.onPlatformStep,
+		Router: c.newRouter(messages),
 	})
 	c.push = push.New(push.Config{
-		Loop: c.loop, Engine: c.engine, Log: c.log, Number: pushFront, Push: pushCfg, API: c.process.api, Life: c.process.life,
-		Columns: cfg.Columns, Settings: cfg.Settings,
+		Loop: c.loop, Engine: c.engine, Log: c.log, Number: pushFrontNumber, Push: pushCfg, API: c.process.api, Life: c.process.life,
+		Columns: cfg.ReportColumns, Settings: cfg.Settings,
 	})
 	coreCfg := core.Config{
 		Loop: c.loop, Log: c.log, Journal: c.journal, Settings: cfg.Settings,
-		Fronts:   []core.Front{platformFront: c.platform, pushFront: c.push},
-		Dormancy: &c.idle.Dormancy, Directories: map[int]core.Directory{platformFront: c.dir.Directory},
+		Fronts:   []core.Front{platformFrontNumber: c.platform, pushFrontNumber: c.push},
+		Dormancy: &c.idle.Dormancy, Directories: map[int]core.Directory{platformFrontNumber: c.directoryConfig.Directory},
 	}
 	if r := c.platform.Router; r != nil {
 		coreCfg.ListedShare = func(front int) float64 {
-			if front == platformFront {
+			if front == platformFrontNumber {
 				return r.Share()
 			}
 			return 1
 		}
 	}
-	c.keep(&coreCfg, e)
-	c.excluded = exclusions.Open(cfg.State, c.log)
-	coreCfg.Exclusions = c.excluded
-	if c.idle.Store != "" {
-		c.store, err = idlestore.Open(idlestore.Options{
-			Path: c.idle.Store, Bytes: c.idle.StoreBytes, Forget: c.idle.Dormancy.Forget,
+	c.openSideFiles(&coreCfg, e)
+	c.exclusionFile = exclusions.Open(cfg.StateDir, c.log)
+	coreCfg.Exclusions = c.exclusionFile
+	if c.idle.StorePath != "" {
+		c.idleStore, err = idlestore.Open(idlestore.Options{
+			Path: c.idle.StorePath, Bytes: c.idle.StoreBytes, Forget: c.idle.Dormancy.Forget,
 			Post: c.loop.Post, Log: c.log, Now: time.Now,
 		})
-		if err != nil { // it costs what is known, not the start
+		if err != nil { // the store is optional: continue without it
 			c.log.Warn("no idle store", "err", err)
 		} else {
-			coreCfg.Beyond = c.store
+			coreCfg.Beyond = c.idleStore
 		}
 	}
-	c.join(&coreCfg)
-	coreCfg.Plugins, coreCfg.ParkMost = c.plugins, c.process.o.Unhurried
-	if c.core, err = core.New(coreCfg); err == nil && c.process.counted != nil {
-		c.core.Carry(*c.process.counted)
+	c.openPeerSocket(&coreCfg)
+	coreCfg.Plugins, coreCfg.ParkMost = c.plugins, c.process.opts.Unhurried
+	if c.core, err = core.New(coreCfg); err == nil && c.process.previousCounts != nil {
+		c.core.Carry(*c.process.previousCounts)
 	}
-	c.process.did("module")
-	return left, err
+	c.process.stepDone("module")
+	return messages, err
 }
 
-// kept are the connections that are kept, whatever clients and targets need, for what a courier
-// has to hear and tell: the watch, a notice and, with a second address, a caller there who is
-// answered while another comes.
-func kept(cfg *config.Config) map[string]int {
+// reservedConns returns the connections that are reserved, whatever clients and targets need, for a
+// courier's essential communication: the discovery watch, a notice and, with a second address, two
+// connections there, so that one client is answered while another connects.
+func reservedConns(cfg *config.Config) map[string]int {
 	n := map[string]int{platform.WatchKind: 1, platform.NoticeKind: 1}
 	if cfg.Console != "" {
 		n[console.ListenerKind] = 2
@@ -222,13 +223,14 @@
 	return n
 }
 
-// reserve binds the clients' addresses, or goes on with the sockets that have been handed over.
-func (c *courier) reserve(e *handover.Estate, pushListen string) error {
+// bindListeners binds the clients' addresses, or continues to use the listeners that were handed
+// over.
+func (c *courier) bindListeners(e *handover.Estate, pushListen string) error {
 	if e != nil {
 		for i, l := range e.Listeners {
 			if l.FD >= 0 {
 				if err := c.engine.Inherit(l.Kind, l.FD); err != nil {
-					c.log.Warn("a listener could not be taken over", "kind", l.Kind, "err", err)
+					c.log.Warn("cannot take over a listener", "kind", l.Kind, "err", err)
 				}
 				e.Listeners[i].FD = -1
 			}
@@ -240,7 +242,7 @@
 	return c.engine.Reserve(push.ListenerKind, pushListen)
 }
 
-// descriptions reads the push front's documents, if it is on.
+// descriptions reads the push front's API documents if the front is enabled.
 func descriptions(p *config.Push) (*describe.API, *describe.Life, error) {
 	if p.Listen == "" {
 		return nil, nil, nil
@@ -260,93 +262,96 @@
 	return api, life, err
 }
 
-// start opens the fronts and takes up what an earlier process left, or hands over.
-func (c *courier) start(left []*store.Message, e *handover.Estate) error {
-	if err := c.push.Start(c.core, left); err != nil {
+// start opens the fronts and restores what the previous process left behind or handed over.
+func (c *courier) start(messages []*store.Message, e *handover.Estate) error {
+	if err := c.push.Start(c.core, messages); err != nil {
 		return err
 	}
-	out := exclusions.New(c.cfg.Settings.WarmUp)
-	exclusions.Read(c.cfg.State, out, c.log)
-	c.core.RecallOut(out)
+	excluded := exclusions.New(c.cfg.Settings.WarmUp)
+	exclusions.Read(c.cfg.StateDir, excluded, c.log)
+	c.core.RecallOut(excluded)
 	if e != nil {
 		c.core.TakeOver(e)
 	} else {
-		c.core.Recall(c.recalled)
+		c.core.Recall(c.learnedRecords)
 	}
-	c.recalled = nil
+	c.learnedRecords = nil
 	c.core.Remember(c.journal.Ran())
-	if err := c.platform.Start(c.core, c.begin); err != nil {
+	if err := c.platform.Start(c.core, c.startList); err != nil {
 		return err
 	}
-	if c.begin.Held && len(left) > 0 && (e == nil || !e.Live) {
-		c.core.Pause(wordWithin)
+	if c.startList.Held && len(messages) > 0 && (e == nil || !e.Live) {
+		c.core.Pause(directoryTimeout)
 	}
-	c.core.Restore(left) // before the loop runs: nothing new comes in front of it
-	c.process.did("restored")
+	c.core.Restore(messages) // before the loop runs, so that no new message comes first
+	c.process.stepDone("restored")
 	if e != nil {
 		c.platform.TakeOver(e.Clients)
 		c.log.Info("taken over", "clients", len(e.Clients), "calls", len(e.Calls), "known", len(e.Known), "keys", len(e.Keys),
-			"ms", time.Since(c.process.since).Milliseconds())
-		c.forgo()
+			"ms", time.Since(c.process.ownerSince).Milliseconds())
+		c.closeAbandonedCalls()
 	}
-	second := ""
+	consoleAddr := ""
 	if c.cfg.Console != "" {
 		var err error
 		c.console, err = console.Start(console.Config{
 			Loop: c.loop, Engine: c.engine, Listen: c.cfg.Console, Ready: c.platform.Ready,
-			Figures: func(done func(core.Figures)) { done(c.core.Figures(platformFront)) },
-			Exclude: func(id string, out bool, done func(error)) { c.core.Exclude(platformFront, id, out, done) },
+			Figures: func(done func(core.Figures)) { done(c.core.Figures(platformFrontNumber)) },
+			Exclude: func(id string, excluded bool, done func(error)) {
+				c.core.Exclude(platformFrontNumber, id, excluded, done)
+			},
 		})
 		if err != nil {
 			return err
 		}
-		second = c.console.Addr()
-		c.console.TakeOver(c.callers)
+		consoleAddr = c.console.Addr()
+		c.console.TakeOver(c.consoleConns)
 	}
-	c.engine.Disinherit()
-	if err := c.openDoor(); err != nil {
+	c.engine.CloseInherited()
+	if err := c.openAdminSocket(); err != nil {
 		return err
 	}
 	c.openHandover()
 	c.log.Info("started", "listen", c.platform.Addr(), "push", c.push.Addr(), "restored", c.core.Counters.Restored)
-	if second != "" {
-		c.log.Info("second address", "listen", second)
+	if consoleAddr != "" {
+		c.log.Info("second address", "listen", consoleAddr)
 	}
 	return nil
 }
 
-// started hears of the steps of the platform's front. The last is told on the loop, once clients
-// are answered that the courier is ready, and the account of the start is the log's then.
-func (c *courier) started(step platform.Step) {
+// onPlatformStep is called at the steps of the platform front's start. The last one is reported on
+// the loop, after clients are told that the courier is ready; the durations of all steps are logged
+// then.
+func (c *courier) onPlatformStep(step platform.Step) {
 	switch step {
 	case platform.Listening:
-		c.process.did("listener")
+		c.process.stepDone("listener")
 	case platform.Listed:
-		c.process.did("endpoints")
+		c.process.stepDone("endpoints")
 	case platform.Ready:
 		c.loop.After(0, func() {
-			if s := c.process.steps; s != nil {
-				c.process.did("ready")
-				c.process.steps = nil
-				c.log.Info("ready", "ms", float64(s.last.Sub(s.begun).Microseconds())/1000, "steps_ms", s,
-					"restored", c.core.Counters.Restored, "endpoints", len(c.begin.Targets), "journal", c.journal.Size())
+			if s := c.process.startSteps; s != nil {
+				c.process.stepDone("ready")
+				c.process.startSteps = nil
+				c.log.Info("ready", "ms", float64(s.last.Sub(s.startedAt).Microseconds())/1000, "steps_ms", s,
+					"restored", c.core.Counters.Restored, "endpoints", len(c.startList.Targets), "journal", c.journal.Size())
 			}
 		})
 	}
 }
 
 func (c *courier) signal(s os.Signal) {
-	if c.yielding { // whoever goes on is told
-		c.process.later(s)
+	if c.handingOver { // passed on to the next owner
+		c.process.dispatch(s)
 		return
 	}
 	switch s {
 	case syscall.SIGUSR1:
-		c.count("counters")
+		c.logCounters("counters")
 	case syscall.SIGUSR2:
 		runtime.GC()
 		debug.FreeOSMemory()
-		c.count("counters")
+		c.logCounters("counters")
 	case syscall.SIGHUP:
 		c.reload(func(string) {})
 	default:
@@ -354,41 +359,40 @@
 	}
 }
 
-// reload reads the files anew. The platform may have moved to another address,
-// and the push front's targets, the plug-ins and the members that own partitions
-// may be others; what else differs waits for a restart. Where one is wrong, none changes anything. Reading takes a
-// while, schemas and modules among it, and is not the loop's to do: what comes
-// meanwhile is read after that.
+// reload reads the configuration files again. It applies the discovery address, the push front's
+// targets, the plug-ins and the members that own partitions; other changes require a restart. If
+// one file is invalid, nothing is changed. Files are read on a goroutine of their own, because
+// schemas and modules take time; reloads requested meanwhile run after it.
 func (c *courier) reload(done func(why string)) {
-	c.reloads = append(c.reloads, done)
-	if !c.reading {
-		c.read()
+	c.reloadCallbacks = append(c.reloadCallbacks, done)
+	if !c.reloading {
+		c.startReload()
 	}
 }
 
-func (c *courier) read() {
-	c.reading = true
-	asked := c.reloads
-	c.reloads = nil
-	holds := c.membership()
+func (c *courier) startReload() {
+	c.reloading = true
+	callbacks := c.reloadCallbacks
+	c.reloadCallbacks = nil
+	current := c.currentMembership()
 	go func() {
-		f, err := readAll(c.env, &c.cfg.Names, holds)
+		f, err := readAll(c.env, &c.cfg.Names, current)
 		c.loop.Post(func() {
-			c.reread(f, err, func(why string) {
-				c.reading = false
-				for _, done := range asked {
+			c.applyFiles(f, err, func(why string) {
+				c.reloading = false
+				for _, done := range callbacks {
 					done(why)
 				}
-				if len(c.reloads) > 0 {
-					c.read()
+				if len(c.reloadCallbacks) > 0 {
+					c.startReload()
 				}
 			})
 		})
 	}()
 }
 
-// reread takes what has been read.
-func (c *courier) reread(f files, err error, done func(why string)) {
+// applyFiles applies files that were read by a reload.
+func (c *courier) applyFiles(f files, err error, done func(why string)) {
 	if err == nil {
 		err = c.push.Relist(f.push.Targets)
 	}
@@ -397,24 +401,24 @@
 		done(err.Error())
 		return
 	}
-	later := c.cfg.Differs(f.cfg)
-	if *f.directory != *c.dir {
-		later = append(later, "directory")
+	needRestart := c.cfg.DifferingSections(f.cfg)
+	if *f.directory != *c.directoryConfig {
+		needRestart = append(needRestart, "directory")
 	}
 	if *f.fleet != *c.fleet {
-		later = append(later, "fleet")
+		needRestart = append(needRestart, "fleet")
 	}
 	if *f.idle != *c.idle {
-		later = append(later, "idle destinations")
+		needRestart = append(needRestart, "idle destinations")
 	}
-	if c.process.files.partitions.Differs(f.partitions) {
-		later = append(later, "partitions")
+	if c.process.files.partitions.NeedsRestart(f.partitions) {
+		needRestart = append(needRestart, "partitions")
 	}
-	if len(later) > 0 {
-		c.log.Warn("these wait for a restart", "values", later)
+	if len(needRestart) > 0 {
+		c.log.Warn("these wait for a restart", "values", needRestart)
 	}
 	c.platform.Move(f.cfg.Discovery)
-	c.adopt(f.membership)
+	c.adoptMembership(f.membership)
 	c.plugins.AllowBodies(f.plugins.Bodies)
 	c.plugins.AllowStart(f.plugins.StartWithin)
 	c.log.Info("configuration read again", "discovery", f.cfg.Discovery, "targets", len(f.push.Targets))
@@ -428,38 +432,38 @@
 	})
 }
 
-// openDoor opens the admin socket, where there is to be one.
-func (c *courier) openDoor() (err error) {
-	if c.door == "" {
+// openAdminSocket opens the admin socket if one is configured.
+func (c *courier) openAdminSocket() (err error) {
+	if c.adminPath == "" {
 		return nil
 	}
-	c.socket, err = admin.Listen(c.door, func(r admin.Request, done func(admin.Reply)) {
-		c.loop.Post(func() { c.asked(r, done) })
+	c.adminSocket, err = admin.Listen(c.adminPath, func(r admin.Request, done func(admin.Reply)) {
+		c.loop.Post(func() { c.handleAdminRequest(r, done) })
 	})
 	return err
 }
 
-// asked answers at the admin socket.
-func (c *courier) asked(r admin.Request, done func(admin.Reply)) {
+// handleAdminRequest answers a request at the admin socket.
+func (c *courier) handleAdminRequest(r admin.Request, done func(admin.Reply)) {
 	switch r.Do {
 	case "plugins":
 		done(admin.Reply{Value: c.plugins.List()})
 	case "reload":
 		c.reload(func(why string) { done(admin.Reply{Error: why, Value: c.plugins.List()}) })
 	case "directory":
-		done(admin.Reply{Value: c.believed()})
+		done(admin.Reply{Value: c.directoryStatus()})
 	case "telemetry":
-		done(admin.Reply{Value: c.core.Figures(platformFront)})
+		done(admin.Reply{Value: c.core.Figures(platformFrontNumber)})
 	default:
-		done(admin.Reply{Error: fmt.Sprintf("no request %q: there are directory, plugins, reload and telemetry", r.Do)})
+		done(admin.Reply{Error: fmt.Sprintf("unknown request %q: valid requests are directory, plugins, reload and telemetry", r.Do)})
 	}
 }
 
-func (c *courier) count(why string) {
+func (c *courier) logCounters(why string) {
 	t := c.loop.Turns()
 	values := []any{"n", &c.core.Counters, "held", c.core.Held(), "connections", c.engine.Open(), "kinds", c.engine.Kinds(),
-		"journal", c.journal.Size(), "plugins", c.plugins, "idle", c.core.Dormant(), "learnt", c.core.Learning(), "directory", c.directory(),
-		"datagrams", c.exchanged(), "state", c.core.Footprint(), "heap", heap(),
+		"journal", c.journal.Size(), "plugins", c.plugins, "idle", c.core.Dormant(), "learnt", c.core.Learning(), "directory", c.directoryCounts(),
+		"datagrams", c.datagramCounts(), "state", c.core.Footprint(), "heap", liveHeapBytes(),
 		"turns", t.Count, "longest_turn_us", t.Longest.Microseconds()}
 	if f, divided := c.platform.Divided(); divided {
 		values = append(values, slog.Group("partitions", "owned", f.Owned, "listed", f.Listed, "wanted", f.Wanted, "pins", f.Pins, "unreached", f.Unreached))
@@ -467,38 +471,38 @@
 	c.log.Info(why, values...)
 }
 
-// heap is the bytes that were in use after the last collection of garbage.
-func heap() uint64 {
+// liveHeapBytes returns the heap bytes in use after the last garbage collection.
+func liveHeapBytes() uint64 {
 	live := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 	metrics.Read(live)
 	return live[0].Value.Uint64()
 }
 
-// drain ends the courier in order: it takes nothing more, lets its clients go,
-// finishes what it can and leaves the rest in the journal.
+// drain shuts the courier down in order: it accepts no new messages, lets clients go, finishes what
+// it can and leaves the rest in the journal.
 func (c *courier) drain() {
 	c.draining = true
 	c.log.Info("draining", "held", c.core.Held())
 	c.core.Drain()
 	c.platform.Drain()
 	c.push.Drain()
-	c.loop.After(listenFor, func() {
+	c.loop.After(drainListenTime, func() {
 		c.engine.Stop()
 		c.endIfDone()
 	})
-	spent := c.process.spent()
-	c.loop.After(decideFor-spent, func() { c.core.Freeze(func() { c.still = true }) })
-	c.loop.After(finishFor-spent, c.loop.End)
+	spent := c.process.sinceTermination()
+	c.loop.After(drainDecideTime-spent, func() { c.core.Freeze(func() { c.decisionsStopped = true }) })
+	c.loop.After(drainTimeout-spent, c.loop.End)
 }
 
-// endIfDone ends a draining courier that owes nothing any more, or has stopped deciding and has
-// no call out. Clients send until it is gone: nobody's request is left half read or unanswered,
-// and no notice without its answer.
+// endIfDone ends a draining courier that holds no more messages, or whose decisions have stopped
+// with no call in flight. Clients may send until then, so it waits for partly read and unanswered
+// requests and for unconfirmed notices.
 func (c *courier) endIfDone() {
-	done := c.core.Held() == 0 || c.still
+	done := c.core.Held() == 0 || c.decisionsStopped
 	if done && c.platform.Quiet() && !c.platform.Unanswered() && !c.push.Unanswered() {
 		c.loop.End()
 		return
 	}
-	c.loop.After(lookAgain, c.endIfDone)
+	c.loop.After(drainPollInterval, c.endIfDone)
 }
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -29,39 +29,39 @@
 	"snowjunction/internal/store"
 )
 
-// ending is a courier on real connections. Its loop turns only while the test waits for
-// something, and its clock goes only when told.
-type ending struct {
+// drainTest is a courier with real connections. Its loop runs only while the test waits for
+// something, and its clock is advanced by the test.
+type drainTest struct {
 	*courier
 	t       *testing.T
 	now     time.Time
-	notices chan struct{} // some have come
-	confirm chan struct{} // closed: notices are answered
+	notices chan struct{} // receives a value when a notice arrives
+	confirm chan struct{} // closed when notices are to be answered
 }
 
-func newEnding(t *testing.T) *ending {
-	e := &ending{
+func newDrainTest(t *testing.T) *drainTest {
+	e := &drainTest{
 		courier: &courier{log: slog.New(slog.DiscardHandler), process: &process{}}, t: t,
 		now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), notices: make(chan struct{}, 1), confirm: make(chan struct{}),
 	}
-	over := make(chan struct{})
+	testDone := make(chan struct{})
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/discovery") {
-			<-over
+			<-testDone
 			return
 		}
 		select {
 		case e.notices <- struct{}{}:
-		default: // it goes again and again
+		default: // notices are resent
 		}
 		select {
 		case <-e.confirm:
-		case <-over:
+		case <-testDone:
 		}
 		w.WriteHeader(http.StatusNoContent)
 	}))
 	t.Cleanup(discovery.Close)
-	t.Cleanup(func() { close(over) }) // first of these
+	t.Cleanup(func() { close(testDone) }) // cleanups run in reverse: this one first
 	e.loop = core.NewLoop(func() time.Time { return e.now })
 	var err error
 	e.engine, err = net.New(net.Config{Post: e.loop.Post, Log: e.log, MaxConns: 64})
@@ -76,7 +76,7 @@
 		Classes: []snowjunction.Class{{Name: "status", Aim: time.Second, Deadline: 20 * time.Second, Worth: 2}},
 	}
 	e.platform = platform.New(platform.Config{
-		Loop: e.loop, Engine: e.engine, Log: e.log, Number: platformFront, Listen: "127.0.0.1:0",
+		Loop: e.loop, Engine: e.engine, Log: e.log, Number: platformFrontNumber, Listen: "127.0.0.1:0",
 		Discovery: strings.TrimPrefix(discovery.URL, "http://"), Settings: settings,
 	})
 	text, err := os.ReadFile("../../deploy/openapi.json")
@@ -84,59 +84,59 @@
 	api, err := describe.OpenAPI("openapi.json", text)
 	require.NoError(t, err)
 	e.push = push.New(push.Config{
-		Loop: e.loop, Engine: e.engine, Log: e.log, Number: pushFront, API: api, Settings: settings,
+		Loop: e.loop, Engine: e.engine, Log: e.log, Number: pushFrontNumber, API: api, Settings: settings,
 		Push: &config.Push{Listen: "127.0.0.1:0", MaxConns: 8, TargetConns: 4},
 	})
 	e.core, err = core.New(core.Config{
-		Loop: e.loop, Log: e.log, Journal: e.journal, Settings: settings, Fronts: []core.Front{platformFront: e.platform, pushFront: e.push},
-		Directories: map[int]core.Directory{platformFront: {Belief: belief.Default(), Trust: distrust.Default()}},
+		Loop: e.loop, Log: e.log, Journal: e.journal, Settings: settings, Fronts: []core.Front{platformFrontNumber: e.platform, pushFrontNumber: e.push},
+		Directories: map[int]core.Directory{platformFrontNumber: {Belief: belief.Default(), Trust: distrust.Default()}},
 	})
 	require.NoError(t, err)
 	require.NoError(t, e.push.Start(e.core, nil))
-	known := platform.Begin{Watch: true}
-	known.Held, known.Full, known.Generation = true, true, 1
-	known.Targets = []core.Entry{{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Weight: 1, Phase: snowjunction.Draining}}
-	require.NoError(t, e.platform.Start(e.core, known))
+	initial := platform.Begin{Watch: true}
+	initial.Held, initial.Full, initial.Generation = true, true, 1
+	initial.Targets = []core.Entry{{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Weight: 1, Phase: snowjunction.Draining}}
+	require.NoError(t, e.platform.Start(e.core, initial))
 	t.Cleanup(e.platform.Close)
 	t.Cleanup(e.push.Close)
 	return e
 }
 
-// until turns the loop until what is awaited has come. Only a failure runs into the limit.
-func (e *ending) until(what string, come func() bool) {
+// until runs the loop until the condition holds. Only a failure reaches the limit.
+func (e *drainTest) until(what string, condition func() bool) {
 	e.t.Helper()
 	limit := time.Now().Add(20 * time.Second)
-	e.loop.RunUntil(func() bool { return come() || time.Now().After(limit) })
-	require.True(e.t, come(), what)
+	e.loop.RunUntil(func() bool { return condition() || time.Now().After(limit) })
+	require.True(e.t, condition(), what)
 }
 
-// after lets the clock go on in steps of a look; what is due then is done.
-func (e *ending) after(d time.Duration) {
-	for ; d > 0; d -= lookAgain {
-		e.now = e.now.Add(min(d, lookAgain))
+// advance advances the clock in steps of drainPollInterval and runs what is due.
+func (e *drainTest) advance(d time.Duration) {
+	for ; d > 0; d -= drainPollInterval {
+		e.now = e.now.Add(min(d, drainPollInterval))
 		e.loop.Turn()
 	}
 }
 
-// caller is a client of a front, and what it has been told.
-type caller struct {
+// client is a client of a front with the answers that it received.
+type client struct {
 	stdnet.Conn
-	mu  sync.Mutex
-	got string
+	mu      sync.Mutex
+	answers string
 }
 
-func (e *ending) call(addr, text string) *caller {
+func (e *drainTest) connect(addr, text string) *client {
 	e.t.Helper()
 	conn, err := stdnet.Dial("tcp", addr)
 	require.NoError(e.t, err)
 	e.t.Cleanup(func() { conn.Close() })
-	c := &caller{Conn: conn}
+	c := &client{Conn: conn}
 	go func() {
 		b := make([]byte, 4096)
 		for {
 			n, err := conn.Read(b)
 			c.mu.Lock()
-			c.got += string(b[:n])
+			c.answers += string(b[:n])
 			c.mu.Unlock()
 			if err != nil {
 				return
@@ -148,10 +148,10 @@
 	return c
 }
 
-func (c *caller) told(text string) bool {
+func (c *client) received(text string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return strings.Contains(c.got, text)
+	return strings.Contains(c.answers, text)
 }
 
 func add(id string) string {
@@ -162,63 +162,62 @@
 	return out
 }
 
-// beginning is what begins so long after the end has, or before.
-type beginning struct {
-	since time.Duration
-	begin func(e *ending) (finish func())
+// pendingWork begins some time after the drain, or before it if delay is zero.
+type pendingWork struct {
+	delay time.Duration
+	begin func(e *drainTest) (finish func())
 }
 
-func (b beginning) begins(e *ending) (finish func()) {
-	if b.since == 0 {
-		finish = b.begin(e)
+func (w pendingWork) start(e *drainTest) (finish func()) {
+	if w.delay == 0 {
+		finish = w.begin(e)
 		e.drain()
 		return finish
 	}
 	e.drain()
-	e.after(b.since)
-	return b.begin(e)
+	e.advance(w.delay)
+	return w.begin(e)
 }
 
-// A courier that ends waits for what has begun: a request that has come in part, on either
-// front, and a notice without its answer. It does so before it stops deciding and after, and
-// not past the time that it has.
-func TestTheEndWaitsForWhatHasBegun(t *testing.T) {
+// A draining courier waits for work in progress: a partly received request on either front, and an
+// unconfirmed notice. It does so before and after decisions stop, but not beyond drainTimeout.
+func TestDrainWaitsForPendingWork(t *testing.T) {
 	message := add("m2")
-	for name, way := range map[string]beginning{
-		// A client may take 2 s over a request: it comes among the last.
-		"half a request": {since: listenFor - lookAgain, begin: func(e *ending) func() {
-			c := e.call(e.platform.Addr(), message[:20])
+	for name, work := range map[string]pendingWork{
+		// A client may take 2 s to send a request; this one sends the rest among the last.
+		"half a request": {delay: drainListenTime - drainPollInterval, begin: func(e *drainTest) func() {
+			c := e.connect(e.platform.Addr(), message[:20])
 			e.until("a part is read", e.platform.Unanswered)
 			return func() {
 				_, err := io.WriteString(c, message[20:])
 				require.NoError(e.t, err)
-				e.until("it is answered", func() bool { return c.told("-BUSY") })
+				e.until("the request is answered", func() bool { return c.received("-BUSY") })
 			}
 		}},
-		"half a request to the push front": {begin: func(e *ending) func() {
-			c := e.call(e.push.Addr(), http2.ClientPreface[:20])
+		"half a request to the push front": {begin: func(e *drainTest) func() {
+			c := e.connect(e.push.Addr(), http2.ClientPreface[:20])
 			e.until("a part is read", e.push.Unanswered)
 			return func() {
 				_, err := io.WriteString(c, http2.ClientPreface[20:])
 				require.NoError(e.t, err)
-				e.until("it is read", func() bool { return !e.push.Unanswered() })
+				e.until("the request is read", func() bool { return !e.push.Unanswered() })
 			}
 		}},
-		"a notice": {begin: func(e *ending) func() {
+		"a notice": {begin: func(e *drainTest) func() {
 			e.platform.Ended(&store.Message{ID: "m3", State: store.Failed})
-			come := false
-			e.until("it goes", func() bool {
+			arrived := false
+			e.until("the notice is sent", func() bool {
 				select {
 				case <-e.notices:
-					come = true
+					arrived = true
 				default:
 				}
-				return come
+				return arrived
 			})
 			return func() {
 				close(e.confirm)
-				e.until("it is confirmed", func() bool {
-					e.now = e.now.Add(time.Millisecond) // between two tries nothing else comes
+				e.until("the notice is confirmed", func() bool {
+					e.now = e.now.Add(time.Millisecond) // nothing happens between two tries
 					return e.platform.Quiet()
 				})
 			}
@@ -226,46 +225,46 @@
 	} {
 		for _, held := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, held %v", name, held), func(t *testing.T) {
-				e := newEnding(t)
-				if held { // what waits for an endpoint: deciding stops before it is over
-					c := e.call(e.platform.Addr(), add("m1"))
+				e := newDrainTest(t)
+				if held { // a message that waits for an endpoint: decisions stop before it is done
+					c := e.connect(e.platform.Addr(), add("m1"))
 					e.until("a message is read", func() bool { return e.core.Counters.In == 1 })
-					e.after(lookAgain)
-					e.until("it is taken on", func() bool { return c.told("+OK") })
+					e.advance(drainPollInterval)
+					e.until("the message is accepted", func() bool { return c.received("+OK") })
 				}
 				began := e.now
-				finish := way.begins(e)
-				wait := listenFor
+				finish := work.start(e)
+				wait := drainListenTime
 				if held {
-					wait = decideFor
+					wait = drainDecideTime
 				}
-				e.after(began.Add(wait + 2*lookAgain).Sub(e.now))
-				require.Equal(t, held, e.still)
-				require.False(t, e.loop.Ended(), "it waits")
+				e.advance(began.Add(wait + 2*drainPollInterval).Sub(e.now))
+				require.Equal(t, held, e.decisionsStopped)
+				require.False(t, e.loop.Ended(), "it must wait")
 				finish()
-				e.after(2 * lookAgain)
-				assert.True(t, e.loop.Ended(), "and ends at once then")
-				assert.Less(t, e.now.Sub(began), finishFor)
+				e.advance(2 * drainPollInterval)
+				assert.True(t, e.loop.Ended(), "it must end at once")
+				assert.Less(t, e.now.Sub(began), drainTimeout)
 			})
 		}
-		t.Run(name+", that never ends", func(t *testing.T) {
-			e := newEnding(t)
+		t.Run(name+", never finished", func(t *testing.T) {
+			e := newDrainTest(t)
 			began := e.now
-			way.begins(e)
-			e.after(began.Add(finishFor + lookAgain).Sub(e.now))
+			work.start(e)
+			e.advance(began.Add(drainTimeout + drainPollInterval).Sub(e.now))
 			assert.True(t, e.loop.Ended())
 		})
 	}
 }
 
-// With nothing begun it ends as soon as no new clients come, or with the last call.
-func TestTheEndOfWhatOwesNothing(t *testing.T) {
-	e := newEnding(t)
-	c := e.call(e.platform.Addr(), "*1\r\n$4\r\nPING\r\n")
-	e.until("a client rests", func() bool { return c.told("+PONG") })
+// Without work in progress a courier ends when new clients are no longer accepted.
+func TestDrainWithoutPendingWork(t *testing.T) {
+	e := newDrainTest(t)
+	c := e.connect(e.platform.Addr(), "*1\r\n$4\r\nPING\r\n")
+	e.until("a client is idle", func() bool { return c.received("+PONG") })
 	e.drain()
-	e.after(listenFor - lookAgain)
-	assert.False(t, e.loop.Ended(), "new clients are answered still")
-	e.after(2 * lookAgain)
+	e.advance(drainListenTime - drainPollInterval)
+	assert.False(t, e.loop.Ended(), "new clients are still answered")
+	e.advance(2 * drainPollInterval)
 	assert.True(t, e.loop.Ended())
 }
