--- a/api.go
+++ b/api.go
@@ -27,35 +27,35 @@
 	Tenants []Tenant
 	Kinds   []Kind // kinds of destination
 
-	Slots            int     // maximum number of concurrent calls
-	MaxHeld          int     // maximum number of requests held; zero means no limit
-	MaxAttempts      int     // maximum number of attempts for one request; zero means no limit
-	OverShareWorth   float64 // share of the value kept above the tenant's quota
-	Halving          bool    // value halves per further target latency, not linearly
-	WeightsAreLimits bool    // Endpoint.Weight is the destination's rate limit in calls per second
-	AskForList       bool    // the list is sent only to subscribers (Watch)
-	Report           []ReportField
-
-	Probes      bool          // the Probe action is available
-	Cancelling  bool          // the Cancel action is available
-	ParallelTry bool          // a request may have two concurrent attempts
-	RetryAfter  bool          // Refuse carries a retry-after delay for the client
-	MaxRetry    time.Duration // longest retry-after delay that clients honour
+	Slots               int     // maximum number of concurrent calls
+	MaxHeld             int     // maximum number of requests held; zero means no limit
+	MaxAttempts         int     // maximum number of attempts for one request; zero means no limit
+	OverQuotaValueShare float64 // share of the value kept above the tenant's quota
+	ValueHalves         bool    // value halves per further target latency, not linearly
+	WeightsAreLimits    bool    // Endpoint.Weight is the destination's rate limit in calls per second
+	SubscribeToList     bool    // the list is sent only to subscribers (Watch)
+	Report              []ReportField
+
+	Probes           bool          // the Probe action is available
+	Cancelling       bool          // the Cancel action is available
+	ParallelAttempts bool          // a request may have two concurrent attempts
+	RetryAfter       bool          // Refuse carries a retry-after delay for the client
+	MaxRetryAfter    time.Duration // longest retry-after delay that clients honour
 
 	ConnIdle       time.Duration // idle connections are closed after this time
 	ConnectTimeout time.Duration // a connection attempt fails after this time
 	StreamsPerConn int           // maximum number of concurrent calls on one connection
 
-	AskWithin    time.Duration // longest time between two list subscriptions
-	OrderSettle  time.Duration // delay of a key after an attempt that may still run
-	DrainGrace   time.Duration // time allowed to stop sending to a draining endpoint
-	AnswerSlack  time.Duration // time by which a final answer may be late
-	ColdShare    float64       // share of its capacity that a recovering destination has at first
-	WarmUp       time.Duration // time until it has its full capacity again
-	FallMultiple float64       // it collapses above this multiple of its present capacity
-	FallTime     time.Duration // sustained for this time
+	SubscribeWithin  time.Duration // longest time between two list subscriptions
+	OrderSettle      time.Duration // delay of a key after an attempt that may still run
+	DrainGrace       time.Duration // time allowed to stop sending to a draining endpoint
+	AnswerSlack      time.Duration // time by which a final answer may be late
+	ColdShare        float64       // share of its capacity that a recovering destination has at first
+	WarmUp           time.Duration // time until it has its full capacity again
+	CollapseMultiple float64       // it collapses above this multiple of its present capacity
+	CollapseTime     time.Duration // sustained for this time
 
-	Notes bool // couriers of the fleet can exchange peer messages
+	PeerMessages bool // couriers of the fleet can exchange peer messages
 
 	Tuning *Tuning // nil selects StandardTuning
 }
@@ -63,19 +63,19 @@
 // Tuning holds the constants that experiments vary. The standard values and their reasons are in
 // courier.go.
 type Tuning struct {
-	LedgerRatio float64 // retry budget: retries per first attempt, in a sliding window
-	LedgerFloor float64 // retry budget: retries always allowed in a window, per slot
-	SlotsShare  float64 // upper bound on the calls to one destination, as a share of the slots
-	PaceStart   float64 // initial pacing rate, over this courier's even share of the limit
-	PaceWoken   float64 // the same for a destination that was loaded recently
-	ColdSafety  float64 // used multiple of the calls that a cold destination is to withstand
+	RetryRatio       float64 // retry budget: retries per first attempt, in a sliding window
+	RetryFloor       float64 // retry budget: retries always allowed in a window, per slot
+	MaxSlotShare     float64 // upper bound on the calls to one destination, as a share of the slots
+	InitialPace      float64 // initial pacing rate, over this courier's even share of the limit
+	PaceAfterLoad    float64 // the same for a destination that was loaded recently
+	ColdBudgetFactor float64 // used multiple of the calls that a cold destination is to withstand
 }
 
 // StandardTuning returns the values used if Settings.Tuning is nil.
 func StandardTuning() Tuning {
 	return Tuning{
-		LedgerRatio: retryRatio, LedgerFloor: retryFloorPerSlot, SlotsShare: maxSlotShare,
-		PaceStart: initialPaceShare, PaceWoken: cautiousPaceShare, ColdSafety: coldBudgetFactor,
+		RetryRatio: retryRatio, RetryFloor: retryFloorPerSlot, MaxSlotShare: maxSlotShare,
+		InitialPace: initialPaceShare, PaceAfterLoad: cautiousPaceShare, ColdBudgetFactor: coldBudgetFactor,
 	}
 }
 
@@ -101,16 +101,16 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name       string
-	Effect     Effect
-	Group      Group         // for Keyed
-	Window     time.Duration // for Keyed: time for which the destination drops duplicates
-	Aim        time.Duration // target latency: a request answered within it has its full value
-	AimStretch float64       // the target latency grows by this multiple of Request.Work
-	Deadline   time.Duration // a request answered later has no value
-	Worth      float64
-	LateShare  float64 // share of the value that remains at the deadline
-	InOrder    bool    // requests with the same key are sent one at a time, in order
+	Name           string
+	Effect         Effect
+	Group          Group         // for Keyed
+	Window         time.Duration // for Keyed: time for which the destination drops duplicates
+	TargetLatency  time.Duration // target latency: a request answered within it has its full value
+	TargetPerWork  float64       // the target latency grows by this multiple of Request.Work
+	Deadline       time.Duration // a request answered later has no value
+	Value          float64
+	LateValueShare float64 // share of the value that remains at the deadline
+	InOrder        bool    // requests with the same key are sent one at a time, in order
 }
 
 // Tenant is a client organization with a request quota.
@@ -121,8 +121,8 @@
 
 // Kind describes one kind of destination.
 type Kind struct {
-	BundleMax   int  // maximum number of requests in one call
-	RoutesApart bool // each endpoint has a rate limit, pacing rate and outages of its own
+	BundleMax        int  // maximum number of requests in one call
+	LimitPerEndpoint bool // each endpoint has a rate limit, pacing rate and outages of its own
 }
 
 // ReportField identifies a value that destinations report in their answers.
@@ -172,10 +172,10 @@
 	// It gets one call at a time, and only if no better endpoint is free.
 	Doubtful bool
 
-	// WasOut is set on an endpoint that an operator excluded until a moment ago: it is the
+	// ExcludedFor is set on an endpoint that an operator excluded until a moment ago: it is the
 	// length of the exclusion. Such an endpoint has been restarted and is cold. Zero means that
 	// it was not excluded.
-	WasOut time.Duration
+	ExcludedFor time.Duration
 }
 
 // Outcome is the result of an attempt or a probe.
@@ -186,12 +186,12 @@
 const (
 	OK            Outcome = iota
 	Error                 // answered with an error
-	Full                  // rejected before execution, for example by a rate limit
+	Rejected              // rejected before execution, for example by a rate limit
 	TimedOut              // no answer in time
 	ConnectFailed         // no connection
 	Reset                 // the connection broke
 	Cancelled             // cancelled by the courier
-	Moot                  // not sent
+	NotSent               // not sent
 )
 
 // The events.
@@ -205,21 +205,21 @@
 		// that have had requests. Zero means that all are passed.
 		Destinations int
 	}
-	// Sleep unloads an idle destination: the module returns a snapshot of it and removes it.
+	// Unload unloads an idle destination: the module returns a snapshot of it and removes it.
 	// A destination with queued requests or open calls stays. One action answers the event.
-	Sleep struct{ Destination DestinationID }
-	// Wake loads a destination before its first request, with its endpoints and the snapshot
+	Unload struct{ Destination DestinationID }
+	// Load loads a destination before its first request, with its endpoints and the snapshot
 	// that was taken when it was unloaded.
-	Wake struct {
-		Destination  DestinationID
-		Endpoints    []Endpoint
-		State        *State        // nil if nothing is known about the destination
-		Slept        time.Duration // time since the snapshot was taken
-		Caution      Caution
-		Destinations int // see List.Destinations
+	Load struct {
+		Destination   DestinationID
+		Endpoints     []Endpoint
+		Snapshot      *DestinationSnapshot // nil if nothing is known about the destination
+		UnloadedFor   time.Duration        // time since the snapshot was taken
+		CautiousStart CautiousStart
+		Destinations  int // see List.Destinations
 	}
-	// Look asks for a snapshot of a destination without unloading it.
-	Look struct{ Destination DestinationID }
+	// Inspect asks for a snapshot of a destination without unloading it.
+	Inspect struct{ Destination DestinationID }
 	// Request is a message accepted by this courier, which has to give it a final answer.
 	Request struct {
 		ID          RequestID
@@ -229,22 +229,22 @@
 		Key         uint64        // for classes with InOrder; zero means no key
 		Deadline    time.Duration // time left
 		Work        time.Duration // expected processing time; zero if unknown
-		Again       bool          // the client has submitted it before
+		Resubmitted bool          // the client has submitted it before
 
 		// What a restarted courier finds in its journal: the attempts made by previous process
 		// runs, whether one of them may have been executed, and how long ago that one was sent.
-		Attempts int
-		Ran      bool
-		RanFor   time.Duration
+		Attempts   int
+		MayHaveRun bool
+		SinceRun   time.Duration
 
 		// If the last of these attempts is still open: its endpoint and the time since it was
 		// sent. Zero means that there is no open attempt.
-		OutOn  EndpointID
-		OutFor time.Duration
+		OpenEndpoint EndpointID
+		OpenFor      time.Duration
 	}
-	// Rests restores the settling delay of a key: no request of this key may be sent before it
+	// KeySettling restores the settling delay of a key: no request of this key may be sent before it
 	// has passed.
-	Rests struct {
+	KeySettling struct {
 		Key uint64
 		For time.Duration
 	}
@@ -253,28 +253,28 @@
 		Request RequestID
 		Attempt int
 	}
-	// WaitTold reports a retry-after delay that an answer named before the outcome of its
+	// RetryAfterReceived reports a retry-after delay that an answer named before the outcome of its
 	// attempt is known. It takes effect at once.
-	WaitTold struct {
-		Endpoint EndpointID
-		Wait     time.Duration
+	RetryAfterReceived struct {
+		Endpoint   EndpointID
+		RetryAfter time.Duration
 	}
 	// AttemptEnded reports the outcome of a Send. There is exactly one for each Send.
 	AttemptEnded struct {
-		Request  RequestID
-		Endpoint EndpointID
-		Attempt  int
-		Outcome  Outcome
-		Took     time.Duration
-		Wait     time.Duration // retry-after delay named by the destination; zero if none
-		Done     bool          // the request has its final result
-		Dialled  time.Duration // time until the first byte could be sent; starts Class.Window
-		Report   []float64     // values in the order of Settings.Report
+		Request    RequestID
+		Endpoint   EndpointID
+		Attempt    int
+		Outcome    Outcome
+		Took       time.Duration
+		RetryAfter time.Duration // retry-after delay named by the destination; zero if none
+		Done       bool          // the request has its final result
+		SetupTook  time.Duration // time until the first byte could be sent; starts Class.Window
+		Report     []float64     // values in the order of Settings.Report
 
 		// The connection of the call, if known: new, or reused after an idle time. If
 		// neither is set, the module's own assumption is used.
-		Fresh bool
-		Kept  time.Duration
+		NewConn  bool
+		ConnIdle time.Duration
 	}
 	// ProbeEnded reports the result of a Probe.
 	ProbeEnded struct {
@@ -285,45 +285,45 @@
 	}
 	// Withdrawn reports that a request needs no final answer any more.
 	Withdrawn struct{ Request RequestID }
-	// Heard brings messages from another courier of the fleet. They may arrive late, out of
+	// PeerMessagesReceived brings messages from another courier of the fleet. They may arrive late, out of
 	// order or not at all.
-	Heard struct {
-		Peer  int // index of the sender
-		Notes []Note
+	PeerMessagesReceived struct {
+		Peer     int // index of the sender
+		Messages []PeerMessage
 	}
 	// Timer reports that the timer of a SetTimer action has expired.
 	Timer struct{ Token uint64 }
 )
 
-func (List) event()          {}
-func (Sleep) event()         {}
-func (Wake) event()          {}
-func (Look) event()          {}
-func (Request) event()       {}
-func (StreamStarted) event() {}
-func (WaitTold) event()      {}
-func (AttemptEnded) event()  {}
-func (ProbeEnded) event()    {}
-func (Withdrawn) event()     {}
-func (Timer) event()         {}
-func (Rests) event()         {}
-func (Heard) event()         {}
-
-// Note is a peer message between two couriers about one destination. A lease owner is the courier
+func (List) event()                 {}
+func (Unload) event()               {}
+func (Load) event()                 {}
+func (Inspect) event()              {}
+func (Request) event()              {}
+func (StreamStarted) event()        {}
+func (RetryAfterReceived) event()   {}
+func (AttemptEnded) event()         {}
+func (ProbeEnded) event()           {}
+func (Withdrawn) event()            {}
+func (Timer) event()                {}
+func (KeySettling) event()          {}
+func (PeerMessagesReceived) event() {}
+
+// PeerMessage is a peer message between two couriers about one destination. A lease owner is the courier
 // that shares out the destination's rate limit to the fleet.
-type Note struct {
-	Destination DestinationID
-	Asks        bool // requests a grant of Calls calls; Rank is the highest priority
-	Grants      bool // grants Calls calls; with zero Calls the request is queued
-	Calls       int
-	Rank        int     // at most 255
-	Back        int     // unused granted calls that are returned, less calls made without a grant
-	Refused     int     // calls rejected because of the rate limit
-	Failing     bool    // calls of the sender do not reach the destination
-	Serves      bool    // the destination answers again; from a lease owner: to another courier
-	Cold        bool    // from a lease owner: it is recovering, grants are reduced
-	Limit       float64 // reported rate limit in calls per second; zero if not new
-	Old         bool    // in a grant request: the limit was reported some time ago
+type PeerMessage struct {
+	Destination   DestinationID
+	RequestsGrant bool // requests a grant of Calls calls; Rank is the highest priority
+	IsGrant       bool // grants Calls calls; with zero Calls the request is queued
+	Calls         int
+	Rank          int     // at most 255
+	ReturnedCalls int     // unused granted calls that are returned, less calls made without a grant
+	RejectedCalls int     // calls rejected because of the rate limit
+	Unreachable   bool    // calls of the sender do not reach the destination
+	Recovered     bool    // the destination answers again; from a lease owner: to another courier
+	Cold          bool    // from a lease owner: it is recovering, grants are reduced
+	Limit         float64 // reported rate limit in calls per second; zero if not new
+	OldLimit      bool    // in a grant request: the limit was reported some time ago
 }
 
 // Action is an output of Courier.Handle, to be carried out at once.
@@ -361,66 +361,66 @@
 		Token uint64
 		After time.Duration
 	}
-	// Asleep answers the request to unload a destination. If Busy is set, the destination stays
+	// Unloaded answers the request to unload a destination. If Busy is set, the destination stays
 	// loaded and there is no snapshot.
-	Asleep struct {
+	Unloaded struct {
 		Destination DestinationID
-		State       *State
+		Snapshot    *DestinationSnapshot
 		Busy        bool
 	}
-	// Seen answers the request for a snapshot.
-	Seen struct {
+	// Inspected answers the request for a snapshot.
+	Inspected struct {
 		Destination DestinationID
-		State       *State // nil if nothing is known about the destination
+		Snapshot    *DestinationSnapshot // nil if nothing is known about the destination
 	}
-	// Tell sends messages to another courier of the fleet. Peer is its index.
-	Tell struct {
-		Peer  int
-		Notes []Note
+	// SendPeerMessages sends messages to another courier of the fleet. Peer is its index.
+	SendPeerMessages struct {
+		Peer     int
+		Messages []PeerMessage
 	}
 	// Log is a log line for operators.
 	Log struct{ Text string }
 )
 
-func (Send) action()      {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (Cancel) action()    {}
-func (Probe) action()     {}
-func (CloseIdle) action() {}
-func (Watch) action()     {}
-func (SetTimer) action()  {}
-func (Asleep) action()    {}
-func (Seen) action()      {}
-func (Log) action()       {}
-func (Tell) action()      {}
-
-// State is a snapshot of what the module knows about a destination. Durations are relative to
+func (Send) action()             {}
+func (Refuse) action()           {}
+func (Fail) action()             {}
+func (Cancel) action()           {}
+func (Probe) action()            {}
+func (CloseIdle) action()        {}
+func (Watch) action()            {}
+func (SetTimer) action()         {}
+func (Unloaded) action()         {}
+func (Inspected) action()        {}
+func (Log) action()              {}
+func (SendPeerMessages) action() {}
+
+// DestinationSnapshot is a snapshot of what the module knows about a destination. Durations are relative to
 // the moment at which it was taken, latencies are in seconds and rates in calls per second.
-type State struct {
-	Recent, Best float64 // latency: smoothed, and lowest recent value
-	Peak         float64 // highest rate of successes
-	Window       float64 // concurrency window: maximum number of open calls
-	First        float64 // first attempts in the window of the retry budget
-	Repeats      float64 // retries in that window
-	Served       float64 // successes in that window
+type DestinationSnapshot struct {
+	Latency, BestLatency float64 // latency: smoothed, and lowest recent value
+	PeakRate             float64 // highest rate of successes
+	Window               float64 // concurrency window: maximum number of open calls
+	FirstAttempts        float64 // first attempts in the window of the retry budget
+	Retries              float64 // retries in that window
+	Successes            float64 // successes in that window
 	// Both belong to the kind of destination: the call gap learned from rejected retries, and
 	// the time for which connection tables are still assumed to be small.
-	RepeatGap     time.Duration
-	Small         time.Duration
-	Routes        []RouteState
-	EndpointsSeen []EndpointState
+	RetryGap      time.Duration
+	SmallTableFor time.Duration
+	Routes        []RouteSnapshot
+	Endpoints     []EndpointSnapshot
 }
 
-// RouteState is the snapshot of a route: the endpoints that share one rate limit.
-type RouteState struct {
-	Limit, Left float64 // limit for the whole fleet, zero if unknown; share of it that is left
-	Pace        float64 // this courier's own pacing rate
-	Gap         time.Duration
-	Wait        time.Duration // time until the next call is allowed, including a retry-after delay
-	Fulls       int
-	FullAgo     time.Duration
-	ColdSends   float64 // recent calls to endpoints that were not healthy
+// RouteSnapshot is the snapshot of a route: the endpoints that share one rate limit.
+type RouteSnapshot struct {
+	Limit, LimitLeft float64 // limit for the whole fleet, zero if unknown; share of it that is left
+	PacingRate       float64 // this courier's own pacing rate
+	CallGap          time.Duration
+	BlockedFor       time.Duration // time until the next call is allowed, including a retry-after delay
+	Rejections       int
+	SinceRejection   time.Duration
+	ColdCalls        float64 // recent calls to endpoints that were not healthy
 }
 
 // Condition is the health of an endpoint.
@@ -428,29 +428,29 @@
 
 // The conditions.
 const (
-	Serving Condition = iota
-	Held              // failed: its circuit breaker is open and it gets trial calls only
-	Warming           // recovering from an outage, with slow start
+	Serving    Condition = iota
+	Down                 // failed: its circuit breaker is open and it gets trial calls only
+	Recovering           // recovering from an outage, with slow start
 )
 
-// EndpointState is the snapshot of one endpoint.
-type EndpointState struct {
-	ID        EndpointID
-	Route     int // index among the routes of the snapshot
-	Latency   float64
-	Condition Condition
-	For       time.Duration // time since Condition was entered
-	Failed    time.Duration // time since its failures began
-	DownFor   time.Duration // length of its last outage
-	Backoff   time.Duration
-	Trial     time.Duration // time until the next trial; negative if overdue
-	Fails     int
-	Vouched   bool
+// EndpointSnapshot is the snapshot of one endpoint.
+type EndpointSnapshot struct {
+	ID             EndpointID
+	Route          int // index among the routes of the snapshot
+	Latency        float64
+	Condition      Condition
+	SinceCondition time.Duration // time since Condition was entered
+	SinceFailure   time.Duration // time since its failures began
+	LastOutage     time.Duration // length of its last outage
+	Backoff        time.Duration
+	UntilTrial     time.Duration // time until the next trial; negative if overdue
+	Failures       int
+	TrialSafe      bool
 }
 
-// Caution limits the calls to a destination after it has been loaded.
-type Caution struct {
-	Window  float64       // initial concurrency window; zero keeps the window of the snapshot
-	Cold    bool          // treat endpoints that served as recovering from an outage
-	Careful time.Duration // time for which the pacing rate stays below the even share
+// CautiousStart limits the calls to a destination after it has been loaded.
+type CautiousStart struct {
+	Window         float64       // initial concurrency window; zero keeps the window of the snapshot
+	Cold           bool          // treat endpoints that served as recovering from an outage
+	ReducedPaceFor time.Duration // time for which the pacing rate stays below the even share
 }
--- a/capacity_test.go
+++ b/capacity_test.go
@@ -17,10 +17,10 @@
 
 func newPlannedMember(b *testing.B, number int) *Courier {
 	c, err := New(Settings{
-		Fleet: plannedFleet, Number: number, Notes: true, Tick: time.Millisecond, Slots: 4096, MaxAttempts: 6,
-		Classes: []Class{{Effect: Safe, Aim: 1500 * time.Millisecond, Deadline: 8 * time.Second, Worth: 2, LateShare: 0.1}},
+		Fleet: plannedFleet, Number: number, PeerMessages: true, Tick: time.Millisecond, Slots: 4096, MaxAttempts: 6,
+		Classes: []Class{{Effect: Safe, TargetLatency: 1500 * time.Millisecond, Deadline: 8 * time.Second, Value: 2, LateValueShare: 0.1}},
 		Tenants: []Tenant{{Quota: plannedEventsPerSecond}}, Report: []ReportField{AllowanceLeft, LimitRate}, ConnectTimeout: 1500 * time.Millisecond,
-		ColdShare: 0.2, FallMultiple: 2, WarmUp: 14 * time.Second, FallTime: 1500 * time.Millisecond,
+		ColdShare: 0.2, CollapseMultiple: 2, WarmUp: 14 * time.Second, CollapseTime: 1500 * time.Millisecond,
 	})
 	if err != nil {
 		b.Fatal(err)
@@ -39,7 +39,7 @@
 	c := newPlannedMember(b, 5)
 	var owned []DestinationID
 	for d := range DestinationID(plannedDestinations) {
-		if c.leaseOwners.First(uint32(d)) == 5 {
+		if c.leaseOwners.PreferredOwner(uint32(d)) == 5 {
 			owned = append(owned, d)
 		}
 	}
@@ -47,9 +47,9 @@
 	gauge.CPU(b, n, "ask", func() {
 		for range n {
 			now += time.Second * plannedFleet / plannedEventsPerSecond
-			note := Note{Destination: owned[i%len(owned)], Asks: true, Calls: 1, Rank: 150, Limit: 12}
-			for _, a := range c.Handle(now, []Event{Heard{Peer: 6 + i%3000, Notes: []Note{note}}}) {
-				if t, ok := a.(Tell); ok && len(t.Notes) > 0 {
+			note := PeerMessage{Destination: owned[i%len(owned)], RequestsGrant: true, Calls: 1, Rank: 150, Limit: 12}
+			for _, a := range c.Handle(now, []Event{PeerMessagesReceived{Peer: 6 + i%3000, Messages: []PeerMessage{note}}}) {
+				if t, ok := a.(SendPeerMessages); ok && len(t.Messages) > 0 {
 					grants++
 				}
 			}
@@ -68,14 +68,14 @@
 	const n = 4096
 	gauge.Held(b, n, "destination", func() any {
 		c := newPlannedMember(b, 5)
-		c.settings.Notes = false
+		c.settings.PeerMessages = false
 		id := RequestID(0)
 		for round := range 2 {
 			for d := range DestinationID(n) {
 				now := time.Second + time.Duration(n*round+int(d))*time.Millisecond
 				var events []Event
 				if round == 0 {
-					events = append(events, Wake{Destination: d, Endpoints: twoEndpoints(d), Destinations: plannedDestinations})
+					events = append(events, Load{Destination: d, Endpoints: twoEndpoints(d), Destinations: plannedDestinations})
 				}
 				id++
 				for _, a := range c.Handle(now, append(events, Request{ID: id, Destination: d, Deadline: 8 * time.Second})) {
@@ -95,10 +95,10 @@
 // called within a minute.
 func courierWithPending(b *testing.B, messages, destinations int) *Courier {
 	c := newPlannedMember(b, 5)
-	c.settings.Notes = false
+	c.settings.PeerMessages = false
 	now := time.Second
 	for d := range DestinationID(destinations) {
-		c.Handle(now, []Event{Wake{Destination: d, Endpoints: twoEndpoints(d), Destinations: plannedDestinations}})
+		c.Handle(now, []Event{Load{Destination: d, Endpoints: twoEndpoints(d), Destinations: plannedDestinations}})
 		c.destinationFor(d).routes[0].retryAfterUntil = now + time.Hour
 		c.destinationFor(d).routes[0].waitUntil = now + time.Hour
 	}
@@ -164,19 +164,19 @@
 			d, old := DestinationID(i*7919%plannedDestinations), DestinationID((i-loaded)*7919%plannedDestinations)
 			var events []Event
 			if i >= loaded {
-				events = append(events, Sleep{Destination: old})
+				events = append(events, Unload{Destination: old})
 			}
 			i++
-			events = append(events, Wake{Destination: d, Endpoints: twoEndpoints(d), Destinations: plannedDestinations}, Request{ID: RequestID(i), Destination: d, Deadline: 8 * time.Second})
+			events = append(events, Load{Destination: d, Endpoints: twoEndpoints(d), Destinations: plannedDestinations}, Request{ID: RequestID(i), Destination: d, Deadline: 8 * time.Second})
 			for len(events) > 0 {
 				actions := c.Handle(now, events)
 				events = nil
 				for _, a := range actions {
 					switch a := a.(type) {
-					case Tell:
-						for _, x := range a.Notes {
-							if x.Asks && x.Calls > 0 {
-								events = append(events, Heard{Peer: a.Peer, Notes: []Note{{Destination: x.Destination, Grants: true, Calls: 1}}})
+					case SendPeerMessages:
+						for _, x := range a.Messages {
+							if x.RequestsGrant && x.Calls > 0 {
+								events = append(events, PeerMessagesReceived{Peer: a.Peer, Messages: []PeerMessage{{Destination: x.Destination, IsGrant: true, Calls: 1}}})
 							}
 						}
 					case Send:
@@ -202,18 +202,18 @@
 				asks, failing, sends, slotSeconds, end = 0, 0, 0, 0, 0
 				c := newPlannedMember(b, 5)
 				c.settings.Slots, c.classes[0].Deadline = 64, deadline
-				c.Handle(time.Second, []Event{Wake{Destination: 7, Endpoints: twoEndpoints(7), Destinations: plannedDestinations}})
+				c.Handle(time.Second, []Event{Load{Destination: 7, Endpoints: twoEndpoints(7), Destinations: plannedDestinations}})
 				scheduled := map[time.Duration][]Event{2 * time.Second: {Request{ID: 1, Destination: 7, Deadline: deadline}}}
 				for now := 2 * time.Second; now < 3*time.Second+deadline; now += time.Millisecond {
 					events := scheduled[now]
 					for _, a := range c.Handle(now, events) {
 						switch a := a.(type) {
-						case Tell:
-							for _, x := range a.Notes {
-								asks, failing = asks+boolToFloat(x.Asks), failing+boolToFloat(x.Failing)
-								if x.Asks && x.Calls > 0 {
+						case SendPeerMessages:
+							for _, x := range a.Messages {
+								asks, failing = asks+boolToFloat(x.RequestsGrant), failing+boolToFloat(x.Unreachable)
+								if x.RequestsGrant && x.Calls > 0 {
 									at := now + 40*time.Millisecond
-									scheduled[at] = append(scheduled[at], Heard{Peer: a.Peer, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}}})
+									scheduled[at] = append(scheduled[at], PeerMessagesReceived{Peer: a.Peer, Messages: []PeerMessage{{Destination: 7, IsGrant: true, Calls: 1}}})
 								}
 							}
 						case Send:
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -140,8 +140,8 @@
 }
 
 var outcomes = map[uint16]snowjunction.Outcome{
-	200: snowjunction.OK, 502: snowjunction.Error, 429: snowjunction.Full, 408: snowjunction.TimedOut,
-	521: snowjunction.ConnectFailed, 520: snowjunction.Reset, 444: snowjunction.Cancelled, 409: snowjunction.Moot,
+	200: snowjunction.OK, 502: snowjunction.Error, 429: snowjunction.Rejected, 408: snowjunction.TimedOut,
+	521: snowjunction.ConnectFailed, 520: snowjunction.Reset, 444: snowjunction.Cancelled, 409: snowjunction.NotSent,
 }
 
 // outcome takes a verdict it does not know for an error: that proves nothing.
@@ -171,7 +171,7 @@
 		return snowjunction.Request{
 			ID: snowjunction.RequestID(ev.Req), Destination: snowjunction.DestinationID(ev.Dest),
 			Class: int(ev.Class), Tenant: int(ev.Tenant), Key: ev.Token, Deadline: ev.Budget,
-			Work: hinted(ev), Again: ev.Bits&2 != 0,
+			Work: hinted(ev), Resubmitted: ev.Bits&2 != 0,
 		}
 	case wire.Started:
 		return snowjunction.StreamStarted{Request: snowjunction.RequestID(ev.Req), Attempt: int(ev.Seq)}
@@ -181,8 +181,8 @@
 			Attempt: int(ev.Seq), Outcome: outcome(ev.Verdict), Took: ev.Took, Done: ev.Finished,
 			Report: ev.Report,
 		}
-		if e.Outcome == snowjunction.Full {
-			e.Wait = ev.Wait
+		if e.Outcome == snowjunction.Rejected {
+			e.RetryAfter = ev.Wait
 		}
 		return e
 	case wire.Pong:
--- a/cmd/snowjunction/directory.go
+++ b/cmd/snowjunction/directory.go
@@ -65,12 +65,12 @@
 		return err
 	}
 	now := time.Now()
-	rows := dirtool.Rows(dir, s, op.Belief.Fresh, now, warn)
+	rows := dirtool.Rows(dir, s, op.Confidence.FreshFor, now, warn)
 	if d.JSON {
 		return json.NewEncoder(os.Stdout).Encode(rows)
 	}
 	fmt.Printf("generation %d of %s, vouched for %v ago, %d endpoints%s\n", s.Generation, s.Agent,
-		now.Sub(s.Told).Round(time.Second), len(s.Entries), map[bool]string{true: ", not all that were listed"}[s.Partial])
+		now.Sub(s.ConfirmedAt).Round(time.Second), len(s.Entries), map[bool]string{true: ", not all that were listed"}[s.Partial])
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "ENDPOINT\tCELL\tADDRESS\tLIFECYCLE\tSTANDING\tWHY\tLEARNT\tLIMIT")
 	for _, r := range rows {
@@ -89,11 +89,11 @@
 		fmt.Println(string(text))
 		return nil
 	}
-	var b daemon.Believed
+	var b daemon.DirectoryStatus
 	if err := json.Unmarshal(text, &b); err != nil {
 		return err
 	}
-	fmt.Printf("source %s, live %v, vouched for %.0f s ago, %d endpoints\n", b.Source, b.Live, b.WordAgeS, b.Listed)
+	fmt.Printf("source %s, live %v, vouched for %.0f s ago, %d endpoints\n", b.Source, b.Live, b.ConfirmedAgeS, b.ListedEndpoints)
 	for name, s := range b.Conditions {
 		fmt.Printf("%s for %.0f s\n", name, s)
 	}
@@ -176,9 +176,9 @@
 		return err
 	}
 	if now := time.Now(); d.Age != nil {
-		s.Told = now.Add(-*d.Age)
-	} else if s.Told.IsZero() {
-		s.Told = now
+		s.ConfirmedAt = now.Add(-*d.Age)
+	} else if s.ConfirmedAt.IsZero() {
+		s.ConfirmedAt = now
 	}
 	if d.Agent != "" {
 		s.Agent = d.Agent
@@ -187,6 +187,6 @@
 	if err := dirtool.Import(dir, s, o); err != nil {
 		return err
 	}
-	fmt.Printf("%d endpoints of generation %d, vouched for %v ago\n", len(s.Entries), s.Generation, time.Since(s.Told).Round(time.Second))
+	fmt.Printf("%d endpoints of generation %d, vouched for %v ago\n", len(s.Entries), s.Generation, time.Since(s.ConfirmedAt).Round(time.Second))
 	return nil
 }
--- a/cmd/snowjunction/directory_test.go
+++ b/cmd/snowjunction/directory_test.go
@@ -157,7 +157,7 @@
 	require.NotEmpty(t, files)
 	snap, err := dircache.Read(files[0])
 	require.NoError(t, err)
-	snap.Told = snap.Told.Add(-by)
+	snap.ConfirmedAt = snap.ConfirmedAt.Add(-by)
 	w := dircache.NewWriter(snap.Head, 1<<20)
 	for _, e := range snap.Entries {
 		require.True(t, w.Add(e))
@@ -340,9 +340,9 @@
 func (s *stage) condition(dest uint32, c snowjunction.Condition, every ...bool) bool {
 	in := map[bool]int{}
 	for _, r := range learnt.Load(s.State(), func(string, error) {}) {
-		m, err := memento.Decode(r.Text)
+		m, err := memento.Decode(r.Snapshot)
 		require.NoError(s.t, err)
-		for _, e := range m.State.EndpointsSeen {
+		for _, e := range m.State.Endpoints {
 			if r.Destination == dest {
 				in[e.Condition == c]++
 			}
@@ -380,7 +380,7 @@
 			require.Equal(t, load.Taken, s.add(1, fmt.Sprintf("lost-%d", lost)))
 			lost++
 		}
-		return s.condition(1, snowjunction.Held, true)
+		return s.condition(1, snowjunction.Down, true)
 	})
 	for life := range 2 {
 		s.restart(syscall.SIGKILL, func() {
@@ -414,7 +414,7 @@
 	s.add(1, "told")
 	_, err := s.Await(`gate: destination 1 endpoint \d+ shut, told until when`)
 	require.NoError(t, err)
-	s.beside(2, "it is known to be shut", func() bool { return s.condition(1, snowjunction.Warming) })
+	s.beside(2, "it is known to be shut", func() bool { return s.condition(1, snowjunction.Recovering) })
 	told := calls()
 	s.many(2, "meanwhile", 20)
 	assert.Equal(t, told, calls(), "the wait is heeded")
@@ -435,7 +435,7 @@
 	require.NoError(t, s.Stop(syscall.SIGTERM))
 	limit := 0.0
 	for _, r := range learnt.Load(s.State(), func(string, error) {}) {
-		m, err := memento.Decode(r.Text)
+		m, err := memento.Decode(r.Snapshot)
 		require.NoError(t, err)
 		require.Len(t, m.State.Routes, 1)
 		limit = m.State.Routes[0].Limit
--- a/cmd/snowjunction/handover_test.go
+++ b/cmd/snowjunction/handover_test.go
@@ -220,21 +220,21 @@
 	old, _ := pair(t)
 	p := old.Play
 	p.Run(m1Out)
-	for _, last := range []handover.Kind{handover.Hello, handover.Clients, handover.End, handover.DeedTo} {
+	for _, last := range []handover.Kind{handover.KindHello, handover.KindClient, handover.KindEnd, handover.KindLock} {
 		link, err := handover.Dial(old.State())
 		require.NoError(t, err)
-		require.NoError(t, link.Send(handover.Frame{Kind: handover.Hello, Text: "n0", FD: -1}))
-		for kind := handover.Hello; kind != last; {
-			f, err := link.Receive(handover.StepWithin)
+		require.NoError(t, link.Send(handover.Frame{Kind: handover.KindHello, Text: "n0", FD: -1}))
+		for kind := handover.KindHello; kind != last; {
+			f, err := link.Receive(handover.StepTimeout)
 			require.NoError(t, err)
 			switch kind = f.Kind; {
-			case kind == handover.DeedTo:
+			case kind == handover.KindLock:
 				require.NoError(t, syscall.Close(f.FD))
 			case f.FD >= 0:
 				defer syscall.Close(f.FD)
 			}
-			if kind == handover.End && last != kind {
-				require.NoError(t, link.Send(handover.Frame{Kind: handover.ReadyFor, FD: -1}))
+			if kind == handover.KindEnd && last != kind {
+				require.NoError(t, link.Send(handover.Frame{Kind: handover.KindReady, FD: -1}))
 			}
 		}
 		link.Close()
@@ -270,17 +270,17 @@
 		require.NoError(t, err)
 		_, _ = c.Read(make([]byte, 1024))
 	}
-	hello := handover.Frame{Kind: handover.Hello, Text: "n0", FD: -1}.Encode()
+	hello := handover.Frame{Kind: handover.KindHello, Text: "n0", FD: -1}.Encode()
 	raw(hello[:len(hello)-1])
 	raw([]byte("GET / HTTP/1.1\r\n\r\n"))
-	raw(handover.Frame{Kind: handover.ReadyFor, FD: -1}.Encode())
+	raw(handover.Frame{Kind: handover.KindReady, FD: -1}.Encode())
 	old.Play.Run(`
 		courier wait "a handover was refused"
 		courier wait "a handover was refused"
 		courier wait "a handover was refused"
 	`)
 	old.Play.Run(m1Out)
-	hello[record.Frame]++
+	hello[record.FrameSize]++
 	raw(record.Seal(hello))
 	old.Play.Run(`
 		courier wait "this process ends"
@@ -446,7 +446,7 @@
 // The owner dies at each step, or falls silent: the other process goes on from what it was
 // handed if the lock is here, else as after any restart once the lock is free.
 func TestOwnerDies(t *testing.T) {
-	estate := handover.Estate{Known: []handover.Known{{Destination: 7, At: time.Now(), Text: []byte("no memento")}}, Live: true}
+	estate := handover.State{Destinations: []handover.DestinationState{{Destination: 7, At: time.Now(), Snapshot: []byte("no memento")}}, ListConfirmed: true}
 	var frames []handover.Frame
 	for f := range estate.Frames {
 		frames = append(frames, f)
@@ -475,9 +475,9 @@
 				assert.NoError(t, link.Send(f))
 			}
 			if c.deed {
-				_, err := link.Receive(handover.StepWithin)
+				_, err := link.Receive(handover.StepTimeout)
 				assert.NoError(t, err)
-				assert.NoError(t, link.Send(handover.Frame{Kind: handover.DeedTo, FD: lock.FD()}))
+				assert.NoError(t, link.Send(handover.Frame{Kind: handover.KindLock, FD: lock.FD()}))
 			}
 			served <- link
 		}, func(err error) { t.Log(err) })
--- a/cmd/snowjunction/main.go
+++ b/cmd/snowjunction/main.go
@@ -44,7 +44,7 @@
 var unhurried time.Duration
 
 func (g globals) options() daemon.Options {
-	o := daemon.Options{Env: os.Getenv, Log: os.Stderr, LogFormat: g.LogFormat, Host: hostCommand(), Unhurried: unhurried}
+	o := daemon.Options{Env: os.Getenv, Log: os.Stderr, LogFormat: g.LogFormat, Host: hostCommand(), PluginBudget: unhurried}
 	_ = o.LogLevel.UnmarshalText([]byte(g.LogLevel)) // kong has checked it
 	return o
 }
--- a/cmd/snowjunction/start_test.go
+++ b/cmd/snowjunction/start_test.go
@@ -18,7 +18,7 @@
 func TestStartTellsItsSteps(t *testing.T) {
 	c := prepare(t)
 	ready := `msg=ready .*`
-	for _, step := range daemon.Steps {
+	for _, step := range daemon.StartSteps {
 		ready += ` steps_ms\.` + step + `=[0-9.]+`
 	}
 	for _, restored := range []string{"0", "1"} {
@@ -48,7 +48,7 @@
 	assert.Equal(t, 4*(1+2), f.Processes)
 	assert.Equal(t, 60, f.OnDisk)
 	assert.Greater(t, f.Restored, 500)
-	assert.Equal(t, append(append([]string{"exec"}, daemon.Steps...), "pong", "whole"), f.Steps)
+	assert.Equal(t, append(append([]string{"exec"}, daemon.StartSteps...), "pong", "whole"), f.Steps)
 	assert.Len(t, f.Ms, 4*2)
 	for kind, steps := range f.Ms {
 		assert.Len(t, steps, len(f.Steps), kind)
--- a/courier.go
+++ b/courier.go
@@ -117,7 +117,7 @@
 
 // subscribe subscribes to the endpoint list if it is sent only to subscribers.
 func (c *Courier) subscribe() {
-	if !c.settings.AskForList || c.watching {
+	if !c.settings.SubscribeToList || c.watching {
 		return
 	}
 	if c.wakeBy(c.watchAt); c.now >= c.watchAt {
@@ -130,7 +130,7 @@
 func (c *Courier) applyList(ev List) {
 	if ev.Kind == ListFailed {
 		c.watching, c.watchAt = false, c.now+
-			c.jitter(max(c.settings.AskWithin/4, c.settings.ConnectTimeout))
+			c.jitter(max(c.settings.SubscribeWithin/4, c.settings.ConnectTimeout))
 		return
 	}
 	if ev.Kind != ListDelta {
@@ -169,13 +169,13 @@
 		id: ev.ID, class: class, dest: c.destinationFor(ev.Destination), deadline: c.now + ev.Deadline,
 	}
 	originalStart := r.deadline - class.Deadline // a resubmitted request has used part of its time
-	aim := class.Aim + time.Duration(class.AimStretch*float64(ev.Work))
+	aim := class.TargetLatency + time.Duration(class.TargetPerWork*float64(ev.Work))
 	r.targetAt = originalStart + min(aim, class.Deadline)
 	r.overQuota = c.overQuota(ev.Tenant)
 	if class.InOrder && ev.Key != 0 {
 		r.key = ev.Key
 	}
-	r.attempts, r.mayHaveRun, r.ranAt = ev.Attempts, ev.Ran, c.now-ev.RanFor
+	r.attempts, r.mayHaveRun, r.ranAt = ev.Attempts, ev.MayHaveRun, c.now-ev.SinceRun
 	c.addRequest(r)
 	c.sweepAt = min(c.sweepAt, c.latestSend(r))
 	// After a restart a further attempt is a retry like any other: the effect, the number of
@@ -199,20 +199,20 @@
 
 // valueAt returns the value of r if it is answered at t.
 func (c *Courier) valueAt(r *request, t time.Duration) float64 {
-	value, late := r.class.Worth, float64(t-r.targetAt)
+	value, late := r.class.Value, float64(t-r.targetAt)
 	if r.overQuota {
-		value *= c.settings.OverShareWorth
+		value *= c.settings.OverQuotaValueShare
 	}
 	switch {
 	case t >= r.deadline:
 		return 0
 	case late <= 0:
 		return value
-	case c.settings.Halving:
-		return value * math.Max(r.class.LateShare,
-			math.Exp2(-late/math.Max(1, float64(r.class.Aim))))
+	case c.settings.ValueHalves:
+		return value * math.Max(r.class.LateValueShare,
+			math.Exp2(-late/math.Max(1, float64(r.class.TargetLatency))))
 	}
-	return value * (1 - (1-r.class.LateShare)*late/math.Max(1, float64(r.deadline-r.targetAt)))
+	return value * (1 - (1-r.class.LateValueShare)*late/math.Max(1, float64(r.deadline-r.targetAt)))
 }
 
 // priority returns the priority of r in its queue: the value still to be gained, with requests
@@ -220,8 +220,8 @@
 // value only, so that they cannot delay all others.
 func (c *Courier) priority(r *request) float64 {
 	value := c.valueAt(r, c.now+durationOf(r.dest.latency))
-	if left := r.targetAt - c.now; left > 0 && r.class.Aim > 0 {
-		value *= 1 + urgencyWeight*math.Max(0, 1-float64(left)/float64(r.class.Aim))
+	if left := r.targetAt - c.now; left > 0 && r.class.TargetLatency > 0 {
+		value *= 1 + urgencyWeight*math.Max(0, 1-float64(left)/float64(r.class.TargetLatency))
 	}
 	return value
 }
@@ -304,7 +304,7 @@
 	if impaired {
 		return max(1, int(impairedSlotShare*float64(c.settings.Slots)))
 	}
-	return max(1, int(math.Ceil(c.tuning.SlotsShare*float64(c.settings.Slots)))-1)
+	return max(1, int(math.Ceil(c.tuning.MaxSlotShare*float64(c.settings.Slots)))-1)
 }
 
 // routeReady reports whether no delay blocks the route and its pacing rate allows a call.
@@ -338,10 +338,10 @@
 		return
 	}
 	// The more couriers share a limit, the more uneven their traffic is.
-	start := share * c.tuning.PaceStart * math.Sqrt(math.Max(1, float64(c.settings.Fleet)/2))
+	start := share * c.tuning.InitialPace * math.Sqrt(math.Max(1, float64(c.settings.Fleet)/2))
 	burst := burstSeconds
 	if c.now < r.cautiousUntil { // loaded recently: the known limit is old and may have been cut
-		start, burst = share*c.tuning.PaceWoken, 0
+		start, burst = share*c.tuning.PaceAfterLoad, 0
 		r.pacingRate = math.Min(r.pacingRate, start)
 	}
 	if noOwner {
@@ -484,7 +484,7 @@
 	if e.state != up || e.failures > 0 { // calls to a healthy sibling do not count against a cold one
 		rt.countColdCall(c.now, weight)
 	}
-	rt.coldCalls.dropBefore(c.now - max(c.settings.WarmUp, c.settings.FallTime)) // limits memory
+	rt.coldCalls.dropBefore(c.now - max(c.settings.WarmUp, c.settings.CollapseTime)) // limits memory
 	b.size++
 	b.pendingOutcomes++
 	if r.attempts == 0 {
@@ -502,8 +502,8 @@
 // so it gets a longer one in case the endpoint is only slow. If slots are short it does not, as a
 // path that loses calls could occupy all of them.
 func (c *Courier) attemptTimeout(r *request) time.Duration {
-	t := math.Max(timeoutLatencyMultiple*r.dest.latency, timeoutTargetShare*seconds(r.class.Aim))
-	if r.class.Effect == Unsafe && float64(c.openCalls) < c.tuning.SlotsShare*float64(c.settings.Slots) {
+	t := math.Max(timeoutLatencyMultiple*r.dest.latency, timeoutTargetShare*seconds(r.class.TargetLatency))
+	if r.class.Effect == Unsafe && float64(c.openCalls) < c.tuning.MaxSlotShare*float64(c.settings.Slots) {
 		t *= unsafeTimeoutFactor
 	}
 	return min(max(durationOf(t), c.settings.ConnectTimeout), r.deadline-c.now)
@@ -517,19 +517,19 @@
 	}
 	b := r.call
 	r.call = nil
-	if ev.Fresh || ev.Kept > 0 {
-		b.connIdle = ev.Kept
+	if ev.NewConn || ev.ConnIdle > 0 {
+		b.connIdle = ev.ConnIdle
 	}
 	c.applyReport(b.endpoint.route, ev.Report)
 	// Any request of a bundle may carry the retry-after delay.
-	if (ev.Outcome == Full || ev.Outcome == Error) && ev.Wait > 0 {
-		b.endpoint.route.setRetryAfter(c.now + ev.Wait + c.settings.Tick)
+	if (ev.Outcome == Rejected || ev.Outcome == Error) && ev.RetryAfter > 0 {
+		b.endpoint.route.setRetryAfter(c.now + ev.RetryAfter + c.settings.Tick)
 	}
 	c.recordOutcome(b, r, ev)
 	c.closeCall(b)
 	uncertain := ev.Outcome == TimedOut || ev.Outcome == Reset || ev.Outcome == Cancelled
 	if (uncertain || ev.Outcome == Error) && !r.mayHaveRun {
-		r.mayHaveRun, r.ranAt, r.ranEndpoint = true, b.sentAt+ev.Dialled, b.endpoint
+		r.mayHaveRun, r.ranAt, r.ranEndpoint = true, b.sentAt+ev.SetupTook, b.endpoint
 	}
 	if l := c.keyQueues[r.key]; r.key != 0 && l != nil && uncertain {
 		l.settleUntil = c.now + c.settings.OrderSettle
@@ -561,8 +561,8 @@
 
 // withdrawRetry draws one retry from the destination's budget. It returns false if that is used up.
 func (c *Courier) withdrawRetry(d *destination) bool {
-	floor := math.Max(1, c.tuning.LedgerFloor*float64(c.settings.Slots))
-	if d.retries.sum(c.now) >= c.tuning.LedgerRatio*d.firstAttempts.sum(c.now)+floor {
+	floor := math.Max(1, c.tuning.RetryFloor*float64(c.settings.Slots))
+	if d.retries.sum(c.now) >= c.tuning.RetryRatio*d.firstAttempts.sum(c.now)+floor {
 		return false
 	}
 	d.retries.add(c.now, 1)
@@ -598,7 +598,7 @@
 	if rate := d.successes.sum(c.now) / seconds(retryBudgetWindow); rate > 0 {
 		t = max(t, durationOf(float64(len(d.queue))/rate))
 	}
-	return min(max(t, c.settings.Tick), c.settings.MaxRetry)
+	return min(max(t, c.settings.Tick), c.settings.MaxRetryAfter)
 }
 
 // applyReport applies the rate limit values that a destination reported in an answer.
@@ -621,7 +621,7 @@
 
 // recordOutcome updates window, pacing rate and circuit breaker from the first outcome of a call.
 func (c *Courier) recordOutcome(b *call, r *request, ev AttemptEnded) {
-	if b.recorded || ev.Outcome == Moot {
+	if b.recorded || ev.Outcome == NotSent {
 		return
 	}
 	b.recorded = true
@@ -630,7 +630,7 @@
 		return // cut short by the message's own deadline, so it says nothing about the endpoint
 	}
 	// The retries of a whole kind set its first gap, as a single destination is called too seldom.
-	if g := &c.retryGap[d.kindIndex]; r.attempts > 1 && ev.Outcome == Full {
+	if g := &c.retryGap[d.kindIndex]; r.attempts > 1 && ev.Outcome == Rejected {
 		*g = min(durationOf(seconds(*g)*retryGapFactor), maxCallGap*c.minTargetLatency)
 	} else if r.attempts > 1 && ev.Outcome == OK {
 		*g = max(durationOf(seconds(*g)/retryGapFactor), c.minTargetLatency)
@@ -653,9 +653,9 @@
 			e.route.callGap = 0
 		}
 		e.route.waitUntil = max(e.route.waitUntil, c.now+c.jitter(e.route.callGap))
-	case Full:
+	case Rejected:
 		e.idleConns = append(e.idleConns, c.now)
-		c.recordRejection(e, b, ev.Wait)
+		c.recordRejection(e, b, ev.RetryAfter)
 	case ConnectFailed:
 		// If other calls succeeded meanwhile, or the connection was refused at once and connection
 		// tables are small, then the table is full and the endpoint is not down. New calls pause
@@ -858,7 +858,7 @@
 	if e.state == up && (e.failures == 0 || !c.closesAfterUse(e.route.dest)) {
 		return true
 	}
-	if h := c.leaseOf(e.route); h != nil && h.Pools(c.now) && e.state != down {
+	if h := c.leaseOf(e.route); h != nil && h.OwnerLimitsRecovery(c.now) && e.state != down {
 		return true // the lease owner applies the budget of the whole fleet
 	}
 	share := c.settings.ColdShare
@@ -876,25 +876,25 @@
 		capacity = math.Max(peakHeadroom*r.dest.peakRate*float64(c.settings.Fleet), c.minAssumedRate())
 	}
 	unhealthy := math.Max(r.unhealthyShare(), 1/float64(len(r.endpoints)))
-	allowed := c.settings.FallMultiple * share * capacity * unhealthy * seconds(c.settings.FallTime)
+	allowed := c.settings.CollapseMultiple * share * capacity * unhealthy * seconds(c.settings.CollapseTime)
 	observers := c.outageObservers(e, capacity, allowed) // they share the budget
-	budget := c.tuning.ColdSafety * allowed / observers
+	budget := c.tuning.ColdBudgetFactor * allowed / observers
 	if budget <= 0 {
 		return true
 	}
-	window := math.Max(1, 1/budget) * float64(c.settings.FallTime)
+	window := math.Max(1, 1/budget) * float64(c.settings.CollapseTime)
 	if e.state != cold { // longer outages get fewer trials, but they do not stop
-		window = math.Max(float64(c.settings.FallTime),
+		window = math.Max(float64(c.settings.CollapseTime),
 			math.Min(window, maxTrialOutageShare*float64(c.now-e.failingSince)))
 	}
 	hasRoom := r.coldCalls.sumSince(c.now-time.Duration(window))+1 <= math.Max(1, budget)
 	// A simultaneous first call of every courier would push the destination over its budget.
-	if observers > lease.Stands(allowed) && !c.ownerKnowsLimit(r) {
-		hasRoom = r.coldSpread.Room(c.now,
-			durationOf(observers/allowed*seconds(c.settings.FallTime)), c.rng.Float64)
+	if observers > lease.CollapseThreshold(allowed) && !c.ownerKnowsLimit(r) {
+		hasRoom = r.coldSpread.Allow(c.now,
+			durationOf(observers/allowed*seconds(c.settings.CollapseTime)), c.rng.Float64)
 	}
 	if !hasRoom {
-		c.wakeBy(c.now + c.settings.FallTime/16)
+		c.wakeBy(c.now + c.settings.CollapseTime/16)
 	}
 	return hasRoom
 }
@@ -970,7 +970,7 @@
 	if e.state != down {
 		return
 	}
-	e.trialSafe = ev.Outcome == OK || ev.Outcome == ConnectFailed || ev.Outcome == Full
+	e.trialSafe = ev.Outcome == OK || ev.Outcome == ConnectFailed || ev.Outcome == Rejected
 	if c.scheduleTrial(e); ev.Outcome == OK {
 		e.trialAt = c.now
 	}
--- a/courier_test.go
+++ b/courier_test.go
@@ -21,16 +21,16 @@
 	return Settings{
 		Seed: 1, Fleet: 1, Tick: 5 * ms, Zones: 2, Slots: 8, MaxHeld: 100, MaxAttempts: 12,
 		Classes: []Class{
-			{Name: "safe", Effect: Safe, Aim: 2 * time.Second, Deadline: 20 * time.Second, Worth: 1},
-			{Name: "keyed", Effect: Keyed, Window: 5 * time.Second, Aim: 2 * time.Second,
-				Deadline: 20 * time.Second, Worth: 1},
-			{Name: "unsafe", Effect: Unsafe, Aim: 2 * time.Second, Deadline: 20 * time.Second, Worth: 5},
-			{Name: "order", Effect: Safe, Aim: 2 * time.Second, Deadline: 20 * time.Second, Worth: 1, InOrder: true},
+			{Name: "safe", Effect: Safe, TargetLatency: 2 * time.Second, Deadline: 20 * time.Second, Value: 1},
+			{Name: "keyed", Effect: Keyed, Window: 5 * time.Second, TargetLatency: 2 * time.Second,
+				Deadline: 20 * time.Second, Value: 1},
+			{Name: "unsafe", Effect: Unsafe, TargetLatency: 2 * time.Second, Deadline: 20 * time.Second, Value: 5},
+			{Name: "order", Effect: Safe, TargetLatency: 2 * time.Second, Deadline: 20 * time.Second, Value: 1, InOrder: true},
 		},
-		Kinds:          []Kind{{BundleMax: 1}, {BundleMax: 3}, {BundleMax: 1, RoutesApart: true}},
+		Kinds:          []Kind{{BundleMax: 1}, {BundleMax: 3}, {BundleMax: 1, LimitPerEndpoint: true}},
 		Report:         []ReportField{AllowanceLeft, LimitRate},
-		ConnectTimeout: time.Second, ConnIdle: 5 * time.Second, RetryAfter: true, MaxRetry: 3 * time.Second, WeightsAreLimits: true,
-		OrderSettle: 300 * ms, ColdShare: 0.2, WarmUp: 10 * time.Second, FallMultiple: 2, FallTime: 2 * time.Second,
+		ConnectTimeout: time.Second, ConnIdle: 5 * time.Second, RetryAfter: true, MaxRetryAfter: 3 * time.Second, WeightsAreLimits: true,
+		OrderSettle: 300 * ms, ColdShare: 0.2, WarmUp: 10 * time.Second, CollapseMultiple: 2, CollapseTime: 2 * time.Second,
 	}
 }
 
@@ -182,11 +182,11 @@
 		repeats bool
 		answer  []string
 	}{
-		{safe, Error, true, nil}, {safe, TimedOut, true, nil}, {safe, Full, true, nil},
+		{safe, Error, true, nil}, {safe, TimedOut, true, nil}, {safe, Rejected, true, nil},
 		{keyed, Error, true, nil}, {keyed, Reset, true, nil},
 		{unsafe, Error, false, []string{"fail 1"}}, {unsafe, TimedOut, false, []string{"fail 1"}},
 		{unsafe, Reset, false, []string{"fail 1"}}, {unsafe, Cancelled, false, []string{"fail 1"}},
-		{unsafe, Full, true, nil}, {unsafe, ConnectFailed, true, nil}, {unsafe, Moot, true, nil},
+		{unsafe, Rejected, true, nil}, {unsafe, ConnectFailed, true, nil}, {unsafe, NotSent, true, nil},
 	} {
 		g := newHarness(t, nil, ep1)
 		want(t, "first send", sends(g.step(0, newRequest(1, tc.class))), []RequestID{1})
@@ -214,7 +214,7 @@
 	acts := g.step(0, newRequest(1, safe))
 	want(t, "first attempts are still sent", sends(acts), []RequestID{1})
 	d.retries.add(g.now, 1)
-	acts = g.step(50*ms, g.outcome(1, Moot))
+	acts = g.step(50*ms, g.outcome(1, NotSent))
 	want(t, "answer without budget", answers(acts), []string{"refuse 1"})
 	g.now += retryBudgetWindow
 	g.step(0)
@@ -237,8 +237,8 @@
 func TestStandsRechecksQueuedAttempt(t *testing.T) {
 	drained := List{Kind: ListDelta, Endpoints: []Endpoint{{ID: 10, Destination: 1, Phase: Draining}}}
 	rejectWithDelay := func(g *harness) []Event {
-		e := g.outcome(2, Full)
-		e.Wait = 500 * ms
+		e := g.outcome(2, Rejected)
+		e.RetryAfter = 500 * ms
 		return []Event{e}
 	}
 	for _, c := range []struct {
@@ -251,7 +251,7 @@
 		{"the window ends", 4900 * ms, nil, false}, // the window starts with the first attempt
 		{"retry-after delay named", 10 * ms, rejectWithDelay, false},
 		{"retry-after delay over", 510 * ms, rejectWithDelay, true},
-		{"rejected without a delay", 10 * ms, func(g *harness) []Event { return []Event{g.outcome(2, Full)} }, true},
+		{"rejected without a delay", 10 * ms, func(g *harness) []Event { return []Event{g.outcome(2, Rejected)} }, true},
 		{"endpoint drains", 10 * ms, func(*harness) []Event { return []Event{drained} }, false},
 		{"request withdrawn", 10 * ms, func(*harness) []Event { return []Event{Withdrawn{Request: 1}} }, false},
 	} {
@@ -262,8 +262,8 @@
 		if c.news != nil {
 			g.step(5*ms, c.news(g)...)
 		}
-		want(t, c.what, g.c.Stands(g.now+c.after, 1), c.want)
-		want(t, c.what+", second call", g.c.Stands(g.now+c.after, 1), c.want)
+		want(t, c.what, g.c.MayStillSend(g.now+c.after, 1), c.want)
+		want(t, c.what+", second call", g.c.MayStillSend(g.now+c.after, 1), c.want)
 	}
 }
 
@@ -300,11 +300,11 @@
 		g := newHarness(t, nil, Endpoint{ID: 10, Destination: 1, Kind: 1}, Endpoint{ID: 11, Destination: 1, Kind: 1})
 		want(t, "sends in a bundle", len(sends(g.step(0, newRequest(1, safe), newRequest(2, safe)))), 2)
 		want(t, "same call", g.out[1].Endpoint, g.out[2].Endpoint)
-		a, b := g.outcome(1, Full), g.outcome(2, Full)
+		a, b := g.outcome(1, Rejected), g.outcome(2, Rejected)
 		if reporter == 1 {
-			a.Wait = 700 * ms
+			a.RetryAfter = 700 * ms
 		} else {
-			b.Wait = 700 * ms
+			b.RetryAfter = 700 * ms
 		}
 		acts := g.step(100*ms, a, b, newRequest(3, safe))
 		acts = append(acts, g.run(690*ms)...)
@@ -318,8 +318,8 @@
 	g := newHarness(t, nil, Endpoint{ID: 10, Destination: 1, Kind: 2}, Endpoint{ID: 11, Destination: 1, Kind: 2})
 	g.step(0, newRequest(1, safe))
 	first := g.out[1].Endpoint
-	e := g.outcome(1, Full)
-	e.Wait = 700 * ms
+	e := g.outcome(1, Rejected)
+	e.RetryAfter = 700 * ms
 	g.step(100*ms, e)
 	want(t, "sent on the other route", g.out[1].Endpoint != first && g.attempts[1] == 2, true)
 }
@@ -477,12 +477,12 @@
 	for i := range at {
 		n := 0
 		for _, x := range at[:i+1] {
-			if x > at[i]-s.FallTime {
+			if x > at[i]-s.CollapseTime {
 				n++
 			}
 		}
 		share := s.ColdShare + (1-s.ColdShare)*float64(at[i]-back)/float64(s.WarmUp)
-		if most := coldBudgetFactor * s.FallMultiple * share * 20 * s.FallTime.Seconds(); float64(n) > most {
+		if most := coldBudgetFactor * s.CollapseMultiple * share * 20 * s.CollapseTime.Seconds(); float64(n) > most {
 			t.Fatalf("%d sends in the collapse time, %v after the recovery: more than %.1f", n, at[i]-back, most)
 		}
 	}
@@ -502,7 +502,7 @@
 		if _, out := g.out[1]; !out {
 			break
 		}
-		g.step(20*ms, g.outcome(1, Full))
+		g.step(20*ms, g.outcome(1, Rejected))
 	}
 	if g.c.endpoints[10].state != down {
 		t.Error("an unavailable destination still gets first attempts")
@@ -555,7 +555,7 @@
 	end := g.outcome(1, OK)
 	g.step(10*ms, end)
 	acts := g.step(0, end, Withdrawn{1}, Withdrawn{99}, Timer{12345}, ProbeEnded{Endpoint: 77}, ProbeEnded{Endpoint: 10},
-		AttemptEnded{Request: 98, Outcome: Full}, StreamStarted{Request: 97}, List{Kind: ListFailed})
+		AttemptEnded{Request: 98, Outcome: Rejected}, StreamStarted{Request: 97}, List{Kind: ListFailed})
 	want(t, "answers", len(answers(acts))+len(sends(acts)), 0)
 	unexpected := newRequest(2, 250)
 	unexpected.Tenant = 9
@@ -686,7 +686,7 @@
 		events := []Event{r}
 		for k := range g.out {
 			if rng.IntN(4) == 0 {
-				ev := g.outcome(k, []Outcome{OK, OK, OK, Error, TimedOut, Full}[rng.IntN(6)])
+				ev := g.outcome(k, []Outcome{OK, OK, OK, Error, TimedOut, Rejected}[rng.IntN(6)])
 				ev.Took = time.Duration(rng.ExpFloat64() * float64(300*ms))
 				events = append(events, ev)
 				break
@@ -701,7 +701,7 @@
 
 // After a failed list request the courier subscribes again, with a delay but within the configured time.
 func TestResubscribesToList(t *testing.T) {
-	g := newHarness(t, func(s *Settings) { s.AskForList, s.AskWithin = true, 10*time.Second }, ep1)
+	g := newHarness(t, func(s *Settings) { s.SubscribeToList, s.SubscribeWithin = true, 10*time.Second }, ep1)
 	want(t, "subscriptions at the start", count[Watch](g.actions), 1)
 	acts := g.step(0, List{Kind: ListFailed})
 	acts = append(acts, g.run(time.Second)...)
@@ -769,7 +769,7 @@
 		g.step(50*ms, g.outcome(id, OK))
 	}
 	g.step(0, newRequest(5, safe))
-	g.step(20*ms, g.outcome(5, Full))
+	g.step(20*ms, g.outcome(5, Rejected))
 	want(t, "sends right after a rejection", len(sends(g.run(900*ms))), 0)
 	want(t, "sends after the gap", len(sends(g.run(2200*ms))), 1)
 }
@@ -810,16 +810,16 @@
 	g := newHarness(t, func(s *Settings) { s.Fleet = 200 }, eps...)
 	first := g.c.retryGap[0]
 	g.step(0, newRequest(1, safe))
-	g.step(20*ms, g.outcome(1, Full))
+	g.step(20*ms, g.outcome(1, Rejected))
 	g.run(3 * time.Second)
-	g.step(20*ms, g.outcome(1, Full)) // rejects a retry
+	g.step(20*ms, g.outcome(1, Rejected)) // rejects a retry
 	if g.c.retryGap[0] <= first {
 		t.Error("a rejected retry does not lengthen the gap")
 	}
 	r := newRequest(2, safe)
 	r.Destination = 2
 	g.step(0, r)
-	g.step(20*ms, g.outcome(2, Full))
+	g.step(20*ms, g.outcome(2, Rejected))
 	if gap := g.c.destinations[2].routes[0].callGap; gap != g.c.retryGap[0] {
 		t.Errorf("gap of another destination of the kind is %v", gap)
 	}
@@ -869,7 +869,7 @@
 			g.step(20*ms, newRequest(id, safe))
 			if _, out := g.out[id]; out {
 				ev := g.outcome(id, Reset)
-				ev.Kept, ev.Fresh = tc.kept, tc.kept == 0
+				ev.ConnIdle, ev.NewConn = tc.kept, tc.kept == 0
 				g.step(20*ms, ev)
 			}
 		}
@@ -884,7 +884,7 @@
 	g.step(20*ms, g.outcome(1, OK))
 	for id := RequestID(2); id <= 5; id++ {
 		ev := g.outcome(id, Reset)
-		ev.Fresh = true
+		ev.NewConn = true
 		g.step(20*ms, ev, newRequest(id+1, safe))
 		want(t, "failures", g.c.endpoints[10].failures, 0)
 	}
@@ -968,11 +968,11 @@
 		req  Request
 		send bool
 	}{
-		{"safe, was executed", Request{Class: safe, Attempts: 1, Ran: true, RanFor: time.Minute}, true},
-		{"keyed, within the window", Request{Class: keyed, Attempts: 1, Ran: true, RanFor: 2 * time.Second}, true},
-		{"keyed, after the window", Request{Class: keyed, Attempts: 1, Ran: true, RanFor: 6 * time.Second}, false},
-		{"keyed, not executed", Request{Class: keyed, Attempts: 1, RanFor: 6 * time.Second}, true},
-		{"unsafe, may have been executed", Request{Class: unsafe, Attempts: 1, Ran: true}, false},
+		{"safe, was executed", Request{Class: safe, Attempts: 1, MayHaveRun: true, SinceRun: time.Minute}, true},
+		{"keyed, within the window", Request{Class: keyed, Attempts: 1, MayHaveRun: true, SinceRun: 2 * time.Second}, true},
+		{"keyed, after the window", Request{Class: keyed, Attempts: 1, MayHaveRun: true, SinceRun: 6 * time.Second}, false},
+		{"keyed, not executed", Request{Class: keyed, Attempts: 1, SinceRun: 6 * time.Second}, true},
+		{"unsafe, may have been executed", Request{Class: unsafe, Attempts: 1, MayHaveRun: true}, false},
 		{"unsafe, not executed", Request{Class: unsafe, Attempts: 1}, true},
 		{"no attempts left", Request{Class: safe, Attempts: 12}, false},
 	} {
@@ -990,7 +990,7 @@
 	// The endpoint of the attempt is not known, so a narrower group than the destination is excluded.
 	for _, group := range []Group{GroupZone, GroupEndpoint} {
 		g := newHarness(t, func(s *Settings) { s.Classes[keyed].Group = group }, Endpoint{ID: 1, Destination: 7})
-		g.step(5*ms, Request{ID: 1, Destination: 7, Class: keyed, Deadline: 10 * time.Second, Attempts: 1, Ran: true})
+		g.step(5*ms, Request{ID: 1, Destination: 7, Class: keyed, Deadline: 10 * time.Second, Attempts: 1, MayHaveRun: true})
 		if len(g.out) > 0 {
 			t.Errorf("group %v: sent", group)
 		}
@@ -1096,8 +1096,8 @@
 			}
 		}
 		g.step(20*ms, newRequest(100, safe))
-		e := g.outcome(100, Full)
-		e.Wait = wait
+		e := g.outcome(100, Rejected)
+		e.RetryAfter = wait
 		g.step(20*ms, e)
 		for id := RequestID(101); id <= 140; id++ {
 			g.step(0, newRequest(id, safe))
@@ -1150,16 +1150,16 @@
 // An endpoint whose exclusion by an operator has ended is cold, whatever its state was: if it was
 // known, new, or belongs to an unloaded destination.
 func TestRestartedEndpointIsCold(t *testing.T) {
-	restarted := Endpoint{ID: 10, Destination: 1, Phase: Ready, Weight: 20, WasOut: 5 * time.Second}
-	state := &State{Window: 4, Routes: []RouteState{{Limit: 20}}, EndpointsSeen: []EndpointState{{ID: 10, Condition: Serving}}}
+	restarted := Endpoint{ID: 10, Destination: 1, Phase: Ready, Weight: 20, ExcludedFor: 5 * time.Second}
+	state := &DestinationSnapshot{Window: 4, Routes: []RouteSnapshot{{Limit: 20}}, Endpoints: []EndpointSnapshot{{ID: 10, Condition: Serving}}}
 	for name, news := range map[string][]Event{
 		"known":  {List{Kind: ListDelta, Endpoints: []Endpoint{{ID: 10, Destination: 1, Phase: Ready}, restarted}}},
 		"new":    {List{Kind: ListDelta, Endpoints: []Endpoint{restarted}}},
-		"asleep": {Wake{Destination: 1, Endpoints: []Endpoint{restarted}, State: state}},
+		"asleep": {Load{Destination: 1, Endpoints: []Endpoint{restarted}, Snapshot: state}},
 	} {
 		g := newHarness(t, nil)
 		g.step(0, news...)
-		most := coldBudgetFactor * g.c.settings.FallMultiple * g.c.settings.ColdShare * 20 * g.c.settings.FallTime.Seconds()
+		most := coldBudgetFactor * g.c.settings.CollapseMultiple * g.c.settings.ColdShare * 20 * g.c.settings.CollapseTime.Seconds()
 		sent := 0
 		for id := RequestID(1); id < 60; id++ {
 			for _, out := range sends(g.step(ms, newRequest(id, safe))) {
--- a/example_test.go
+++ b/example_test.go
@@ -12,7 +12,7 @@
 		Fleet: 1, Tick: 5 * time.Millisecond, Slots: 4, MaxHeld: 100,
 		Classes: []snowjunction.Class{{
 			Name: "notice", Effect: snowjunction.Safe,
-			Aim: time.Second, Deadline: 10 * time.Second, Worth: 1,
+			TargetLatency: time.Second, Deadline: 10 * time.Second, Value: 1,
 		}},
 		Kinds: []snowjunction.Kind{{BundleMax: 1}},
 	})
--- a/fleet.go
+++ b/fleet.go
@@ -29,13 +29,13 @@
 
 // leaseOf returns the lease of a route whose limit the fleet shares, or nil if calls to the route
 // need no grant.
-func (c *Courier) leaseOf(r *route) *lease.Holder {
-	if !c.settings.Notes || r.dest.kind.RoutesApart || !c.shareBelow(r, maxLeasedShare) ||
+func (c *Courier) leaseOf(r *route) *lease.QuotaClient {
+	if !c.settings.PeerMessages || r.dest.kind.LimitPerEndpoint || !c.shareBelow(r, maxLeasedShare) ||
 		r.limit <= 0 && r.dest.successes.sum(c.now) > unlimitedAfterAnswers {
 		return nil
 	}
 	if r.lease == nil {
-		r.lease = &lease.Holder{}
+		r.lease = &lease.QuotaClient{}
 	}
 	return r.lease
 }
@@ -52,7 +52,7 @@
 // that the lease owner granted it. The first calls are spread by a random number of tokens, as
 // otherwise each courier would send one at once.
 func (c *Courier) ownerless(r *route, share float64) bool {
-	if h := c.leaseOf(r); h == nil || !h.Lost(c.leaseOwners) {
+	if h := c.leaseOf(r); h == nil || !h.WithoutOwner(c.leaseOwners) {
 		r.ownerlessRate = 0
 		return false
 	}
@@ -68,13 +68,13 @@
 // leaseAllows reports whether this courier may call r now under its lease, if r needs one.
 func (c *Courier) leaseAllows(r *route) bool {
 	h := c.leaseOf(r)
-	return h == nil || h.May(c.now)
+	return h == nil || h.Allow(c.now)
 }
 
 // ownerKnowsLimit reports whether a lease owner that knows a limit adds up the fleet's calls to r.
 func (c *Courier) ownerKnowsLimit(r *route) bool {
 	h := c.leaseOf(r)
-	return h != nil && r.limit > 0 && !h.Lost(c.leaseOwners)
+	return h != nil && r.limit > 0 && !h.WithoutOwner(c.leaseOwners)
 }
 
 // outageObservers returns the number of couriers assumed to have seen e's outage. allowed is the
@@ -87,16 +87,16 @@
 		outage = c.now - e.failingSince
 	}
 	fleet := float64(c.settings.Fleet)
-	if fleet > lease.Stands(allowed) && !c.ownerKnowsLimit(e.route) {
+	if fleet > lease.CollapseThreshold(allowed) && !c.ownerKnowsLimit(e.route) {
 		outage = max(outage, e.outageBound(c.now))
 	}
-	return lease.Saw(fleet, capacity, outage)
+	return lease.OutageObservers(fleet, capacity, outage)
 }
 
 // countLeaseCall counts a call to r against its lease, if r needs one.
 func (c *Courier) countLeaseCall(r *route) {
 	if h := c.leaseOf(r); h != nil {
-		h.Called()
+		h.RecordCall()
 	}
 }
 
@@ -108,7 +108,7 @@
 	}
 	// If much of the limit is left, a queue or table was full or the endpoint drains.
 	if wait > 0 || r.limitReportedAt != c.now || r.limitLeft <= ampleLimitLeft {
-		r.ownerReport.Refused++
+		r.ownerReport.RejectedCalls++
 	}
 	return true
 }
@@ -133,11 +133,11 @@
 	}
 	switch {
 	case o == ConnectFailed || o == TimedOut:
-		r.ownerReport.Failing = r.ownerReport.Failing || !r.unreachable ||
+		r.ownerReport.Unreachable = r.ownerReport.Unreachable || !r.unreachable ||
 			c.now >= r.unreachableReportedAt+unreachableReportInterval
 		r.unreachable = true
-	case r.unreachable && (o == OK || o == Full):
-		r.unreachable, r.ownerReport.Serves = false, true
+	case r.unreachable && (o == OK || o == Rejected):
+		r.unreachable, r.ownerReport.Recovered = false, true
 	}
 }
 
@@ -158,7 +158,7 @@
 
 // sendPeerMessages requests grants from the lease owners and sends them what they cannot observe.
 func (c *Courier) sendPeerMessages() {
-	if !c.settings.Notes {
+	if !c.settings.PeerMessages {
 		return
 	}
 	// A courier that skipped this one while it was down or cut off has to ask it again. Otherwise
@@ -167,7 +167,7 @@
 		c.announced = true
 		for p := range min(c.settings.Fleet, maxAnnouncements) {
 			if p != c.settings.Number {
-				c.emit(Tell{Peer: p})
+				c.emit(SendPeerMessages{Peer: p})
 			}
 		}
 	}
@@ -185,45 +185,45 @@
 
 // queuePeerMessage queues a message so that it goes out with all others for that courier. A message
 // to this courier itself is handled at once.
-func (c *Courier) queuePeerMessage(peer int, n Note) {
+func (c *Courier) queuePeerMessage(peer int, n PeerMessage) {
 	if peer == c.settings.Number {
 		c.handlePeerMessage(peer, n)
 		return
 	}
 	for i := range c.outbox {
 		if t := &c.outbox[i]; t.Peer == peer {
-			t.Notes = append(t.Notes, n)
+			t.Messages = append(t.Messages, n)
 			return
 		}
 	}
-	c.outbox = append(c.outbox, Tell{Peer: peer, Notes: []Note{n}})
+	c.outbox = append(c.outbox, SendPeerMessages{Peer: peer, Messages: []PeerMessage{n}})
 }
 
 // contactOwner sends a destination's lease owner a grant request and pending news, if there are any.
 func (c *Courier) contactOwner(d *destination, r *route) {
 	report := r.ownerReport
 	report.Destination = d.id
-	urgent := report.Refused > 0 || report.Failing || report.Serves ||
+	urgent := report.RejectedCalls > 0 || report.Unreachable || report.Recovered ||
 		report.Limit > 0 &&
 			math.Max(report.Limit/r.reportedLimit, r.reportedLimit/report.Limit) > limitChangeFactor
 	peer, ok := 0, false
 	if !r.lease.Idle() {
 		n, top := c.demand(d)
 		var next time.Duration
-		peer, report.Back, ok, next = r.lease.Ask(c.now, uint32(d.id), n, c.leaseOwners)
+		peer, report.ReturnedCalls, ok, next = r.lease.NextRequest(c.now, uint32(d.id), n, c.leaseOwners)
 		if next > 0 {
 			c.wakeBy(max(next, c.now+c.settings.Tick))
 		}
-		if report.Asks = ok; ok {
+		if report.RequestsGrant = ok; ok {
 			report.Calls, report.Rank = n, top
 			if peer+1 != r.reportedTo && report.Limit == 0 { // it may have started a moment ago
 				report.Limit = r.limit
 			}
-			report.Old = report.Limit > 0 && c.now-r.limitReportedAt > limitFreshFor
+			report.OldLimit = report.Limit > 0 && c.now-r.limitReportedAt > limitFreshFor
 		}
 	}
 	if !ok && urgent {
-		peer, ok = c.leaseOwners.Keeper(uint32(d.id), c.now)
+		peer, ok = c.leaseOwners.Owner(uint32(d.id), c.now)
 	}
 	if !ok {
 		return
@@ -231,7 +231,7 @@
 	if report.Limit > 0 {
 		r.reportedLimit, r.reportedTo = report.Limit, peer+1
 	}
-	if r.ownerReport = (Note{}); report.Failing {
+	if r.ownerReport = (PeerMessage{}); report.Unreachable {
 		r.unreachableReportedAt = c.now
 	}
 	c.queuePeerMessage(peer, report)
@@ -250,16 +250,16 @@
 }
 
 // receiveFromPeer handles the messages of another courier.
-func (c *Courier) receiveFromPeer(ev Heard) {
+func (c *Courier) receiveFromPeer(ev PeerMessagesReceived) {
 	// A lease owner that received nothing for PassedFor was cut off. The other couriers have
 	// moved to the next owner in order, each at a different moment, and would return in the same
 	// way. Until all had returned, the limit would be granted more than once.
-	if c.now-c.lastPeerAt >= lease.PassedFor && c.isPrimaryOwner() {
+	if c.now-c.lastPeerAt >= lease.UnreachableFor && c.isPrimaryOwner() {
 		c.announced = false
 	}
 	c.lastPeerAt = c.now
-	c.leaseOwners.Heard(ev.Peer)
-	for _, n := range ev.Notes {
+	c.leaseOwners.MarkReachable(ev.Peer)
+	for _, n := range ev.Messages {
 		c.handlePeerMessage(ev.Peer, n)
 	}
 }
@@ -267,7 +267,7 @@
 // isPrimaryOwner reports whether this courier keeps a quota ledger as first in the order of owners.
 func (c *Courier) isPrimaryOwner() bool {
 	for id := range c.quotaLedgers {
-		if c.leaseOwners.First(uint32(id)) == c.settings.Number {
+		if c.leaseOwners.PreferredOwner(uint32(id)) == c.settings.Number {
 			return true
 		}
 	}
@@ -275,16 +275,16 @@
 }
 
 // handlePeerMessage handles one message from a lease owner, or to this courier as a lease owner.
-func (c *Courier) handlePeerMessage(peer int, n Note) {
+func (c *Courier) handlePeerMessage(peer int, n PeerMessage) {
 	d := c.destinations[n.Destination]
 	switch {
-	case !n.Grants:
+	case !n.IsGrant:
 		c.updateQuotaLedger(peer, n)
 	case d == nil || len(d.routes) == 0:
-	case n.Serves:
+	case n.Recovered:
 		c.handleReturn(d.routes[0])
 	case d.routes[0].lease != nil:
-		d.routes[0].lease.Granted(c.now, peer, n.Calls, n.Cold)
+		d.routes[0].lease.HandleGrant(c.now, peer, n.Calls, n.Cold)
 		if peer == c.settings.Number { // the calls of this round have been decided
 			c.wakeBy(c.now + c.settings.Tick)
 		}
@@ -292,41 +292,41 @@
 }
 
 // updateQuotaLedger applies a courier's message to the quota ledger that this courier keeps.
-func (c *Courier) updateQuotaLedger(peer int, n Note) {
+func (c *Courier) updateQuotaLedger(peer int, n PeerMessage) {
 	l := c.quotaLedgers[n.Destination]
 	if l == nil {
 		if len(c.quotaLedgers) >= maxQuotaLedgers {
-			maps.DeleteFunc(c.quotaLedgers, func(_ DestinationID, l *lease.Ledger) bool {
-				return c.now-l.Used() > quotaLedgerIdle
+			maps.DeleteFunc(c.quotaLedgers, func(_ DestinationID, l *lease.QuotaLedger) bool {
+				return c.now-l.LastUsed() > quotaLedgerIdle
 			})
 		}
 		if len(c.quotaLedgers) >= maxQuotaLedgers {
 			return
 		}
-		l = lease.NewLedger(lease.Slow{
-			Share: c.settings.ColdShare, Over: pooledColdFactor * c.settings.FallMultiple,
-			Warm: c.settings.WarmUp, Least: max(3, c.settings.Fleet/8),
+		l = lease.NewQuotaLedger(lease.SlowStart{
+			InitialShare: c.settings.ColdShare, LoadFactor: pooledColdFactor * c.settings.CollapseMultiple,
+			WarmUp: c.settings.WarmUp, MinObservers: max(3, c.settings.Fleet/8),
 		})
 		c.quotaLedgers[n.Destination] = l
 	}
-	if n.Old {
-		l.Known(c.now, n.Limit)
+	if n.OldLimit {
+		l.ReportStale(c.now, n.Limit)
 	} else {
 		l.Report(c.now, n.Limit)
 	}
-	if n.Failing {
-		l.Failing(c.now, peer)
+	if n.Unreachable {
+		l.RecordFailing(c.now, peer)
 	}
-	if n.Serves {
-		for _, p := range l.Serves(c.now) {
-			c.queuePeerMessage(p, Note{Destination: n.Destination, Grants: true, Serves: true})
+	if n.Recovered {
+		for _, p := range l.RecordRecovery(c.now) {
+			c.queuePeerMessage(p, PeerMessage{Destination: n.Destination, IsGrant: true, Recovered: true})
 		}
 	}
-	if n.Refused > 0 {
-		l.Refused(c.now)
+	if n.RejectedCalls > 0 {
+		l.RecordRejection(c.now)
 	}
-	if n.Asks {
-		l.Ask(c.now, peer, n.Calls, n.Rank, n.Back)
+	if n.RequestsGrant {
+		l.Request(c.now, peer, n.Calls, n.Rank, n.ReturnedCalls)
 		if !slices.Contains(c.requestedLedgers, n.Destination) {
 			c.requestedLedgers = append(c.requestedLedgers, n.Destination)
 		}
@@ -341,8 +341,8 @@
 			return true
 		}
 		for _, g := range l.Grants(c.now) {
-			c.queuePeerMessage(g.Peer, Note{
-				Destination: id, Grants: true, Calls: g.Calls, Cold: l.Cold(c.now),
+			c.queuePeerMessage(g.Peer, PeerMessage{
+				Destination: id, IsGrant: true, Calls: g.Calls, Cold: l.Cold(c.now),
 			})
 		}
 		at := l.Next(c.now)
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -15,7 +15,7 @@
 type fleetMember struct {
 	*Courier
 	t           *testing.T
-	peerSends   []Tell
+	peerSends   []SendPeerMessages
 	sent        int
 	idleCloses  int               // number of CloseIdle actions
 	attempts    map[RequestID]int // number of attempts sent
@@ -25,9 +25,9 @@
 
 func newMember(t *testing.T, number int, notes bool) *fleetMember {
 	c, err := New(Settings{
-		Fleet: 80, Number: number, Notes: notes, Tick: time.Millisecond, Slots: 8, MaxAttempts: 6,
-		Classes: []Class{{Effect: Safe, Aim: 1500 * time.Millisecond, Deadline: 8 * time.Second, Worth: 2, LateShare: 0.1}},
-		Tenants: []Tenant{{Quota: 600}}, Report: []ReportField{AllowanceLeft, LimitRate}, ConnectTimeout: 1500 * time.Millisecond, FallTime: 1500 * time.Millisecond,
+		Fleet: 80, Number: number, PeerMessages: notes, Tick: time.Millisecond, Slots: 8, MaxAttempts: 6,
+		Classes: []Class{{Effect: Safe, TargetLatency: 1500 * time.Millisecond, Deadline: 8 * time.Second, Value: 2, LateValueShare: 0.1}},
+		Tenants: []Tenant{{Quota: 600}}, Report: []ReportField{AllowanceLeft, LimitRate}, ConnectTimeout: 1500 * time.Millisecond, CollapseTime: 1500 * time.Millisecond,
 	})
 	require.NoError(t, err)
 	m := &fleetMember{Courier: c, t: t, attempts: map[RequestID]int{}, limitLeft: 0.8}
@@ -45,14 +45,14 @@
 			switch a := a.(type) {
 			case CloseIdle:
 				m.idleCloses++
-			case Tell:
+			case SendPeerMessages:
 				m.peerSends = append(m.peerSends, a)
 			case Send:
 				m.sent++
 				no := m.attempts[a.Request]
 				m.attempts[a.Request]++
 				if m.unreachable {
-					events = append(events, AttemptEnded{Request: a.Request, Endpoint: a.Endpoint, Attempt: no, Outcome: ConnectFailed, Took: 2 * time.Millisecond, Fresh: true})
+					events = append(events, AttemptEnded{Request: a.Request, Endpoint: a.Endpoint, Attempt: no, Outcome: ConnectFailed, Took: 2 * time.Millisecond, NewConn: true})
 					continue
 				}
 				events = append(events, AttemptEnded{
@@ -74,20 +74,20 @@
 	m := newMember(t, 79, true)
 	m.at(time.Second, requestTo7(1))
 	require.Len(t, m.peerSends, 1, "without a known limit the lease owner is asked, as it may know one")
-	m.at(1020*time.Millisecond, Heard{Peer: m.peerSends[0].Peer, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}}})
+	m.at(1020*time.Millisecond, PeerMessagesReceived{Peer: m.peerSends[0].Peer, Messages: []PeerMessage{{Destination: 7, IsGrant: true, Calls: 1}}})
 	assert.Equal(t, 1, m.sent)
 	require.Len(t, m.peerSends, 1)
-	assert.Equal(t, Note{Destination: 7, Limit: 44}, m.peerSends[0].Notes[0], "a new limit is reported at once")
+	assert.Equal(t, PeerMessage{Destination: 7, Limit: 44}, m.peerSends[0].Messages[0], "a new limit is reported at once")
 	m.at(2*time.Second, requestTo7(2))
 	assert.Equal(t, 1, m.sent)
 	require.Len(t, m.peerSends, 1)
-	n := m.peerSends[0].Notes[0]
-	assert.Equal(t, Note{Destination: 7, Asks: true, Calls: 1, Rank: n.Rank}, n)
+	n := m.peerSends[0].Messages[0]
+	assert.Equal(t, PeerMessage{Destination: 7, RequestsGrant: true, Calls: 1, Rank: n.Rank}, n)
 	assert.Greater(t, n.Rank, 150)
 	keeper := m.peerSends[0].Peer
-	m.at(2020*time.Millisecond, Heard{Peer: keeper, Notes: []Note{{Destination: 7, Grants: true}}})
+	m.at(2020*time.Millisecond, PeerMessagesReceived{Peer: keeper, Messages: []PeerMessage{{Destination: 7, IsGrant: true}}})
 	assert.Equal(t, 1, m.sent, "no call while the request is queued")
-	m.at(2050*time.Millisecond, Heard{Peer: keeper, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}, {Destination: 8, Grants: true, Calls: 1}}})
+	m.at(2050*time.Millisecond, PeerMessagesReceived{Peer: keeper, Messages: []PeerMessage{{Destination: 7, IsGrant: true, Calls: 1}, {Destination: 8, IsGrant: true, Calls: 1}}})
 	assert.Equal(t, 2, m.sent)
 	m.at(3*time.Second, requestTo7(3))
 	for now := 3 * time.Second; m.sent < 3; now += 10 * time.Millisecond {
@@ -119,12 +119,12 @@
 				}
 			}
 			for _, x := range m.peerSends {
-				if keeper = x.Peer; len(x.Notes) > 0 && x.Notes[0].Asks && answers(keeper) {
-					events = append(events, Heard{Peer: keeper, Notes: []Note{{Destination: 7, Grants: true}}})
+				if keeper = x.Peer; len(x.Messages) > 0 && x.Messages[0].RequestsGrant && answers(keeper) {
+					events = append(events, PeerMessagesReceived{Peer: keeper, Messages: []PeerMessage{{Destination: 7, IsGrant: true}}})
 				}
 			}
 			if now%(500*time.Millisecond) == 0 && answers(keeper) {
-				events = append(events, Heard{Peer: keeper, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}}})
+				events = append(events, PeerMessagesReceived{Peer: keeper, Messages: []PeerMessage{{Destination: 7, IsGrant: true, Calls: 1}}})
 			}
 			m.at(now, events...)
 		}
@@ -148,21 +148,21 @@
 // before a cut, and it is marked as old.
 func TestReportedLimitIsMarkedOld(t *testing.T) {
 	m := newMember(t, 79, true)
-	asked := func(at time.Duration) Note {
+	asked := func(at time.Duration) PeerMessage {
 		m.at(at, requestTo7(RequestID(at)))
 		require.Len(t, m.peerSends, 1)
-		n := m.peerSends[0].Notes[0]
-		require.True(t, n.Asks)
+		n := m.peerSends[0].Messages[0]
+		require.True(t, n.RequestsGrant)
 		return n
 	}
 	asked(time.Second)
-	m.at(1010*time.Millisecond, Heard{Peer: m.peerSends[0].Peer, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}}})
+	m.at(1010*time.Millisecond, PeerMessagesReceived{Peer: m.peerSends[0].Peer, Messages: []PeerMessage{{Destination: 7, IsGrant: true, Calls: 1}}})
 	n := asked(1100 * time.Millisecond)
-	assert.False(t, n.Old && n.Limit > 0)
-	m.at(1110*time.Millisecond, Heard{Peer: m.peerSends[0].Peer, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}}})
+	assert.False(t, n.OldLimit && n.Limit > 0)
+	m.at(1110*time.Millisecond, PeerMessagesReceived{Peer: m.peerSends[0].Peer, Messages: []PeerMessage{{Destination: 7, IsGrant: true, Calls: 1}}})
 	n = asked(3 * time.Second)
 	assert.Equal(t, 44.0, n.Limit)
-	assert.True(t, n.Old)
+	assert.True(t, n.OldLimit)
 }
 
 // If no lease owner answers, the pacing rate follows a cut and a restored limit.
@@ -185,22 +185,22 @@
 		for now := from; now < to; now += 5 * time.Millisecond {
 			m.at(now)
 			for _, x := range m.peerSends {
-				n += x.Notes[0].Calls
+				n += x.Messages[0].Calls
 			}
 		}
 		return n
 	}
-	m.at(time.Second, Heard{Peer: 9, Notes: []Note{{Destination: 7, Limit: 40}}})
+	m.at(time.Second, PeerMessagesReceived{Peer: 9, Messages: []PeerMessage{{Destination: 7, Limit: 40}}})
 	for peer := range 60 {
-		m.at(2*time.Second, Heard{Peer: peer + 10, Notes: []Note{{Destination: 7, Asks: true, Calls: 1, Rank: 10}}})
+		m.at(2*time.Second, PeerMessagesReceived{Peer: peer + 10, Messages: []PeerMessage{{Destination: 7, RequestsGrant: true, Calls: 1, Rank: 10}}})
 	}
 	n := granted(2*time.Second, 2900*time.Millisecond)
 	assert.InDelta(t, 35, n, 4)
 	for peer := range 60 { // an old limit must not replace a current one
-		m.at(2*time.Second, Heard{Peer: peer + 10, Notes: []Note{{Destination: 7, Asks: true, Calls: 1, Rank: 10, Limit: 400, Old: true}}})
+		m.at(2*time.Second, PeerMessagesReceived{Peer: peer + 10, Messages: []PeerMessage{{Destination: 7, RequestsGrant: true, Calls: 1, Rank: 10, Limit: 400, OldLimit: true}}})
 	}
 	assert.InDelta(t, 40, m.quotaLedgers[7].Rate(), 0.01)
-	m.at(2900*time.Millisecond, Heard{Peer: 9, Notes: []Note{{Destination: 7, Refused: 1}}})
+	m.at(2900*time.Millisecond, PeerMessagesReceived{Peer: 9, Messages: []PeerMessage{{Destination: 7, RejectedCalls: 1}}})
 	assert.Zero(t, granted(2901*time.Millisecond, 2980*time.Millisecond))
 }
 
@@ -232,19 +232,19 @@
 	m := newMember(t, 79, true)
 	m.at(time.Second, requestTo7(1))
 	keeper := m.peerSends[0].Peer
-	grant := Heard{Peer: keeper, Notes: []Note{{Destination: 7, Grants: true, Calls: 1}}}
+	grant := PeerMessagesReceived{Peer: keeper, Messages: []PeerMessage{{Destination: 7, IsGrant: true, Calls: 1}}}
 	m.at(1010*time.Millisecond, grant)
 	m.at(2*time.Second, requestTo7(2))
 	m.unreachable = true
 	m.at(2010*time.Millisecond, grant)
 	require.Len(t, m.peerSends, 1)
-	assert.True(t, m.peerSends[0].Notes[0].Failing)
+	assert.True(t, m.peerSends[0].Messages[0].Unreachable)
 	assert.Equal(t, keeper, m.peerSends[0].Peer)
 	m.unreachable = false
 	was := m.sent
 	m.at(2100*time.Millisecond, grant)
 	assert.Equal(t, was, m.sent, "no call during the pause")
-	m.at(2200*time.Millisecond, Heard{Peer: keeper, Notes: []Note{{Destination: 7, Grants: true, Serves: true}}})
+	m.at(2200*time.Millisecond, PeerMessagesReceived{Peer: keeper, Messages: []PeerMessage{{Destination: 7, IsGrant: true, Recovered: true}}})
 	for now := 2200 * time.Millisecond; now < 2510*time.Millisecond; now += 5 * time.Millisecond {
 		m.at(now, grant)
 	}
@@ -252,14 +252,14 @@
 
 	k := newMember(t, 3, true)
 	for peer := range 20 {
-		k.at(time.Second, Heard{Peer: peer + 10, Notes: []Note{{Destination: 7, Limit: 40, Failing: true}}})
+		k.at(time.Second, PeerMessagesReceived{Peer: peer + 10, Messages: []PeerMessage{{Destination: 7, Limit: 40, Unreachable: true}}})
 	}
-	k.at(5*time.Second, Heard{Peer: 15, Notes: []Note{{Destination: 7, Serves: true}}})
+	k.at(5*time.Second, PeerMessagesReceived{Peer: 15, Messages: []PeerMessage{{Destination: 7, Recovered: true}}})
 	require.Len(t, k.peerSends, 20)
 	for i, x := range k.peerSends {
-		assert.Equal(t, Tell{Peer: i + 10, Notes: []Note{{Destination: 7, Grants: true, Serves: true}}}, x)
+		assert.Equal(t, SendPeerMessages{Peer: i + 10, Messages: []PeerMessage{{Destination: 7, IsGrant: true, Recovered: true}}}, x)
 	}
-	k.at(6*time.Second, Heard{Peer: 15, Notes: []Note{{Destination: 7, Serves: true}}})
+	k.at(6*time.Second, PeerMessagesReceived{Peer: 15, Messages: []PeerMessage{{Destination: 7, Recovered: true}}})
 	assert.Empty(t, k.peerSends, "the recovery is reported once")
 }
 
@@ -274,7 +274,7 @@
 		require.Less(t, now, 3*time.Second)
 		m.at(now)
 	}
-	m.at(now, Heard{Peer: first})
+	m.at(now, PeerMessagesReceived{Peer: first})
 	for len(m.peerSends) == 0 {
 		require.Less(t, now, 3*time.Second)
 		now += 10 * time.Millisecond
@@ -285,25 +285,25 @@
 	// A lease owner that was cut off from all announces itself again as well. Other couriers do not.
 	for number, announcements := range map[int]int{first: 79, 79: 0} {
 		k := newMember(t, number, true)
-		note := Heard{Peer: 9, Notes: []Note{{Destination: 7, Asks: true, Calls: 1, Limit: 40}}}
+		note := PeerMessagesReceived{Peer: 9, Messages: []PeerMessage{{Destination: 7, RequestsGrant: true, Calls: 1, Limit: 40}}}
 		k.at(time.Second, note)
 		k.at(2500*time.Millisecond, note)
 		assert.LessOrEqual(t, len(k.peerSends), 1, "no announcement while contact lasts")
 		k.at(4600*time.Millisecond, note)
 		empty := 0
 		for _, x := range k.peerSends {
-			if len(x.Notes) == 0 {
+			if len(x.Messages) == 0 {
 				empty++
 			}
 		}
 		assert.Equal(t, announcements, empty, "courier %d", number)
 	}
 
-	c, err := New(Settings{Fleet: 80, Number: 3, Notes: true, Tick: 1, Slots: 1, Classes: []Class{{Deadline: 1}}})
+	c, err := New(Settings{Fleet: 80, Number: 3, PeerMessages: true, Tick: 1, Slots: 1, Classes: []Class{{Deadline: 1}}})
 	require.NoError(t, err)
 	recipients := map[int]bool{}
 	for _, a := range c.Handle(0, nil) {
-		recipients[a.(Tell).Peer] = true
+		recipients[a.(SendPeerMessages).Peer] = true
 	}
 	assert.Len(t, recipients, 79)
 	assert.False(t, recipients[3])
@@ -393,11 +393,11 @@
 		}
 		s := testSettings()
 		slices.SortFunc(all, func(a, b sent) int { return int(a.at - b.at) })
-		ramp := rules.NewRamp(s.FallTime)
+		ramp := rules.NewRamp(s.CollapseTime)
 		for _, x := range all {
 			ramp.Failed(x.by, 1)
 			share := s.ColdShare + (1-s.ColdShare)*float64(x.at-recoveredAt)/float64(s.WarmUp)
-			ramp.Call(x.at, x.by, 1, s.FallMultiple*share*limit*s.FallTime.Seconds())
+			ramp.Call(x.at, x.by, 1, s.CollapseMultiple*share*limit*s.CollapseTime.Seconds())
 		}
 		assert.LessOrEqual(t, ramp.Peak(), 1.0, name)
 		assert.Greater(t, len(all), fleet/4, "%s: number of calls", name)
--- a/footprint.go
+++ b/footprint.go
@@ -6,9 +6,9 @@
 // structures, without allocator overhead.
 type Footprint struct {
 	Destinations, Endpoints, Requests int
-	BooksBytes                        int // of these three
-	Accounts                          int // quota ledgers kept as a lease owner
-	AccountBytes                      int
+	StateBytes                        int // of these three
+	QuotaLedgers                      int // quota ledgers kept as a lease owner
+	QuotaLedgerBytes                  int
 }
 
 const mapEntryWords = 3 // pointer, key and control bytes, at seven eighths full at most
@@ -18,28 +18,28 @@
 	word := int(size.Sizeof(uintptr(0)))
 	f := Footprint{
 		Destinations: len(c.destinations), Endpoints: len(c.endpoints), Requests: len(c.requests),
-		Accounts: len(c.quotaLedgers),
+		QuotaLedgers: len(c.quotaLedgers),
 	}
 	for _, d := range c.destinationOrder {
-		f.BooksBytes += int(size.Sizeof(*d)) +
+		f.StateBytes += int(size.Sizeof(*d)) +
 			word*(mapEntryWords+cap(d.queue)+cap(d.endpoints)+cap(d.routes))
 		for _, r := range d.routes {
-			f.BooksBytes += int(size.Sizeof(*r)) + 2*word*cap(r.coldCalls.times) + word*cap(r.endpoints)
+			f.StateBytes += int(size.Sizeof(*r)) + 2*word*cap(r.coldCalls.times) + word*cap(r.endpoints)
 			if r.lease != nil {
-				f.BooksBytes += int(size.Sizeof(*r.lease))
+				f.StateBytes += int(size.Sizeof(*r.lease))
 			}
 		}
 		for _, e := range d.endpoints {
-			f.BooksBytes += int(size.Sizeof(*e)) +
+			f.StateBytes += int(size.Sizeof(*e)) +
 				word*(mapEntryWords+cap(e.calls)+cap(e.idleConns)+cap(e.classFailedAt))
 		}
 	}
 	for _, r := range c.requests {
-		f.BooksBytes += int(size.Sizeof(*r)) + word*mapEntryWords
+		f.StateBytes += int(size.Sizeof(*r)) + word*mapEntryWords
 	}
 	for _, l := range c.quotaLedgers {
-		f.AccountBytes += l.Bytes() + word*mapEntryWords
+		f.QuotaLedgerBytes += l.Bytes() + word*mapEntryWords
 	}
-	f.BooksBytes += c.leaseOwners.Bytes()
+	f.StateBytes += c.leaseOwners.Bytes()
 	return f
 }
--- a/internal/aside/aside.go
+++ b/internal/aside/aside.go
@@ -17,9 +17,9 @@
 	// Merge combines a value that waits for the current write to end with a newer one.
 	Merge func(pending, next T) T
 	// Write writes a value. It is called from one goroutine at a time.
-	Write func(T) error
-	Log   *slog.Logger
-	What  string // subject of the log lines when writes start to fail ("... is not kept") and when they succeed again
+	Write   func(T) error
+	Log     *slog.Logger
+	Subject string // subject of the log lines when writes start to fail ("... is not kept") and when they succeed again
 
 	mu      sync.Mutex
 	pending []T // at most one value
@@ -69,9 +69,9 @@
 		w.mu.Unlock()
 		switch {
 		case err != nil && !wasFailing:
-			w.Log.Warn(w.What+" is not kept", "err", err)
+			w.Log.Warn(w.Subject+" is not kept", "err", err)
 		case err == nil && wasFailing:
-			w.Log.Info(w.What + " is kept again")
+			w.Log.Info(w.Subject + " is kept again")
 		}
 	}
 }
@@ -94,8 +94,8 @@
 	}
 }
 
-// Block is the unit, in bytes, to which file sizes are rounded up.
-const Block = 512
+// BlockSize is the unit, in bytes, to which file sizes are rounded up.
+const BlockSize = 512
 
 const numberDigits = 12
 
--- a/internal/aside/aside_test.go
+++ b/internal/aside/aside_test.go
@@ -18,7 +18,7 @@
 	var got, lines bytes.Buffer
 	begun, goOn := make(chan bool), make(chan error)
 	w := &Writer[string]{
-		Merge: func(a, b string) string { return a + "+" + b }, Log: slog.New(slog.NewTextHandler(&lines, nil)), What: "it",
+		Merge: func(a, b string) string { return a + "+" + b }, Log: slog.New(slog.NewTextHandler(&lines, nil)), Subject: "it",
 		Write: func(s string) error {
 			begun <- true
 			err := <-goOn
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -74,10 +74,10 @@
 	}
 }
 
-// Within sets the grace for draining endpoints if it is positive. What the directory agent holds
+// WithGrace sets the grace for draining endpoints if it is positive. What the directory agent holds
 // counts as known whether or not it was requested: first requests, and the first one after a lost
 // connection, are sent within half of the grace.
-func (b *Backoff) Within(grace time.Duration) *Backoff {
+func (b *Backoff) WithGrace(grace time.Duration) *Backoff {
 	if grace > 0 {
 		b.maxUnprovoked, b.graceMargin = grace/2, grace/2
 	}
@@ -93,11 +93,11 @@
 	return min(b.Bound()-attemptTimeout-reservedPause, maxWatchWait+watchSlack)
 }
 
-// RestOfAnswer returns how much longer to wait for the rest of an answer. ago is the time since the
+// AnswerTimeLeft returns how much longer to wait for the rest of an answer. ago is the time since the
 // request, size the number of bytes received so far. A list that takes longer than the bound cannot
 // arrive within it, but is not abandoned while its data arrives fast enough, because it could never
 // be received otherwise.
-func (b *Backoff) RestOfAnswer(ago time.Duration, size int) time.Duration {
+func (b *Backoff) AnswerTimeLeft(ago time.Duration, size int) time.Duration {
 	long := time.Duration(max(0, size-shortListBytes)) * time.Second / minListRate
 	return min(AnswerTimeout, b.AskTimeout()+long-ago)
 }
@@ -105,10 +105,10 @@
 // WatchWait returns how long a watch asks the directory to wait for changes.
 func (b *Backoff) WatchWait() time.Duration { return b.AskTimeout() - watchSlack }
 
-// Initial returns the delay of the first request of a courier that starts with a list. Couriers of
+// InitialDelay returns the delay of the first request of a courier that starts with a list. Couriers of
 // a large fleet that start together would fill the directory's queue at once, and many requests
 // would time out. Couriers of a small fleet send theirs immediately.
-func (b *Backoff) Initial() time.Duration {
+func (b *Backoff) InitialDelay() time.Duration {
 	if b.base <= smallFleet*firstPause/2 {
 		return 0
 	}
@@ -135,10 +135,10 @@
 	return b.jitter(min(b.base, b.maxUnprovoked), ago)
 }
 
-// Refused returns the pause after an error response. wait is the retry-after delay of the response,
+// Rejected returns the pause after an error response. wait is the retry-after delay of the response,
 // zero if it has none. The pause is at least that long, up to three quarters of what the bound
 // leaves, so that couriers with equal retry-after delays do not retry together.
-func (b *Backoff) Refused(wait, ago time.Duration) time.Duration {
+func (b *Backoff) Rejected(wait, ago time.Duration) time.Duration {
 	room := b.remaining(ago)
 	d := min(max(doubled(b.base, b.errorResponses, MaxPause), wait+wait/2), room)
 	b.errorResponses++
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -14,7 +14,7 @@
 func requests(fleet int, took time.Duration) (n int) {
 	for i := range fleet {
 		b := New(fleet, uint64(i))
-		for at := time.Duration(0); at < time.Minute; at += took + b.Refused(0, took) {
+		for at := time.Duration(0); at < time.Minute; at += took + b.Rejected(0, took) {
 			n++
 		}
 	}
@@ -35,7 +35,7 @@
 func TestPausesSpread(t *testing.T) {
 	distinct, least, most := map[time.Duration]bool{}, MaxPause, time.Duration(0)
 	for i := range 80 {
-		d := New(80, uint64(i)).Refused(0, 0)
+		d := New(80, uint64(i)).Rejected(0, 0)
 		distinct[d], least, most = true, min(least, d), max(most, d)
 	}
 	assert.Greater(t, len(distinct), 70)
@@ -45,15 +45,15 @@
 }
 
 func TestPausesGrowAndReset(t *testing.T) {
-	b := New(2, 1).Within(2 * time.Second)
+	b := New(2, 1).WithGrace(2 * time.Second)
 	for i := range 40 {
 		most := min(firstPause<<min(i, 16), MaxPause)
-		d := b.Refused(0, 0)
+		d := b.Rejected(0, 0)
 		assert.GreaterOrEqual(t, d, most/2)
 		assert.LessOrEqual(t, d, most)
 	}
 	b.Reset()
-	assert.LessOrEqual(t, b.Refused(0, 0), firstPause)
+	assert.LessOrEqual(t, b.Rejected(0, 0), firstPause)
 	for range 40 {
 		assert.LessOrEqual(t, b.Disconnected(0), firstPause, "broken connections of a small fleet do not lengthen the pause")
 		assert.LessOrEqual(t, b.Unreadable(0), MaxPause)
@@ -64,7 +64,7 @@
 // A retry-after delay is kept and spread as far as the bound leaves room for it.
 func TestRetryAfterDelay(t *testing.T) {
 	const grace = time.Second
-	room := New(300, 0).Within(grace).Bound() - attemptTimeout
+	room := New(300, 0).WithGrace(grace).Bound() - attemptTimeout
 	for _, fleet := range []int{1, 300, 3000} {
 		for wait, bounds := range map[time.Duration][2]time.Duration{
 			time.Second:     {time.Second, room},
@@ -73,7 +73,7 @@
 		} {
 			least, most := time.Hour, time.Duration(0)
 			for seed := range uint64(300) {
-				d := New(fleet, seed).Within(grace).Refused(wait, 0)
+				d := New(fleet, seed).WithGrace(grace).Rejected(wait, 0)
 				least, most = min(least, d), max(most, d)
 			}
 			assert.GreaterOrEqual(t, least, bounds[0], "fleet %d, %v", fleet, wait)
@@ -91,7 +91,7 @@
 		"broken connections":         func(b *Backoff) time.Duration { return b.Disconnected(0) },
 		"lists that cannot be taken": func(b *Backoff) time.Duration { return b.Unreadable(0) },
 	} {
-		b := New(300, 7).Within(grace)
+		b := New(300, 7).WithGrace(grace)
 		room := b.Bound() - attemptTimeout
 		for range 2 {
 			most := grace / 2
@@ -105,10 +105,10 @@
 			b.Reset()
 		}
 	}
-	b := New(300, 7).Within(grace)
+	b := New(300, 7).WithGrace(grace)
 	for range 8 {
 		assert.LessOrEqual(t, b.TimedOut(ConnectTimeout), grace/2, "the timeout itself is a pause")
-		b.Refused(0, 0)
+		b.Rejected(0, 0)
 		d := b.TimedOut(ConnectTimeout)
 		assert.GreaterOrEqual(t, d, time.Second, "after a rejection a timeout does not shorten the pause")
 		assert.LessOrEqual(t, d, b.Bound()-attemptTimeout-ConnectTimeout)
@@ -161,7 +161,7 @@
 			continue
 		case "error":
 			now += took
-			now += b.Refused(upTo("wait", time.Hour), took)
+			now += b.Rejected(upTo("wait", time.Hour), took)
 		case "broken":
 			now += took
 			now += b.Disconnected(took)
@@ -185,7 +185,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := rapid.OneOf(rapid.IntRange(1, 8), rapid.IntRange(1, 3000)).Draw(t, "fleet")
 		grace := time.Duration(rapid.IntRange(0, 3000).Draw(t, "grace")) * time.Millisecond
-		b := New(fleet, rapid.Uint64().Draw(t, "seed")).Within(grace)
+		b := New(fleet, rapid.Uint64().Draw(t, "seed")).WithGrace(grace)
 		if late := outage(t, b); late > 6*time.Second+grace/2 {
 			t.Fatalf("the change arrived %v after the directory was reachable", late)
 		}
@@ -201,19 +201,19 @@
 		again func(*Backoff) time.Duration
 		most  int
 	}{
-		"refused":       {func(b *Backoff) time.Duration { return b.Refused(0, 0) }, answered},
-		"retry-after":   {func(b *Backoff) time.Duration { return b.Refused(30*time.Second, 0) }, answered},
+		"refused":       {func(b *Backoff) time.Duration { return b.Rejected(0, 0) }, answered},
+		"retry-after":   {func(b *Backoff) time.Duration { return b.Rejected(30*time.Second, 0) }, answered},
 		"broken":        {func(b *Backoff) time.Duration { return b.Disconnected(0) }, answered},
 		"unreadable":    {func(b *Backoff) time.Duration { return b.Unreadable(0) }, answered},
 		"silent":        {func(b *Backoff) time.Duration { return b.AskTimeout() + b.TimedOut(b.AskTimeout()) }, fleet},
 		"not connected": {func(b *Backoff) time.Duration { return ConnectTimeout + b.TimedOut(ConnectTimeout) }, fleet},
-		"late errors":   {func(b *Backoff) time.Duration { return AnswerTimeout + b.Refused(0, AnswerTimeout) }, answered},
+		"late errors":   {func(b *Backoff) time.Duration { return AnswerTimeout + b.Rejected(0, AnswerTimeout) }, answered},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var asks []time.Duration
 			for i := range fleet {
-				b := New(fleet, uint64(i)).Within(time.Second)
-				for at := b.Initial(); at < 2*time.Minute; at += kind.again(b) {
+				b := New(fleet, uint64(i)).WithGrace(time.Second)
+				for at := b.InitialDelay(); at < 2*time.Minute; at += kind.again(b) {
 					asks = append(asks, at)
 				}
 			}
@@ -235,9 +235,9 @@
 // repeated failures lengthen the pauses to those of a large fleet.
 func TestReconnectPauses(t *testing.T) {
 	for within, half := range map[time.Duration]time.Duration{0: maxFirstDelay, 400 * time.Millisecond: 200 * time.Millisecond, 3 * time.Second: 1500 * time.Millisecond} {
-		b := New(300, 7).Within(within)
+		b := New(300, 7).WithGrace(within)
 		for range 3 {
-			assert.LessOrEqual(t, max(b.Initial(), b.Disconnected(0)), half)
+			assert.LessOrEqual(t, max(b.InitialDelay(), b.Disconnected(0)), half)
 			assert.GreaterOrEqual(t, b.Disconnected(0), half/2)
 			for range 10 {
 				b.Disconnected(0)
@@ -262,7 +262,7 @@
 func TestFirstRequestsSpread(t *testing.T) {
 	early, late := 0, 0
 	for i := range 80 {
-		d := New(80, uint64(i)).Initial()
+		d := New(80, uint64(i)).InitialDelay()
 		assert.LessOrEqual(t, d, maxFirstDelay)
 		if d < maxFirstDelay/4 {
 			early++
@@ -273,19 +273,19 @@
 	assert.InDelta(t, 20, early, 12)
 	assert.InDelta(t, 20, late, 12)
 	for fleet := range smallFleet + 1 {
-		assert.Zero(t, New(fleet, 1).Initial())
+		assert.Zero(t, New(fleet, 1).InitialDelay())
 	}
-	assert.Less(t, New(1<<40, 1).Initial(), maxFirstDelay)
+	assert.Less(t, New(1<<40, 1).InitialDelay(), maxFirstDelay)
 }
 
 // A short or slow answer gets the time that the bound allows; a long one continues while its data
 // arrives fast, without longer gaps than any other.
 func TestRestOfAnswer(t *testing.T) {
-	b := New(300, 1).Within(time.Second)
+	b := New(300, 1).WithGrace(time.Second)
 	for _, size := range []int{0, 1, shortListBytes} {
-		assert.Equal(t, b.AskTimeout()-3*time.Second, b.RestOfAnswer(3*time.Second, size))
+		assert.Equal(t, b.AskTimeout()-3*time.Second, b.AnswerTimeLeft(3*time.Second, size))
 	}
-	assert.Equal(t, AnswerTimeout, b.RestOfAnswer(0, 1))
-	assert.Equal(t, AnswerTimeout, b.RestOfAnswer(10*time.Second, 200<<20), "20 MB per second")
-	assert.Negative(t, b.RestOfAnswer(15*time.Second, 10<<20), "less than 1 MB per second")
+	assert.Equal(t, AnswerTimeout, b.AnswerTimeLeft(0, 1))
+	assert.Equal(t, AnswerTimeout, b.AnswerTimeLeft(10*time.Second, 200<<20), "20 MB per second")
+	assert.Negative(t, b.AnswerTimeLeft(15*time.Second, 10<<20), "less than 1 MB per second")
 }
--- a/internal/belief/belief.go
+++ b/internal/belief/belief.go
@@ -24,12 +24,12 @@
 	"snowjunction"
 )
 
-// Standing is the level of confidence in an endpoint.
-type Standing int
+// Level is the level of confidence in an endpoint.
+type Level int
 
 // The levels of confidence, see the package comment.
 const (
-	Told Standing = iota
+	Listed Level = iota
 	Confirmed
 	Probable
 	Doubtful
@@ -37,7 +37,7 @@
 )
 
 // String returns the name of the level.
-func (s Standing) String() string {
+func (s Level) String() string {
 	return [...]string{"told", "confirmed", "probable", "doubtful", "refuted"}[s]
 }
 
@@ -46,10 +46,10 @@
 
 // The sources.
 const (
-	Nothing Source = iota // there is no list
-	Live                  // the directory has answered this process
-	Cached                // the list stored on disk
-	Known                 // the list of the configuration
+	NoList     Source = iota // there is no list
+	Live                     // the directory has answered this process
+	Cached                   // the list stored on disk
+	Configured               // the list of the configuration
 )
 
 // String returns the name of the source.
@@ -57,8 +57,8 @@
 
 // Config holds the thresholds.
 type Config struct {
-	Fresh  time.Duration // confirmations younger than this make endpoints Probable, older ones Doubtful
-	Silent time.Duration // a directory without an answer for this long counts as silent
+	FreshFor    time.Duration // confirmations younger than this make endpoints Probable, older ones Doubtful
+	SilentAfter time.Duration // a directory without an answer for this long counts as silent
 
 	// An endpoint becomes Doubtful after RefuteFails consecutive failed connections, and Refuted if
 	// they span RefuteAfter or more and another endpoint of its destination is Confirmed.
@@ -68,7 +68,7 @@
 
 // Default returns the thresholds that apply without an operator file.
 func Default() Config {
-	return Config{Fresh: 10 * time.Minute, Silent: 45 * time.Second, RefuteFails: 3, RefuteAfter: 5 * time.Second}
+	return Config{FreshFor: 10 * time.Minute, SilentAfter: 45 * time.Second, RefuteFails: 3, RefuteAfter: 5 * time.Second}
 }
 
 // Evidence is what a call has shown about an endpoint.
@@ -76,10 +76,10 @@
 
 // The kinds of evidence.
 const (
-	NoEvidence  Evidence = iota
-	Answered             // it accepted a call, or rejected one as the protocol specifies
-	Unreachable          // no connection could be set up
-	Elsewhere            // it answered that it is not the endpoint that was called
+	NoEvidence    Evidence = iota
+	Answered               // it accepted a call, or rejected one as the protocol specifies
+	Unreachable            // no connection could be set up
+	OtherEndpoint          // it answered that it is not the endpoint that was called
 )
 
 // EvidenceOf returns what an outcome shows. Errors show nothing, because a process that reuses the
@@ -87,7 +87,7 @@
 // connections, which may be caused by the network, nor calls that were not sent.
 func EvidenceOf(o snowjunction.Outcome) Evidence {
 	switch o {
-	case snowjunction.OK, snowjunction.Full:
+	case snowjunction.OK, snowjunction.Rejected:
 		return Answered
 	case snowjunction.ConnectFailed:
 		return Unreachable
@@ -98,7 +98,7 @@
 // endpointState is the state of one endpoint, as calls have shown it.
 type endpointState struct {
 	dest     snowjunction.DestinationID
-	standing Standing
+	standing Level
 	reason   string
 	since    time.Duration
 	fails    int // consecutive failed connections
@@ -106,8 +106,8 @@
 	retained bool // omitted by a list that is not trusted: that list alone leaves it at most Doubtful
 }
 
-// Book tracks the confidence in the endpoints of one front.
-type Book struct {
+// Tracker tracks the confidence in the endpoints of one front.
+type Tracker struct {
 	cfg         Config
 	source      Source
 	confirmedAt time.Duration // when the directory last confirmed the list
@@ -119,25 +119,25 @@
 }
 
 // New returns a tracker without a list.
-func New(cfg Config) *Book {
-	return &Book{cfg: cfg, states: map[string]*endpointState{}, confirmed: map[snowjunction.DestinationID]int{}}
+func New(cfg Config) *Tracker {
+	return &Tracker{cfg: cfg, states: map[string]*endpointState{}, confirmed: map[snowjunction.DestinationID]int{}}
 }
 
-// Begin sets the list at the start of the process, which the directory confirmed age ago. A
+// Start sets the list at the start of the process, which the directory confirmed age ago. A
 // negative age, as after a clock was set back, counts as old.
-func (b *Book) Begin(s Source, age, now time.Duration) {
+func (b *Tracker) Start(s Source, age, now time.Duration) {
 	b.source, b.since, b.live = s, now, false
 	b.confirmedAt = now - age
-	b.stale = age < 0 || age >= b.cfg.Fresh
+	b.stale = age < 0 || age >= b.cfg.FreshFor
 	if age < 0 {
-		b.confirmedAt = now - b.cfg.Fresh
+		b.confirmedAt = now - b.cfg.FreshFor
 	}
 }
 
-// Spoken records that the directory has confirmed the list. It returns true if this changes the
+// DirectoryConfirmed records that the directory has confirmed the list. It returns true if this changes the
 // confidence: all endpoints are at level told from now on, except those that are retained although
 // the list omits them.
-func (b *Book) Spoken(now time.Duration) (changed bool) {
+func (b *Tracker) DirectoryConfirmed(now time.Duration) (changed bool) {
 	changed = !b.live
 	b.confirmedAt = now
 	if !changed {
@@ -160,27 +160,27 @@
 
 // The changes that the passage of time causes.
 const (
-	Same Change = iota
+	Unchanged Change = iota
 	Silent
 	Aged
 )
 
-// Look returns what has changed through the passage of time alone, and how long to wait before the
+// Advance returns what has changed through the passage of time alone, and how long to wait before the
 // next call. A wait of zero means that only new information can change something.
-func (b *Book) Look(now time.Duration) (c Change, wait time.Duration) {
-	if b.source == Nothing {
-		return Same, 0
+func (b *Tracker) Advance(now time.Duration) (c Change, wait time.Duration) {
+	if b.source == NoList {
+		return Unchanged, 0
 	}
 	if b.live {
-		if left := b.confirmedAt + b.cfg.Silent - now; left > 0 {
-			return Same, left
+		if left := b.confirmedAt + b.cfg.SilentAfter - now; left > 0 {
+			return Unchanged, left
 		}
 		b.live, b.since, c = false, now, Silent
 	}
 	if b.stale {
 		return c, 0
 	}
-	left := b.confirmedAt + b.cfg.Fresh - now
+	left := b.confirmedAt + b.cfg.FreshFor - now
 	if left > 0 {
 		return c, left
 	}
@@ -188,9 +188,9 @@
 	return Aged, 0
 }
 
-// Moved records that another directory agent is used from now on. Until it has answered, the list
+// DirectoryChanged records that another directory agent is used from now on. Until it has answered, the list
 // is not confirmed.
-func (b *Book) Moved(now time.Duration) (changed bool) {
+func (b *Tracker) DirectoryChanged(now time.Duration) (changed bool) {
 	changed = b.live
 	b.live = false
 	if changed {
@@ -200,16 +200,16 @@
 }
 
 // Live reports whether the directory currently confirms the list.
-func (b *Book) Live() bool { return b.live }
+func (b *Tracker) Live() bool { return b.live }
 
 // Source returns the origin of the list.
-func (b *Book) Source() Source { return b.source }
+func (b *Tracker) Source() Source { return b.source }
 
-// Word returns when the directory last confirmed the list.
-func (b *Book) Word() time.Duration { return b.confirmedAt }
+// ConfirmedAt returns when the directory last confirmed the list.
+func (b *Tracker) ConfirmedAt() time.Duration { return b.confirmedAt }
 
-// Standing returns the confidence in a listed endpoint.
-func (b *Book) Standing(name string) Standing {
+// Level returns the confidence in a listed endpoint.
+func (b *Tracker) Level(name string) Level {
 	if m := b.states[name]; m != nil {
 		return m.standing
 	}
@@ -217,22 +217,22 @@
 }
 
 // defaultLevel returns the confidence in an endpoint without results of calls.
-func (b *Book) defaultLevel() Standing {
+func (b *Tracker) defaultLevel() Level {
 	switch {
 	case b.live:
-		return Told
+		return Listed
 	case b.stale:
 		return Doubtful
 	}
 	return Probable
 }
 
-// Heard records what a call has shown about an endpoint. It returns the confidence before and
+// RecordCall records what a call has shown about an endpoint. It returns the confidence before and
 // after, with the reason of a change.
-func (b *Book) Heard(dest snowjunction.DestinationID, name string, e Evidence, now time.Duration) (was, is Standing, why string) {
+func (b *Tracker) RecordCall(dest snowjunction.DestinationID, name string, e Evidence, now time.Duration) (was, is Level, why string) {
 	m := b.states[name]
 	if e == NoEvidence || b.live && m == nil {
-		return b.Standing(name), b.Standing(name), ""
+		return b.Level(name), b.Level(name), ""
 	}
 	if m == nil {
 		m = &endpointState{dest: dest, standing: b.defaultLevel(), since: now}
@@ -241,7 +241,7 @@
 	was = m.standing
 	switch {
 	case was == Refuted: // from a call sent earlier: only the directory's answer ends this state
-	case e == Elsewhere:
+	case e == OtherEndpoint:
 		b.setLevel(m, Refuted, "it answered that it is another endpoint", now)
 	case e == Answered:
 		m.fails = 0
@@ -264,7 +264,7 @@
 	return was, m.standing, m.reason
 }
 
-func (b *Book) setLevel(m *endpointState, to Standing, why string, now time.Duration) {
+func (b *Tracker) setLevel(m *endpointState, to Level, why string, now time.Duration) {
 	if m.standing == to {
 		return
 	}
@@ -277,9 +277,9 @@
 	m.standing, m.reason, m.since = to, why, now
 }
 
-// Keep retains an endpoint that a list omits: it is Doubtful, even while the directory answers,
+// Retain retains an endpoint that a list omits: it is Doubtful, even while the directory answers,
 // until a call confirms it or it is removed.
-func (b *Book) Keep(dest snowjunction.DestinationID, name, why string, now time.Duration) {
+func (b *Tracker) Retain(dest snowjunction.DestinationID, name, why string, now time.Duration) {
 	m := b.states[name]
 	if m == nil {
 		m = &endpointState{dest: dest, standing: b.defaultLevel(), since: now}
@@ -291,8 +291,8 @@
 	}
 }
 
-// Drop removes the state of an endpoint, because the directory lists it again or it is gone.
-func (b *Book) Drop(name string) {
+// Remove removes the state of an endpoint, because the directory lists it again or it is gone.
+func (b *Tracker) Remove(name string) {
 	if m := b.states[name]; m != nil {
 		if m.standing == Confirmed {
 			b.confirmed[m.dest]--
@@ -301,29 +301,29 @@
 	}
 }
 
-// Account explains the confidence in one endpoint.
-type Account struct {
-	Standing Standing
-	Source   Source
-	Since    time.Duration // when it reached this level
-	Word     time.Duration // when the directory last confirmed the list
-	Why      string
+// Explanation explains the confidence in one endpoint.
+type Explanation struct {
+	Level       Level
+	Source      Source
+	Since       time.Duration // when it reached this level
+	ConfirmedAt time.Duration // when the directory last confirmed the list
+	Reason      string
 }
 
 // Explain returns the confidence in an endpoint and its reason.
-func (b *Book) Explain(name string) Account {
-	a := Account{Standing: b.Standing(name), Source: b.source, Since: b.since, Word: b.confirmedAt}
+func (b *Tracker) Explain(name string) Explanation {
+	a := Explanation{Level: b.Level(name), Source: b.source, Since: b.since, ConfirmedAt: b.confirmedAt}
 	if m := b.states[name]; m != nil && m.reason != "" {
-		a.Since, a.Why = m.since, m.reason
+		a.Since, a.Reason = m.since, m.reason
 		return a
 	}
 	switch {
 	case b.live:
-		a.Why = "the directory lists it"
+		a.Reason = "the directory lists it"
 	case b.stale:
-		a.Why = "the list is old"
+		a.Reason = "the list is old"
 	default:
-		a.Why = "the list is young"
+		a.Reason = "the list is young"
 	}
 	return a
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -78,14 +78,14 @@
 
 // List is a target group, or the changes to one.
 type List struct {
-	Held       bool // a list is present
+	Present    bool // a list is present
 	Generation uint64
 	Full       bool
 	Targets    []core.Entry
 }
 
-// News returns the list in the core's form.
-func (l List) News() (*groups.List, error) { return groups.ListOf(l.Full, false, l.Targets) }
+// GroupList returns the list in the core's form.
+func (l List) GroupList() (*groups.List, error) { return groups.ListOf(l.Full, false, l.Targets) }
 
 // Defaults for limits that the configuration does not set.
 const (
@@ -268,7 +268,7 @@
 	if err := r.End(); err != nil {
 		return List{}, err
 	}
-	out.Held, out.Generation, out.Full = true, r.Generation, r.Full
+	out.Present, out.Generation, out.Full = true, r.Generation, r.Full
 	return out, nil
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -30,7 +30,7 @@
 	assert.Equal(t, Limits{MemoryMB: 100, Sockets: 200, DiskMB: 1.5}, c.Limits)
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), c.Settings.Seed)
 	assert.Equal(t, []string{"x0", "q"}, c.ReportColumns)
-	assert.True(t, c.InitialList.Held, "generation 0 is a valid list")
+	assert.True(t, c.InitialList.Present, "generation 0 is a valid list")
 	require.Len(t, c.InitialList.Targets, 1)
 	e := c.InitialList.Targets[0]
 	assert.Equal(t, [3]int{1, 1, 3}, [3]int{e.Zone, e.Kind, int(e.Destination)})
--- a/internal/config/directory.go
+++ b/internal/config/directory.go
@@ -26,7 +26,7 @@
 // Room returns the share of the state folder, in bytes, that is not available to the journal.
 func (d *Directory) Room() (n int64) {
 	if d.Cache {
-		n += dircache.Options{Bytes: d.CacheBytes, Generations: d.Generations}.Room()
+		n += dircache.Options{Bytes: d.CacheBytes, Generations: d.Generations}.MaxDiskBytes()
 	}
 	if d.Learn {
 		n += int64(d.LearnBytes)
@@ -51,23 +51,23 @@
 		Cache: !v.Exists("cache") || v.GetBool("cache"), CacheBytes: positiveOr(v.GetInt("cache_kb"), defaultCacheKB) << 10,
 		Generations: positiveOr(v.GetInt("generations"), defaultGenerations),
 		Learn:       !v.Exists("learn") || v.GetBool("learn"), LearnBytes: positiveOr(v.GetInt("learn_kb"), defaultLearnKB) << 10,
-		Directory: core.Directory{Belief: belief.Default(), Trust: distrust.Default()},
+		Directory: core.Directory{Confidence: belief.Default(), Plausibility: distrust.Default()},
 	}
 	for key, to := range map[string]*time.Duration{
-		"fresh_s": &d.Belief.Fresh, "silent_s": &d.Belief.Silent, "refute_after_s": &d.Belief.RefuteAfter,
-		"agree_s": &d.Trust.AgreeFor, "keep_most_s": &d.Trust.KeepMost, "recheck_s": &d.Trust.Recheck,
-		"flap_within_s": &d.Trust.FlapWithin, "flap_rest_s": &d.Trust.FlapRest,
+		"fresh_s": &d.Confidence.FreshFor, "silent_s": &d.Confidence.SilentAfter, "refute_after_s": &d.Confidence.RefuteAfter,
+		"agree_s": &d.Plausibility.AgreeFor, "keep_most_s": &d.Plausibility.MaxCollapsed, "recheck_s": &d.Plausibility.Recheck,
+		"flap_within_s": &d.Plausibility.FlapWithin, "flap_rest_s": &d.Plausibility.FlapQuiet,
 	} {
 		secondsField(v, key, to)
 	}
-	d.Belief.RefuteFails = positiveOr(v.GetInt("refute_fails"), d.Belief.RefuteFails)
-	t := &d.Trust
-	t.Keep = v.GetBool("keep_omitted")
-	t.Least, t.Agree = positiveOr(v.GetInt("least"), t.Least), positiveOr(v.GetInt("agree"), t.Agree)
+	d.Confidence.RefuteFails = positiveOr(v.GetInt("refute_fails"), d.Confidence.RefuteFails)
+	t := &d.Plausibility
+	t.RetainOmitted = v.GetBool("keep_omitted")
+	t.MinEndpoints, t.Agree = positiveOr(v.GetInt("least"), t.MinEndpoints), positiveOr(v.GetInt("agree"), t.Agree)
 	t.FlapTurns = positiveOr(v.GetInt("flap_turns"), t.FlapTurns)
-	t.LossMost, t.LossBack = positiveOr(v.GetFloat64("loss_most"), t.LossMost), positiveOr(v.GetFloat64("loss_back"), t.LossBack)
-	if t.LossBack >= t.LossMost {
-		return nil, fmt.Errorf("%s: /loss_back: %g is not under loss_most, %g: the condition would oscillate", path, t.LossBack, t.LossMost)
+	t.MaxLoss, t.RecoveredLoss = positiveOr(v.GetFloat64("loss_most"), t.MaxLoss), positiveOr(v.GetFloat64("loss_back"), t.RecoveredLoss)
+	if t.RecoveredLoss >= t.MaxLoss {
+		return nil, fmt.Errorf("%s: /loss_back: %g is not under loss_most, %g: the condition would oscillate", path, t.RecoveredLoss, t.MaxLoss)
 	}
 	return d, nil
 }
--- a/internal/config/idle.go
+++ b/internal/config/idle.go
@@ -32,13 +32,13 @@
 	}
 	d := dormancy.Default(s)
 	for key, to := range map[string]*time.Duration{
-		"sleep_after_s": &d.After, "half_life_s": &d.HalfLife, "forget_s": &d.Forget, "careful_s": &d.Careful,
+		"sleep_after_s": &d.IdleTimeout, "half_life_s": &d.HalfLife, "forget_s": &d.MaxAge, "careful_s": &d.CautiousFor,
 	} {
 		secondsField(v, key, to)
 	}
-	d.Awake = positiveOr(v.GetInt("awake_most"), d.Awake)
-	d.Memory = positiveOr(v.GetInt("memory_kb")<<10, d.Memory)
-	d.First = v.GetBool("careful_first")
+	d.MaxLoaded = positiveOr(v.GetInt("awake_most"), d.MaxLoaded)
+	d.MaxBytes = positiveOr(v.GetInt("memory_kb")<<10, d.MaxBytes)
+	d.CautiousFirst = v.GetBool("careful_first")
 	return &Idle{
 		Dormancy: d, ListBytes: positiveOr(v.GetInt("list_mb"), defaultListMB) << 20,
 		ListEntries: positiveOr(v.GetInt("list_entries"), defaultListEntries),
--- a/internal/config/partitions.go
+++ b/internal/config/partitions.go
@@ -82,7 +82,7 @@
 		return nil, nil
 	}
 	if holds != nil && holds.Partitions() == p.Partitions && holds.Copies() == p.Copies {
-		m, err = holds.With(p.Members)
+		m, err = holds.WithMembers(p.Members)
 	} else {
 		m, err = partition.New(p.Partitions, p.Copies, p.Members)
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -38,19 +38,19 @@
 	out := snowjunction.Settings{
 		Seed: seed, Fleet: v.GetInt("fleet-size"), Number: v.GetInt("my-number"), Tick: millisField(v, "quantum-ms"),
 		Zone: v.GetInt("zone"), Zones: len(v.GetArray("dcs")),
-		Slots: family.GetInt("max-calls"), Halving: stringField(family, "late") == "halving",
+		Slots: family.GetInt("max-calls"), ValueHalves: stringField(family, "late") == "halving",
 		MaxHeld: limits.GetInt("most-held"), MaxAttempts: limits.GetInt("max-attempts"),
-		OverShareWorth:   v.GetFloat64("over-share-worth"),
-		WeightsAreLimits: weights == "nominal" || weights == "rough",
-		AskForList:       stringField(v, "registry-mode") == "ask",
-		Probes:           limits.GetBool("probes"), Cancelling: limits.GetBool("cancelling"),
-		ParallelTry: limits.GetBool("parallel-tries"), RetryAfter: limits.GetBool("retry-after"),
-		MaxRetry: millisField(limits, "max-retry-after-ms"), ConnIdle: millisField(limits, "conn-idle-ms"),
+		OverQuotaValueShare: v.GetFloat64("over-share-worth"),
+		WeightsAreLimits:    weights == "nominal" || weights == "rough",
+		SubscribeToList:     stringField(v, "registry-mode") == "ask",
+		Probes:              limits.GetBool("probes"), Cancelling: limits.GetBool("cancelling"),
+		ParallelAttempts: limits.GetBool("parallel-tries"), RetryAfter: limits.GetBool("retry-after"),
+		MaxRetryAfter: millisField(limits, "max-retry-after-ms"), ConnIdle: millisField(limits, "conn-idle-ms"),
 		ConnectTimeout: millisField(limits, "connect-timeout-ms"), StreamsPerConn: limits.GetInt("streams-per-conn"),
-		AskWithin: millisField(contract, "ask-within-ms"), OrderSettle: millisField(contract, "order-settle-ms"),
+		SubscribeWithin: millisField(contract, "ask-within-ms"), OrderSettle: millisField(contract, "order-settle-ms"),
 		DrainGrace: millisField(contract, "stop-sending-within-ms"), AnswerSlack: millisField(contract, "answer-slack-ms"),
 		ColdShare: contract.GetFloat64("cold-share"), WarmUp: millisField(contract, "warm-up-ms"),
-		FallMultiple: contract.GetFloat64("fall-multiple"), FallTime: millisField(contract, "fall-ms"),
+		CollapseMultiple: contract.GetFloat64("fall-multiple"), CollapseTime: millisField(contract, "fall-ms"),
 	}
 	for _, c := range v.GetArray("classes") {
 		out.Classes = append(out.Classes, decodeClass(c))
@@ -65,7 +65,7 @@
 			k.BundleMax = max(1, bundles[i].GetInt())
 		}
 		if i < len(apart) {
-			k.RoutesApart = apart[i].GetBool()
+			k.LimitPerEndpoint = apart[i].GetBool()
 		}
 		out.Kinds = append(out.Kinds, k)
 	}
@@ -87,9 +87,9 @@
 func decodeClass(c *fastjson.Value) snowjunction.Class {
 	out := snowjunction.Class{
 		Name: stringField(c, "name"), Effect: snowjunction.Unsafe, Group: snowjunction.GroupEndpoint,
-		Window: millisField(c, "window-ms"), Aim: millisField(c, "promise-ms"), AimStretch: c.GetFloat64("aim-stretch"),
-		Deadline: millisField(c, "deadline-ms"), Worth: c.GetFloat64("importance"),
-		LateShare: c.GetFloat64("late-share"), InOrder: c.GetBool("in-order"),
+		Window: millisField(c, "window-ms"), TargetLatency: millisField(c, "promise-ms"), TargetPerWork: c.GetFloat64("aim-stretch"),
+		Deadline: millisField(c, "deadline-ms"), Value: c.GetFloat64("importance"),
+		LateValueShare: c.GetFloat64("late-share"), InOrder: c.GetBool("in-order"),
 	}
 	switch stringField(c, "semantics") {
 	case "pure":
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -26,12 +26,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Seed != 4 || s.Fleet != 3 || s.Tick != 5*time.Millisecond || s.Slots != 9 || !s.Halving || !s.Probes ||
-		s.MaxHeld != 185 || !s.WeightsAreLimits || s.FallTime != 1500*time.Millisecond ||
+	if s.Seed != 4 || s.Fleet != 3 || s.Tick != 5*time.Millisecond || s.Slots != 9 || !s.ValueHalves || !s.Probes ||
+		s.MaxHeld != 185 || !s.WeightsAreLimits || s.CollapseTime != 1500*time.Millisecond ||
 		s.OrderSettle != 250*time.Millisecond {
 		t.Errorf("settings: %+v", s)
 	}
-	if len(s.Kinds) != 2 || s.Kinds[0].BundleMax != 20 || s.Kinds[1].BundleMax != 1 || !s.Kinds[1].RoutesApart {
+	if len(s.Kinds) != 2 || s.Kinds[0].BundleMax != 20 || s.Kinds[1].BundleMax != 1 || !s.Kinds[1].LimitPerEndpoint {
 		t.Errorf("kinds: %+v", s.Kinds)
 	}
 	if s.Classes[0].Window != 10*time.Second || s.Classes[0].Group == 0 || s.Classes[1].Effect == 0 {
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -21,7 +21,7 @@
 		return
 	}
 	if c.atCapacity() {
-		c.refuse(f, c.Settings.MaxRetry/2)
+		c.refuse(f, c.Settings.MaxRetryAfter/2)
 		return
 	}
 	c.flowsByRef[f.ref()] = f
@@ -92,19 +92,19 @@
 	// deadline.
 	destination := snowjunction.DestinationID(f.msg.Destination)
 	unlisted := c.routes.loaded[destination] == nil && !c.routes.listedAnywhere(destination) && !c.routes.delisted.has(destination, c.Loop.Now())
-	if c.atCapacity() || unlisted || !c.Journal.Room(len(f.msg.Body)+len(f.msg.ID)+len(f.msg.IdempotencyKey)) {
-		c.refuse(f, c.Settings.MaxRetry/2)
+	if c.atCapacity() || unlisted || !c.Journal.HasRoom(len(f.msg.Body)+len(f.msg.ID)+len(f.msg.IdempotencyKey)) {
+		c.refuse(f, c.Settings.MaxRetryAfter/2)
 		return
 	}
 	if c.routes.loaded[destination] == nil {
-		if room, after := c.idleTracker.Room(c.elapsed()); !room { // all stored snapshots are binding
+		if room, after := c.idleTracker.HasRoom(c.elapsed()); !room { // all stored snapshots are binding
 			c.Counters.RefusedCrowded++
-			c.refuse(f, min(after, c.Settings.MaxRetry))
+			c.refuse(f, min(after, c.Settings.MaxRetryAfter))
 			return
 		}
 	}
 	if at, known := c.attemptedKeys.FirstAttempt(f.idempotencyKey(), c.elapsed()); known && f.keyed() {
-		f.msg.Ran, f.msg.RanSince = true, c.start.Add(at) // already sent under another id
+		f.msg.MayHaveRun, f.msg.MayHaveRunSince = true, c.start.Add(at) // already sent under another id
 	}
 	f.needsAdmission = true
 	c.register(f)
@@ -137,10 +137,10 @@
 	m := f.msg
 	event := snowjunction.Request{
 		ID: f.id, Destination: snowjunction.DestinationID(m.Destination), Class: c.classes[m.Class],
-		Tenant: c.tenant(m.Tenant), Key: m.Key, Again: m.Again, Attempts: m.Attempts, Ran: m.Ran,
+		Tenant: c.tenant(m.Tenant), Key: m.Key, Resubmitted: m.Resubmitted, Attempts: m.Attempts, MayHaveRun: m.MayHaveRun,
 	}
 	if f.adoptedCall != nil {
-		event.OutOn = c.adopt(f)
+		event.OpenEndpoint = c.adopt(f)
 	}
 	c.queueEvent(event)
 }
@@ -157,14 +157,14 @@
 			continue
 		}
 		request.Deadline = f.msg.Deadline.Sub(now)
-		if f.msg.Ran {
+		if f.msg.MayHaveRun {
 			// A negative time means that the clock was set back: the true time is unknown.
-			if request.RanFor = now.Sub(f.msg.RanSince); request.RanFor < 0 {
-				request.RanFor = f.class.Window
+			if request.SinceRun = now.Sub(f.msg.MayHaveRunSince); request.SinceRun < 0 {
+				request.SinceRun = f.class.Window
 			}
 		}
-		if request.OutOn != 0 && f.attempt != nil {
-			request.OutFor = now.Sub(f.attempt.startedAt)
+		if request.OpenEndpoint != 0 && f.attempt != nil {
+			request.OpenFor = now.Sub(f.attempt.startedAt)
 		}
 		events[i] = request
 	}
@@ -187,14 +187,14 @@
 		classes[cl.Name] = cl
 	}
 	return func(m *store.Message) (until time.Time) {
-		class, since := classes[m.Class], m.RanSince
-		if !m.Ran {
-			since = m.OutSince
+		class, since := classes[m.Class], m.MayHaveRunSince
+		if !m.MayHaveRun {
+			since = m.InFlightSince
 		}
 		if class.Effect == snowjunction.Keyed && m.IdempotencyKey != "" {
 			until = since.Add(class.Window + windowSlack)
 		}
-		if holdEnd := m.OutSince.Add(class.Deadline); class.InOrder && m.Key != 0 && !attemptsOver(m) && holdEnd.After(until) {
+		if holdEnd := m.InFlightSince.Add(class.Deadline); class.InOrder && m.Key != 0 && !attemptsOver(m) && holdEnd.After(until) {
 			until = holdEnd
 		}
 		return until
@@ -205,11 +205,11 @@
 // answered.
 func attemptsOver(m *store.Message) bool { return m.State == store.Delivered && m.Attempts == 1 }
 
-// Remember restores settled messages of a previous process that may have run. A resubmission stays
+// RestoreSettled restores settled messages of a previous process that may have run. A resubmission stays
 // within the first one's window, and the ordering key is held while an attempt may still be
 // running. It must be called before Restore.
-func (c *Core) Remember(messages []*store.Message) {
-	slices.SortStableFunc(messages, func(a, b *store.Message) int { return a.RanSince.Compare(b.RanSince) })
+func (c *Core) RestoreSettled(messages []*store.Message) {
+	slices.SortStableFunc(messages, func(a, b *store.Message) int { return a.MayHaveRunSince.Compare(b.MayHaveRunSince) })
 	for _, m := range messages {
 		classIndex, known := c.classes[m.Class]
 		if !known {
@@ -217,7 +217,7 @@
 		}
 		class := &c.Settings.Classes[classIndex]
 		c.rememberRun(&flow{msg: m, class: class})
-		if !attemptsOver(m) && c.Loop.Now().Sub(m.OutSince) < class.Deadline {
+		if !attemptsOver(m) && c.Loop.Now().Sub(m.InFlightSince) < class.Deadline {
 			c.holdKey(class, m.Key)
 		}
 	}
@@ -228,7 +228,7 @@
 // nothing is sent with its key, and remembered for another window, in which the client may
 // resubmit.
 func (c *Core) rememberRun(f *flow) {
-	at, window := f.msg.RanSince.Sub(c.start), f.class.Window
+	at, window := f.msg.MayHaveRunSince.Sub(c.start), f.class.Window
 	if now := c.elapsed(); at > now {
 		at, window = now-window, 2*window
 	}
@@ -242,7 +242,7 @@
 // have ended just now with one in flight.
 func (c *Core) holdKey(class *snowjunction.Class, key uint64) {
 	if class.InOrder && key != 0 {
-		c.queueEvent(snowjunction.Rests{Key: key, For: c.Settings.OrderSettle})
+		c.queueEvent(snowjunction.KeySettling{Key: key, For: c.Settings.OrderSettle})
 	}
 }
 
@@ -268,12 +268,12 @@
 func (c *Core) Restore(messages []*store.Message) {
 	for _, m := range messages {
 		classIndex, known := c.classes[m.Class]
-		if known && m.Ran { // its window continues, whatever its state
+		if known && m.MayHaveRun { // its window continues, whatever its state
 			c.rememberRun(&flow{msg: m, class: &c.Settings.Classes[classIndex]})
 			// The clock was set back. RanSince may have passed by the time the module sees the message;
 			// its window would then seem to have just begun.
-			if now := c.Loop.Now(); m.RanSince.After(now) {
-				m.RanSince = now.Add(-c.Settings.Classes[classIndex].Window)
+			if now := c.Loop.Now(); m.MayHaveRunSince.After(now) {
+				m.MayHaveRunSince = now.Add(-c.Settings.Classes[classIndex].Window)
 			}
 			if _, inFlight := c.adoptedCalls[m.Seq]; !inFlight && !m.Settled {
 				c.holdKey(&c.Settings.Classes[classIndex], m.Key)
@@ -286,13 +286,13 @@
 		case m.State == store.Open && known:
 			c.Counters.Restored++
 			f := &flow{msg: m, class: &c.Settings.Classes[classIndex], untried: m.Attempts == 0}
-			if first := c.endedBefore[f.idempotencyKey()]; first != nil && f.keyed() && !m.Ran {
-				c.markRanUnderOtherID(f, first.RanSince)
+			if first := c.endedBefore[f.idempotencyKey()]; first != nil && f.keyed() && !m.MayHaveRun {
+				c.markRanUnderOtherID(f, first.MayHaveRunSince)
 			}
 			if f.untried {
 				c.Counters.RestoredUntried++
 			}
-			if call, ok := c.adoptedCalls[m.Seq]; ok && m.Out {
+			if call, ok := c.adoptedCalls[m.Seq]; ok && m.InFlight {
 				f.adoptedCall = &call
 				delete(c.adoptedCalls, m.Seq)
 			}
@@ -331,16 +331,16 @@
 		return true
 	}
 	f.answer = nil
-	if err := c.Journal.Take(f.msg); err != nil {
+	if err := c.Journal.Accept(f.msg); err != nil {
 		c.Log.Error("message not accepted: journal write failed", "id", f.msg.ID, "err", err)
 		c.Counters.Refused++
 		c.tallyOf(f).refused++
-		answer(Answer{Verdict: Fixed, After: c.Settings.MaxRetry / 2}, nil)
+		answer(Answer{Verdict: FixedResponse, RetryAfter: c.Settings.MaxRetryAfter / 2}, nil)
 		c.withdraw(f)
 		return false
 	}
-	c.Counters.Taken++
-	if !answer(Answer{Verdict: Taken}, f.msg) {
+	c.Counters.Accepted++
+	if !answer(Answer{Verdict: Accepted}, f.msg) {
 		c.Counters.ClientGone++
 		c.withdraw(f)
 		c.finish(f, store.Withdrawn, 0)
@@ -364,7 +364,7 @@
 		delete(c.flowsByRef, f.ref())
 	}
 	if f.answer != nil {
-		f.answer(Answer{Verdict: Fixed, After: retryAfter}, nil)
+		f.answer(Answer{Verdict: FixedResponse, RetryAfter: retryAfter}, nil)
 		f.answer = nil
 	}
 }
--- a/internal/core/belief.go
+++ b/internal/core/belief.go
@@ -15,53 +15,53 @@
 
 // Directory holds the bounds within which a front's directory and its list are trusted.
 type Directory struct {
-	Belief belief.Config
-	Trust  distrust.Config
+	Confidence   belief.Config
+	Plausibility distrust.Config
 }
 
 // directory is the trust state of one front's directory.
 type directory struct {
-	confidence  *belief.Book
+	confidence  *belief.Tracker
 	reviewTimer *Timer // fires when elapsed time may change the confidence
 
-	plausibility   *distrust.Judge
+	plausibility   *distrust.Checker
 	conditionTimer *Timer          // fires when elapsed time may end a condition
 	retained       map[string]bool // endpoints kept although an implausible list omits them
 	unconfirmed    map[string]bool // endpoints added while the directory was flapping
 }
 
-// Begin sets the list that a front starts with. age is the time since the directory last confirmed
+// SetInitialList sets the list that a front starts with. age is the time since the directory last confirmed
 // it; a negative age means unknown.
-func (c *Core) Begin(front int, list *groups.List, source belief.Source, age time.Duration) error {
+func (c *Core) SetInitialList(front int, list *groups.List, source belief.Source, age time.Duration) error {
 	if d := c.directories[front]; d != nil {
-		d.confidence.Begin(source, age, c.elapsed())
+		d.confidence.Start(source, age, c.elapsed())
 	}
-	if err := c.Listed(front, list); err != nil {
+	if err := c.UpdateList(front, list); err != nil {
 		return err
 	}
 	c.reviewConfidence(front)
 	return nil
 }
 
-// Spoken records that a front's directory confirms the current list. This overrides all evidence
+// DirectoryConfirmed records that a front's directory confirms the current list. This overrides all evidence
 // from calls.
-func (c *Core) Spoken(front int) {
+func (c *Core) DirectoryConfirmed(front int) {
 	d := c.directories[front]
 	if d == nil {
 		return
 	}
 	defer c.resume()
-	before, confirmedAt := d.confidence.Source(), d.confidence.Word()
-	if d.confidence.Spoken(c.elapsed()) {
+	before, confirmedAt := d.confidence.Source(), d.confidence.ConfirmedAt()
+	if d.confidence.DirectoryConfirmed(c.elapsed()) {
 		c.Log.Info("belief", "of", "directory", "is", "live", "was", before.String(), "list_age", (c.elapsed() - confirmedAt).Round(time.Second), "why", "the directory answered")
 		c.republish(front)
 	}
 	c.reviewConfidence(front)
 }
 
-// Moved records that a front has switched to another directory agent.
-func (c *Core) Moved(front int) {
-	if d := c.directories[front]; d != nil && d.confidence.Moved(c.elapsed()) {
+// DirectoryAgentChanged records that a front has switched to another directory agent.
+func (c *Core) DirectoryAgentChanged(front int) {
+	if d := c.directories[front]; d != nil && d.confidence.DirectoryChanged(c.elapsed()) {
 		c.Log.Info("belief", "of", "directory", "is", "silent", "was", "live", "why", "switched to another directory agent")
 		c.republish(front)
 		c.reviewConfidence(front)
@@ -71,7 +71,7 @@
 // reviewConfidence applies changes due to elapsed time and schedules the next review.
 func (c *Core) reviewConfidence(front int) {
 	d := c.directories[front]
-	change, again := d.confidence.Look(c.elapsed())
+	change, again := d.confidence.Advance(c.elapsed())
 	switch change {
 	case belief.Silent:
 		c.Log.Warn("belief", "of", "directory", "is", "silent", "was", "live", "why", "the directory has not answered for too long")
@@ -101,11 +101,11 @@
 }
 
 // confidenceIn returns the confidence in an endpoint of a front.
-func (c *Core) confidenceIn(front int, name string) belief.Standing {
+func (c *Core) confidenceIn(front int, name string) belief.Level {
 	if d := c.directories[front]; d != nil {
-		return d.confidence.Standing(name)
+		return d.confidence.Level(name)
 	}
-	return belief.Told
+	return belief.Listed
 }
 
 // updateConfidence updates an endpoint's confidence and returns the module's view of it if that has
@@ -126,10 +126,10 @@
 		return
 	}
 	e := belief.EvidenceOf(r.Outcome)
-	if r.Elsewhere {
-		e = belief.Elsewhere
+	if r.WrongEndpoint {
+		e = belief.OtherEndpoint
 	}
-	before, after, why := c.directories[l.front].confidence.Heard(l.Destination, l.Name, e, c.elapsed())
+	before, after, why := c.directories[l.front].confidence.RecordCall(l.Destination, l.Name, e, c.elapsed())
 	if before == after {
 		return
 	}
@@ -141,8 +141,8 @@
 	c.queueEndpoints(c.updateConfidence(l))
 }
 
-// Believed is the confidence in one endpoint, with the reason.
-type Believed struct {
+// EndpointConfidence is the confidence in one endpoint, with the reason.
+type EndpointConfidence struct {
 	Name        string  `json:"instanceId"`
 	Addr        string  `json:"hostPort"`
 	Destination uint32  `json:"cell"`
@@ -154,22 +154,22 @@
 	Why         string  `json:"why"`
 }
 
-// Beliefs returns the confidence in up to limit endpoints of a front, and the total number of
+// EndpointConfidences returns the confidence in up to limit endpoints of a front, and the total number of
 // endpoints.
-func (c *Core) Beliefs(front, limit int) (out []Believed, total int) {
+func (c *Core) EndpointConfidences(front, limit int) (out []EndpointConfidence, total int) {
 	d, now := c.directories[front], c.elapsed()
 	if d == nil {
 		return nil, 0
 	}
 	table := c.routes.tables[front]
-	for e := range table.From(0) {
+	for e := range table.EntriesFrom(0) {
 		if len(out) >= limit {
 			break
 		}
 		a := d.confidence.Explain(e.Name)
-		x := Believed{
-			Name: e.Name, Addr: e.Addr, Destination: uint32(e.Destination), Lifecycle: "Ready", Standing: a.Standing.String(),
-			Source: a.Source.String(), WordAgeS: (now - a.Word).Seconds(), SinceS: (now - a.Since).Seconds(), Why: a.Why,
+		x := EndpointConfidence{
+			Name: e.Name, Addr: e.Addr, Destination: uint32(e.Destination), Lifecycle: "Ready", Standing: a.Level.String(),
+			Source: a.Source.String(), WordAgeS: (now - a.ConfirmedAt).Seconds(), SinceS: (now - a.Since).Seconds(), Why: a.Reason,
 		}
 		if e.Phase != snowjunction.Ready {
 			x.Lifecycle, x.Standing, x.Why = "Terminating", "told", "the directory names it as draining"
@@ -183,15 +183,15 @@
 // loop's next turn.
 func (c *Core) Table(front int) *groups.Table { return c.routes.tables[front] }
 
-// Awake reports whether a destination is loaded in the module.
-func (c *Core) Awake(d snowjunction.DestinationID) bool { return c.routes.loaded[d] != nil }
+// Loaded reports whether a destination is loaded in the module.
+func (c *Core) Loaded(d snowjunction.DestinationID) bool { return c.routes.loaded[d] != nil }
 
-// Word returns the source of a front's list, the time since the directory last confirmed it, and
+// ListStatus returns the source of a front's list, the time since the directory last confirmed it, and
 // whether the directory is live.
-func (c *Core) Word(front int) (s belief.Source, age time.Duration, live bool) {
+func (c *Core) ListStatus(front int) (s belief.Source, age time.Duration, live bool) {
 	d := c.directories[front]
 	if d == nil {
 		return belief.Live, 0, true
 	}
-	return d.confidence.Source(), c.elapsed() - d.confidence.Word(), d.confidence.Live()
+	return d.confidence.Source(), c.elapsed() - d.confidence.ConfirmedAt(), d.confidence.Live()
 }
--- a/internal/core/book.go
+++ b/internal/core/book.go
@@ -12,7 +12,7 @@
 type Counters struct {
 	In                   uint64 // well-formed messages received
 	Malformed            uint64 // requests answered with an error
-	Taken                uint64 // accepted
+	Accepted             uint64 // accepted
 	Refused              uint64 // fixed responses
 	RefusedByPlugin      uint64 // refused by a plug-in
 	RefusedCrowded       uint64 // refused because too many destinations are loaded or have binding state
@@ -32,14 +32,14 @@
 	Returned             uint64
 	PeerMessagesSent     uint64 // messages sent to the fleet
 	PeerMessagesReceived uint64 // messages received from other couriers
-	Unread               uint64 // messages from other couriers that could not be decoded
+	PeerMessagesInvalid  uint64 // messages from other couriers that could not be decoded
 	Forwarded            uint64 // messages answered by another courier
 	ForwardedBytes       uint64 // of commands sent to other couriers
 	Moved                uint64 // messages of other couriers whose list is not held here
-	Vain                 uint64 // forwarding attempts that certainly had no effect
-	Unknown              uint64 // forwarded messages with an unknown result
+	ForwardFailed        uint64 // forwarding attempts that certainly had no effect
+	ForwardUnknown       uint64 // forwarded messages with an unknown result
 	Unrouted             uint64 // messages refused because no responsible courier was reachable
-	Results              [snowjunction.Moot + 1]uint64
+	Results              [snowjunction.NotSent + 1]uint64
 
 	lastFlow uint32
 }
@@ -55,15 +55,15 @@
 // LogValue returns the counters as log attributes.
 func (n *Counters) LogValue() slog.Value {
 	attrs := []slog.Attr{
-		slog.Uint64("in", n.In), slog.Uint64("malformed", n.Malformed), slog.Uint64("taken", n.Taken),
+		slog.Uint64("in", n.In), slog.Uint64("malformed", n.Malformed), slog.Uint64("taken", n.Accepted),
 		slog.Uint64("refused", n.Refused), slog.Uint64("hooked", n.RefusedByPlugin), slog.Uint64("crowded", n.RefusedCrowded), slog.Uint64("gone", n.ClientGone),
 		slog.Uint64("restored", n.Restored), slog.Uint64("sent", n.Sent), slog.Uint64("unsent", n.Unsent),
 		slog.Uint64("late", n.Late), slog.Uint64("delivered", n.Delivered),
 		slog.Uint64("withdrawn", n.Withdrawn), slog.Uint64("failed", n.Failed),
-		slog.Uint64("returned", n.Returned), slog.Uint64("told", n.PeerMessagesSent), slog.Uint64("noted", n.PeerMessagesReceived), slog.Uint64("unread", n.Unread),
+		slog.Uint64("returned", n.Returned), slog.Uint64("told", n.PeerMessagesSent), slog.Uint64("noted", n.PeerMessagesReceived), slog.Uint64("unread", n.PeerMessagesInvalid),
 		slog.Uint64("overdue", n.Overdue),
-		slog.Uint64("forwarded", n.Forwarded), slog.Uint64("forwarded_bytes", n.ForwardedBytes), slog.Uint64("moved", n.Moved), slog.Uint64("in_vain", n.Vain),
-		slog.Uint64("unknown", n.Unknown), slog.Uint64("unrouted", n.Unrouted),
+		slog.Uint64("forwarded", n.Forwarded), slog.Uint64("forwarded_bytes", n.ForwardedBytes), slog.Uint64("moved", n.Moved), slog.Uint64("in_vain", n.ForwardFailed),
+		slog.Uint64("unknown", n.ForwardUnknown), slog.Uint64("unrouted", n.Unrouted),
 		slog.Uint64("untried", n.RestoredUntried), slog.Uint64("tried", n.UntriedAttempted), slog.Uint64("given_up", n.UntriedAbandoned),
 	}
 	for o, count := range n.Results {
@@ -93,7 +93,7 @@
 	if state == store.Returned {
 		c.Counters.Refused++
 		c.tallyOf(f).refused++
-		answer(Answer{Verdict: Fixed, After: retryAfter}, nil)
+		answer(Answer{Verdict: FixedResponse, RetryAfter: retryAfter}, nil)
 	} else {
 		c.Counters.Failed++
 		c.tallyOf(f).failed++
@@ -106,7 +106,7 @@
 	if !f.ended && f.id != 0 {
 		c.closeFlow(f)
 	}
-	if err := c.Journal.Ended(f.msg, state, retryAfter, c.Loop.Now()); err != nil {
+	if err := c.Journal.RecordFinalState(f.msg, state, retryAfter, c.Loop.Now()); err != nil {
 		c.Log.Error("journal", "err", err)
 	}
 	switch state {
@@ -192,9 +192,9 @@
 type Deletion int
 
 const (
-	NotOpen Deletion = iota // no such message is open
-	Out                     // an attempt is in flight; the message may still be delivered
-	Deleted                 // the end is in the journal; nothing more is sent
+	NotOpen  Deletion = iota // no such message is open
+	InFlight                 // an attempt is in flight; the message may still be delivered
+	Deleted                  // the end is in the journal; nothing more is sent
 )
 
 // Delete ends a message of a front at its sender's request, unless an attempt is in flight. An
@@ -206,7 +206,7 @@
 	case f == nil || f.ended || f.answer != nil || f.id == 0:
 		return NotOpen
 	case f.attempt != nil:
-		return Out
+		return InFlight
 	}
 	c.withdraw(f)
 	c.finish(f, store.Deleted, 0)
--- a/internal/core/capacity_test.go
+++ b/internal/core/capacity_test.go
@@ -19,11 +19,11 @@
 	gauge.Held(b, n, "event", func() any {
 		x := newHarnessWith(&harness{t: b, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, journalBytes: 1 << 30}, func(s *snowjunction.Settings) {
 			s.MaxHeld, s.Slots = 0, 1
-			s.Classes[0].Aim, s.Classes[0].Deadline = time.Hour, 2*time.Hour
+			s.Classes[0].TargetLatency, s.Classes[0].Deadline = time.Hour, 2*time.Hour
 		})
 		for i := range n {
 			id := fmt.Sprintf("%016x", i)
-			err := x.c.TakeIn(Request{ID: id, Class: "order", Key: uint64(i + 1), IdempotencyKey: id, Destination: 7, Left: time.Hour, Body: make([]byte, 256)},
+			err := x.c.Submit(Request{ID: id, Class: "order", Key: uint64(i + 1), IdempotencyKey: id, Destination: 7, TimeLeft: time.Hour, Body: make([]byte, 256)},
 				func(Answer, *store.Message) bool { return true })
 			if err != nil {
 				b.Fatal(err)
@@ -57,7 +57,7 @@
 						b.Fatal(err)
 					}
 				}
-				if err := x.c.Listed(0, l); err != nil {
+				if err := x.c.UpdateList(0, l); err != nil {
 					b.Fatal(err)
 				}
 				var s runtime.MemStats
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -34,21 +34,21 @@
 
 // Journal stores accepted messages and their progress.
 type Journal interface {
-	// Room reports whether a message with this many bytes of text and body fits.
-	Room(bytes int) bool
-	// Take records an accepted message and assigns its sequence number.
-	Take(m *store.Message) error
-	// Sent records that an attempt is about to be sent.
-	Sent(m *store.Message, at time.Time) error
-	// Came records the outcome of the attempt in flight. left is the time of its first byte, or
+	// HasRoom reports whether a message with this many bytes of text and body fits.
+	HasRoom(bytes int) bool
+	// Accept records an accepted message and assigns its sequence number.
+	Accept(m *store.Message) error
+	// RecordAttempt records that an attempt is about to be sent.
+	RecordAttempt(m *store.Message, at time.Time) error
+	// RecordOutcome records the outcome of the attempt in flight. left is the time of its first byte, or
 	// zero if none was sent.
-	Came(m *store.Message, mayHaveRun bool, left time.Time) error
-	// Ended records a message's final result.
-	Ended(m *store.Message, s store.State, after time.Duration, at time.Time) error
+	RecordOutcome(m *store.Message, mayHaveRun bool, left time.Time) error
+	// RecordFinalState records a message's final result.
+	RecordFinalState(m *store.Message, s store.State, after time.Duration, at time.Time) error
 	// Settle records that the sender knows the final result.
 	Settle(m *store.Message) error
-	// Copy records a message again after it has changed because of another message.
-	Copy(m *store.Message) error
+	// Rewrite records a message again after it has changed because of another message.
+	Rewrite(m *store.Message) error
 	// Written returns how much this process has written.
 	Written() store.Written
 }
@@ -73,16 +73,16 @@
 	Shape(m *store.Message, to Entry, done func(Shape)) bool
 	// Read interprets an answer.
 	Read(m *store.Message, to Entry, r Result, done func(Result)) bool
-	// Reads reports whether any plug-in interprets answers to a message.
-	Reads(m *store.Message) bool
+	// ReadsAnswers reports whether any plug-in interprets answers to a message.
+	ReadsAnswers(m *store.Message) bool
 	// Ended notifies the plug-ins of a final result.
 	Ended(m *store.Message)
 }
 
 // Fleet sends to the other couriers of the fleet.
 type Fleet interface {
-	// Tell sends peer messages to the courier with the given number. Delivery is best effort.
-	Tell(peer int, notes []snowjunction.Note)
+	// Send sends peer messages to the courier with the given number. Delivery is best effort.
+	Send(peer int, notes []snowjunction.PeerMessage)
 }
 
 // Shape holds additions to a request. They have been validated.
@@ -91,7 +91,7 @@
 	Suffix, Query string // appended to the path and the query
 	Body          []byte // replaces the message's body if HasBody is set
 	HasBody       bool
-	Whole         bool // buffer the whole answer before interpreting it, unless it takes too long
+	BufferAnswer  bool // buffer the whole answer before interpreting it, unless it takes too long
 }
 
 // HeaderField is one header field of a request or an answer.
@@ -99,25 +99,25 @@
 
 // Config configures a Core.
 type Config struct {
-	Loop     *Loop
-	Log      *slog.Logger
-	Journal  Journal
-	Settings snowjunction.Settings
-	Plugins  Plugins // nil means none
-	Fronts   []Front
-	Dormancy *dormancy.Config // nil means the defaults
-	Beyond   Beyond           // nil keeps snapshots in memory only
-	Learnt   Learnt           // nil means that learned state is lost when the process ends
+	Loop          *Loop
+	Log           *slog.Logger
+	Journal       Journal
+	Settings      snowjunction.Settings
+	Plugins       Plugins // nil means none
+	Fronts        []Front
+	Dormancy      *dormancy.Config // nil means the defaults
+	SnapshotStore SnapshotStore    // nil keeps snapshots in memory only
+	LearnedStore  LearnedStore     // nil means that learned state is lost when the process ends
 	// Directories holds the trust bounds by front number. The lists of fronts without an entry are
 	// always trusted.
 	Directories map[int]Directory
 	// ListedShare returns the share of all destinations that a front lists, greater than 0. Nil
 	// means that each front lists all.
-	ListedShare func(front int) float64
-	Fleet       Fleet           // nil if the courier runs alone
-	ParkMost    time.Duration   // maximum age of a send decision on execution; 0 means 50 ms
-	Exclusions  Exclusions      // nil means that operators cannot exclude endpoints
-	Heard       func(front int) // if not nil, called when a front's list changes or is confirmed
+	ListedShare    func(front int) float64
+	Fleet          Fleet           // nil if the courier runs alone
+	MaxDecisionAge time.Duration   // maximum age of a send decision on execution; 0 means 50 ms
+	Exclusions     Exclusions      // nil means that operators cannot exclude endpoints
+	OnListChange   func(front int) // if not nil, called when a front's list changes or is confirmed
 }
 
 // Core owns the decision module, the flows and the target groups.
@@ -150,7 +150,7 @@
 	pendingExclusions     map[string]*pendingExclusion // by endpoint name
 	unwrittenExclusions   int                          // exclusion changes that are not on disk yet
 	paused                bool                         // the first decisions wait until the directory confirms its list
-	idleTracker           *dormancy.Book
+	idleTracker           *dormancy.Tracker
 	updates               listUpdates
 	directories           []*directory // by front; nil means that its list is always trusted
 	picker                *learnt.Picker
@@ -190,7 +190,7 @@
 			c.Window = max(c.Window-windowSlack, 0)
 		}
 	}
-	cfg.ParkMost = cmp.Or(cfg.ParkMost, maxDecisionAge)
+	cfg.MaxDecisionAge = cmp.Or(cfg.MaxDecisionAge, maxDecisionAge)
 	// No front sends probes: the module would wait forever for the result of one and send nothing
 	// to the endpoint meanwhile. With probes disabled a message serves as the trial call.
 	cfg.Settings.Probes = false
@@ -212,7 +212,7 @@
 		directories: make([]*directory, len(cfg.Fronts)), exclusionSet: exclusions.New(cfg.Settings.WarmUp), pendingExclusions: map[string]*pendingExclusion{},
 	}
 	for front, d := range cfg.Directories {
-		c.directories[front] = &directory{confidence: belief.New(d.Belief), plausibility: distrust.New(d.Trust)}
+		c.directories[front] = &directory{confidence: belief.New(d.Confidence), plausibility: distrust.New(d.Plausibility)}
 	}
 	for i, cl := range cfg.Settings.Classes {
 		c.classes[cl.Name] = i
@@ -272,10 +272,10 @@
 	c.acceptAdmitted()
 }
 
-// Noted handles messages from the courier with the given number.
-func (c *Core) Noted(peer int, notes []snowjunction.Note) {
+// ReceivePeerMessages handles messages from the courier with the given number.
+func (c *Core) ReceivePeerMessages(peer int, notes []snowjunction.PeerMessage) {
 	c.Counters.PeerMessagesReceived++
-	c.queueEvent(snowjunction.Heard{Peer: peer, Notes: notes})
+	c.queueEvent(snowjunction.PeerMessagesReceived{Peer: peer, Messages: notes})
 }
 
 func (c *Core) execute(action snowjunction.Action) {
@@ -296,14 +296,14 @@
 		}
 	case snowjunction.Log:
 		c.Log.Info("decision", "text", action.Text)
-	case snowjunction.Asleep:
+	case snowjunction.Unloaded:
 		c.unloaded(action)
-	case snowjunction.Seen:
+	case snowjunction.Inspected:
 		c.receiveSnapshot(action)
-	case snowjunction.Tell:
+	case snowjunction.SendPeerMessages:
 		if c.Fleet != nil {
 			c.Counters.PeerMessagesSent++
-			c.Fleet.Tell(action.Peer, action.Notes)
+			c.Fleet.Send(action.Peer, action.Messages)
 		}
 	case snowjunction.Watch: // fronts watch their lists on their own
 	default:
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -35,8 +35,8 @@
 	leftTargets  int  // targets that have left their groups
 	targets      []Entry
 	dormancy     *dormancy.Config
-	beyond       Beyond
-	learnt       Learnt
+	beyond       SnapshotStore
+	learnt       LearnedStore
 	directories  map[int]Directory
 	plugins      Plugins
 	journalDir   string
@@ -60,15 +60,15 @@
 // connect simulates that the call's connection is up. The call is sent if that is still allowed.
 func (x *testCall) connect() bool {
 	if x.sent = x.mayStart(); x.sent {
-		assert.True(x.b.t, x.m.Out, "an attempt is recorded before it is sent")
+		assert.True(x.b.t, x.m.InFlight, "an attempt is recorded before it is sent")
 	}
 	return x.sent
 }
 
-func (x *testCall) Left() bool { return x.sent }
+func (x *testCall) Sent() bool { return x.sent }
 func (x *testCall) GiveUp()    { x.abandoned = true }
 
-func (x *testCall) Kept() time.Duration { return x.idleFor }
+func (x *testCall) IdleBefore() time.Duration { return x.idleFor }
 
 type testTarget struct {
 	b    *harness
@@ -84,7 +84,7 @@
 	return call
 }
 func (x testTarget) CloseIdle() {}
-func (x testTarget) Leave()     { x.b.leftTargets++ }
+func (x testTarget) Retire()    { x.b.leftTargets++ }
 
 func (b *harness) Target(e Entry) Target {
 	b.targets = append(b.targets, e)
@@ -110,22 +110,22 @@
 		b.journalDir = t.TempDir()
 	}
 	s := snowjunction.Settings{
-		Seed: 1, Fleet: 1, Tick: 5 * ms, Slots: 8, MaxHeld: 10, MaxAttempts: 6, RetryAfter: true, MaxRetry: 3 * time.Second,
+		Seed: 1, Fleet: 1, Tick: 5 * ms, Slots: 8, MaxHeld: 10, MaxAttempts: 6, RetryAfter: true, MaxRetryAfter: 3 * time.Second,
 		ConnectTimeout: time.Second, OrderSettle: 100 * ms, Kinds: []snowjunction.Kind{{BundleMax: 1}},
 		Classes: []snowjunction.Class{
-			{Name: "order", Effect: snowjunction.Keyed, Window: 5 * time.Second, Aim: time.Second, Deadline: 20 * time.Second, Worth: 1, InOrder: true},
-			{Name: "status", Aim: time.Second, Deadline: 8 * time.Second, Worth: 2},
+			{Name: "order", Effect: snowjunction.Keyed, Window: 5 * time.Second, TargetLatency: time.Second, Deadline: 20 * time.Second, Value: 1, InOrder: true},
+			{Name: "status", TargetLatency: time.Second, Deadline: 8 * time.Second, Value: 2},
 		},
 	}
 	if change != nil {
 		change(&s)
 	}
-	b.journal, b.restored, err = store.Load(store.Options{Dir: b.journalDir, Bytes: cmp.Or(b.journalBytes, 3e6), Log: log, Goes: b.resumes, Until: Until(s)})
+	b.journal, b.restored, err = store.Load(store.Options{Dir: b.journalDir, Bytes: cmp.Or(b.journalBytes, 3e6), Log: log, StillInFlight: b.resumes, RememberUntil: Until(s)})
 	require.NoError(t, err)
 	t.Cleanup(func() { b.journal.Close() })
 	b.c, err = New(Config{
-		Loop: NewLoop(func() time.Time { return b.now }), Log: log, Journal: b.journal, Settings: s, Fronts: []Front{b, b}, Dormancy: b.dormancy, Beyond: b.beyond, Plugins: b.plugins,
-		Learnt: b.learnt, Directories: b.directories,
+		Loop: NewLoop(func() time.Time { return b.now }), Log: log, Journal: b.journal, Settings: s, Fronts: []Front{b, b}, Dormancy: b.dormancy, SnapshotStore: b.beyond, Plugins: b.plugins,
+		LearnedStore: b.learnt, Directories: b.directories,
 	})
 	require.NoError(t, err)
 	if !b.emptyList {
@@ -142,7 +142,7 @@
 func (b *harness) listed(front int, full bool, entries ...Entry) {
 	l, err := groups.ListOf(full, false, entries)
 	require.NoError(b.t, err)
-	require.NoError(b.t, b.c.Listed(front, l))
+	require.NoError(b.t, b.c.UpdateList(front, l))
 }
 
 func full(entries ...Entry) *groups.List {
@@ -154,7 +154,7 @@
 }
 
 // standing returns the confidence in an endpoint of the first front.
-func (b *harness) standing(name string) belief.Standing { return b.c.confidenceIn(0, name) }
+func (b *harness) standing(name string) belief.Level { return b.c.confidenceIn(0, name) }
 
 func (b *harness) advance(d time.Duration) {
 	b.c.Loop.Turn()
@@ -165,7 +165,7 @@
 // submit submits a message and returns the slice that receives its answers.
 func (b *harness) submit(id, class string, key uint64) *[]Answer {
 	got := &[]Answer{}
-	err := b.c.TakeIn(Request{ID: id, Class: class, Key: key, IdempotencyKey: id, Destination: 7, Left: 2 * time.Second},
+	err := b.c.Submit(Request{ID: id, Class: class, Key: key, IdempotencyKey: id, Destination: 7, TimeLeft: 2 * time.Second},
 		func(a Answer, _ *store.Message) bool {
 			*got = append(*got, a)
 			return true
@@ -179,7 +179,7 @@
 	got := b.submit("m1", "status", 0)
 	assert.Empty(t, *got, "no answer before the module's decision")
 	b.advance(5 * ms)
-	assert.Equal(t, []Answer{{Verdict: Taken}}, *got)
+	assert.Equal(t, []Answer{{Verdict: Accepted}}, *got)
 	require.Len(t, b.calls, 1)
 	b.calls[0].done(Result{Outcome: snowjunction.OK})
 	b.calls[0].done(Result{Outcome: snowjunction.Error}) // a second result is ignored
@@ -196,7 +196,7 @@
 	b.advance(5 * ms)
 	second := b.submit("m1", "status", 0)
 	b.advance(5 * ms)
-	assert.Equal(t, []Answer{{Verdict: Taken}}, *second)
+	assert.Equal(t, []Answer{{Verdict: Accepted}}, *second)
 	assert.Len(t, b.calls, 1)
 }
 
@@ -205,8 +205,8 @@
 	b := newHarness(t, nil)
 	first, other := b.submit("m1", "status", 0), b.submit("m1", "status", 0)
 	b.advance(5 * ms)
-	assert.Equal(t, []Answer{{Verdict: Taken}}, *first)
-	assert.Equal(t, []Answer{{Verdict: Taken}}, *other)
+	assert.Equal(t, []Answer{{Verdict: Accepted}}, *first)
+	assert.Equal(t, []Answer{{Verdict: Accepted}}, *other)
 	assert.Len(t, b.calls, 1)
 }
 
@@ -219,16 +219,16 @@
 		got = append(got, a)
 		return true
 	}
-	r := Request{ID: "m1", Class: "status", Destination: 8, Left: time.Second}
-	require.NoError(t, b.c.TakeIn(r, answer))
+	r := Request{ID: "m1", Class: "status", Destination: 8, TimeLeft: time.Second}
+	require.NoError(t, b.c.Submit(r, answer))
 	require.Len(t, got, 1)
-	assert.Equal(t, Fixed, got[0].Verdict)
+	assert.Equal(t, FixedResponse, got[0].Verdict)
 	b.list(snowjunction.Gone, false)
 	r.ID, r.Destination = "m2", 7
-	require.NoError(t, b.c.TakeIn(r, answer))
+	require.NoError(t, b.c.Submit(r, answer))
 	b.advance(5 * ms)
 	require.Len(t, got, 2)
-	assert.Equal(t, Taken, got[1].Verdict)
+	assert.Equal(t, Accepted, got[1].Verdict)
 }
 
 func TestRefusedAtCapacity(t *testing.T) {
@@ -236,8 +236,8 @@
 	b.submit("m1", "status", 0)
 	got := b.submit("m2", "status", 0)
 	require.Len(t, *got, 1)
-	assert.Equal(t, Fixed, (*got)[0].Verdict)
-	assert.Positive(t, (*got)[0].After)
+	assert.Equal(t, FixedResponse, (*got)[0].Verdict)
+	assert.Positive(t, (*got)[0].RetryAfter)
 }
 
 // A message that the module gives up in its first decision was never accepted.
@@ -253,13 +253,13 @@
 		require.Len(t, *got, 1)
 		verdicts[(*got)[0].Verdict]++
 	}
-	assert.Equal(t, map[Verdict]int{Taken: 1, Fixed: 1}, verdicts)
+	assert.Equal(t, map[Verdict]int{Accepted: 1, FixedResponse: 1}, verdicts)
 	assert.Empty(t, b.ended)
 }
 
 func TestClientDisconnected(t *testing.T) {
 	b := newHarness(t, nil)
-	require.NoError(t, b.c.TakeIn(Request{ID: "m1", Class: "status", Destination: 7, Left: time.Second},
+	require.NoError(t, b.c.Submit(Request{ID: "m1", Class: "status", Destination: 7, TimeLeft: time.Second},
 		func(Answer, *store.Message) bool { return false }))
 	b.advance(5 * ms)
 	assert.Empty(t, b.calls, "no client waits for it")
@@ -358,12 +358,12 @@
 	assert.True(t, retry.mayStart(), "its window is still open")
 	b.now = b.now.Add(250 * ms)
 	require.False(t, retry.mayStart())
-	retry.done(Result{Outcome: snowjunction.Moot})
+	retry.done(Result{Outcome: snowjunction.NotSent})
 	b.advance(5 * ms)
 	assert.Len(t, b.calls, 2)
 	require.Len(t, b.ended, 1)
 	assert.Equal(t, store.Failed, b.ended[0].State)
-	assert.False(t, b.ended[0].Out)
+	assert.False(t, b.ended[0].InFlight)
 }
 
 // A call of which no byte was sent has certainly not run.
@@ -375,7 +375,7 @@
 	b.advance(time.Second)
 	assert.True(t, b.calls[0].abandoned)
 	assert.EqualValues(t, 1, b.c.Counters.Results[snowjunction.ConnectFailed])
-	assert.False(t, b.calls[0].m.Ran)
+	assert.False(t, b.calls[0].m.MayHaveRun)
 }
 
 func TestRestoredKeepsAttemptsAndWindow(t *testing.T) {
@@ -392,15 +392,15 @@
 // acceptedMessage returns a message that a previous process accepted.
 func (b *harness) acceptedMessage(id, class string) *store.Message {
 	m := &store.Message{ID: id, IdempotencyKey: "k", Class: class, Destination: 7, Deadline: b.now.Add(time.Minute)}
-	require.NoError(b.t, b.journal.Take(m))
+	require.NoError(b.t, b.journal.Accept(m))
 	return m
 }
 
 // ranMessage returns an accepted order with an attempt that may have run the given time ago.
 func (b *harness) ranMessage(id string, ago time.Duration) *store.Message {
 	m := b.acceptedMessage(id, "order")
-	require.NoError(b.t, b.journal.Sent(m, b.now.Add(-ago)))
-	require.NoError(b.t, b.journal.Came(m, true, time.Time{}))
+	require.NoError(b.t, b.journal.RecordAttempt(m, b.now.Add(-ago)))
+	require.NoError(b.t, b.journal.RecordOutcome(m, true, time.Time{}))
 	return m
 }
 
@@ -411,8 +411,8 @@
 	delay time.Duration
 }
 
-func (s *slowJournal) Sent(m *store.Message, at time.Time) error {
-	err := s.Journal.Sent(m, at)
+func (s *slowJournal) RecordAttempt(m *store.Message, at time.Time) error {
+	err := s.Journal.RecordAttempt(m, at)
 	s.b.now = s.b.now.Add(s.delay)
 	return err
 }
@@ -430,7 +430,7 @@
 	b.advance(5 * ms)
 	assert.Len(t, b.calls, 1)
 	require.Len(t, b.ended, 1)
-	assert.False(t, b.ended[0].Out)
+	assert.False(t, b.ended[0].InFlight)
 	assert.Equal(t, uint64(1), b.c.Counters.Sent)
 }
 
@@ -457,13 +457,13 @@
 		{"within the window", snowjunction.Reset, 2 * time.Second, "k", true},
 		{"at the window's end", snowjunction.Reset, 4950 * ms, "k", false},
 		{"delivered, but the client got no answer", snowjunction.OK, 4950 * ms, "k", false},
-		{"it never ran", snowjunction.Full, 4950 * ms, "k", true},
+		{"it never ran", snowjunction.Rejected, 4950 * ms, "k", true},
 		{"after the window, key forgotten", snowjunction.Reset, 6 * time.Second, "k", true},
 		{"another key", snowjunction.Reset, 4950 * ms, "other", true},
 	} {
 		b := newHarness(t, nil)
 		submit := func(id, key string, left time.Duration) {
-			require.NoError(t, b.c.TakeIn(Request{ID: id, Class: "order", IdempotencyKey: key, Destination: 7, Left: left},
+			require.NoError(t, b.c.Submit(Request{ID: id, Class: "order", IdempotencyKey: key, Destination: 7, TimeLeft: left},
 				func(Answer, *store.Message) bool { return true }))
 			b.advance(5 * ms)
 		}
@@ -485,7 +485,7 @@
 	b.c.Restore([]*store.Message{b.ranMessage("m1", 4940*ms)})
 	b.advance(60 * ms)
 	require.Len(t, b.ended, 1)
-	require.NoError(t, b.c.TakeIn(Request{ID: "m2", Class: "order", IdempotencyKey: "k", Destination: 7, Left: time.Second},
+	require.NoError(t, b.c.Submit(Request{ID: "m2", Class: "order", IdempotencyKey: "k", Destination: 7, TimeLeft: time.Second},
 		func(Answer, *store.Message) bool { return true }))
 	b.advance(100 * ms)
 	assert.Empty(t, b.calls)
@@ -501,9 +501,9 @@
 			b, class := newHarness(t, nil), []string{"order", "order", "status"}[i]
 			m := b.acceptedMessage("m1", class)
 			steps := map[string]func() error{
-				"taken": func() error { return nil }, "sent": func() error { return b.journal.Sent(m, b.now) },
-				"ran": func() error { return b.journal.Came(m, true, time.Time{}) }, "never": func() error { return b.journal.Came(m, false, time.Time{}) },
-				"ended":   func() error { return b.journal.Ended(m, store.Delivered, 0, b.now) },
+				"taken": func() error { return nil }, "sent": func() error { return b.journal.RecordAttempt(m, b.now) },
+				"ran": func() error { return b.journal.RecordOutcome(m, true, time.Time{}) }, "never": func() error { return b.journal.RecordOutcome(m, false, time.Time{}) },
+				"ended":   func() error { return b.journal.RecordFinalState(m, store.Delivered, 0, b.now) },
 				"settled": func() error { return b.journal.Settle(m) },
 			}
 			done, _, _ := strings.Cut(strings.Replace(way, "ran", map[bool]string{true: "never", false: "ran"}[step == "never"], 1), step)
@@ -529,7 +529,7 @@
 	b.advance(5 * ms)
 	b.c.Drain()
 	got := b.submit("m2", "status", 0)
-	assert.Equal(t, Fixed, (*got)[0].Verdict)
+	assert.Equal(t, FixedResponse, (*got)[0].Verdict)
 	idle := false
 	b.c.Freeze(func() { idle = true })
 	assert.False(t, idle, "a call is in flight")
--- a/internal/core/distrust.go
+++ b/internal/core/distrust.go
@@ -27,7 +27,7 @@
 	}
 	held := c.routes.tables[front]
 	omitted := omittedEndpoints(held, list, sampleSize)
-	view := distrust.View{Held: held.Ready(), Listed: list.Entries.Ready(), Sum: list.Entries.ReadyHash()}
+	view := distrust.Comparison{InUse: held.Ready(), Listed: list.Entries.Ready(), Sum: list.Entries.ReadyHash()}
 	if n := len(omitted); n > 0 {
 		if held.Len() > sampleSize && n*8 > sampleSize { // many of the sample are missing: check all
 			omitted = omittedEndpoints(held, list, held.Len())
@@ -36,22 +36,22 @@
 	}
 	// After a directory outage its list takes precedence: omitted endpoints have left meanwhile.
 	if !d.confidence.Live() {
-		view.Held, view.Omitted, omitted = 0, 0, nil
+		view.InUse, view.Omitted, omitted = 0, 0, nil
 	}
-	c.applyConditions(front, d.plausibility.Full(c.elapsed(), view))
-	if d.plausibility.Keeps() {
+	c.applyConditions(front, d.plausibility.CheckList(c.elapsed(), view))
+	if d.plausibility.RetainsOmitted() {
 		c.retainOmitted(front, list, omitted)
 	} else {
 		d.retained = nil
 	}
-	if d.plausibility.In(distrust.Flapping) {
-		for e := range list.Entries.From(0) {
+	if d.plausibility.Holds(distrust.Flapping) {
+		for e := range list.Entries.EntriesFrom(0) {
 			if _, known := held.Get(e.Name); !known && e.Phase == snowjunction.Ready && len(d.unconfirmed) < maxRetained {
 				if d.unconfirmed == nil {
 					d.unconfirmed = map[string]bool{}
 				}
 				d.unconfirmed[e.Name] = true
-				d.confidence.Keep(e.Destination, e.Name, "the directory is flapping and has just added it", c.elapsed())
+				d.confidence.Retain(e.Destination, e.Name, "the directory is flapping and has just added it", c.elapsed())
 			}
 		}
 	}
@@ -89,7 +89,7 @@
 func (c *Core) retainOmitted(front int, list *groups.List, omitted []groups.Entry) {
 	d := c.directories[front]
 	slices.SortStableFunc(omitted, func(a, b groups.Entry) int {
-		switch x, y := c.Awake(a.Destination), c.Awake(b.Destination); {
+		switch x, y := c.Loaded(a.Destination), c.Loaded(b.Destination); {
 		case x && !y:
 			return -1
 		case y && !x:
@@ -101,17 +101,17 @@
 	for _, e := range omitted[:min(len(omitted), maxRetained)] {
 		list.Entries.Set(e)
 		d.retained[e.Name] = true
-		d.confidence.Keep(e.Destination, e.Name, "omitted by a list that has lost most endpoints", c.elapsed())
+		d.confidence.Retain(e.Destination, e.Name, "omitted by a list that has lost most endpoints", c.elapsed())
 	}
 }
 
-// Refused handles a list that is invalid: it applies only what the list says of draining and gone
+// RejectList handles a list that is invalid: it applies only what the list says of draining and gone
 // endpoints, and counts the list against its directory.
-func (c *Core) Refused(front int, list *groups.List, reason error) {
+func (c *Core) RejectList(front int, list *groups.List, reason error) {
 	if d := c.directories[front]; d != nil {
-		c.applyConditions(front, d.plausibility.Refused(c.elapsed(), reason))
+		c.applyConditions(front, d.plausibility.RecordUnusable(c.elapsed(), reason))
 	}
-	c.Heed(front, list)
+	c.ApplyLeaving(front, list)
 }
 
 // clearRetained ends the special treatment of an endpoint that the directory has just named.
@@ -122,18 +122,18 @@
 	}
 	delete(d.retained, name)
 	delete(d.unconfirmed, name)
-	d.confidence.Drop(name)
+	d.confidence.Remove(name)
 }
 
 // applyConditions logs conditions that were entered or left, and reverts the effects of those left.
-func (c *Core) applyConditions(front int, changes []distrust.Turn) {
+func (c *Core) applyConditions(front int, changes []distrust.Transition) {
 	d := c.directories[front]
 	for _, t := range changes {
 		level, transition := slog.LevelWarn, "entered"
 		if !t.Entered {
 			level, transition = slog.LevelInfo, "left"
 		}
-		c.Log.Log(context.Background(), level, "belief", "of", "directory", "condition", t.Condition.String(), "is", transition, "why", t.Why)
+		c.Log.Log(context.Background(), level, "belief", "of", "directory", "condition", t.Condition.String(), "is", transition, "why", t.Reason)
 		if t.Entered {
 			continue
 		}
@@ -142,7 +142,7 @@
 			c.dropRetained(front)
 		case distrust.Flapping:
 			for name := range d.unconfirmed {
-				d.confidence.Drop(name)
+				d.confidence.Remove(name)
 			}
 			d.unconfirmed = nil
 			c.republish(front)
@@ -150,7 +150,7 @@
 	}
 	d.conditionTimer.Stop()
 	if at := d.plausibility.Next(); at > 0 {
-		d.conditionTimer = c.Loop.After(max(at-c.elapsed(), time.Millisecond), func() { c.applyConditions(front, d.plausibility.Look(c.elapsed())) })
+		d.conditionTimer = c.Loop.After(max(at-c.elapsed(), time.Millisecond), func() { c.applyConditions(front, d.plausibility.Advance(c.elapsed())) })
 	}
 }
 
@@ -159,7 +159,7 @@
 	d := c.directories[front]
 	var updates []snowjunction.Endpoint
 	for _, name := range slices.Sorted(maps.Keys(d.retained)) {
-		d.confidence.Drop(name)
+		d.confidence.Remove(name)
 		if e, ok := c.routes.tables[front].Get(name); ok {
 			e.Phase = snowjunction.Gone
 			updates = append(updates, c.applyEntry(front, e)...)
@@ -169,11 +169,11 @@
 	c.queueEndpoints(updates)
 }
 
-// Recheck returns after what time a front should request its full list again instead of changes
+// RecheckInterval returns after what time a front should request its full list again instead of changes
 // only. Zero means that it need not.
-func (c *Core) Recheck(front int) time.Duration {
+func (c *Core) RecheckInterval(front int) time.Duration {
 	if d := c.directories[front]; d != nil {
-		return d.plausibility.Recheck()
+		return d.plausibility.RecheckDelay()
 	}
 	return 0
 }
@@ -183,7 +183,7 @@
 	out := map[string]float64{}
 	if d := c.directories[front]; d != nil {
 		for _, x := range []distrust.Condition{distrust.Collapsed, distrust.Flapping, distrust.Ambiguous} {
-			if d.plausibility.In(x) {
+			if d.plausibility.Holds(x) {
 				out[x.String()] = (c.elapsed() - d.plausibility.Since(x)).Seconds()
 			}
 		}
--- a/internal/core/exclude.go
+++ b/internal/core/exclude.go
@@ -25,9 +25,9 @@
 	excluded bool // the last durable change excludes it
 }
 
-// RecallOut restores the exclusions of a previous process run. It must be called before any list is
+// RestoreExclusions restores the exclusions of a previous process run. It must be called before any list is
 // set.
-func (c *Core) RecallOut(s *exclusions.Set) {
+func (c *Core) RestoreExclusions(s *exclusions.Set) {
 	if c.exclusionSet = s; len(s.Names()) > 0 {
 		c.Log.Info("endpoints excluded by an operator", "endpoints", s.Names())
 	}
@@ -39,7 +39,7 @@
 	if front != 0 {
 		return false, 0
 	}
-	return c.exclusionSet.Out(name), c.exclusionSet.Cold(name, c.Loop.Now())
+	return c.exclusionSet.Excluded(name), c.exclusionSet.WasExcludedFor(name, c.Loop.Now())
 }
 
 // Exclude excludes an endpoint of a front, or includes it again, on behalf of an operator. The
@@ -48,7 +48,7 @@
 // written successfully.
 func (c *Core) Exclude(front int, name string, exclude bool, done func(error)) {
 	e, listed := c.routes.tables[front].Get(name)
-	wasExcluded := c.exclusionSet.Out(name)
+	wasExcluded := c.exclusionSet.Excluded(name)
 	switch {
 	case c.Exclusions == nil || front != 0:
 		done(errNotExcludable)
@@ -91,7 +91,7 @@
 				pending.excluded = exclude
 			}
 			if pending.writes == 0 {
-				if delete(c.pendingExclusions, name); c.exclusionSet.Out(name) != pending.excluded {
+				if delete(c.pendingExclusions, name); c.exclusionSet.Excluded(name) != pending.excluded {
 					_ = change(pending.excluded)
 				}
 			}
--- a/internal/core/exclude_test.go
+++ b/internal/core/exclude_test.go
@@ -64,7 +64,7 @@
 	require.NoError(t, b.exclude("s-1", false))
 	require.Len(t, b.calls, 2)
 	assert.Zero(t, b.c.Figures(0).OutOfRotation)
-	assert.Positive(t, b.c.routes.loaded[7].members[0].moduleView().WasOut)
+	assert.Positive(t, b.c.routes.loaded[7].members[0].moduleView().ExcludedFor)
 	assert.ErrorIs(t, b.exclude("s-9", true), ErrUnknown)
 	assert.ErrorIs(t, b.exclude("s-9", false), ErrUnknown)
 }
@@ -90,7 +90,7 @@
 	next = newHarnessWith(next, nil)
 	s := exclusions.New(time.Second)
 	require.Zero(t, s.Decode(d.text))
-	next.c.RecallOut(s)
+	next.c.RestoreExclusions(s)
 	next.list(snowjunction.Ready, true)
 	next.submit("m1", "status", 0)
 	next.advance(50 * ms)
@@ -115,7 +115,7 @@
 		d.pending[1](tc.second)
 		b.advance(5 * ms)
 		assert.Equal(t, []error{tc.first, tc.second}, got)
-		assert.Equal(t, tc.out, b.c.exclusionSet.Out("s-1"))
+		assert.Equal(t, tc.out, b.c.exclusionSet.Excluded("s-1"))
 		assert.Empty(t, b.c.pendingExclusions)
 	}
 }
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -30,7 +30,7 @@
 func (c *Core) Figures(front int) Figures {
 	x := Figures{
 		Fulfilled: map[string]uint64{}, Throttled: map[string]uint64{}, Faulted: map[string]uint64{},
-		Open: c.openFlows - len(c.awaitingAdmission), Entries: c.routes.tables[front].Len(), OutOfRotation: c.courier.Avoided() + c.excludedCount(front), Relayed: c.attemptsSent,
+		Open: c.openFlows - len(c.awaitingAdmission), Entries: c.routes.tables[front].Len(), OutOfRotation: c.courier.OpenBreakers() + c.excludedCount(front), Relayed: c.attemptsSent,
 	}
 	for i, cl := range c.Settings.Classes {
 		t := c.tallies[i]
--- a/internal/core/footprint.go
+++ b/internal/core/footprint.go
@@ -16,11 +16,11 @@
 
 // Carried returns the bytes of the state that the courier keeps for listed, loaded and unloaded
 // destinations.
-func (f Footprint) Carried() int { return f.ListBytes + f.SnapshotBytes + f.BooksBytes }
+func (f Footprint) Carried() int { return f.ListBytes + f.SnapshotBytes + f.StateBytes }
 
 // LogValue returns the footprint as log attributes.
 func (f Footprint) LogValue() slog.Value {
-	return slog.GroupValue(slog.Int("carried_bytes", f.Carried()), slog.Int("accounts", f.Accounts), slog.Int("account_bytes", f.AccountBytes))
+	return slog.GroupValue(slog.Int("carried_bytes", f.Carried()), slog.Int("accounts", f.QuotaLedgers), slog.Int("account_bytes", f.QuotaLedgerBytes))
 }
 
 // Footprint returns the current memory use.
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -16,11 +16,11 @@
 
 // CallHandover is a Call whose connection can be handed over to another process.
 type CallHandover interface {
-	// Hand detaches the connection from this process. It returns false if it cannot be handed over.
-	Hand() (handover.Call, bool)
-	// Rest returns the part of the answer that had been read. It is valid once the engine has
+	// Detach detaches the connection from this process. It returns false if it cannot be handed over.
+	Detach() (handover.Call, bool)
+	// BufferedAnswer returns the part of the answer that had been read. It is valid once the engine has
 	// stopped.
-	Rest() []byte
+	BufferedAnswer() []byte
 }
 
 // CallAdopter is a Target that can continue another process's call.
@@ -28,21 +28,21 @@
 	Adopt(m *store.Message, from handover.Call, done func(Result)) Call
 }
 
-// Hush stops all decisions, so that another process of this courier can continue. Results and
+// Suspend stops all decisions, so that another process of this courier can continue. Results and
 // messages are still accepted.
-func (c *Core) Hush() {
+func (c *Core) Suspend() {
 	c.suspended = true
 	c.handleTimer.Stop()
 	c.handleTimer = nil
 }
 
-// Unready returns the number of items that a handover would lose now: calls on connections that
+// HandoverPending returns the number of items that a handover would lose now: calls on connections that
 // cannot be handed over, and work that waits for plug-ins or the disk.
-func (c *Core) Unready() int {
+func (c *Core) HandoverPending() int {
 	n := c.awaitingPlugins + c.unwrittenExclusions
 	for _, f := range c.flows {
 		if a := f.attempt; a != nil && a.call != nil {
-			if _, ok := a.call.(CallHandover); a.answered || !ok && a.call.Left() {
+			if _, ok := a.call.(CallHandover); a.answered || !ok && a.call.Sent() {
 				n++
 			}
 		}
@@ -50,11 +50,11 @@
 	return n
 }
 
-// Hand releases all calls in flight, each to the handover state if its connection can be handed
+// HandOver releases all calls in flight, each to the handover state if its connection can be handed
 // over. Attempts that have not been sent are recorded as not run. The returned function fills in
 // the remaining state and must be called after the engine has stopped. The core must not be used
 // after that.
-func (c *Core) Hand() func(e *handover.Estate) {
+func (c *Core) HandOver() func(e *handover.State) {
 	now := c.Loop.Now()
 	for _, f := range c.flows { // only clients of the first front are handed over
 		if f.answer != nil && f.msg.Origin != 0 {
@@ -78,24 +78,24 @@
 				heldKeys[f.msg.Key] = now.Add(c.Settings.OrderSettle)
 			}
 			continue
-		case !a.call.Left():
+		case !a.call.Sent():
 			a.call.GiveUp()
 			c.recordOutcome(a, false)
 			continue
 		case !ok || a.answered || l == nil:
 			continue // the journal says that it may have run
 		}
-		if x, ok := h.Hand(); ok {
-			x.Seq, x.Began, x.Until = f.msg.Seq, a.startedAt, a.startedAt.Add(a.timeout)
+		if x, ok := h.Detach(); ok {
+			x.Seq, x.Began, x.Deadline = f.msg.Seq, a.startedAt, a.startedAt.Add(a.timeout)
 			x.Endpoint = handover.Endpoint{
 				Front: l.front, Name: l.Name, Addr: l.Addr, Destination: uint32(l.Destination), Zone: l.Zone, Kind: l.Kind, Weight: l.Weight,
 			}
 			calls, handed = append(calls, x), append(handed, h)
 		}
 	}
-	return func(e *handover.Estate) {
+	return func(e *handover.State) {
 		for i, h := range handed {
-			calls[i].Bytes = h.Rest()
+			calls[i].Unprocessed = h.BufferedAnswer()
 		}
 		e.Calls = calls
 		c.finalSnapshot(e)
@@ -104,33 +104,33 @@
 				Destination: k.Destination, Text: k.Text, ID: id, At: c.start.Add(at), Until: c.start.Add(until),
 			})
 		})
-		c.courier.Resting(func(key uint64, left time.Duration) {
+		c.courier.SettlingKeys(func(key uint64, left time.Duration) {
 			if until := c.Loop.Now().Add(left); until.After(heldKeys[key]) {
 				heldKeys[key] = until
 			}
 		})
 		for _, key := range slices.Sorted(maps.Keys(heldKeys)) {
-			e.Rests = append(e.Rests, handover.Rest{Key: key, Until: heldKeys[key]})
+			e.KeyPauses = append(e.KeyPauses, handover.KeyPause{Key: key, Until: heldKeys[key]})
 		}
 	}
 }
 
 // finalSnapshot passes the events since Hush to the module and collects its state. Other resulting
 // actions are dropped: the next process decides from the same state.
-func (c *Core) finalSnapshot(e *handover.Estate) {
+func (c *Core) finalSnapshot(e *handover.State) {
 	now := c.Loop.Now()
 	events := c.events
 	for _, d := range slices.Sorted(maps.Keys(c.routes.loaded)) {
 		if g := c.routes.loaded[d]; !g.loading {
-			events = append(events, snowjunction.Look{Destination: d})
+			events = append(events, snowjunction.Inspect{Destination: d})
 		}
 	}
 	for _, a := range c.courier.Handle(c.elapsed(), c.refreshTimes(events)) {
 		switch a := a.(type) {
-		case snowjunction.Seen:
-			if a.State != nil {
-				e.Known = append(e.Known, handover.Known{
-					Destination: uint32(a.Destination), At: now, Text: memento.Encode(nil, c.memento(a.State)), Awake: true,
+		case snowjunction.Inspected:
+			if a.Snapshot != nil {
+				e.Destinations = append(e.Destinations, handover.DestinationState{
+					Destination: uint32(a.Destination), At: now, Snapshot: memento.Encode(nil, c.memento(a.Snapshot)), Loaded: true,
 				})
 			}
 		case snowjunction.Log:
@@ -138,9 +138,9 @@
 		}
 	}
 	c.idleTracker.Each(func(d snowjunction.DestinationID, text []byte, at time.Duration, restart bool) {
-		e.Known = append(e.Known, handover.Known{Destination: uint32(d), At: c.start.Add(at), Text: text, Restart: restart})
+		e.Destinations = append(e.Destinations, handover.DestinationState{Destination: uint32(d), At: c.start.Add(at), Snapshot: text, FromRestart: restart})
 	})
-	slices.SortFunc(e.Known, func(a, b handover.Known) int { return cmp.Compare(a.Destination, b.Destination) })
+	slices.SortFunc(e.Destinations, func(a, b handover.DestinationState) int { return cmp.Compare(a.Destination, b.Destination) })
 }
 
 // Counts are the figures that a core has counted since its process started.
@@ -149,24 +149,24 @@
 	attemptsSent uint64
 }
 
-// Counted returns the counts so far.
-func (c *Core) Counted() Counts { return Counts{slices.Clone(c.tallies), c.attemptsSent} }
+// Counts returns the counts so far.
+func (c *Core) Counts() Counts { return Counts{slices.Clone(c.tallies), c.attemptsSent} }
 
-// Carry continues the counts of an earlier core of this process.
-func (c *Core) Carry(n Counts) { c.tallies, c.attemptsSent = n.tallies, n.attemptsSent }
+// RestoreCounts continues the counts of an earlier core of this process.
+func (c *Core) RestoreCounts(n Counts) { c.tallies, c.attemptsSent = n.tallies, n.attemptsSent }
 
 // TakeOver loads the state handed over by another process of this courier. It must be called before
 // Restore.
-func (c *Core) TakeOver(e *handover.Estate) {
-	for _, k := range e.Known {
-		c.idleTracker.Hand(snowjunction.DestinationID(k.Destination), k.Text, k.At.Sub(c.start), c.elapsed(), k.Awake, k.Restart)
+func (c *Core) TakeOver(e *handover.State) {
+	for _, k := range e.Destinations {
+		c.idleTracker.AddHandedOver(snowjunction.DestinationID(k.Destination), k.Snapshot, k.At.Sub(c.start), c.elapsed(), k.Loaded, k.FromRestart)
 	}
 	for _, k := range e.Keys {
 		c.attemptedKeys.AttemptSent(idempotency.Key{Destination: k.Destination, Text: k.Text}, k.ID, k.At.Sub(c.start), k.Until.Sub(k.At))
 	}
-	for _, r := range e.Rests {
+	for _, r := range e.KeyPauses {
 		if left := r.Until.Sub(c.Loop.Now()); left > 0 {
-			c.queueEvent(snowjunction.Rests{Key: r.Key, For: left})
+			c.queueEvent(snowjunction.KeySettling{Key: r.Key, For: left})
 		}
 	}
 	c.adoptedCalls = map[uint64]handover.Call{}
@@ -175,8 +175,8 @@
 	}
 }
 
-// Forgone returns the calls taken over for which no message is open.
-func (c *Core) Forgone() map[uint64]handover.Call { return c.adoptedCalls }
+// UnclaimedCalls returns the calls taken over for which no message is open.
+func (c *Core) UnclaimedCalls() map[uint64]handover.Call { return c.adoptedCalls }
 
 // adopt continues an attempt that was taken over, and returns the module's number of its endpoint.
 // An endpoint that has left the list meanwhile is entered as draining and gets nothing new.
@@ -188,7 +188,7 @@
 	l := g.find(front, call.Endpoint.Name)
 	if l == nil {
 		c.routes.lastID++
-		l = &loadedEndpoint{front: front, id: c.routes.lastID, standing: belief.Told, Entry: Entry{
+		l = &loadedEndpoint{front: front, id: c.routes.lastID, standing: belief.Listed, Entry: Entry{
 			Name: call.Endpoint.Name, Addr: call.Endpoint.Addr, Destination: destination, Zone: call.Endpoint.Zone, Kind: call.Endpoint.Kind,
 			Phase: snowjunction.Draining, Weight: call.Endpoint.Weight,
 		}}
@@ -199,14 +199,14 @@
 	t := l.target
 	if t == nil {
 		t = c.Fronts[front].Target(l.Entry)
-		t.Leave()
+		t.Retire()
 	}
 	a := &attempt{
-		flow: f, endpoint: l.id, number: f.msg.Attempts - 1, startedAt: call.Began, timeout: call.Until.Sub(call.Began), recorded: true, sentAt: f.msg.OutSince,
+		flow: f, endpoint: l.id, number: f.msg.Attempts - 1, startedAt: call.Began, timeout: call.Deadline.Sub(call.Began), recorded: true, sentAt: f.msg.InFlightSince,
 	}
 	f.attempt = a
 	c.openCalls++
-	a.timeoutTimer = c.Loop.After(call.Until.Sub(c.Loop.Now()), func() { c.expire(a, snowjunction.TimedOut) })
+	a.timeoutTimer = c.Loop.After(call.Deadline.Sub(c.Loop.Now()), func() { c.expire(a, snowjunction.TimedOut) })
 	a.call = t.(CallAdopter).Adopt(f.msg, call, func(r Result) { c.readAnswer(a, r) })
 	return l.id
 }
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -12,20 +12,20 @@
 	"snowjunction/internal/store"
 )
 
-func (x *testCall) Hand() (handover.Call, bool) { return handover.Call{}, x.sent }
-func (x *testCall) Rest() []byte                { return []byte("HTTP/1.1 2") }
+func (x *testCall) Detach() (handover.Call, bool) { return handover.Call{}, x.sent }
+func (x *testCall) BufferedAnswer() []byte        { return []byte("HTTP/1.1 2") }
 
 func (x testTarget) Adopt(m *store.Message, from handover.Call, done func(Result)) Call {
-	c := &testCall{m: m, sent: true, done: done, idleFor: from.Kept}
+	c := &testCall{m: m, sent: true, done: done, idleFor: from.IdleTime}
 	x.b.calls = append(x.b.calls, c)
 	return c
 }
 
 // handOver hands the state over and returns a harness for the next process.
-func (b *harness) handOver() (*harness, *handover.Estate) {
-	b.c.Hush()
-	e := &handover.Estate{}
-	b.c.Hand()(e)
+func (b *harness) handOver() (*harness, *handover.State) {
+	b.c.Suspend()
+	e := &handover.State{}
+	b.c.HandOver()(e)
 	require.NoError(b.t, b.journal.Close())
 	next := &harness{t: b.t, journalDir: b.journalDir, now: b.now.Add(10 * ms), settle: true, resumes: func(seq uint64) bool {
 		for _, x := range e.Calls {
@@ -38,7 +38,7 @@
 	return newHarnessWith(next, nil), e
 }
 
-func (b *harness) resume(e *handover.Estate) {
+func (b *harness) resume(e *handover.State) {
 	b.c.TakeOver(e)
 	b.c.Restore(b.restored)
 	b.advance(10 * ms)
@@ -57,10 +57,10 @@
 		b.calls[0].sent = true
 		next, e := b.handOver()
 		require.Len(t, e.Calls, 1)
-		assert.Equal(t, "HTTP/1.1 2", string(e.Calls[0].Bytes))
+		assert.Equal(t, "HTTP/1.1 2", string(e.Calls[0].Unprocessed))
 		next.resume(e)
 		require.Len(t, next.calls, 1, "the adopted call, and no other of its key")
-		assert.Empty(t, next.c.Forgone())
+		assert.Empty(t, next.c.UnclaimedCalls())
 		next.calls[0].done(Result{Outcome: outcome})
 		next.advance(5 * ms)
 		next.advance(200 * ms)
@@ -85,8 +85,8 @@
 	b.submit("m1", "status", 0)
 	b.advance(5 * ms)
 	require.Len(t, b.calls, 1)
-	b.c.Hush()
-	b.calls[0].done(Result{Outcome: snowjunction.Full, Wait: time.Second})
+	b.c.Suspend()
+	b.calls[0].done(Result{Outcome: snowjunction.Rejected, RetryAfter: time.Second})
 	next, e := b.handOver()
 	next.resume(e)
 	next.submit("m2", "status", 0)
@@ -99,7 +99,7 @@
 
 func TestKeysAreHandedOver(t *testing.T) {
 	b := newHarness(t, nil)
-	require.NoError(t, b.c.TakeIn(Request{ID: "o1", Class: "order", Key: 9, IdempotencyKey: "k", Destination: 7, Left: 50 * ms},
+	require.NoError(t, b.c.Submit(Request{ID: "o1", Class: "order", Key: 9, IdempotencyKey: "k", Destination: 7, TimeLeft: 50 * ms},
 		func(Answer, *store.Message) bool { return true }))
 	b.advance(5 * ms)
 	require.Len(t, b.calls, 1)
@@ -108,7 +108,7 @@
 	next, e := b.handOver()
 	assert.Empty(t, e.Calls)
 	require.Len(t, e.Keys, 1)
-	require.Len(t, e.Rests, 1)
+	require.Len(t, e.KeyPauses, 1)
 	next.resume(e)
 	next.submit("o2", "order", 9)
 	next.advance(20 * ms)
@@ -117,7 +117,7 @@
 	require.Len(t, next.calls, 1)
 	next.calls[0].done(Result{Outcome: snowjunction.OK})
 	next.advance(4700 * ms)
-	require.NoError(t, next.c.TakeIn(Request{ID: "o3", Class: "order", IdempotencyKey: "k", Destination: 7, Left: time.Second},
+	require.NoError(t, next.c.Submit(Request{ID: "o3", Class: "order", IdempotencyKey: "k", Destination: 7, TimeLeft: time.Second},
 		func(Answer, *store.Message) bool { return true }))
 	next.advance(100 * ms)
 	assert.Len(t, next.calls, 1, "the first message's window is over")
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -11,16 +11,16 @@
 	"snowjunction/internal/memento"
 )
 
-// Learnt stores learned state across restarts. Put does not block.
-type Learnt interface {
+// LearnedStore stores learned state across restarts. Put does not block.
+type LearnedStore interface {
 	Put(batch []learnt.Record)
 	Counts() learnt.Counts
 }
 
-// Recall loads the state learned by a previous process run. It must be called before any message is
+// RestoreLearned loads the state learned by a previous process run. It must be called before any message is
 // accepted. A record with a time in the future means that the clock was set back; its age is then
 // unknown.
-func (c *Core) Recall(records []learnt.Record) {
+func (c *Core) RestoreLearned(records []learnt.Record) {
 	records = slices.Clone(records)
 	slices.SortStableFunc(records, func(a, b learnt.Record) int { return a.At.Compare(b.At) })
 	now := c.Loop.Now()
@@ -31,7 +31,7 @@
 		} else {
 			age = max(age, 0)
 		}
-		if c.idleTracker.Recall(snowjunction.DestinationID(r.Destination), r.Text, age, c.elapsed()) {
+		if c.idleTracker.Restore(snowjunction.DestinationID(r.Destination), r.Snapshot, age, c.elapsed()) {
 			c.Counters.LearnedRestored++
 		}
 	}
@@ -39,15 +39,15 @@
 
 // stateChanged records that the module may know something new about a destination.
 func (c *Core) stateChanged(d snowjunction.DestinationID) {
-	if c.Learnt != nil {
-		c.picker.Changed(uint32(d))
+	if c.LearnedStore != nil {
+		c.picker.MarkChanged(uint32(d))
 		c.scheduleSnapshots()
 	}
 }
 
 func (c *Core) scheduleSnapshots() {
 	if c.learnedTimer == nil && c.picker.Waiting() {
-		c.learnedTimer = c.Loop.After(learnt.Every, func() {
+		c.learnedTimer = c.Loop.After(learnt.PickInterval, func() {
 			c.learnedTimer = nil
 			if !c.frozen {
 				c.requestSnapshots(c.picker.Pick(c.journalWritten()))
@@ -67,71 +67,71 @@
 func (c *Core) requestSnapshots(picked []uint32) {
 	for _, d := range picked {
 		if g := c.routes.loaded[snowjunction.DestinationID(d)]; g == nil || g.loading || g.unloading {
-			c.picker.Answered(d, nil, time.Time{}, nil, learnt.Journal{})
+			c.picker.HandleState(d, nil, time.Time{}, nil, learnt.Journal{})
 			continue
 		}
-		c.queueEvent(snowjunction.Look{Destination: snowjunction.DestinationID(d)})
+		c.queueEvent(snowjunction.Inspect{Destination: snowjunction.DestinationID(d)})
 	}
 }
 
 // saveAll saves the state of all loaded destinations at a planned shutdown.
 func (c *Core) saveAll() {
-	if c.Learnt == nil || c.frozen {
+	if c.LearnedStore == nil || c.frozen {
 		return
 	}
 	var loaded []uint32
 	for _, d := range slices.Sorted(maps.Keys(c.routes.loaded)) {
 		loaded = append(loaded, uint32(d))
 	}
-	c.requestSnapshots(c.picker.All(loaded))
+	c.requestSnapshots(c.picker.PickAll(loaded))
 }
 
 // receiveSnapshot handles a snapshot from the module.
-func (c *Core) receiveSnapshot(a snowjunction.Seen) {
-	encode := func(s *snowjunction.State) []byte { return memento.Encode(nil, c.memento(s)) }
-	c.picker.Answered(uint32(a.Destination), a.State, c.Loop.Now(), encode, c.journalWritten())
+func (c *Core) receiveSnapshot(a snowjunction.Inspected) {
+	encode := func(s *snowjunction.DestinationSnapshot) []byte { return memento.Encode(nil, c.memento(s)) }
+	c.picker.HandleState(uint32(a.Destination), a.Snapshot, c.Loop.Now(), encode, c.journalWritten())
 }
 
 // saveUnloaded saves the snapshot of a destination that is being unloaded.
 func (c *Core) saveUnloaded(d snowjunction.DestinationID, text []byte) {
-	if c.Learnt != nil {
-		c.picker.Asleep(uint32(d), c.Loop.Now(), text, c.journalWritten())
+	if c.LearnedStore != nil {
+		c.picker.AddUnloaded(uint32(d), c.Loop.Now(), text, c.journalWritten())
 	}
 }
 
 // flushSnapshots stores the snapshots received in this turn.
 func (c *Core) flushSnapshots() {
 	if batch := c.picker.Flush(); len(batch) > 0 {
-		c.Learnt.Put(batch)
+		c.LearnedStore.Put(batch)
 	}
 }
 
 // memento converts a module snapshot to its stored form.
-func (c *Core) memento(s *snowjunction.State) *memento.Memento {
-	m := &memento.Memento{}
+func (c *Core) memento(s *snowjunction.DestinationSnapshot) *memento.Snapshot {
+	m := &memento.Snapshot{}
 	if s == nil {
 		return m
 	}
 	m.State = *s
-	for _, e := range s.EndpointsSeen {
-		var n memento.Name
+	for _, e := range s.Endpoints {
+		var n memento.EndpointHash
 		if l := c.routes.byID[e.ID]; l != nil {
-			n = memento.NameOf(l.Name)
+			n = memento.HashName(l.Name)
 		}
 		m.Names = append(m.Names, n)
 	}
 	return m
 }
 
-// Learning returns the counters of learned state as log attributes.
-func (c *Core) Learning() slog.Value {
-	if c.Learnt == nil {
+// LearnedStats returns the counters of learned state as log attributes.
+func (c *Core) LearnedStats() slog.Value {
+	if c.LearnedStore == nil {
 		return slog.GroupValue()
 	}
-	counts, written := c.Learnt.Counts(), c.Journal.Written()
+	counts, written := c.LearnedStore.Counts(), c.Journal.Written()
 	return slog.GroupValue(
 		slog.Uint64("recalled", c.Counters.LearnedRestored), slog.Uint64("writes", counts.Writes), slog.Uint64("bytes", counts.Bytes),
-		slog.Uint64("records", counts.Records), slog.Uint64("same", c.picker.Same), slog.Uint64("dropped", counts.Dropped),
+		slog.Uint64("records", counts.Records), slog.Uint64("same", c.picker.Unchanged), slog.Uint64("dropped", counts.Dropped),
 		slog.Uint64("failed", counts.Failed), slog.Uint64("journal_writes", written.Records), slog.Uint64("journal_bytes", written.Bytes),
 	)
 }
--- a/internal/core/learn_test.go
+++ b/internal/core/learn_test.go
@@ -28,7 +28,7 @@
 	s.n.Writes++
 	for _, r := range batch {
 		s.records[r.Destination] = r
-		s.n.Bytes += uint64(len(learnt.Append(nil, r)))
+		s.n.Bytes += uint64(len(learnt.AppendRecord(nil, r)))
 	}
 }
 
@@ -58,21 +58,21 @@
 		require.LessOrEqual(t, float64(learned.n.Bytes), 0.1*float64(w.Bytes))
 	}
 	assert.NotZero(t, learned.n.Writes)
-	assert.Greater(t, b.c.picker.Same, uint64(5), "a nearly unchanged state is not written again")
+	assert.Greater(t, b.c.picker.Unchanged, uint64(5), "a nearly unchanged state is not written again")
 	b.submit("lost", "status", 0)
 	b.advance(20 * ms)
 	b.completeCalls(snowjunction.TimedOut)
-	b.advance(learnt.Every)
+	b.advance(learnt.PickInterval)
 	b.advance(20 * ms)
-	m, err := memento.Decode(learned.records[7].Text)
+	m, err := memento.Decode(learned.records[7].Snapshot)
 	require.NoError(t, err)
 	require.Len(t, m.Names, 1)
-	assert.Equal(t, memento.NameOf("s-1"), m.Names[0])
-	assert.Equal(t, snowjunction.Held, m.State.EndpointsSeen[0].Condition)
+	assert.Equal(t, memento.HashName("s-1"), m.Names[0])
+	assert.Equal(t, snowjunction.Down, m.State.Endpoints[0].Condition)
 
 	// The next process run uses the record.
 	next := newHarnessWith(&harness{t: t, now: b.now.Add(time.Second), settle: true}, nil)
-	next.c.Recall([]learnt.Record{learned.records[7]})
+	next.c.RestoreLearned([]learnt.Record{learned.records[7]})
 	assert.Equal(t, uint64(1), next.c.Counters.LearnedRestored)
 	for i := range 4 {
 		next.submit(fmt.Sprint("n", i), "status", 0)
@@ -103,10 +103,10 @@
 func TestConfidenceInEndpoints(t *testing.T) {
 	cfg := belief.Default()
 	cfg.RefuteAfter, cfg.RefuteFails = 0, 1
-	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, directories: map[int]Directory{0: {Belief: cfg}}}, nil)
+	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, directories: map[int]Directory{0: {Confidence: cfg}}}, nil)
 	l := full(Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready},
 		Entry{Name: "s-2", Addr: "127.0.0.1:2", Destination: 7, Phase: snowjunction.Ready})
-	require.NoError(t, b.c.Begin(0, l, belief.Cached, time.Hour))
+	require.NoError(t, b.c.SetInitialList(0, l, belief.Cached, time.Hour))
 	for i := range 4 {
 		b.submit(fmt.Sprint("m", i), "status", 0)
 	}
@@ -129,9 +129,9 @@
 		}
 		b.completeCalls(snowjunction.OK)
 	}
-	b.c.Spoken(0)
-	assert.Equal(t, belief.Told, b.standing("s-2"))
-	beliefs, total := b.c.Beliefs(0, 10)
+	b.c.DirectoryConfirmed(0)
+	assert.Equal(t, belief.Listed, b.standing("s-2"))
+	beliefs, total := b.c.EndpointConfidences(0, 10)
 	assert.Len(t, beliefs, 2)
 	assert.Equal(t, 2, total)
 	assert.Equal(t, "the directory lists it", beliefs[0].Why)
@@ -139,19 +139,19 @@
 
 // An endpoint that answers that it is another one gets nothing more.
 func TestEndpointIsAnother(t *testing.T) {
-	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, directories: map[int]Directory{0: {Belief: belief.Default()}}}, nil)
-	require.NoError(t, b.c.Begin(0, full(Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready}), belief.Known, 0))
+	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, directories: map[int]Directory{0: {Confidence: belief.Default()}}}, nil)
+	require.NoError(t, b.c.SetInitialList(0, full(Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready}), belief.Configured, 0))
 	b.submit("m1", "status", 0)
 	b.advance(20 * ms)
 	require.Len(t, b.calls, 1)
-	b.calls[0].done(Result{Outcome: snowjunction.Error, Elsewhere: true})
+	b.calls[0].done(Result{Outcome: snowjunction.Error, WrongEndpoint: true})
 	b.calls = nil
 	b.advance(20 * ms)
 	b.submit("m2", "status", 0)
 	b.advance(100 * ms)
 	assert.Empty(t, b.calls)
 	b.listed(0, true, Entry{Name: "s-1", Addr: "127.0.0.1:3", Destination: 7, Phase: snowjunction.Ready})
-	b.c.Spoken(0)
+	b.c.DirectoryConfirmed(0)
 	b.advance(100 * ms)
 	b.advance(100 * ms)
 	assert.NotEmpty(t, b.calls, "the directory overrides the evidence of calls")
@@ -161,8 +161,8 @@
 // endpoint that has left. If it does not answer, they wait for the given time.
 func TestPauseUntilDirectoryConfirms(t *testing.T) {
 	for _, confirms := range []bool{true, false} {
-		b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, directories: map[int]Directory{0: {Belief: belief.Default()}}}, nil)
-		require.NoError(t, b.c.Begin(0, full(Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready}), belief.Cached, time.Minute))
+		b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, directories: map[int]Directory{0: {Confidence: belief.Default()}}}, nil)
+		require.NoError(t, b.c.SetInitialList(0, full(Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready}), belief.Cached, time.Minute))
 		b.advance(10 * ms)
 		b.c.Pause(80 * ms)
 		b.submit("m1", "status", 0)
@@ -170,7 +170,7 @@
 		require.Empty(t, b.calls)
 		if confirms {
 			b.listed(0, true, Entry{Name: "s-2", Addr: "127.0.0.1:2", Destination: 7, Phase: snowjunction.Ready})
-			b.c.Spoken(0)
+			b.c.DirectoryConfirmed(0)
 		}
 		b.advance(10 * ms)
 		if confirms {
@@ -189,25 +189,25 @@
 // directory has confirmed is retained against it.
 func TestReplacedListIsNoCollapse(t *testing.T) {
 	trust := distrust.Default()
-	trust.Keep = true
+	trust.RetainOmitted = true
 	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true,
-		directories: map[int]Directory{0: {Belief: belief.Default(), Trust: trust}}}, nil)
+		directories: map[int]Directory{0: {Confidence: belief.Default(), Plausibility: trust}}}, nil)
 	list := func(from, n int) (out []Entry) {
 		for i := from; i < from+n; i++ {
 			out = append(out, Entry{Name: fmt.Sprint("e", i), Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Destination: 7, Phase: snowjunction.Ready})
 		}
 		return out
 	}
-	require.NoError(t, b.c.Begin(0, full(list(0, 10)...), belief.Cached, 7*24*time.Hour))
+	require.NoError(t, b.c.SetInitialList(0, full(list(0, 10)...), belief.Cached, 7*24*time.Hour))
 	b.listed(0, true, list(9, 4)...)
-	b.c.Spoken(0)
+	b.c.DirectoryConfirmed(0)
 	assert.Equal(t, 4, b.c.Table(0).Len(), "nine endpoints left within a week")
-	b.c.Moved(0)
+	b.c.DirectoryAgentChanged(0)
 	b.listed(0, true, list(20, 5)...)
-	b.c.Spoken(0)
+	b.c.DirectoryConfirmed(0)
 	assert.Equal(t, 5, b.c.Table(0).Len(), "the other agent's list is applied")
 	b.listed(0, true, list(20, 1)...)
-	b.c.Spoken(0)
+	b.c.DirectoryConfirmed(0)
 	assert.Equal(t, 5, b.c.Table(0).Len(), "the same agent's next list has collapsed")
 	assert.Contains(t, b.c.Conditions(0), "collapsed")
 	assert.Equal(t, belief.Doubtful, b.standing("e24"))
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -124,12 +124,12 @@
 	return t
 }
 
-// Slices calls step repeatedly, with other work in between, until it returns false. It splits work
+// RunSliced calls step repeatedly, with other work in between, until it returns false. It splits work
 // that would take too long in one turn.
-func (l *Loop) Slices(step func() (more bool)) {
+func (l *Loop) RunSliced(step func() (more bool)) {
 	l.After(0, func() {
 		if step() {
-			l.Slices(step)
+			l.RunSliced(step)
 		}
 	})
 }
