--- a/internal/core/plugins_test.go
+++ b/internal/core/plugins_test.go
@@ -46,8 +46,8 @@
 	return true
 }
 
-func (p *plugins) Reads(m *store.Message) bool { return p.asks["read "+m.ID] }
-func (p *plugins) Ended(m *store.Message)      { p.ended = append(p.ended, m.ID) }
+func (p *plugins) ReadsAnswers(m *store.Message) bool { return p.asks["read "+m.ID] }
+func (p *plugins) Ended(m *store.Message)             { p.ended = append(p.ended, m.ID) }
 
 func newPluginHarness(t *testing.T, asks ...string) (*harness, *plugins) {
 	p := &plugins{admits: map[string]func(bool, time.Duration){}, shapes: map[string]func(Shape){}, reads: map[string]func(Result){}, asks: map[string]bool{}}
@@ -71,9 +71,9 @@
 	require.NotNil(t, p.admits["m3"])
 	p.admits["m3"](false, 700*ms)
 	b.advance(20 * ms)
-	assert.Equal(t, []Answer{{Verdict: Taken}}, *first)
-	assert.Equal(t, []Answer{{Verdict: Taken}}, *second)
-	assert.Equal(t, []Answer{{Verdict: Fixed, After: 700 * ms}}, *third)
+	assert.Equal(t, []Answer{{Verdict: Accepted}}, *first)
+	assert.Equal(t, []Answer{{Verdict: Accepted}}, *second)
+	assert.Equal(t, []Answer{{Verdict: FixedResponse, RetryAfter: 700 * ms}}, *third)
 	assert.Empty(t, b.c.pluginQueues)
 	require.Len(t, b.calls, 2)
 	assert.Equal(t, []string{"o", "m1"}, []string{b.calls[0].m.ID, b.calls[1].m.ID})
@@ -86,8 +86,8 @@
 	second := b.submit("m1", "status", 0)
 	p.admits["m1"](true, 0)
 	b.advance(20 * ms)
-	assert.Equal(t, []Answer{{Verdict: Taken}}, *first)
-	assert.Equal(t, []Answer{{Verdict: Taken}}, *second)
+	assert.Equal(t, []Answer{{Verdict: Accepted}}, *first)
+	assert.Equal(t, []Answer{{Verdict: Accepted}}, *second)
 	assert.Len(t, b.calls, 1)
 }
 
@@ -97,7 +97,7 @@
 	got := b.submit("m1", "status", 0)
 	b.c.Drain()
 	p.admits["m1"](true, 0)
-	assert.Equal(t, []Answer{{Verdict: Fixed, After: drainAfter}}, *got)
+	assert.Equal(t, []Answer{{Verdict: FixedResponse, RetryAfter: drainAfter}}, *got)
 	assert.Empty(t, b.c.flowsByRef)
 	assert.Zero(t, b.c.Held())
 }
@@ -144,13 +144,13 @@
 	got := b.submit("m1", "status", 0)
 	b.advance(5 * ms)
 	require.Len(t, b.calls, 1)
-	assert.True(t, b.calls[0].shape.Whole)
+	assert.True(t, b.calls[0].shape.BufferAnswer)
 	b.calls[0].done(Result{Outcome: snowjunction.OK})
 	b.calls[0].done(Result{Outcome: snowjunction.OK})
 	b.advance(20 * ms)
 	assert.Empty(t, b.ended)
-	p.reads["m1"](Result{Outcome: snowjunction.Error, Wait: 300 * ms})
-	assert.True(t, b.calls[0].m.Ran)
+	p.reads["m1"](Result{Outcome: snowjunction.Error, RetryAfter: 300 * ms})
+	assert.True(t, b.calls[0].m.MayHaveRun)
 	began := b.now
 	for i := 0; i < 200 && len(b.calls) < 2; i++ {
 		b.advance(5 * ms)
@@ -160,7 +160,7 @@
 	p.asks = nil
 	b.calls[1].done(Result{Outcome: snowjunction.OK})
 	b.advance(5 * ms)
-	assert.Equal(t, []Answer{{Verdict: Taken}}, *got)
+	assert.Equal(t, []Answer{{Verdict: Accepted}}, *got)
 	assert.Equal(t, []string{"m1"}, p.ended)
 	require.Len(t, b.ended, 1)
 	assert.Equal(t, store.Delivered, b.ended[0].State)
@@ -179,10 +179,10 @@
 			b.advance(10 * ms)
 			require.Len(t, b.calls, 2)
 			require.True(t, b.calls[0].connect())
-			refused := Result{Outcome: snowjunction.Full, Wait: 500 * ms}
+			refused := Result{Outcome: snowjunction.Rejected, RetryAfter: 500 * ms}
 			b.calls[0].done(refused)
 			assert.False(t, b.calls[1].connect(), "before the module's next decision")
-			b.calls[1].done(Result{Outcome: snowjunction.Moot})
+			b.calls[1].done(Result{Outcome: snowjunction.NotSent})
 			began := b.now
 			b.submit("m3", "status", 0)
 			for range 6 {
@@ -196,7 +196,7 @@
 				b.advance(5 * ms)
 			}
 			require.Greater(t, len(b.calls), 2, "sent after the delay")
-			assert.GreaterOrEqual(t, b.now.Sub(began), refused.Wait)
+			assert.GreaterOrEqual(t, b.now.Sub(began), refused.RetryAfter)
 			assert.True(t, b.calls[2].connect())
 		})
 	}
--- a/internal/core/races_test.go
+++ b/internal/core/races_test.go
@@ -32,9 +32,9 @@
 			b := newHarness(t, nil)
 			m := &store.Message{
 				ID: "m1", IdempotencyKey: "k1", Class: tc.class, Destination: 7, Deadline: b.now.Add(tc.deadline), Attempts: 1,
-				Ran: true, RanSince: b.now.Add(tc.window + windowSlack - 5*time.Second),
+				MayHaveRun: true, MayHaveRunSince: b.now.Add(tc.window + windowSlack - 5*time.Second),
 			}
-			require.NoError(t, b.journal.Take(m))
+			require.NoError(t, b.journal.Accept(m))
 			b.c.Pause(80 * ms)
 			b.c.Restore([]*store.Message{m})
 			b.advance(81 * ms)
@@ -105,7 +105,7 @@
 				b.compact()
 			}
 			next := b.restarted(sent.Add(tc.after-10*ms).Sub(b.now), nil)
-			err := next.c.TakeIn(Request{ID: "m2", Class: "order", Key: 6, IdempotencyKey: "m1", Destination: 7, Left: 10 * time.Second},
+			err := next.c.Submit(Request{ID: "m2", Class: "order", Key: 6, IdempotencyKey: "m1", Destination: 7, TimeLeft: 10 * time.Second},
 				func(Answer, *store.Message) bool { return true })
 			require.NoError(t, err)
 			next.advance(5 * ms)
@@ -121,7 +121,7 @@
 	b := newHarness(t, nil)
 	message := func(id string, left time.Duration, attempts int) *store.Message {
 		m := &store.Message{ID: id, Class: "status", Destination: 7, Deadline: b.now.Add(left), Attempts: attempts}
-		require.NoError(t, b.journal.Take(m))
+		require.NoError(t, b.journal.Accept(m))
 		return m
 	}
 	b.c.Restore([]*store.Message{message("goes", time.Second, 0), message("too late", -time.Second, 0), message("was tried", time.Second, 1)})
@@ -141,15 +141,15 @@
 	var left []*store.Message
 	for _, id := range []string{"out", "next"} {
 		m := &store.Message{ID: id, Class: "order", Key: 5, Destination: 7, Deadline: b.now.Add(5 * time.Second)}
-		require.NoError(t, b.journal.Take(m))
+		require.NoError(t, b.journal.Accept(m))
 		left = append(left, m)
 	}
-	require.NoError(t, b.journal.Sent(left[0], b.now))
+	require.NoError(t, b.journal.RecordAttempt(left[0], b.now))
 	next := newHarnessWith(&harness{t: t, now: b.now.Add(10 * ms), settle: true, journalDir: b.journalDir}, func(s *snowjunction.Settings) {
 		s.OrderSettle = 700 * ms
 		s.Classes[0].Effect = snowjunction.Unsafe
 	})
-	next.c.Remember(next.journal.Ran())
+	next.c.RestoreSettled(next.journal.SettledMayHaveRun())
 	next.c.Restore(next.restored)
 	next.advance(5 * ms)
 	next.advance(700 * ms)
@@ -164,7 +164,7 @@
 // restarted returns a harness for a new process that opens the same journal after the given time.
 func (b *harness) restarted(after time.Duration, change func(*snowjunction.Settings)) *harness {
 	next := newHarnessWith(&harness{t: b.t, now: b.now.Add(after), settle: true, journalDir: b.journalDir}, change)
-	next.c.Remember(next.journal.Ran())
+	next.c.RestoreSettled(next.journal.SettledMayHaveRun())
 	next.c.Restore(next.restored)
 	next.advance(5 * ms)
 	next.advance(5 * ms)
@@ -175,7 +175,7 @@
 func newConnecting(t *testing.T, change func(*snowjunction.Settings)) *harness {
 	b := newHarness(t, change)
 	b.connecting = true
-	require.NoError(t, b.c.TakeIn(Request{ID: "m1", Class: "order", IdempotencyKey: "k1", Destination: 7, Left: 20 * time.Second},
+	require.NoError(t, b.c.Submit(Request{ID: "m1", Class: "order", IdempotencyKey: "k1", Destination: 7, TimeLeft: 20 * time.Second},
 		func(Answer, *store.Message) bool { return true }))
 	b.advance(5 * ms)
 	require.Len(t, b.calls, 1)
@@ -224,7 +224,7 @@
 	require.NoError(t, err)
 	require.Len(t, left, 1)
 	assert.Equal(t, 1, left[0].Attempts)
-	assert.False(t, left[0].Ran)
+	assert.False(t, left[0].MayHaveRun)
 }
 
 // The disk is slow to record an attempt that then may have run. Its window counts from the first
@@ -243,8 +243,8 @@
 	_, found, err := store.Load(store.Options{Dir: b.journalDir, Bytes: 3e6, Log: b.c.Log})
 	require.NoError(t, err)
 	require.Len(t, found, 1)
-	assert.True(t, found[0].Ran)
-	assert.Zero(t, found[0].RanSince.Sub(left).Truncate(ms))
+	assert.True(t, found[0].MayHaveRun)
+	assert.Zero(t, found[0].MayHaveRunSince.Sub(left).Truncate(ms))
 }
 
 // compact has all present records of the journal copied or dropped.
@@ -262,8 +262,8 @@
 // addFiller adds a message to the journal that ends at once.
 func (b *harness) addFiller() {
 	m := &store.Message{ID: "filler", Class: "status", Body: make([]byte, MaxBody)}
-	require.NoError(b.t, b.journal.Take(m))
-	require.NoError(b.t, b.journal.Ended(m, store.Withdrawn, 0, b.now))
+	require.NoError(b.t, b.journal.Accept(m))
+	require.NoError(b.t, b.journal.RecordFinalState(m, store.Withdrawn, 0, b.now))
 	require.NoError(b.t, b.journal.Settle(m))
 }
 
@@ -278,7 +278,7 @@
 			}
 			b := newHarness(t, change)
 			for _, id := range []string{"first", "next"} {
-				require.NoError(t, b.c.TakeIn(Request{ID: id, Class: "order", Key: 5, Destination: 7, Left: map[string]time.Duration{
+				require.NoError(t, b.c.Submit(Request{ID: id, Class: "order", Key: 5, Destination: 7, TimeLeft: map[string]time.Duration{
 					"first": time.Second, "next": 10 * time.Second,
 				}[id]}, func(Answer, *store.Message) bool { return true }))
 			}
@@ -329,7 +329,7 @@
 		b.calls[0].done(Result{Outcome: snowjunction.OK})
 		b = b.restarted(-3*time.Second, nil)
 		b.advance(later)
-		require.NoError(t, b.c.TakeIn(Request{ID: "m2", Class: "order", IdempotencyKey: "m1", Destination: 7, Left: 10 * time.Second},
+		require.NoError(t, b.c.Submit(Request{ID: "m2", Class: "order", IdempotencyKey: "m1", Destination: 7, TimeLeft: 10 * time.Second},
 			func(Answer, *store.Message) bool { return true }))
 		b.advance(5 * ms)
 		b.advance(5 * ms)
@@ -340,9 +340,9 @@
 // A message ends with its attempt in flight, and the attempt then turns out not to have run. After
 // a kill a resubmission is sent as if there had been no attempt.
 func TestNotRunKnownAfterEnd(t *testing.T) {
-	for outcome, sent := range map[snowjunction.Outcome]bool{snowjunction.Full: true, snowjunction.Error: false} {
+	for outcome, sent := range map[snowjunction.Outcome]bool{snowjunction.Rejected: true, snowjunction.Error: false} {
 		b := newHarness(t, nil)
-		require.NoError(t, b.c.TakeIn(Request{ID: "m1", Class: "order", Key: 9, IdempotencyKey: "k", Destination: 7, Left: time.Second},
+		require.NoError(t, b.c.Submit(Request{ID: "m1", Class: "order", Key: 9, IdempotencyKey: "k", Destination: 7, TimeLeft: time.Second},
 			func(Answer, *store.Message) bool { return true }))
 		b.advance(5 * ms)
 		require.Len(t, b.calls, 1)
@@ -350,7 +350,7 @@
 		require.Len(t, b.ended, 1)
 		b.calls[0].done(Result{Outcome: outcome})
 		b = b.restarted(4900*ms, nil)
-		require.NoError(t, b.c.TakeIn(Request{ID: "m2", Class: "order", Key: 9, IdempotencyKey: "k", Destination: 7, Left: time.Second},
+		require.NoError(t, b.c.Submit(Request{ID: "m2", Class: "order", Key: 9, IdempotencyKey: "k", Destination: 7, TimeLeft: time.Second},
 			func(Answer, *store.Message) bool { return true }))
 		b.advance(200 * ms)
 		b.advance(10 * ms)
@@ -386,13 +386,13 @@
 	}{
 		"may have run":                      {first: snowjunction.Reset},
 		"delivered":                         {first: snowjunction.OK},
-		"never ran":                         {first: snowjunction.Full, sent: true},
+		"never ran":                         {first: snowjunction.Rejected, sent: true},
 		"killed with the attempt in flight": {first: snowjunction.Reset, killed: "out"},
 		"killed after its end with the attempt in flight": {first: snowjunction.Reset, killed: "ended"},
 		"killed long after":                      {first: snowjunction.Reset, killed: "late"},
 		"killed after it may have run":           {first: snowjunction.Reset, killed: "over"},
 		"killed after it was delivered":          {first: snowjunction.OK, killed: "over"},
-		"killed after it proved not to have run": {first: snowjunction.Full, killed: "over", sent: true},
+		"killed after it proved not to have run": {first: snowjunction.Rejected, killed: "over", sent: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			change := func(s *snowjunction.Settings) {
@@ -400,7 +400,7 @@
 			}
 			b := newHarness(t, change)
 			for _, id := range []string{"m1", "m2"} {
-				require.NoError(t, b.c.TakeIn(Request{ID: id, Class: "order", Key: 5, IdempotencyKey: "k", Destination: 7, Left: 10 * time.Second},
+				require.NoError(t, b.c.Submit(Request{ID: id, Class: "order", Key: 5, IdempotencyKey: "k", Destination: 7, TimeLeft: 10 * time.Second},
 					func(Answer, *store.Message) bool { return true }))
 			}
 			b.advance(5 * ms)
@@ -419,12 +419,12 @@
 			if tc.killed == "late" {
 				b.advance(2 * time.Second)
 				b.addFiller()
-				require.Empty(t, b.journal.Ran())
+				require.Empty(t, b.journal.SettledMayHaveRun())
 			}
 			if tc.killed != "" {
 				b.list(snowjunction.Draining, false)
 				b = newHarnessWith(&harness{t: t, now: b.now.Add(600 * ms), settle: true, journalDir: b.journalDir, emptyList: true}, change)
-				b.c.Remember(b.journal.Ran())
+				b.c.RestoreSettled(b.journal.SettledMayHaveRun())
 				b.c.Restore(b.restored)
 			}
 			b.advance(1200 * ms)
@@ -449,10 +449,10 @@
 	b.submit("m1", "order", 5)
 	b.advance(5 * ms)
 	require.Len(t, b.calls, 1)
-	b.calls[0].done(Result{Outcome: snowjunction.Moot, Over: true})
+	b.calls[0].done(Result{Outcome: snowjunction.NotSent, Unwanted: true})
 	require.Len(t, b.ended, 1)
 	b = b.restarted(ms, nil)
-	assert.Empty(t, b.journal.Ran())
+	assert.Empty(t, b.journal.SettledMayHaveRun())
 }
 
 // firstFrontRef returns the reference of a message of the first front.
@@ -465,7 +465,7 @@
 	for _, givenUp := range []bool{false, true} {
 		b := newHarness(t, func(s *snowjunction.Settings) { s.Classes[0].Window = time.Second })
 		for i, id := range []string{"m1", "m2"} {
-			require.NoError(t, b.c.TakeIn(Request{ID: id, Class: "order", IdempotencyKey: "k", Destination: 7, Left: 10 * time.Second},
+			require.NoError(t, b.c.Submit(Request{ID: id, Class: "order", IdempotencyKey: "k", Destination: 7, TimeLeft: 10 * time.Second},
 				func(Answer, *store.Message) bool { return true }))
 			if i == 0 {
 				b.advance(5 * ms)
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -18,9 +18,9 @@
 	a.answered = true
 	if c.recordRetryAfter(a, r) {
 		c.trace("told to wait", a.flow.msg)
-		if c.Plugins != nil && c.Plugins.Reads(a.flow.msg) {
+		if c.Plugins != nil && c.Plugins.ReadsAnswers(a.flow.msg) {
 			// The plug-ins may take some time, but the delay applies at once.
-			c.queueEvent(snowjunction.WaitTold{Endpoint: a.endpoint, Wait: r.Wait})
+			c.queueEvent(snowjunction.RetryAfterReceived{Endpoint: a.endpoint, RetryAfter: r.RetryAfter})
 		}
 	}
 	var to Entry
@@ -35,7 +35,7 @@
 // recordRetryAfter reports whether an answer has a retry-after delay. Until the module has been
 // told of it, nothing more is sent to the destination.
 func (c *Core) recordRetryAfter(a *attempt, r Result) bool {
-	if r.Wait <= 0 || r.Outcome != snowjunction.Full && r.Outcome != snowjunction.Error {
+	if r.RetryAfter <= 0 || r.Outcome != snowjunction.Rejected && r.Outcome != snowjunction.Error {
 		return false
 	}
 	c.retryAfterReceived[a.flow.msg.Destination] = true
@@ -63,16 +63,16 @@
 		c.finish(f, store.Failed, 0)
 	case r.Outcome == snowjunction.OK:
 		c.finish(f, store.Delivered, 0)
-	case r.Over && !f.ended:
+	case r.Unwanted && !f.ended:
 		c.recordOutcome(a, mayRun)
 		c.finish(f, store.Withdrawn, 0)
 	default:
 		c.recordOutcome(a, mayRun)
-		if r.Outcome == snowjunction.Moot && !f.ended && !c.inWindow(f) { // cannot be sent any more
+		if r.Outcome == snowjunction.NotSent && !f.ended && !c.inWindow(f) { // cannot be sent any more
 			c.finish(f, store.Failed, 0)
 		}
 	}
-	if !mayRun && !f.msg.Ran {
+	if !mayRun && !f.msg.MayHaveRun {
 		c.attemptedKeys.NotRun(f.idempotencyKey(), f.msg.ID)
 	}
 	c.recordRetryAfter(a, r) // a plug-in may have added the delay
@@ -80,14 +80,14 @@
 	c.stateChanged(snowjunction.DestinationID(f.msg.Destination))
 	ended := snowjunction.AttemptEnded{
 		Request: f.id, Endpoint: a.endpoint, Attempt: a.number, Outcome: r.Outcome,
-		Took: c.Loop.Now().Sub(a.startedAt), Wait: r.Wait, Done: f.ended, Report: r.Report,
+		Took: c.Loop.Now().Sub(a.startedAt), RetryAfter: r.RetryAfter, Done: f.ended, Report: r.Report,
 	}
 	if !a.sentAt.IsZero() {
-		ended.Dialled = a.sentAt.Sub(a.startedAt)
+		ended.SetupTook = a.sentAt.Sub(a.startedAt)
 	}
 	if a.call != nil {
-		ended.Kept = a.call.Kept()
-		ended.Fresh = ended.Kept == 0
+		ended.ConnIdle = a.call.IdleBefore()
+		ended.NewConn = ended.ConnIdle == 0
 	}
 	c.traceAttempt(a, &ended)
 	c.queueEvent(ended)
@@ -121,8 +121,8 @@
 	}
 	m := a.flow.msg
 	c.Log.Debug("attempt", "id", m.ID, "key", m.IdempotencyKey, "dest", m.Destination, "class", m.Class, "endpoint", a.endpoint, "no", a.number,
-		"outcome", outcomes[ev.Outcome], "took_ms", ev.Took.Milliseconds(), "wait_ms", ev.Wait.Milliseconds(),
-		"kept_ms", ev.Kept.Milliseconds(), "report", ev.Report)
+		"outcome", outcomes[ev.Outcome], "took_ms", ev.Took.Milliseconds(), "wait_ms", ev.RetryAfter.Milliseconds(),
+		"kept_ms", ev.ConnIdle.Milliseconds(), "report", ev.Report)
 }
 
 // traceEnd logs a final result at debug level.
@@ -131,13 +131,13 @@
 		return
 	}
 	m := f.msg
-	c.Log.Debug("end", "id", m.ID, "key", m.IdempotencyKey, "ran", m.Ran, "dest", m.Destination, "class", m.Class, "attempts", m.Attempts, "as", result,
+	c.Log.Debug("end", "id", m.ID, "key", m.IdempotencyKey, "ran", m.MayHaveRun, "dest", m.Destination, "class", m.Class, "attempts", m.Attempts, "as", result,
 		"left_ms", m.Deadline.Sub(c.Loop.Now()).Milliseconds(), "after_ms", retryAfter.Milliseconds(), "held", c.openFlows)
 }
 
 func mayHaveRun(o snowjunction.Outcome) bool {
 	switch o {
-	case snowjunction.Full, snowjunction.ConnectFailed, snowjunction.Moot:
+	case snowjunction.Rejected, snowjunction.ConnectFailed, snowjunction.NotSent:
 		return false
 	}
 	return true
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -24,30 +24,30 @@
 	Call(m *store.Message, shape Shape, timeout time.Duration, may func() bool, done func(Result)) Call
 	// CloseIdle closes idle connections.
 	CloseIdle()
-	// Leave closes idle connections now, and the others when their calls end. The target is no
+	// Retire closes idle connections now, and the others when their calls end. The target is no
 	// longer in its group.
-	Leave()
+	Retire()
 }
 
 // Call is an attempt in flight.
 type Call interface {
-	// Left reports whether the last byte of the request may have been sent.
-	Left() bool
-	// Kept returns how long the connection had been idle before the call; 0 for a new connection.
-	Kept() time.Duration
+	// Sent reports whether the last byte of the request may have been sent.
+	Sent() bool
+	// IdleBefore returns how long the connection had been idle before the call; 0 for a new connection.
+	IdleBefore() time.Duration
 	// GiveUp abandons the call. done is not called after that.
 	GiveUp()
 }
 
 // Result is the result of an attempt.
 type Result struct {
-	Outcome snowjunction.Outcome
-	Wait    time.Duration // retry-after delay of a rejected call
-	Over    bool          // the endpoint says that the message is no longer wanted
-	Report  []float64
-	// Elsewhere is set if the server answered that it is not the endpoint that was called.
-	Elsewhere bool
-	Answer    *Reply // the original answer if it came completely; nil otherwise
+	Outcome    snowjunction.Outcome
+	RetryAfter time.Duration // retry-after delay of a rejected call
+	Unwanted   bool          // the endpoint says that the message is no longer wanted
+	Report     []float64
+	// WrongEndpoint is set if the server answered that it is not the endpoint that was called.
+	WrongEndpoint bool
+	Answer        *Reply // the original answer if it came completely; nil otherwise
 }
 
 // Reply is an answer as received.
@@ -84,7 +84,7 @@
 	id          snowjunction.EndpointID
 	target      Target // nil unless the endpoint can be called
 	goneAt      time.Time
-	standing    belief.Standing
+	standing    belief.Level
 	excluded    bool          // by an operator
 	excludedFor time.Duration // how long it had been excluded, if it was included again recently; otherwise 0
 }
@@ -136,8 +136,8 @@
 	return int(n)
 }
 
-// Calling yields the destinations for which flows are held by the module or wait for a snapshot.
-func (c *Core) Calling() iter.Seq[snowjunction.DestinationID] {
+// ActiveDestinations yields the destinations for which flows are held by the module or wait for a snapshot.
+func (c *Core) ActiveDestinations() iter.Seq[snowjunction.DestinationID] {
 	return func(yield func(snowjunction.DestinationID) bool) {
 		for destination, g := range c.routes.loaded {
 			if (g.flows > 0 || len(g.parked) > 0) && !yield(destination) {
@@ -147,13 +147,13 @@
 	}
 }
 
-// Listed applies an update of a front's target group: a set of changes or the full list. Only
+// UpdateList applies an update of a front's target group: a set of changes or the full list. Only
 // changes to loaded destinations go further than the table. It returns an error if the update is
 // invalid; draining and gone endpoints are then still applied and everything else stays unchanged.
-func (c *Core) Listed(front int, l *groups.List) error {
+func (c *Core) UpdateList(front int, l *groups.List) error {
 	table := c.routes.tables[front]
 	if err := table.CheckChanges(l); err != nil {
-		c.Heed(front, l)
+		c.ApplyLeaving(front, l)
 		return err
 	}
 	var updates []snowjunction.Endpoint
@@ -165,7 +165,7 @@
 		return nil
 	}
 	started := c.Loop.Now()
-	for e := range l.Entries.From(0) {
+	for e := range l.Entries.EntriesFrom(0) {
 		c.clearRetained(front, e.Name)
 		updates = append(updates, c.applyEntry(front, e)...)
 	}
@@ -176,9 +176,9 @@
 	return nil
 }
 
-// Heed applies only what an otherwise rejected update says of draining and gone endpoints: they get
+// ApplyLeaving applies only what an otherwise rejected update says of draining and gone endpoints: they get
 // no new calls.
-func (c *Core) Heed(front int, l *groups.List) {
+func (c *Core) ApplyLeaving(front int, l *groups.List) {
 	var updates []snowjunction.Endpoint
 	for _, n := range l.Leaving {
 		if e, ok := c.routes.tables[front].Get(n); ok && e.Phase == snowjunction.Ready {
@@ -191,8 +191,8 @@
 }
 
 func (c *Core) listChanged(front int) {
-	if c.Heard != nil {
-		c.Heard(front)
+	if c.OnListChange != nil {
+		c.OnListChange(front)
 	}
 }
 
@@ -253,7 +253,7 @@
 		}
 	}
 	at := 0
-	c.Loop.Slices(func() bool {
+	c.Loop.RunSliced(func() bool {
 		for d := range old.DestinationsFrom(at, at+sliceSize) {
 			if !c.routes.tables[front].HasDestination(d) {
 				c.routes.delisted.add(d, c.Loop.Now())
@@ -283,7 +283,7 @@
 	}
 	excluded, excludedFor := c.exclusionOf(front, entry.Name)
 	if member.target != nil && (member.Addr != entry.Addr || entry.Phase != snowjunction.Ready || excluded) {
-		member.target.Leave()
+		member.target.Retire()
 		member.target = nil
 	}
 	before, known := member.moduleView(), member.Name != ""
@@ -313,7 +313,7 @@
 		return updates
 	}
 	if m.target != nil {
-		m.target.Leave()
+		m.target.Retire()
 		m.target = nil
 	}
 	m.Phase, m.goneAt = snowjunction.Gone, c.Loop.Now()
@@ -336,7 +336,7 @@
 func (l *loadedEndpoint) moduleView() snowjunction.Endpoint {
 	e := snowjunction.Endpoint{
 		ID: l.id, Destination: l.Destination, Zone: l.Zone, Kind: l.Kind, Phase: l.Phase, Weight: l.Weight,
-		Doubtful: l.standing == belief.Doubtful, WasOut: l.excludedFor,
+		Doubtful: l.standing == belief.Doubtful, ExcludedFor: l.excludedFor,
 	}
 	if (l.excluded || l.standing == belief.Refuted) && e.Phase == snowjunction.Ready {
 		e.Phase = snowjunction.Draining
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -35,7 +35,7 @@
 	}
 	if !c.accept(f) { // nothing was sent, but the module's call must be closed
 		c.queueEvent(snowjunction.AttemptEnded{
-			Request: f.id, Endpoint: s.Endpoint, Attempt: f.msg.Attempts, Outcome: snowjunction.Moot, Done: true,
+			Request: f.id, Endpoint: s.Endpoint, Attempt: f.msg.Attempts, Outcome: snowjunction.NotSent, Done: true,
 		})
 		return
 	}
@@ -78,10 +78,10 @@
 		c.reportUnsent(a)
 		return
 	}
-	shape.Whole = c.Plugins != nil && c.Plugins.Reads(f.msg)
+	shape.BufferAnswer = c.Plugins != nil && c.Plugins.ReadsAnswers(f.msg)
 	waited := c.Loop.Now().Sub(a.startedAt)
 	remaining := a.timeout - waited
-	if remaining <= 0 || waited > c.ParkMost || !c.stillValid(f) {
+	if remaining <= 0 || waited > c.MaxDecisionAge || !c.stillValid(f) {
 		c.reportUnsent(a)
 		return
 	}
@@ -90,14 +90,14 @@
 		return
 	}
 	a.connectTimer = c.Loop.After(c.Settings.ConnectTimeout, func() {
-		if !a.call.Left() {
+		if !a.call.Sent() {
 			c.expire(a, snowjunction.ConnectFailed)
 		}
 	})
 }
 
 func (c *Core) stillValid(f *flow) bool {
-	return !c.retryAfterReceived[f.msg.Destination] && c.courier.Stands(c.elapsed(), f.id) && c.inWindow(f)
+	return !c.retryAfterReceived[f.msg.Destination] && c.courier.MayStillSend(c.elapsed(), f.id) && c.inWindow(f)
 }
 
 // mayStart reports whether an attempt's first byte may be sent now, and if so records the attempt.
@@ -112,7 +112,7 @@
 		if f.msg.Attempts != a.number { // recording failed
 			return false
 		}
-		if err := c.Journal.Sent(f.msg, c.Loop.Now()); err != nil {
+		if err := c.Journal.RecordAttempt(f.msg, c.Loop.Now()); err != nil {
 			// An unrecorded attempt could be sent again after a restart.
 			c.Log.Error("attempt not sent: journal write failed", "id", f.msg.ID, "err", err)
 			return false
@@ -135,7 +135,7 @@
 // reportUnsent reports an attempt that was never sent.
 func (c *Core) reportUnsent(a *attempt) {
 	c.Counters.Unsent++
-	c.completeAttempt(a, Result{Outcome: snowjunction.Moot})
+	c.completeAttempt(a, Result{Outcome: snowjunction.NotSent})
 }
 
 // recordOutcome records the outcome of an attempt. One that was never sent has no record yet; the
@@ -143,11 +143,11 @@
 func (c *Core) recordOutcome(a *attempt, mayHaveRun bool) {
 	m := a.flow.msg
 	if m.Attempts == a.number {
-		if err := c.Journal.Sent(m, c.Loop.Now()); err != nil {
+		if err := c.Journal.RecordAttempt(m, c.Loop.Now()); err != nil {
 			c.Log.Error("journal", "err", err)
 		}
 	}
-	if err := c.Journal.Came(m, mayHaveRun, a.sentAt); err != nil {
+	if err := c.Journal.RecordOutcome(m, mayHaveRun, a.sentAt); err != nil {
 		c.Log.Error("journal", "err", err)
 	}
 }
@@ -162,7 +162,7 @@
 		c.reportUnsent(a)
 		return
 	default:
-		if !a.call.Left() {
+		if !a.call.Sent() {
 			outcome = snowjunction.ConnectFailed
 		}
 		a.call.GiveUp()
--- a/internal/core/share_test.go
+++ b/internal/core/share_test.go
@@ -21,10 +21,10 @@
 	for i := range 10 {
 		require.NoError(t, l.Add(Entry{Name: fmt.Sprint(i), Addr: fmt.Sprintf("127.0.0.2:%d", i+1), Destination: snowjunction.DestinationID(i + 1), Phase: snowjunction.Ready}))
 	}
-	require.NoError(t, b.c.Listed(0, l))
+	require.NoError(t, b.c.UpdateList(0, l))
 	destinations := func(d snowjunction.DestinationID) int {
 		b.c.load(d)
-		w, is := b.c.events[len(b.c.events)-1].(snowjunction.Wake)
+		w, is := b.c.events[len(b.c.events)-1].(snowjunction.Load)
 		require.True(t, is)
 		return w.Destinations
 	}
@@ -33,18 +33,18 @@
 	assert.Equal(t, 40, destinations(2))
 	gone := groups.NewList(false)
 	require.NoError(t, gone.Add(Entry{Name: "1", Phase: snowjunction.Gone}))
-	require.NoError(t, b.c.Listed(0, gone))
+	require.NoError(t, b.c.UpdateList(0, gone))
 	e, is := b.c.events[len(b.c.events)-1].(snowjunction.List)
 	require.True(t, is)
 	assert.Equal(t, 36, e.Destinations)
 
 	calling := func() (out []snowjunction.DestinationID) {
-		for d := range b.c.Calling() {
+		for d := range b.c.ActiveDestinations() {
 			out = append(out, d)
 		}
 		return out
 	}
 	assert.Empty(t, calling(), "loaded, but without flows")
-	require.NoError(t, b.c.TakeIn(Request{ID: "a", Class: "status", Destination: 3, Left: time.Second}, func(Answer, *store.Message) bool { return true }))
+	require.NoError(t, b.c.Submit(Request{ID: "a", Class: "status", Destination: 3, TimeLeft: time.Second}, func(Answer, *store.Message) bool { return true }))
 	assert.Equal(t, []snowjunction.DestinationID{3}, calling())
 }
--- a/internal/core/sleep.go
+++ b/internal/core/sleep.go
@@ -9,9 +9,9 @@
 	"snowjunction/internal/memento"
 )
 
-// Beyond is an external store for snapshots of unloaded destinations that exceed the memory limit
+// SnapshotStore is an external store for snapshots of unloaded destinations that exceed the memory limit
 // or must outlast the process. None of its methods block.
-type Beyond interface {
+type SnapshotStore interface {
 	Put(dest uint32, at time.Time, text []byte)
 	Has(dest uint32) bool
 	Len() int
@@ -33,13 +33,13 @@
 	}
 	g = &group{destination: destination}
 	c.routes.loaded[destination] = g
-	if c.Beyond == nil || c.idleTracker.Keeping(destination) || !c.Beyond.Has(uint32(destination)) {
-		c.activate(g, c.idleTracker.Wake(destination, c.elapsed()))
+	if c.SnapshotStore == nil || c.idleTracker.Has(destination) || !c.SnapshotStore.Has(uint32(destination)) {
+		c.activate(g, c.idleTracker.Load(destination, c.elapsed()))
 		return g
 	}
 	g.loading = true
 	limit := c.Loop.After(snapshotTimeout, func() { c.snapshotLoaded(g, nil, time.Time{}) })
-	requested := c.Beyond.Take(uint32(destination), func(text []byte, at time.Time, ok bool) {
+	requested := c.SnapshotStore.Take(uint32(destination), func(text []byte, at time.Time, ok bool) {
 		limit.Stop()
 		c.snapshotLoaded(g, text, at)
 	})
@@ -57,11 +57,11 @@
 		return
 	}
 	g.loading = false
-	loaded := dormancy.Woken{}
+	loaded := dormancy.Loaded{}
 	if m, err := memento.Decode(text); err == nil {
-		loaded = c.idleTracker.WakeWith(m, c.Loop.Now().Sub(at))
+		loaded = c.idleTracker.LoadSnapshot(m, c.Loop.Now().Sub(at))
 	} else {
-		loaded = c.idleTracker.Wake(g.destination, c.elapsed())
+		loaded = c.idleTracker.Load(g.destination, c.elapsed())
 	}
 	c.activate(g, loaded)
 	parked := g.parked
@@ -72,23 +72,23 @@
 }
 
 // activate tells the module of a destination, with its snapshot if there is one.
-func (c *Core) activate(g *group, loaded dormancy.Woken) {
-	event := snowjunction.Wake{
-		Destination: g.destination, Slept: loaded.Slept, Caution: loaded.Caution, Destinations: c.destinations(),
+func (c *Core) activate(g *group, loaded dormancy.Loaded) {
+	event := snowjunction.Load{
+		Destination: g.destination, UnloadedFor: loaded.UnloadedFor, CautiousStart: loaded.Caution, Destinations: c.destinations(),
 	}
-	names := map[memento.Name]snowjunction.EndpointID{}
+	names := map[memento.EndpointHash]snowjunction.EndpointID{}
 	for front, t := range c.routes.tables {
 		for e := range t.ByDestination(g.destination) {
 			for _, x := range c.updateEndpoint(g, front, e) {
 				event.Endpoints = append(event.Endpoints, x)
-				names[memento.NameOf(e.Name)] = x.ID
+				names[memento.HashName(e.Name)] = x.ID
 			}
 		}
 	}
-	if loaded.Memento != nil {
-		event.State = &loaded.Memento.State
-		for i := range event.State.EndpointsSeen { // a gone endpoint gets number 0, which no endpoint has
-			event.State.EndpointsSeen[i].ID = names[loaded.Memento.Names[i]]
+	if loaded.Snapshot != nil {
+		event.Snapshot = &loaded.Snapshot.State
+		for i := range event.Snapshot.Endpoints { // a gone endpoint gets number 0, which no endpoint has
+			event.Snapshot.Endpoints[i].ID = names[loaded.Snapshot.Names[i]]
 		}
 	}
 	c.queueEvent(event)
@@ -101,7 +101,7 @@
 	}
 	g.unloading = false
 	for i, ev := range c.events {
-		if s, ok := ev.(snowjunction.Sleep); ok && s.Destination == g.destination {
+		if s, ok := ev.(snowjunction.Unload); ok && s.Destination == g.destination {
 			c.events = append(c.events[:i], c.events[i+1:]...)
 			return
 		}
@@ -113,7 +113,7 @@
 	g := c.load(snowjunction.DestinationID(f.msg.Destination))
 	g.flows++
 	c.idleTracker.Busy(g.destination)
-	if c.idleTracker.Over() { // too many loaded: the longest idle are unloaded before their time
+	if c.idleTracker.OverLimit() { // too many loaded: the longest idle are unloaded before their time
 		c.idleTimer.Stop()
 		c.idleTimer = nil
 		c.unloadIdle()
@@ -141,7 +141,7 @@
 	if c.idleTimer != nil {
 		return
 	}
-	c.idleTracker.Stale(c.elapsed(), maxUnloads)
+	c.idleTracker.DropStale(c.elapsed(), maxUnloads)
 	for range maxUnloads {
 		destination, due, wait := c.idleTracker.Due(c.elapsed())
 		if !due {
@@ -157,7 +157,7 @@
 		c.idleTracker.Busy(destination)
 		if g != nil && g.flows == 0 && !g.unloading && !c.frozen {
 			g.unloading = true
-			c.queueEvent(snowjunction.Sleep{Destination: destination})
+			c.queueEvent(snowjunction.Unload{Destination: destination})
 		}
 	}
 	c.idleTimer = c.Loop.After(unloadInterval, func() {
@@ -173,36 +173,36 @@
 
 // unloaded handles a destination returned by the module. Only its snapshot is kept: no target,
 // connection or endpoint number.
-func (c *Core) unloaded(a snowjunction.Asleep) {
+func (c *Core) unloaded(a snowjunction.Unloaded) {
 	g := c.routes.loaded[a.Destination]
 	if g == nil || !g.unloading {
 		c.Log.Error("the module unloaded a destination without a request", "destination", a.Destination)
 		return
 	}
 	g.unloading = false
-	if a.Busy || a.State == nil && g.flows > 0 {
+	if a.Busy || a.Snapshot == nil && g.flows > 0 {
 		c.idleTracker.Idle(g.destination, c.elapsed())
 		c.unloadIdle()
 		return
 	}
-	m := c.memento(a.State)
+	m := c.memento(a.Snapshot)
 	for _, l := range g.members {
 		if l.target != nil {
-			l.target.Leave()
+			l.target.Retire()
 			l.target = nil
 		}
 		delete(c.routes.byID, l.id)
 	}
 	delete(c.routes.loaded, g.destination)
-	text := c.idleTracker.Keep(g.destination, m, c.elapsed())
+	text := c.idleTracker.Unload(g.destination, m, c.elapsed())
 	c.saveUnloaded(g.destination, text)
-	if c.Beyond != nil {
-		c.Beyond.Put(uint32(g.destination), c.Loop.Now(), text)
+	if c.SnapshotStore != nil {
+		c.SnapshotStore.Put(uint32(g.destination), c.Loop.Now(), text)
 	}
 }
 
-// Dormant returns statistics of the target groups and the unloaded destinations as log attributes.
-func (c *Core) Dormant() slog.Value {
+// DormancyStats returns statistics of the target groups and the unloaded destinations as log attributes.
+func (c *Core) DormancyStats() slog.Value {
 	counts, endpoints, bytes := c.idleTracker.Counts, 0, 0
 	for _, t := range c.routes.tables {
 		endpoints += t.Len()
@@ -211,17 +211,17 @@
 	updates := c.updates
 	c.updates = listUpdates{}
 	meanNs, stored := int64(0), 0
-	if c.Beyond != nil {
-		stored = c.Beyond.Len()
+	if c.SnapshotStore != nil {
+		stored = c.SnapshotStore.Len()
 	}
 	if updates.count > 0 {
 		meanNs = updates.took.Nanoseconds() / int64(updates.count)
 	}
 	return slog.GroupValue(
 		slog.Int("listed", endpoints), slog.Int("destinations", c.routes.destinations()), slog.Int("table_bytes", bytes),
-		slog.Int("awake", c.idleTracker.Awake()), slog.Int("mementos", c.idleTracker.Asleep()), slog.Int("memento_bytes", c.idleTracker.Bytes()),
-		slog.Uint64("slept", counts.Slept), slog.Uint64("woke", counts.Woke), slog.Uint64("known", counts.Known),
-		slog.Int("beyond", stored), slog.Uint64("dropped", counts.Dropped), slog.Uint64("full", counts.Full),
+		slog.Int("awake", c.idleTracker.Loaded()), slog.Int("mementos", c.idleTracker.Snapshots()), slog.Int("memento_bytes", c.idleTracker.Bytes()),
+		slog.Uint64("slept", counts.Unloaded), slog.Uint64("woke", counts.Loaded), slog.Uint64("known", counts.LoadedWithSnapshot),
+		slog.Int("beyond", stored), slog.Uint64("dropped", counts.Dropped), slog.Uint64("full", counts.AllBinding),
 		slog.Int("changes", updates.count), slog.Int64("change_ns", meanNs),
 	)
 }
--- a/internal/core/sleep_test.go
+++ b/internal/core/sleep_test.go
@@ -47,16 +47,16 @@
 	b.unloadAll()
 	assert.Equal(t, 2, b.leftTargets)
 	assert.Empty(t, b.c.routes.byID)
-	assert.Equal(t, 1, b.c.idleTracker.Asleep())
+	assert.Equal(t, 1, b.c.idleTracker.Snapshots())
 	b.deliver("m2")
-	assert.Zero(t, b.c.idleTracker.Asleep())
+	assert.Zero(t, b.c.idleTracker.Snapshots())
 }
 
 // A destination with an open flow is never unloaded, even if nothing happens for long.
 func TestOpenFlowsPreventUnloading(t *testing.T) {
 	b := newHarness(t, nil)
 	b.list(snowjunction.Draining, false)
-	err := b.c.TakeIn(Request{ID: "m1", Class: "status", Destination: 7, Left: 10 * time.Minute}, func(Answer, *store.Message) bool { return true })
+	err := b.c.Submit(Request{ID: "m1", Class: "status", Destination: 7, TimeLeft: 10 * time.Minute}, func(Answer, *store.Message) bool { return true })
 	require.NoError(t, err)
 	b.advance(9 * time.Minute)
 	b.advance(time.Second)
@@ -107,7 +107,7 @@
 	b := newHarness(t, nil)
 	b.submit("m1", "status", 0)
 	b.advance(5 * ms)
-	b.calls[0].done(Result{Outcome: snowjunction.Full, Wait: 90 * time.Second})
+	b.calls[0].done(Result{Outcome: snowjunction.Rejected, RetryAfter: 90 * time.Second})
 	began := b.now
 	b.advance(3 * time.Second) // its message is given up
 	b.unloadAll()
@@ -128,7 +128,7 @@
 	b := newHarness(t, nil)
 	b.submit("m1", "status", 0)
 	b.advance(5 * ms)
-	b.calls[0].done(Result{Outcome: snowjunction.Full, Wait: 10 * time.Second})
+	b.calls[0].done(Result{Outcome: snowjunction.Rejected, RetryAfter: 10 * time.Second})
 	b.advance(3 * time.Second)
 	b.unloadAll()
 	b.submit("m2", "status", 0)
@@ -154,17 +154,17 @@
 // fixed response with a retry delay at once, and no binding state is dropped.
 func TestAllSnapshotsBinding(t *testing.T) {
 	cfg := dormancy.Default(snowjunction.Settings{})
-	cfg.Awake, cfg.Memory = 1, 1
+	cfg.MaxLoaded, cfg.MaxBytes = 1, 1
 	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, dormancy: &cfg}, nil)
 	b.listed(0, false, Entry{Name: "s-2", Addr: "127.0.0.1:2", Destination: 8, Phase: snowjunction.Ready})
 	b.submit("m1", "status", 0)
 	b.advance(5 * ms)
-	b.calls[0].done(Result{Outcome: snowjunction.Full, Wait: 40 * time.Second})
+	b.calls[0].done(Result{Outcome: snowjunction.Rejected, RetryAfter: 40 * time.Second})
 	b.advance(3 * time.Second)
 	var got []Answer
 	submit := func(id string) {
 		got = nil
-		err := b.c.TakeIn(Request{ID: id, Class: "status", Destination: 8, Left: time.Second}, func(a Answer, _ *store.Message) bool {
+		err := b.c.Submit(Request{ID: id, Class: "status", Destination: 8, TimeLeft: time.Second}, func(a Answer, _ *store.Message) bool {
 			got = append(got, a)
 			return true
 		})
@@ -172,8 +172,8 @@
 	}
 	submit("m2")
 	require.Len(t, got, 1, "answered at once")
-	assert.Equal(t, Fixed, got[0].Verdict)
-	assert.Positive(t, int64(got[0].After))
+	assert.Equal(t, FixedResponse, got[0].Verdict)
+	assert.Positive(t, int64(got[0].RetryAfter))
 	assert.EqualValues(t, 1, b.c.Counters.RefusedCrowded)
 	b.submit("m3", "status", 0)
 	b.advance(500 * ms)
@@ -190,7 +190,7 @@
 		{Name: "s-3", Addr: "127.0.0.1:2", Destination: 9, Phase: snowjunction.Ready},
 	})
 	require.NoError(t, err)
-	assert.ErrorIs(t, b.c.Listed(0, l), groups.ErrAddress)
+	assert.ErrorIs(t, b.c.UpdateList(0, l), groups.ErrAddress)
 	assert.False(t, b.c.routes.tables[0].HasDestination(9))
 	assert.True(t, b.c.routes.tables[0].HasDestination(8), "the held list is unchanged")
 	b.submit("m2", "status", 0)
@@ -210,12 +210,12 @@
 		b.advance(ms)
 		got := b.submit("m1", "status", 0)
 		b.advance(20 * ms)
-		assert.Equal(t, []Answer{{Verdict: Taken}}, *got, "its next endpoint may be listed in time")
+		assert.Equal(t, []Answer{{Verdict: Accepted}}, *got, "its next endpoint may be listed in time")
 		b.advance(3 * delistedRetention)
 		b.unloadAll()
 		got = b.submit("m2", "status", 0)
 		require.Len(t, *got, 1)
-		assert.Equal(t, Fixed, (*got)[0].Verdict)
+		assert.Equal(t, FixedResponse, (*got)[0].Verdict)
 	}
 }
 
@@ -236,7 +236,7 @@
 				Destination: snowjunction.DestinationID(100 + round*20000 + i), Phase: snowjunction.Ready,
 			}))
 		}
-		require.NoError(t, b.c.Listed(0, l))
+		require.NoError(t, b.c.UpdateList(0, l))
 		b.advance(ms)
 	}
 	list(0, 20000)
@@ -281,7 +281,7 @@
 	b := newBeyond(&harness{t: t, now: start, settle: true}, x)
 	b.submit("m1", "status", 0)
 	b.advance(5 * ms)
-	b.calls[0].done(Result{Outcome: snowjunction.Full, Wait: 10 * time.Minute})
+	b.calls[0].done(Result{Outcome: snowjunction.Rejected, RetryAfter: 10 * time.Minute})
 	b.advance(3 * time.Second)
 	b.unloadAll()
 	require.NotNil(t, x.kept[7])
@@ -294,7 +294,7 @@
 	b.submit("m3", "status", 0)
 	x.asked[0]()
 	b.advance(10 * ms)
-	assert.Equal(t, []Answer{{Verdict: Taken}}, *got)
+	assert.Equal(t, []Answer{{Verdict: Accepted}}, *got)
 	assert.Empty(t, b.calls, "its retry-after delay still applies")
 	assert.Equal(t, 2, b.c.Held())
 }
@@ -307,7 +307,7 @@
 	got := b.submit("m1", "status", 0)
 	b.advance(snapshotTimeout)
 	b.advance(10 * ms)
-	assert.Equal(t, []Answer{{Verdict: Taken}}, *got)
+	assert.Equal(t, []Answer{{Verdict: Accepted}}, *got)
 	assert.Len(t, b.calls, 1)
 	x.asked[0]()
 	b.advance(10 * ms)
@@ -320,7 +320,7 @@
 	b := newBeyond(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true}, x)
 	got := b.submit("m1", "status", 0)
 	b.c.Freeze(func() {})
-	assert.Equal(t, []Answer{{Verdict: Fixed}}, *got)
+	assert.Equal(t, []Answer{{Verdict: FixedResponse}}, *got)
 }
 
 // A turn leaves posted work for the next turn after maxTurn, so that due timers are not delayed.
@@ -345,10 +345,10 @@
 // destination is unloaded, and the next message of the key is sent.
 func TestKeyedWindowPreventsUnload(t *testing.T) {
 	cfg := dormancy.Default(snowjunction.Settings{})
-	cfg.After = 500 * ms
+	cfg.IdleTimeout = 500 * ms
 	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, dormancy: &cfg}, nil)
 	submit := func(id string) {
-		err := b.c.TakeIn(Request{ID: id, Class: "order", Key: 9, IdempotencyKey: id, Destination: 7, Left: 20 * time.Second},
+		err := b.c.Submit(Request{ID: id, Class: "order", Key: 9, IdempotencyKey: id, Destination: 7, TimeLeft: 20 * time.Second},
 			func(Answer, *store.Message) bool { return true })
 		require.NoError(t, err)
 	}
--- a/internal/core/takein.go
+++ b/internal/core/takein.go
@@ -19,8 +19,8 @@
 	Key            uint64
 	Class, Tenant  string
 	Destination    uint32
-	Left           time.Duration // time left until its deadline
-	Again          bool          // the client marks it as a resubmission
+	TimeLeft       time.Duration // time left until its deadline
+	Resubmitted    bool          // the client marks it as a resubmission
 	Forwarded      bool          // by another courier; the core makes no difference
 	Body           []byte
 }
@@ -30,15 +30,15 @@
 
 // Verdicts.
 const (
-	Taken  Verdict = iota // accepted: the courier will report a final result
-	Fixed                 // fixed response: not accepted, safe to resubmit
-	Failed                // not accepted, and resubmitting is pointless
+	Accepted      Verdict = iota // accepted: the courier will report a final result
+	FixedResponse                // fixed response: not accepted, safe to resubmit
+	Failed                       // not accepted, and resubmitting is pointless
 )
 
 // Answer is the single answer to a Request.
 type Answer struct {
-	Verdict Verdict
-	After   time.Duration // with Fixed: retry delay; 0 means no advice
+	Verdict    Verdict
+	RetryAfter time.Duration // with Fixed: retry delay; 0 means no advice
 }
 
 // AnswerFunc receives the answer to a Request, with the message if it was accepted. It returns
@@ -55,10 +55,10 @@
 // ErrRequest is wrapped by all errors about malformed requests.
 var ErrRequest = errors.New("invalid message")
 
-// TakeIn is the first stage of the chain. It returns an error for a malformed request, and then
+// Submit is the first stage of the chain. It returns an error for a malformed request, and then
 // does not call answer. Otherwise answer is called exactly once, soon.
-func (c *Core) TakeIn(request Request, answer AnswerFunc) error {
-	class, err := c.Check(request)
+func (c *Core) Submit(request Request, answer AnswerFunc) error {
+	class, err := c.Validate(request)
 	if err != nil {
 		c.Counters.Malformed++
 		return err
@@ -73,14 +73,14 @@
 				return answer(a, m) || received
 			}
 		} else {
-			answer(Answer{Verdict: Taken}, f.msg)
+			answer(Answer{Verdict: Accepted}, f.msg)
 		}
 		return nil
 	}
 	f := &flow{class: class, answer: answer, msg: &store.Message{
 		Origin: byte(request.Origin), ID: request.ID, IdempotencyKey: request.IdempotencyKey, Key: request.Key,
 		Destination: request.Destination, Class: request.Class, Tenant: request.Tenant,
-		Deadline: c.Loop.Now().Add(request.Left), Again: request.Again, Body: request.Body,
+		Deadline: c.Loop.Now().Add(request.TimeLeft), Resubmitted: request.Resubmitted, Body: request.Body,
 	}}
 	c.admit(f)
 	return nil
@@ -107,10 +107,10 @@
 // ranSince returns the time of the first attempt that may have run or is in flight, or the zero
 // time.
 func ranSince(m *store.Message) time.Time {
-	if !m.Ran && m.Out {
-		return m.OutSince
+	if !m.MayHaveRun && m.InFlight {
+		return m.InFlightSince
 	}
-	return m.RanSince
+	return m.MayHaveRunSince
 }
 
 // inWindow reports whether a flow may be sent with regard to all flows held under its idempotency
@@ -121,7 +121,7 @@
 	}
 	for _, other := range c.flowsByIdempotencyKey[f.idempotencyKey()] {
 		since := ranSince(other.msg)
-		if (other != f || other.msg.Ran) && !since.IsZero() && c.Loop.Now().Sub(since) >= f.class.Window-2*c.Settings.Tick {
+		if (other != f || other.msg.MayHaveRun) && !since.IsZero() && c.Loop.Now().Sub(since) >= f.class.Window-2*c.Settings.Tick {
 			return false
 		}
 	}
@@ -140,7 +140,7 @@
 	}
 	since := ranSince(f.msg)
 	for _, other := range others {
-		if !other.ended && !other.msg.Ran && !since.IsZero() {
+		if !other.ended && !other.msg.MayHaveRun && !since.IsZero() {
 			c.markRanUnderOtherID(other, since)
 		}
 	}
@@ -148,17 +148,17 @@
 
 // markRanUnderOtherID records that a flow's message may have run under another id since then.
 func (c *Core) markRanUnderOtherID(f *flow, since time.Time) {
-	f.msg.Ran, f.msg.RanSince = true, since
-	if err := c.Journal.Copy(f.msg); err != nil {
+	f.msg.MayHaveRun, f.msg.MayHaveRunSince = true, since
+	if err := c.Journal.Rewrite(f.msg); err != nil {
 		c.Log.Error("journal", "err", err)
 	}
 }
 
-// Taking reports whether messages are accepted.
-func (c *Core) Taking() bool { return !c.draining && !c.frozen }
+// Accepting reports whether messages are accepted.
+func (c *Core) Accepting() bool { return !c.draining && !c.frozen }
 
-// Check validates a request and returns its class.
-func (c *Core) Check(request Request) (*snowjunction.Class, error) {
+// Validate validates a request and returns its class.
+func (c *Core) Validate(request Request) (*snowjunction.Class, error) {
 	invalid := func(format string, args ...any) (*snowjunction.Class, error) {
 		return nil, fmt.Errorf("%w: %s", ErrRequest, fmt.Sprintf(format, args...))
 	}
@@ -173,7 +173,7 @@
 		return invalid("unknown class %q", request.Class)
 	case !tenantKnown && (request.Tenant != "" || len(c.tenants) > 0):
 		return invalid("unknown tenant %q", request.Tenant)
-	case request.Left <= 0 || request.Left > maxTimeLeft:
+	case request.TimeLeft <= 0 || request.TimeLeft > maxTimeLeft:
 		return invalid("the time left must be over 0 and at most %v", maxTimeLeft)
 	case len(request.Body) > MaxBody:
 		return invalid("the body must be %d bytes at most", MaxBody)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -65,7 +65,7 @@
 	plugins         *plugin.Set
 	idle            *config.Idle
 	directoryConfig *config.Directory
-	startList       platform.Begin
+	startList       platform.InitialList
 	learnedRecords  []learnt.Record
 	cache           *dircache.Cache  // nil if the list is not kept on disk
 	learnedStore    *learnt.Store    // nil if learned state is not kept on disk
@@ -82,7 +82,7 @@
 	decisionsStopped bool             // decisions have stopped and no call is in flight
 	handingOver      bool             // handover to another process in progress
 	link             *handover.Link   // to that process
-	handoverState    *handover.Estate
+	handoverState    *handover.State
 	consoleFD        int // socket of the second address once it is handed over, else -1
 
 	adminPath       string             // path of the admin socket; empty if there is none
@@ -100,11 +100,11 @@
 	LogFormat string              // "text" or "json"; empty means text
 	LogLevel  slog.Level
 	Host      []string // command that starts a plug-in's host
-	// Unhurried replaces the time budgets of plug-ins: how long flows wait for a plug-in and
+	// PluginBudget replaces the time budgets of plug-ins: how long flows wait for a plug-in and
 	// decisions for their plug-ins. Zero keeps the budgets. It is for tests that do not depend on
 	// time.
-	Unhurried time.Duration
-	Signals   <-chan os.Signal // if nil, the signals of the process
+	PluginBudget time.Duration
+	Signals      <-chan os.Signal // if nil, the signals of the process
 }
 
 // Logger returns a logger with the configured format and level.
@@ -125,7 +125,7 @@
 	}
 	c.plugins = plugin.New(plugin.Config{
 		Loop: c.loop, Log: c.log, Command: p.opts.Host, Bodies: f.plugins.Bodies, StartWithin: f.plugins.StartWithin,
-		AnswerWithin: p.opts.Unhurried,
+		AnswerWithin: p.opts.PluginBudget,
 	})
 	if len(f.manifests) > 0 {
 		why, done := "", false
@@ -139,10 +139,10 @@
 
 // build creates the other components, on a folder that this process owns. It takes ownership of the
 // handover state e, which may be nil.
-func (c *courier) build(e *handover.Estate) (messages []*store.Message, err error) {
+func (c *courier) build(e *handover.State) (messages []*store.Message, err error) {
 	cfg, pushCfg := c.cfg, c.process.files.push
 	if c.engine, err = net.New(net.Config{
-		Post: c.loop.Post, Log: c.log, MaxConns: max(cfg.Limits.Sockets-reservedDescriptors, cfg.Limits.Sockets/2), Kept: reservedConns(cfg),
+		Post: c.loop.Post, Log: c.log, MaxConns: max(cfg.Limits.Sockets-reservedDescriptors, cfg.Limits.Sockets/2), Reserved: reservedConns(cfg),
 	}); err != nil {
 		return nil, err
 	}
@@ -158,23 +158,23 @@
 		}
 	}
 	c.journal, messages, err = store.Load(store.Options{
-		Dir: cfg.StateDir, Bytes: cfg.StateBytes() - c.directoryConfig.Room() - exclusions.Room(), Retain: pushCfg.Retain, Log: c.log,
-		Until: core.Until(cfg.Settings),
-		Goes:  func(seq uint64) bool { return inFlight[seq] },
+		Dir: cfg.StateDir, Bytes: cfg.StateBytes() - c.directoryConfig.Room() - exclusions.DiskSpace(), Retain: pushCfg.Retain, Log: c.log,
+		RememberUntil: core.Until(cfg.Settings),
+		StillInFlight: func(seq uint64) bool { return inFlight[seq] },
 	})
 	if err != nil {
 		return nil, err
 	}
 	c.process.stepDone("journal")
 	c.platform = platform.New(platform.Config{
-		Loop: c.loop, Engine: c.engine, Log: c.log, Number: platformFrontNumber, Listen: cfg.Listen,
-		Discovery: cfg.Discovery, Names: cfg.Names, Columns: cfg.ReportColumns, Settings: cfg.Settings,
-		Lists: platform.ListLimits{Bytes: c.idle.ListBytes, Entries: c.idle.ListEntries}, Started: c.onPlatformStep,
+		Loop: c.loop, Engine: c.engine, Log: c.log, FrontIndex: platformFrontNumber, Listen: cfg.Listen,
+		Discovery: cfg.Discovery, Names: cfg.Names, ReportColumns: cfg.ReportColumns, Settings: cfg.Settings,
+		Lists: platform.ListLimits{Bytes: c.idle.ListBytes, Entries: c.idle.ListEntries}, OnStep: c.onPlatformStep,
 		Router: c.newRouter(messages),
 	})
 	c.push = push.New(push.Config{
-		Loop: c.loop, Engine: c.engine, Log: c.log, Number: pushFrontNumber, Push: pushCfg, API: c.process.api, Life: c.process.life,
-		Columns: cfg.ReportColumns, Settings: cfg.Settings,
+		Loop: c.loop, Engine: c.engine, Log: c.log, FrontIndex: pushFrontNumber, Push: pushCfg, API: c.process.api, Lifecycle: c.process.life,
+		ReportColumns: cfg.ReportColumns, Settings: cfg.Settings,
 	})
 	coreCfg := core.Config{
 		Loop: c.loop, Log: c.log, Journal: c.journal, Settings: cfg.Settings,
@@ -194,19 +194,19 @@
 	coreCfg.Exclusions = c.exclusionFile
 	if c.idle.StorePath != "" {
 		c.idleStore, err = idlestore.Open(idlestore.Options{
-			Path: c.idle.StorePath, Bytes: c.idle.StoreBytes, Forget: c.idle.Dormancy.Forget,
+			Path: c.idle.StorePath, MaxBytes: c.idle.StoreBytes, MaxAge: c.idle.Dormancy.MaxAge,
 			Post: c.loop.Post, Log: c.log, Now: time.Now,
 		})
 		if err != nil { // the store is optional: continue without it
 			c.log.Warn("no idle store", "err", err)
 		} else {
-			coreCfg.Beyond = c.idleStore
+			coreCfg.SnapshotStore = c.idleStore
 		}
 	}
 	c.openPeerSocket(&coreCfg)
-	coreCfg.Plugins, coreCfg.ParkMost = c.plugins, c.process.opts.Unhurried
+	coreCfg.Plugins, coreCfg.MaxDecisionAge = c.plugins, c.process.opts.PluginBudget
 	if c.core, err = core.New(coreCfg); err == nil && c.process.previousCounts != nil {
-		c.core.Carry(*c.process.previousCounts)
+		c.core.RestoreCounts(*c.process.previousCounts)
 	}
 	c.process.stepDone("module")
 	return messages, err
@@ -225,7 +225,7 @@
 
 // bindListeners binds the clients' addresses, or continues to use the listeners that were handed
 // over.
-func (c *courier) bindListeners(e *handover.Estate, pushListen string) error {
+func (c *courier) bindListeners(e *handover.State, pushListen string) error {
 	if e != nil {
 		for i, l := range e.Listeners {
 			if l.FD >= 0 {
@@ -263,31 +263,31 @@
 }
 
 // start opens the fronts and restores what the previous process left behind or handed over.
-func (c *courier) start(messages []*store.Message, e *handover.Estate) error {
+func (c *courier) start(messages []*store.Message, e *handover.State) error {
 	if err := c.push.Start(c.core, messages); err != nil {
 		return err
 	}
 	excluded := exclusions.New(c.cfg.Settings.WarmUp)
 	exclusions.Read(c.cfg.StateDir, excluded, c.log)
-	c.core.RecallOut(excluded)
+	c.core.RestoreExclusions(excluded)
 	if e != nil {
 		c.core.TakeOver(e)
 	} else {
-		c.core.Recall(c.learnedRecords)
+		c.core.RestoreLearned(c.learnedRecords)
 	}
 	c.learnedRecords = nil
-	c.core.Remember(c.journal.Ran())
+	c.core.RestoreSettled(c.journal.SettledMayHaveRun())
 	if err := c.platform.Start(c.core, c.startList); err != nil {
 		return err
 	}
-	if c.startList.Held && len(messages) > 0 && (e == nil || !e.Live) {
+	if c.startList.Present && len(messages) > 0 && (e == nil || !e.ListConfirmed) {
 		c.core.Pause(directoryTimeout)
 	}
 	c.core.Restore(messages) // before the loop runs, so that no new message comes first
 	c.process.stepDone("restored")
 	if e != nil {
-		c.platform.TakeOver(e.Clients)
-		c.log.Info("taken over", "clients", len(e.Clients), "calls", len(e.Calls), "known", len(e.Known), "keys", len(e.Keys),
+		c.platform.AdoptClients(e.Clients)
+		c.log.Info("taken over", "clients", len(e.Clients), "calls", len(e.Calls), "known", len(e.Destinations), "keys", len(e.Keys),
 			"ms", time.Since(c.process.ownerSince).Milliseconds())
 		c.closeAbandonedCalls()
 	}
@@ -297,7 +297,7 @@
 		c.console, err = console.Start(console.Config{
 			Loop: c.loop, Engine: c.engine, Listen: c.cfg.Console, Ready: c.platform.Ready,
 			Figures: func(done func(core.Figures)) { done(c.core.Figures(platformFrontNumber)) },
-			Exclude: func(id string, excluded bool, done func(error)) {
+			SetExcluded: func(id string, excluded bool, done func(error)) {
 				c.core.Exclude(platformFrontNumber, id, excluded, done)
 			},
 		})
@@ -305,7 +305,7 @@
 			return err
 		}
 		consoleAddr = c.console.Addr()
-		c.console.TakeOver(c.consoleConns)
+		c.console.AdoptCallers(c.consoleConns)
 	}
 	c.engine.CloseInherited()
 	if err := c.openAdminSocket(); err != nil {
@@ -326,7 +326,7 @@
 	switch step {
 	case platform.Listening:
 		c.process.stepDone("listener")
-	case platform.Listed:
+	case platform.ListLoaded:
 		c.process.stepDone("endpoints")
 	case platform.Ready:
 		c.loop.After(0, func() {
@@ -394,7 +394,7 @@
 // applyFiles applies files that were read by a reload.
 func (c *courier) applyFiles(f files, err error, done func(why string)) {
 	if err == nil {
-		err = c.push.Relist(f.push.Targets)
+		err = c.push.SetTargets(f.push.Targets)
 	}
 	if err != nil {
 		c.log.Error("configuration not read again", "err", err)
@@ -417,7 +417,7 @@
 	if len(needRestart) > 0 {
 		c.log.Warn("these wait for a restart", "values", needRestart)
 	}
-	c.platform.Move(f.cfg.Discovery)
+	c.platform.MoveDiscovery(f.cfg.Discovery)
 	c.adoptMembership(f.membership)
 	c.plugins.AllowBodies(f.plugins.Bodies)
 	c.plugins.AllowStart(f.plugins.StartWithin)
@@ -461,12 +461,12 @@
 
 func (c *courier) logCounters(why string) {
 	t := c.loop.Turns()
-	values := []any{"n", &c.core.Counters, "held", c.core.Held(), "connections", c.engine.Open(), "kinds", c.engine.Kinds(),
-		"journal", c.journal.Size(), "plugins", c.plugins, "idle", c.core.Dormant(), "learnt", c.core.Learning(), "directory", c.directoryCounts(),
+	values := []any{"n", &c.core.Counters, "held", c.core.Held(), "connections", c.engine.OpenCount(), "kinds", c.engine.OpenByKind(),
+		"journal", c.journal.Size(), "plugins", c.plugins, "idle", c.core.DormancyStats(), "learnt", c.core.LearnedStats(), "directory", c.directoryCounts(),
 		"datagrams", c.datagramCounts(), "state", c.core.Footprint(), "heap", liveHeapBytes(),
 		"turns", t.Count, "longest_turn_us", t.Longest.Microseconds()}
-	if f, divided := c.platform.Divided(); divided {
-		values = append(values, slog.Group("partitions", "owned", f.Owned, "listed", f.Listed, "wanted", f.Wanted, "pins", f.Pins, "unreached", f.Unreached))
+	if f, divided := c.platform.PartitionFigures(); divided {
+		values = append(values, slog.Group("partitions", "owned", f.Owned, "listed", f.Listed, "wanted", f.AwaitingList, "pins", f.Pins, "unreached", f.Unreachable))
 	}
 	c.log.Info(why, values...)
 }
@@ -500,7 +500,7 @@
 // requests and for unconfirmed notices.
 func (c *courier) endIfDone() {
 	done := c.core.Held() == 0 || c.decisionsStopped
-	if done && c.platform.Quiet() && !c.platform.Unanswered() && !c.push.Unanswered() {
+	if done && c.platform.NoticesSettled() && !c.platform.HasUnanswered() && !c.push.HasUnanswered() {
 		c.loop.End()
 		return
 	}
--- a/internal/daemon/directory.go
+++ b/internal/daemon/directory.go
@@ -18,23 +18,23 @@
 // the configuration. Both carry generations of the same directory; if these are equal the kept list
 // is used, because its age is known. A kept list from another agent, which may count generations
 // independently, is still used, but the next list is requested in full.
-func chooseStartList(cached *dircache.Snapshot, configured config.List, agent string, now time.Time) platform.Begin {
-	if cached == nil || configured.Held && configured.Generation > cached.Generation {
-		if !configured.Held {
-			return platform.Begin{}
+func chooseStartList(cached *dircache.Snapshot, configured config.List, agent string, now time.Time) platform.InitialList {
+	if cached == nil || configured.Present && configured.Generation > cached.Generation {
+		if !configured.Present {
+			return platform.InitialList{}
 		}
-		return platform.Begin{List: configured, Source: belief.Known, Watch: true}
+		return platform.InitialList{List: configured, Source: belief.Configured, Watchable: true}
 	}
-	age := now.Sub(cached.Told)
+	age := now.Sub(cached.ConfirmedAt)
 	if age < -clockTolerance { // the clock was set back: the age is unknown
 		age = -1
 	} else {
 		age = max(age, 0)
 	}
-	return platform.Begin{
-		List:   config.List{Held: true, Generation: cached.Generation, Full: true, Targets: cached.Entries},
-		Source: belief.Cached, Age: age, Watch: !cached.Partial && cached.Agent == agent,
-		Partitions: cached.Partitions, Of: cached.Of,
+	return platform.InitialList{
+		List:   config.List{Present: true, Generation: cached.Generation, Full: true, Targets: cached.Entries},
+		Source: belief.Cached, Age: age, Watchable: !cached.Partial && cached.Agent == agent,
+		PartitionCount: cached.Partitions, CompletePartitions: cached.Covered,
 	}
 }
 
@@ -83,26 +83,26 @@
 // write encodes the list in slices, so that a long list does not block the loop. If the list
 // changes meanwhile, encoding starts over.
 func (k *listKeeper) write() {
-	generation, agent, known := k.front.Told()
+	generation, agent, known := k.front.CurrentList()
 	if !known {
 		return
 	}
 	k.startedAt = k.loop.Now()
 	version := k.version
 	confirmedAt := k.loop.Now()
-	if source, age, live := k.core.Word(platformFrontNumber); !live {
+	if source, age, live := k.core.ListStatus(platformFrontNumber); !live {
 		if version == 1 {
 			return // the list of the start: it is already on disk, or its age is unknown
 		}
-		if source == belief.Known {
+		if source == belief.Configured {
 			age = max(age, k.freshFor)
 		}
 		confirmedAt = confirmedAt.Add(-age)
 	}
-	partitions, of := k.front.Holds()
+	partitions, of := k.front.LoadedPartitions()
 	w := dircache.NewWriter(dircache.Head{
-		Told: confirmedAt, Generation: generation, Agent: agent, Zones: dircache.Names(k.names.Zones), Kinds: dircache.Names(k.names.Kinds),
-		Partitions: partitions, Of: of,
+		ConfirmedAt: confirmedAt, Generation: generation, Agent: agent, Zones: dircache.Names(k.names.Zones), Kinds: dircache.Names(k.names.Kinds),
+		Partitions: partitions, Covered: of,
 	}, k.maxBytes)
 	// Entries of loaded destinations come first, in case not all entries fit.
 	position, unloadedPass, spent := 0, false, time.Duration(0)
@@ -117,8 +117,8 @@
 		}
 		table := k.core.Table(platformFrontNumber)
 		n := 0
-		for e := range table.From(position) {
-			if awake := k.core.Awake(e.Destination); awake != unloadedPass && (e.Phase == snowjunction.Ready || e.Phase == snowjunction.Draining) {
+		for e := range table.EntriesFrom(position) {
+			if awake := k.core.Loaded(e.Destination); awake != unloadedPass && (e.Phase == snowjunction.Ready || e.Phase == snowjunction.Draining) {
 				w.Add(e)
 			}
 			position++
@@ -137,7 +137,7 @@
 		return false
 	}
 	if k.abandoned < maxAbandoned {
-		k.loop.Slices(step)
+		k.loop.RunSliced(step)
 		return
 	}
 	for step() { // in one go, as the list changes too often for slices
@@ -153,7 +153,7 @@
 
 // refresh writes the list again if the directory still confirms it.
 func (k *listKeeper) refresh() {
-	if _, _, live := k.core.Word(platformFrontNumber); live {
+	if _, _, live := k.core.ListStatus(platformFrontNumber); live {
 		k.changed()
 		return
 	}
@@ -162,7 +162,7 @@
 
 // openSideFiles reads the state that an earlier process run left next to the journal, and opens it
 // for writing. Errors are logged and cost only that state, not the start.
-func (c *courier) openSideFiles(cfg *core.Config, e *handover.Estate) {
+func (c *courier) openSideFiles(cfg *core.Config, e *handover.State) {
 	warn := func(file string, err error) { c.log.Warn("cannot use a file", "file", file, "err", err) }
 	var cached *dircache.Snapshot
 	if e != nil && len(e.List) > 0 {
@@ -176,7 +176,7 @@
 	}
 	c.process.stepDone("list")
 	if cached != nil {
-		cached.Rename(c.cfg.Names.Zones, c.cfg.Names.Kinds)
+		cached.Renumber(c.cfg.Names.Zones, c.cfg.Names.Kinds)
 	}
 	if c.directoryConfig.Cache {
 		cache, err := dircache.Open(dircache.Options{Dir: c.cfg.StateDir, Bytes: c.directoryConfig.CacheBytes, Generations: c.directoryConfig.Generations, Log: c.log})
@@ -186,9 +186,9 @@
 			c.cache = cache
 			k := &listKeeper{
 				loop: c.loop, front: c.platform, cache: cache, names: c.cfg.Names, maxBytes: c.directoryConfig.CacheBytes,
-				freshFor: c.directoryConfig.Belief.Fresh, refreshInterval: max(c.directoryConfig.Belief.Fresh/4, time.Second),
+				freshFor: c.directoryConfig.Confidence.FreshFor, refreshInterval: max(c.directoryConfig.Confidence.FreshFor/4, time.Second),
 			}
-			cfg.Heard = func(front int) {
+			cfg.OnListChange = func(front int) {
 				if k.core = c.core; front == platformFrontNumber {
 					k.changed()
 				}
@@ -196,7 +196,7 @@
 		}
 	}
 	c.startList = chooseStartList(cached, c.cfg.InitialList, c.cfg.Discovery, c.loop.Now())
-	if b := c.startList; b.Held {
+	if b := c.startList; b.Present {
 		c.log.Info("starting list", "source", b.Source.String(), "generation", b.Generation, "endpoints", len(b.Targets), "age", b.Age.Round(time.Millisecond))
 	}
 	if c.directoryConfig.Learn {
@@ -205,7 +205,7 @@
 		if err != nil {
 			c.log.Warn("learned state is not kept", "err", err)
 		} else {
-			c.learnedStore, cfg.Learnt = store, store
+			c.learnedStore, cfg.LearnedStore = store, store
 		}
 	}
 	c.process.stepDone("learnt")
@@ -217,28 +217,28 @@
 	if c.cache != nil {
 		n = c.cache.Counts()
 	}
-	source, age, live := c.core.Word(platformFrontNumber)
+	source, age, live := c.core.ListStatus(platformFrontNumber)
 	return slog.GroupValue(
 		slog.Bool("live", live), slog.String("source", source.String()), slog.Float64("word_age_s", age.Seconds()), slog.Uint64("written", n.Written), slog.Uint64("bytes", n.Bytes), slog.Uint64("failed", n.Failed),
 	)
 }
 
-// Believed is the courier's assessment of its directory and endpoints, as the admin socket reports
+// DirectoryStatus is the courier's assessment of its directory and endpoints, as the admin socket reports
 // it.
-type Believed struct {
-	Source     string             `json:"source"`
-	Live       bool               `json:"live"`
-	WordAgeS   float64            `json:"word_age_s"`
-	Conditions map[string]float64 `json:"conditions"` // conditions of the directory and their ages in seconds
-	Listed     int                `json:"listed"`
-	Endpoints  []core.Believed    `json:"endpoints"` // limited to maxReportedEndpoints
+type DirectoryStatus struct {
+	Source          string                    `json:"source"`
+	Live            bool                      `json:"live"`
+	ConfirmedAgeS   float64                   `json:"word_age_s"`
+	Conditions      map[string]float64        `json:"conditions"` // conditions of the directory and their ages in seconds
+	ListedEndpoints int                       `json:"listed"`
+	Endpoints       []core.EndpointConfidence `json:"endpoints"` // limited to maxReportedEndpoints
 }
 
 const maxReportedEndpoints = 10000
 
-func (c *courier) directoryStatus() Believed {
-	source, age, live := c.core.Word(platformFrontNumber)
-	b := Believed{Source: source.String(), Live: live, WordAgeS: age.Seconds(), Conditions: c.core.Conditions(platformFrontNumber)}
-	b.Endpoints, b.Listed = c.core.Beliefs(platformFrontNumber, maxReportedEndpoints)
+func (c *courier) directoryStatus() DirectoryStatus {
+	source, age, live := c.core.ListStatus(platformFrontNumber)
+	b := DirectoryStatus{Source: source.String(), Live: live, ConfirmedAgeS: age.Seconds(), Conditions: c.core.Conditions(platformFrontNumber)}
+	b.Endpoints, b.ListedEndpoints = c.core.EndpointConfidences(platformFrontNumber, maxReportedEndpoints)
 	return b
 }
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -71,12 +71,12 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { e.journal.Close() })
 	settings := snowjunction.Settings{
-		Seed: 1, Fleet: 1, Tick: 5 * time.Millisecond, Slots: 8, MaxHeld: 10, MaxAttempts: 6, MaxRetry: 3 * time.Second,
+		Seed: 1, Fleet: 1, Tick: 5 * time.Millisecond, Slots: 8, MaxHeld: 10, MaxAttempts: 6, MaxRetryAfter: 3 * time.Second,
 		ConnectTimeout: time.Second, DrainGrace: time.Second, Kinds: []snowjunction.Kind{{BundleMax: 1}},
-		Classes: []snowjunction.Class{{Name: "status", Aim: time.Second, Deadline: 20 * time.Second, Worth: 2}},
+		Classes: []snowjunction.Class{{Name: "status", TargetLatency: time.Second, Deadline: 20 * time.Second, Value: 2}},
 	}
 	e.platform = platform.New(platform.Config{
-		Loop: e.loop, Engine: e.engine, Log: e.log, Number: platformFrontNumber, Listen: "127.0.0.1:0",
+		Loop: e.loop, Engine: e.engine, Log: e.log, FrontIndex: platformFrontNumber, Listen: "127.0.0.1:0",
 		Discovery: strings.TrimPrefix(discovery.URL, "http://"), Settings: settings,
 	})
 	text, err := os.ReadFile("../../deploy/openapi.json")
@@ -84,17 +84,17 @@
 	api, err := describe.OpenAPI("openapi.json", text)
 	require.NoError(t, err)
 	e.push = push.New(push.Config{
-		Loop: e.loop, Engine: e.engine, Log: e.log, Number: pushFrontNumber, API: api, Settings: settings,
+		Loop: e.loop, Engine: e.engine, Log: e.log, FrontIndex: pushFrontNumber, API: api, Settings: settings,
 		Push: &config.Push{Listen: "127.0.0.1:0", MaxConns: 8, TargetConns: 4},
 	})
 	e.core, err = core.New(core.Config{
 		Loop: e.loop, Log: e.log, Journal: e.journal, Settings: settings, Fronts: []core.Front{platformFrontNumber: e.platform, pushFrontNumber: e.push},
-		Directories: map[int]core.Directory{platformFrontNumber: {Belief: belief.Default(), Trust: distrust.Default()}},
+		Directories: map[int]core.Directory{platformFrontNumber: {Confidence: belief.Default(), Plausibility: distrust.Default()}},
 	})
 	require.NoError(t, err)
 	require.NoError(t, e.push.Start(e.core, nil))
-	initial := platform.Begin{Watch: true}
-	initial.Held, initial.Full, initial.Generation = true, true, 1
+	initial := platform.InitialList{Watchable: true}
+	initial.Present, initial.Full, initial.Generation = true, true, 1
 	initial.Targets = []core.Entry{{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Weight: 1, Phase: snowjunction.Draining}}
 	require.NoError(t, e.platform.Start(e.core, initial))
 	t.Cleanup(e.platform.Close)
@@ -187,7 +187,7 @@
 		// A client may take 2 s to send a request; this one sends the rest among the last.
 		"half a request": {delay: drainListenTime - drainPollInterval, begin: func(e *drainTest) func() {
 			c := e.connect(e.platform.Addr(), message[:20])
-			e.until("a part is read", e.platform.Unanswered)
+			e.until("a part is read", e.platform.HasUnanswered)
 			return func() {
 				_, err := io.WriteString(c, message[20:])
 				require.NoError(e.t, err)
@@ -196,11 +196,11 @@
 		}},
 		"half a request to the push front": {begin: func(e *drainTest) func() {
 			c := e.connect(e.push.Addr(), http2.ClientPreface[:20])
-			e.until("a part is read", e.push.Unanswered)
+			e.until("a part is read", e.push.HasUnanswered)
 			return func() {
 				_, err := io.WriteString(c, http2.ClientPreface[20:])
 				require.NoError(e.t, err)
-				e.until("the request is read", func() bool { return !e.push.Unanswered() })
+				e.until("the request is read", func() bool { return !e.push.HasUnanswered() })
 			}
 		}},
 		"a notice": {begin: func(e *drainTest) func() {
@@ -218,7 +218,7 @@
 				close(e.confirm)
 				e.until("the notice is confirmed", func() bool {
 					e.now = e.now.Add(time.Millisecond) // nothing happens between two tries
-					return e.platform.Quiet()
+					return e.platform.NoticesSettled()
 				})
 			}
 		}},
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -10,9 +10,9 @@
 // peerSender sends messages to the other couriers by datagrams.
 type peerSender struct{ socket *net.Datagrams }
 
-// Tell sends messages to a peer.
-func (s peerSender) Tell(peer int, items []snowjunction.Note) {
-	for _, b := range notes.Write(items) {
+// Send sends messages to a peer.
+func (s peerSender) Send(peer int, items []snowjunction.PeerMessage) {
+	for _, b := range notes.Encode(items) {
 		s.socket.Send(peer, b)
 	}
 }
@@ -24,13 +24,13 @@
 	if !c.fleet.Notes || !p.Enabled() {
 		return
 	}
-	socket, err := net.Exchange(p.Listen, net.NewPeers(p.Addrs), notes.Most, c.loop.Post, c.log, c.handlePeerMessage)
+	socket, err := net.ListenDatagrams(p.Listen, net.NewPeers(p.Addrs), notes.MaxBytes, c.loop.Post, c.log, c.handlePeerMessage)
 	if err != nil {
 		c.log.Warn("no notes between couriers", "err", err)
 		return
 	}
 	c.datagrams = socket
-	cfg.Fleet, cfg.Settings.Notes = peerSender{socket}, true
+	cfg.Fleet, cfg.Settings.PeerMessages = peerSender{socket}, true
 	c.log.Info("notes between couriers", "listen", socket.Addr(), "peers", len(p.Addrs))
 }
 
@@ -39,12 +39,12 @@
 	if peer == c.cfg.Settings.Number {
 		return
 	}
-	items, err := notes.Read(b)
+	items, err := notes.Decode(b)
 	if err != nil {
-		c.core.Counters.Unread++
+		c.core.Counters.PeerMessagesInvalid++
 		return
 	}
-	c.core.Noted(peer, items)
+	c.core.ReceivePeerMessages(peer, items)
 }
 
 // datagramCounts returns the counts of datagrams exchanged with other couriers.
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -51,22 +51,22 @@
 	switch {
 	case err != nil: // another version: the new process must replace this one, without a handover
 		c.log.Warn("a handover was refused: this process ends and the other starts without its state", "err", err)
-		reply(handover.Refusal, fmt.Sprintf("this process speaks version %d: it ends", handover.Version))
+		reply(handover.KindRefusal, fmt.Sprintf("this process speaks version %d: it ends", handover.Version))
 		c.loop.Post(func() { c.signal(syscall.SIGTERM) })
-	case f.Kind == handover.Hello:
+	case f.Kind == handover.KindHello:
 		c.loop.Post(func() {
 			if c.draining || c.handingOver {
-				go reply(handover.Refusal, "it ends")
+				go reply(handover.KindRefusal, "it ends")
 				return
 			}
 			c.startHandover(link)
 		})
-	case f.Kind == handover.Ask:
+	case f.Kind == handover.KindQuery:
 		answer := make(chan string, 1)
 		c.loop.Post(func() { c.answerQuery(f.Text, func(text string) { answer <- text }) })
 		select {
 		case text := <-answer:
-			reply(handover.Told, text)
+			reply(handover.KindAnswer, text)
 		case <-time.After(handover.QueryTimeout):
 			link.Close()
 		}
@@ -109,24 +109,24 @@
 // continued by another process, and collects the state.
 func (c *courier) startHandover(link *handover.Link) {
 	c.handingOver, c.link = true, link
-	c.log.Info("handing over", "held", c.core.Held(), "connections", c.engine.Open())
-	c.core.Hush()
-	c.platform.Hush()
+	c.log.Info("handing over", "held", c.core.Held(), "connections", c.engine.OpenCount())
+	c.core.Suspend()
+	c.platform.PauseOutgoing()
 	c.push.Drain()
 	if c.console != nil {
-		c.console.Hush()
+		c.console.PauseCalls()
 	}
-	c.engine.Retire(func(fds map[string]int) {
+	c.engine.StopAccepting(func(fds map[string]int) {
 		limit := c.loop.Now().Add(quiesceTimeout)
 		var poll func()
 		poll = func() {
-			unready := c.core.Unready()
-			if (unready > 0 || !c.platform.Hushed() || c.reloading) && c.loop.Now().Before(limit) {
+			unready := c.core.HandoverPending()
+			if (unready > 0 || !c.platform.OutgoingIdle() || c.reloading) && c.loop.Now().Before(limit) {
 				c.loop.After(quiescePollInterval, poll)
 				return
 			}
-			if unready > 0 || !c.platform.Hushed() {
-				c.log.Warn("not everything was finished before the handover", "calls", unready, "notices", !c.platform.Hushed())
+			if unready > 0 || !c.platform.OutgoingIdle() {
+				c.log.Warn("not everything was finished before the handover", "calls", unready, "notices", !c.platform.OutgoingIdle())
 			}
 			c.collectState(fds)
 		}
@@ -137,7 +137,7 @@
 // collectState collects the handover state, detaches its connections from this process and ends the
 // loop.
 func (c *courier) collectState(fds map[string]int) {
-	e := &handover.Estate{}
+	e := &handover.State{}
 	c.consoleFD = -1
 	for kind, fd := range fds {
 		if kind == console.ListenerKind {
@@ -146,12 +146,12 @@
 		}
 		e.Listeners = append(e.Listeners, handover.Listener{Kind: kind, FD: fd})
 	}
-	_, _, e.Live = c.core.Word(platformFrontNumber)
+	_, _, e.ListConfirmed = c.core.ListStatus(platformFrontNumber)
 	e.List = c.encodeList()
-	takeCalls, takeClients := c.core.Hand(), c.platform.Hand()
+	takeCalls, takeClients := c.core.HandOver(), c.platform.DetachClients()
 	takeConsoleConns := func() []handover.Conn { return nil }
 	if c.console != nil {
-		takeConsoleConns = c.console.Hand()
+		takeConsoleConns = c.console.DetachCallers()
 	}
 	c.platform.Close()
 	c.push.Close()
@@ -178,20 +178,20 @@
 
 // encodeList returns the directory's list, encoded as on disk.
 func (c *courier) encodeList() []byte {
-	generation, agent, known := c.platform.Told()
+	generation, agent, known := c.platform.CurrentList()
 	if !known {
 		return nil
 	}
 	confirmedAt := c.loop.Now()
-	if _, age, live := c.core.Word(platformFrontNumber); !live {
+	if _, age, live := c.core.ListStatus(platformFrontNumber); !live {
 		confirmedAt = confirmedAt.Add(-age)
 	}
-	partitions, of := c.platform.Holds()
+	partitions, of := c.platform.LoadedPartitions()
 	w := dircache.NewWriter(dircache.Head{
-		Told: confirmedAt, Generation: generation, Agent: agent, Zones: dircache.Names(c.cfg.Names.Zones), Kinds: dircache.Names(c.cfg.Names.Kinds),
-		Partitions: partitions, Of: of,
+		ConfirmedAt: confirmedAt, Generation: generation, Agent: agent, Zones: dircache.Names(c.cfg.Names.Zones), Kinds: dircache.Names(c.cfg.Names.Kinds),
+		Partitions: partitions, Covered: of,
 	}, maxHandoverListBytes)
-	for e := range c.core.Table(platformFrontNumber).From(0) {
+	for e := range c.core.Table(platformFrontNumber).EntriesFrom(0) {
 		w.Add(e)
 	}
 	b := w.Bytes()
@@ -235,9 +235,9 @@
 // loadedDestinations returns the state of loaded destinations that is handed over, as a fallback
 // for an ordinary restart if both processes die.
 func (c *courier) loadedDestinations() (out []learnt.Record) {
-	for _, k := range c.handoverState.Known {
-		if k.Awake {
-			out = append(out, learnt.Record{Destination: k.Destination, At: k.At, Text: k.Text})
+	for _, k := range c.handoverState.Destinations {
+		if k.Loaded {
+			out = append(out, learnt.Record{Destination: k.Destination, At: k.At, Snapshot: k.Snapshot})
 		}
 	}
 	return out
@@ -245,7 +245,7 @@
 
 // closeAbandonedCalls closes the calls that were taken over and whose result is no longer needed.
 func (c *courier) closeAbandonedCalls() {
-	for _, x := range c.core.Forgone() {
+	for _, x := range c.core.UnclaimedCalls() {
 		if x.FD >= 0 {
 			_ = unix.Close(x.FD)
 		}
@@ -267,14 +267,14 @@
 		if err = engine.Inherit(console.ListenerKind, consoleFD); err == nil {
 			front, err = console.Start(console.Config{
 				Loop: loop, Engine: engine, Listen: p.files.cfg.Console, Ready: func() bool { return false },
-				Figures: func(done func(core.Figures)) { p.ownerFigures(loop, done) },
-				Exclude: func(id string, out bool, done func(error)) { p.forwardExclusion(loop, id, out, done) },
+				Figures:     func(done func(core.Figures)) { p.ownerFigures(loop, done) },
+				SetExcluded: func(id string, out bool, done func(error)) { p.forwardExclusion(loop, id, out, done) },
 			})
 		}
 		if err != nil {
 			p.log.Error("the second address is closed after the handover", "err", err)
 		} else {
-			front.TakeOver(consoleConns)
+			front.AdoptCallers(consoleConns)
 		}
 	}
 	p.setSignalHandler(func(s os.Signal) {
@@ -329,9 +329,9 @@
 		if link, err = handover.Dial(p.files.cfg.StateDir); err != nil {
 			continue
 		}
-		if err = link.Send(handover.Frame{Kind: handover.Ask, Text: request, FD: -1}); err == nil {
+		if err = link.Send(handover.Frame{Kind: handover.KindQuery, Text: request, FD: -1}); err == nil {
 			var f handover.Frame
-			if f, err = link.Receive(handover.QueryTimeout); err == nil && f.Kind == handover.Told {
+			if f, err = link.Receive(handover.QueryTimeout); err == nil && f.Kind == handover.KindAnswer {
 				link.Close()
 				return f.Text, nil
 			}
--- a/internal/daemon/partitions.go
+++ b/internal/daemon/partitions.go
@@ -20,14 +20,14 @@
 	for _, class := range c.cfg.Settings.Classes {
 		inOrder[class.Name] = class.InOrder
 	}
-	r := partition.NewRouter(platform.Routing(c.cfg.Settings, c.cfg.Name, p.Region, p.Linger), m, 0)
+	r := partition.NewRouter(platform.RouterOptions(c.cfg.Settings, c.cfg.Name, p.Region, p.Linger), m, 0)
 	for _, msg := range messages {
 		if msg.State != store.Open {
 			continue
 		}
-		r.Keep(partition.Of(msg.Destination, m.Partitions()))
+		r.Retain(partition.Of(msg.Destination, m.Partitions()))
 		if inOrder[msg.Class] {
-			r.Took(partition.Message{Destination: msg.Destination, Key: msg.Key, Left: msg.Deadline.Sub(c.loop.Now())}, c.cfg.Name, 0)
+			r.RecordAccepted(partition.Message{Destination: msg.Destination, Key: msg.Key, Remaining: msg.Deadline.Sub(c.loop.Now())}, c.cfg.Name, 0)
 		}
 	}
 	c.logOwnership(m)
@@ -50,7 +50,7 @@
 		slices.Equal(m.Members(), current.Members()) {
 		return
 	}
-	c.platform.Adopt(m)
+	c.platform.AdoptMembership(m)
 	c.process.files.membership = m // for the next courier of this process
 	c.logOwnership(m)
 }
--- a/internal/daemon/partitions_start_test.go
+++ b/internal/daemon/partitions_start_test.go
@@ -37,30 +37,30 @@
 // startRun starts a run on a folder.
 func startRun(t *testing.T, dir, discovery string, m *partition.Membership) *testRun {
 	log := slog.New(slog.DiscardHandler)
-	r := &testRun{t: t, loop: core.NewLoop(time.Now), router: partition.NewRouter(partition.Options{Self: "c0", Linger: time.Second}, m, 0)}
+	r := &testRun{t: t, loop: core.NewLoop(time.Now), router: partition.NewRouter(partition.Options{Self: "c0", ServeAfterLoss: time.Second}, m, 0)}
 	engine, err := net.New(net.Config{Post: r.loop.Post, Log: log, MaxConns: 64})
 	require.NoError(t, err)
 	journal, _, err := store.Load(store.Options{Dir: t.TempDir(), Bytes: 3e6, Log: log})
 	require.NoError(t, err)
 	settings := snowjunction.Settings{
-		Seed: 1, Fleet: 1, Tick: 5 * time.Millisecond, Slots: 8, MaxHeld: 10, MaxAttempts: 6, MaxRetry: 3 * time.Second,
+		Seed: 1, Fleet: 1, Tick: 5 * time.Millisecond, Slots: 8, MaxHeld: 10, MaxAttempts: 6, MaxRetryAfter: 3 * time.Second,
 		ConnectTimeout: time.Second, DrainGrace: time.Second, Kinds: []snowjunction.Kind{{BundleMax: 1}},
-		Classes: []snowjunction.Class{{Name: "status", Aim: time.Second, Deadline: 20 * time.Second, Worth: 2}},
+		Classes: []snowjunction.Class{{Name: "status", TargetLatency: time.Second, Deadline: 20 * time.Second, Value: 2}},
 	}
 	names := config.Names{Zones: map[string]int{"a": 0}, Kinds: map[string]int{"k": 0}}
 	r.front = platform.New(platform.Config{Loop: r.loop, Engine: engine, Log: log, Discovery: discovery, Names: names, Settings: settings, Router: r.router})
 	cached := dircache.Load(dir, func(file string, err error) { t.Error(file, err) })
 	if cached != nil {
-		cached.Rename(names.Zones, names.Kinds)
+		cached.Renumber(names.Zones, names.Kinds)
 	}
 	r.cache, err = dircache.Open(dircache.Options{Dir: dir, Bytes: 1 << 20, Generations: 1, Log: log})
 	require.NoError(t, err)
 	k := &listKeeper{loop: r.loop, front: r.front, cache: r.cache, names: names, maxBytes: 1 << 20, freshFor: time.Hour, refreshInterval: time.Hour}
 	r.core, err = core.New(core.Config{
 		Loop: r.loop, Log: log, Journal: journal, Settings: settings, Fronts: []core.Front{platformFrontNumber: r.front},
-		Directories: map[int]core.Directory{platformFrontNumber: {Belief: belief.Default(), Trust: distrust.Default()}},
-		Heard:       func(int) { k.core = r.core; k.changed() },
-		ListedShare: func(int) float64 { return r.router.Share() },
+		Directories:  map[int]core.Directory{platformFrontNumber: {Confidence: belief.Default(), Plausibility: distrust.Default()}},
+		OnListChange: func(int) { k.core = r.core; k.changed() },
+		ListedShare:  func(int) float64 { return r.router.Share() },
 	})
 	require.NoError(t, err)
 	require.NoError(t, r.front.Start(r.core, chooseStartList(cached, config.List{}, discovery, time.Now())))
@@ -84,8 +84,8 @@
 func (r *testRun) awaitList(dir string, generation uint64) {
 	r.t.Helper()
 	r.until("the list", func() bool {
-		g, _, held := r.front.Told()
-		return held && g == generation && len(r.router.Wanted()) == 0
+		g, _, held := r.front.CurrentList()
+		return held && g == generation && len(r.router.AwaitingList()) == 0
 	})
 	r.until("the list on disk", func() bool {
 		files, err := dircache.Files(dir)
@@ -93,13 +93,13 @@
 			return false
 		}
 		s, err := dircache.Read(files[0])
-		return err == nil && s.Generation == generation && slices.Equal(s.Of, r.router.Listed())
+		return err == nil && s.Generation == generation && slices.Equal(s.Covered, r.router.Listed())
 	})
 	r.stop()
 }
 
 func (r *testRun) endpoints() (out []string) {
-	for e := range r.core.Table(platformFrontNumber).From(0) {
+	for e := range r.core.Table(platformFrontNumber).EntriesFrom(0) {
 		out = append(out, e.Name)
 	}
 	slices.Sort(out)
@@ -158,7 +158,7 @@
 	directory.Change(list[own])
 	generation := directory.Change(list[other])
 	run = startRun(t, dir, directory.Addr(), all)
-	assert.Empty(t, run.router.Wanted())
+	assert.Empty(t, run.router.AwaitingList())
 	run.awaitList(dir, generation)
 	assert.Equal(t, ownedEndpoints(all), run.endpoints())
 	restartBytes := bytesSent() - before
--- a/internal/daemon/partitions_test.go
+++ b/internal/daemon/partitions_test.go
@@ -57,8 +57,8 @@
 	msg := func(d uint32, class string, key uint64, state store.State) *store.Message {
 		return &store.Message{Destination: d, Class: class, Key: key, Deadline: c.loop.Now().Add(2 * time.Second), State: state}
 	}
-	assert.Equal(t, partition.Options{Self: "n0", Linger: 30 * time.Second, Longest: 9 * time.Second, Rest: 500 * time.Millisecond},
-		platform.Routing(c.cfg.Settings, c.cfg.Name, c.process.files.partitions.Region, c.process.files.partitions.Linger))
+	assert.Equal(t, partition.Options{Self: "n0", ServeAfterLoss: 30 * time.Second, MaxDeadline: 9 * time.Second, DeadlineMargin: 500 * time.Millisecond},
+		platform.RouterOptions(c.cfg.Settings, c.cfg.Name, c.process.files.partitions.Region, c.process.files.partitions.Linger))
 	r := c.newRouter([]*store.Message{
 		msg(theirs[0], "order", 7, store.Open), msg(theirs[1], "any", 8, store.Open), msg(theirs[2], "order", 9, store.Failed),
 	})
@@ -66,8 +66,8 @@
 	assert.True(t, r.Lists(theirs[0]))
 	assert.True(t, r.Lists(theirs[1]))
 	assert.False(t, r.Lists(theirs[2]), "the message has ended")
-	route := func(d uint32, key uint64, now time.Duration) partition.Way {
-		return r.Route(partition.Message{Destination: d, Key: key}, nil, now).Way
+	route := func(d uint32, key uint64, now time.Duration) partition.Action {
+		return r.Route(partition.Message{Destination: d, Key: key}, nil, now).Action
 	}
 	assert.Equal(t, partition.Busy, route(theirs[0], 7, 2499*time.Millisecond), "for the message's time and the pause of the key")
 	assert.Equal(t, partition.Forward, route(theirs[0], 7, 2500*time.Millisecond))
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -109,7 +109,7 @@
 			p.lock.Close()
 			return nil
 		}
-		n := c.core.Counted()
+		n := c.core.Counts()
 		p.previousCounts, p.previousFigures = &n, c.core.Figures(platformFrontNumber)
 		if p.sendHandover(c.link, c.handoverState) {
 			state, p.ownerSince = c.handoverState, time.Now()
@@ -192,7 +192,7 @@
 
 // acquireFolder returns once this process owns the folder: the folder was free, or its owner handed
 // it over with its state. Otherwise it waits, and logs why, until the process is told to end.
-func (p *process) acquireFolder() (*handover.Estate, error) {
+func (p *process) acquireFolder() (*handover.State, error) {
 	dir := p.files.cfg.StateDir
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("open the journal: %w", err)
@@ -228,25 +228,25 @@
 }
 
 // requestHandover asks the owner for a handover.
-func (p *process) requestHandover(dir string) (*handover.Estate, error) {
+func (p *process) requestHandover(dir string) (*handover.State, error) {
 	link, err := handover.Dial(dir)
 	if err != nil {
 		return nil, err
 	}
 	defer link.Close()
-	if err := link.Send(handover.Frame{Kind: handover.Hello, Text: p.files.cfg.Name, FD: -1}); err != nil {
+	if err := link.Send(handover.Frame{Kind: handover.KindHello, Text: p.files.cfg.Name, FD: -1}); err != nil {
 		return nil, err
 	}
 	var successor handover.Successor
 	collector := handover.Collector{}
 	for {
-		f, err := link.Receive(handover.StepWithin)
+		f, err := link.Receive(handover.StepTimeout)
 		event := handover.Broken
 		switch {
 		case err != nil:
-		case f.Kind == handover.Refusal:
+		case f.Kind == handover.KindRefusal:
 			err = fmt.Errorf("the owner does not hand over: %s", f.Text)
-		case f.Kind == handover.DeedTo:
+		case f.Kind == handover.KindLock:
 			event = handover.GotLock
 		default:
 			var whole bool
@@ -259,19 +259,19 @@
 		}
 		switch successor.On(event) {
 		case handover.ConfirmState:
-			if err := link.Send(handover.Frame{Kind: handover.ReadyFor, FD: -1}); err == nil {
+			if err := link.Send(handover.Frame{Kind: handover.KindReady, FD: -1}); err == nil {
 				continue
 			}
 		case handover.TakeOwnership:
 			p.lock, p.ownerSince = handover.LockFromDescriptor(f.FD), time.Now()
 			// The lock has arrived even if the predecessor does not receive this frame.
-			_ = link.Send(handover.Frame{Kind: handover.Took, FD: -1})
-			return &collector.Estate, nil
+			_ = link.Send(handover.Frame{Kind: handover.KindOwned, FD: -1})
+			return &collector.State, nil
 		}
-		if f.Kind == handover.DeedTo && err == nil {
+		if f.Kind == handover.KindLock && err == nil {
 			_ = unix.Close(f.FD)
 		}
-		collector.Estate.Close()
+		collector.State.Close()
 		if err == nil {
 			err = handover.ErrFrame
 		}
@@ -281,7 +281,7 @@
 
 // sendHandover hands the state over. It returns true if this process remains the owner; the state
 // is then still its own, except for descriptors that were closed meanwhile.
-func (p *process) sendHandover(link *handover.Link, e *handover.Estate) bool {
+func (p *process) sendHandover(link *handover.Link, e *handover.State) bool {
 	defer link.Close()
 	var predecessor handover.Predecessor
 	predecessor.On(handover.GotHello)
@@ -291,14 +291,14 @@
 		case handover.SendState:
 			event = p.sendState(link, e)
 		case handover.SendLock:
-			if err := link.Send(handover.Frame{Kind: handover.DeedTo, FD: p.lock.FD()}); err != nil {
+			if err := link.Send(handover.Frame{Kind: handover.KindLock, FD: p.lock.FD()}); err != nil {
 				p.log.Warn("not handed over", "step", "lock", "err", err)
 				return true // the lock was not sent
 			}
 			p.lock.Close()
 			p.lock = nil
 			event = handover.Broken
-			if f, err := link.Receive(successorTimeout); err == nil && f.Kind == handover.Took {
+			if f, err := link.Receive(successorTimeout); err == nil && f.Kind == handover.KindOwned {
 				event = handover.GotOwned
 			}
 		case handover.Exit:
@@ -324,7 +324,7 @@
 
 // sendState sends the state and waits for its confirmation. If both processes together would exceed
 // the descriptor limit, each descriptor is closed here once it is sent.
-func (p *process) sendState(link *handover.Link, e *handover.Estate) handover.Event {
+func (p *process) sendState(link *handover.Link, e *handover.State) handover.Event {
 	n := 0
 	e.EachDescriptor(func(*int) { n++ })
 	var err error
@@ -333,7 +333,7 @@
 		if err = link.Send(f); err != nil {
 			break
 		}
-		if nearLimit && (f.Kind == handover.Clients || f.Kind == handover.Calls) {
+		if nearLimit && (f.Kind == handover.KindClient || f.Kind == handover.KindCall) {
 			e.EachDescriptor(func(fd *int) {
 				if *fd == f.FD {
 					_ = unix.Close(*fd)
@@ -344,7 +344,7 @@
 	}
 	if err == nil {
 		var f handover.Frame
-		if f, err = link.Receive(successorTimeout); err == nil && f.Kind == handover.ReadyFor {
+		if f, err = link.Receive(successorTimeout); err == nil && f.Kind == handover.KindReady {
 			return handover.GotReady
 		}
 	}
--- a/internal/daemon/steps.go
+++ b/internal/daemon/steps.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Steps are the steps of a start, in order. A step without work takes almost no time. Their sum is
+// StartSteps are the steps of a start, in order. A step without work takes almost no time. Their sum is
 // the time until a courier is ready.
-var Steps = []string{
+var StartSteps = []string{
 	"files",     // read the configuration and operator files
 	"plugins",   // start the plug-ins' host
 	"lock",      // become the folder's owner
@@ -41,7 +41,7 @@
 // LogValue returns the steps in order, in milliseconds.
 func (s *startTimer) LogValue() slog.Value {
 	var out []slog.Attr
-	for _, step := range Steps {
+	for _, step := range StartSteps {
 		out = append(out, slog.Float64(step, float64(s.durations[step].Microseconds())/1000))
 	}
 	return slog.GroupValue(out...)
--- a/internal/dircache/dircache.go
+++ b/internal/dircache/dircache.go
@@ -20,8 +20,8 @@
 	Log         *slog.Logger
 }
 
-// Room returns the maximum disk space of a cache in bytes: its snapshots and the one being written.
-func (o Options) Room() int64 { return int64(o.Generations+1) * int64(o.Bytes+aside.Block) }
+// MaxDiskBytes returns the maximum disk space of a cache in bytes: its snapshots and the one being written.
+func (o Options) MaxDiskBytes() int64 { return int64(o.Generations+1) * int64(o.Bytes+aside.BlockSize) }
 
 const (
 	filePrefix  = "directory-"
@@ -76,7 +76,7 @@
 	if i, err := os.Stat(path); err != nil {
 		return nil, err
 	} else if i.Size() > maxFileBytes {
-		return nil, fmt.Errorf("%w: %d bytes exceed the size limit", ErrForm, i.Size())
+		return nil, fmt.Errorf("%w: %d bytes exceed the size limit", ErrInvalid, i.Size())
 	}
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -90,7 +90,7 @@
 func Open(o Options) (*Cache, error) {
 	c := &Cache{opts: o}
 	c.writer = &aside.Writer[[]byte]{
-		Merge: func(_, newest []byte) []byte { return newest }, Write: c.save, Log: o.Log, What: "the directory's list",
+		Merge: func(_, newest []byte) []byte { return newest }, Write: c.save, Log: o.Log, Subject: "the directory's list",
 	}
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("open the directory cache: %w", err)
--- a/internal/dircache/dircache_test.go
+++ b/internal/dircache/dircache_test.go
@@ -26,7 +26,7 @@
 }
 
 func testHead() Head {
-	return Head{Told: time.UnixMilli(1e12), Generation: 41, Agent: "127.0.0.1:8500", Zones: []string{"a", "b"}, Kinds: []string{"k", "l", "m"}}
+	return Head{ConfirmedAt: time.UnixMilli(1e12), Generation: 41, Agent: "127.0.0.1:8500", Zones: []string{"a", "b"}, Kinds: []string{"k", "l", "m"}}
 }
 
 func encodeSnapshot(n, most int) []byte {
@@ -40,14 +40,14 @@
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := Head{
-			Told:       time.UnixMilli(rapid.Int64Range(-1e15, 1e15).Draw(t, "told")),
-			Generation: rapid.Uint64().Draw(t, "generation"), Agent: rapid.StringN(0, 20, 60).Draw(t, "agent"),
+			ConfirmedAt: time.UnixMilli(rapid.Int64Range(-1e15, 1e15).Draw(t, "told")),
+			Generation:  rapid.Uint64().Draw(t, "generation"), Agent: rapid.StringN(0, 20, 60).Draw(t, "agent"),
 			Zones: rapid.SliceOfN(rapid.StringN(0, 9, 30), 1, 4).Draw(t, "zones"), Kinds: rapid.SliceOfN(rapid.StringN(0, 9, 30), 1, 4).Draw(t, "kinds"),
 		}
 		if h.Partitions = rapid.SampledFrom([]int{0, 1, 9, 1 << 16}).Draw(t, "partitions"); h.Partitions > 0 {
-			h.Of = rapid.SliceOfNDistinct(rapid.IntRange(0, h.Partitions-1), 0, min(h.Partitions, 30), rapid.ID).Draw(t, "of")
-			if slices.Sort(h.Of); len(h.Of) == 0 {
-				h.Of = nil
+			h.Covered = rapid.SliceOfNDistinct(rapid.IntRange(0, h.Partitions-1), 0, min(h.Partitions, 30), rapid.ID).Draw(t, "of")
+			if slices.Sort(h.Covered); len(h.Covered) == 0 {
+				h.Covered = nil
 			}
 		}
 		w := NewWriter(h, 1<<20)
@@ -66,7 +66,7 @@
 		assert.Equal(t, want, s.Entries)
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		_, err = Decode(b)
-		assert.ErrorIs(t, err, ErrForm, "any changed byte is detected")
+		assert.ErrorIs(t, err, ErrInvalid, "any changed byte is detected")
 	})
 }
 
@@ -103,14 +103,14 @@
 			b = b[:len(b)-5]
 		}
 		_, err := Decode(seal(b))
-		assert.ErrorIs(t, err, ErrForm, name)
+		assert.ErrorIs(t, err, ErrInvalid, name)
 	}
 }
 
 func TestRemap(t *testing.T) {
 	s, err := Decode(encodeSnapshot(6, 1<<20))
 	require.NoError(t, err)
-	s.Rename(map[string]int{"b": 0, "a": 1}, map[string]int{"m": 0})
+	s.Renumber(map[string]int{"b": 0, "a": 1}, map[string]int{"m": 0})
 	assert.Equal(t, 1, s.Entries[0].Zone)
 	assert.Equal(t, 0, s.Entries[1].Zone)
 	assert.Equal(t, 1, s.Entries[0].Kind, "an unknown kind gets the number after the last")
@@ -183,7 +183,7 @@
 	f.Add(encodeSnapshot(3, 1<<20), true)
 	f.Add([]byte{}, false)
 	h := testHead()
-	h.Partitions, h.Of = 16384, []int{0, 3, 77, 16383}
+	h.Partitions, h.Covered = 16384, []int{0, 3, 77, 16383}
 	f.Add(NewWriter(h, 1<<20).Bytes(), true)
 	f.Fuzz(func(t *testing.T, b []byte, sealed bool) {
 		if sealed && len(b) > checksumSize { // get past the checksum
@@ -191,7 +191,7 @@
 		}
 		s, err := Decode(b)
 		if err != nil {
-			assert.ErrorIs(t, err, ErrForm)
+			assert.ErrorIs(t, err, ErrInvalid)
 			return
 		}
 		w := NewWriter(s.Head, 1<<24)
@@ -202,6 +202,6 @@
 		require.NoError(t, err)
 		assert.Equal(t, s.Entries, again.Entries)
 		assert.Equal(t, s.Partitions, again.Partitions)
-		assert.Equal(t, s.Of, again.Of)
+		assert.Equal(t, s.Covered, again.Covered)
 	})
 }
--- a/internal/dircache/form.go
+++ b/internal/dircache/form.go
@@ -23,12 +23,12 @@
 // Snapshot format versions. Writer uses the first for a list of all destinations and the second for
 // a list of some partitions; Decode reads both.
 const (
-	Version      = 1
-	VersionParts = 2 // includes the partitions that the list covers
+	Version           = 1
+	VersionPartitions = 2 // includes the partitions that the list covers
 )
 
-// ErrForm is wrapped by all errors about the content of a snapshot.
-var ErrForm = errors.New("invalid directory snapshot")
+// ErrInvalid is wrapped by all errors about the content of a snapshot.
+var ErrInvalid = errors.New("invalid directory snapshot")
 
 var magic = [5]byte{'S', 'J', 'D', 'I', 'R'}
 
@@ -44,16 +44,16 @@
 
 // Head is the metadata of a snapshot.
 type Head struct {
-	Told       time.Time // when the directory last confirmed the list, with millisecond precision
-	Generation uint64
-	Agent      string   // address of the directory agent that sent the list
-	Partial    bool     // the snapshot does not contain all entries
-	Zones      []string // zone names by number
-	Kinds      []string // names of target kinds by number
+	ConfirmedAt time.Time // when the directory last confirmed the list, with millisecond precision
+	Generation  uint64
+	Agent       string   // address of the directory agent that sent the list
+	Partial     bool     // the snapshot does not contain all entries
+	Zones       []string // zone names by number
+	Kinds       []string // names of target kinds by number
 	// Partitions is the total number of partitions; the next field lists those that the list covers
 	// completely. Zero means that the list covers all destinations.
 	Partitions int
-	Of         []int // ascending, without duplicates
+	Covered    []int // ascending, without duplicates
 }
 
 // Writer encodes a snapshot entry by entry.
@@ -69,7 +69,7 @@
 // NewWriter starts a snapshot of at most maxBytes bytes.
 func NewWriter(h Head, maxBytes int) *Writer {
 	w := &Writer{buf: append(magic[:5:5], Version), maxBytes: maxBytes - checksumSize}
-	w.buf = binary.AppendVarint(w.buf, h.Told.UnixMilli())
+	w.buf = binary.AppendVarint(w.buf, h.ConfirmedAt.UnixMilli())
 	w.buf = binary.AppendUvarint(w.buf, h.Generation)
 	w.text(h.Agent)
 	for _, names := range [][]string{h.Zones, h.Kinds} {
@@ -79,11 +79,11 @@
 		}
 	}
 	if h.Partitions > 0 {
-		w.buf[len(magic)] = VersionParts
+		w.buf[len(magic)] = VersionPartitions
 		w.buf = binary.AppendUvarint(w.buf, uint64(h.Partitions))
-		w.buf = binary.AppendUvarint(w.buf, uint64(len(h.Of)))
+		w.buf = binary.AppendUvarint(w.buf, uint64(len(h.Covered)))
 		next := 0
-		for _, p := range h.Of { // delta-encoded: the number of partitions skipped before it
+		for _, p := range h.Covered { // delta-encoded: the number of partitions skipped before it
 			w.buf = binary.AppendUvarint(w.buf, uint64(p-next))
 			next = p + 1
 		}
@@ -140,7 +140,7 @@
 func (r *reader) text() string { return r.Text(maxNameBytes) }
 
 func (r *reader) names() (out []string) {
-	for n := r.Uint(maxNames); n > 0 && !r.Bad; n-- {
+	for n := r.Uint(maxNames); n > 0 && !r.Failed; n-- {
 		out = append(out, r.text())
 	}
 	return out
@@ -148,46 +148,46 @@
 
 // partitions decodes the partitions that a list covers.
 func (r *reader) partitions() (partitions int, of []int) {
-	partitions = int(r.Uint(partition.Most))
+	partitions = int(r.Uint(partition.MaxPartitions))
 	next := 0
-	for n := r.Uint(uint64(partitions)); n > 0 && !r.Bad; n-- {
-		p := next + int(r.Uint(partition.Most))
-		if r.Bad = r.Bad || p >= partitions; !r.Bad {
+	for n := r.Uint(uint64(partitions)); n > 0 && !r.Failed; n-- {
+		p := next + int(r.Uint(partition.MaxPartitions))
+		if r.Failed = r.Failed || p >= partitions; !r.Failed {
 			of = append(of, p)
 		}
 		next = p + 1
 	}
 	if partitions == 0 {
-		r.Bad = true
+		r.Failed = true
 	}
 	return partitions, of
 }
 
 // Decode decodes a snapshot. An invalid one results in a wrapped format error.
 func Decode(b []byte) (*Snapshot, error) {
-	bad := func(what string) (*Snapshot, error) { return nil, fmt.Errorf("%w: %s", ErrForm, what) }
+	bad := func(what string) (*Snapshot, error) { return nil, fmt.Errorf("%w: %s", ErrInvalid, what) }
 	switch {
 	case len(b) == 0:
 		return bad("it is empty")
 	case len(b) < len(magic)+1+checksumSize || [5]byte(b) != magic:
 		return bad("it begins otherwise")
-	case b[5] != Version && b[5] != VersionParts:
+	case b[5] != Version && b[5] != VersionPartitions:
 		return bad(fmt.Sprintf("unknown version %d", b[5]))
 	}
 	body := b[:len(b)-checksumSize]
 	if xxhash.Sum64(body) != binary.BigEndian.Uint64(b[len(body):]) {
 		return bad("checksum mismatch: it is damaged or truncated")
 	}
-	r, s := &reader{record.Reader{B: body[6:]}}, &Snapshot{}
-	s.Told = time.UnixMilli(r.Int())
+	r, s := &reader{record.Reader{Data: body[6:]}}, &Snapshot{}
+	s.ConfirmedAt = time.UnixMilli(r.Int())
 	s.Generation, s.Agent = r.Uint(math.MaxUint64), r.text()
 	s.Zones, s.Kinds = r.names(), r.names()
-	if b[5] == VersionParts {
-		s.Partitions, s.Of = r.partitions()
+	if b[5] == VersionPartitions {
+		s.Partitions, s.Covered = r.partitions()
 	}
 	s.Partial = r.Byte() == 1
 	count := r.Take(4)
-	if r.Bad || binary.BigEndian.Uint32(count) > maxEntries {
+	if r.Failed || binary.BigEndian.Uint32(count) > maxEntries {
 		return bad("its header is invalid")
 	}
 	for n := binary.BigEndian.Uint32(count); n > 0; n-- {
@@ -199,20 +199,20 @@
 			e.Weight = math.Float64frombits(binary.BigEndian.Uint64(v))
 		}
 		ready := e.Phase == snowjunction.Ready || e.Phase == snowjunction.Draining
-		if r.Bad || !ready || math.IsNaN(e.Weight) || math.IsInf(e.Weight, 0) {
+		if r.Failed || !ready || math.IsNaN(e.Weight) || math.IsInf(e.Weight, 0) {
 			return bad("an entry is invalid")
 		}
 		s.Entries = append(s.Entries, e)
 	}
-	if len(r.B) > 0 {
+	if len(r.Data) > 0 {
 		return bad("there are bytes after the last entry")
 	}
 	return s, nil
 }
 
-// Rename replaces the snapshot's zone and kind numbers with those of the given configuration,
+// Renumber replaces the snapshot's zone and kind numbers with those of the given configuration,
 // matched by name. An unknown name gets the number after the last.
-func (s *Snapshot) Rename(zones, kinds map[string]int) {
+func (s *Snapshot) Renumber(zones, kinds map[string]int) {
 	newNumber := func(names []string, numbers map[string]int, no int) int {
 		if no < len(names) {
 			if n, ok := numbers[names[no]]; ok {
--- a/internal/dirtool/dirtool.go
+++ b/internal/dirtool/dirtool.go
@@ -98,18 +98,18 @@
 		Generation: v.GetUint64("generation"), Agent: string(v.GetStringBytes("agent")), Partial: v.GetBool("partial"),
 	}}
 	if v.Exists("partitions") {
-		if s.Partitions = v.GetInt("partitions"); s.Partitions < 1 || s.Partitions > partition.Most {
+		if s.Partitions = v.GetInt("partitions"); s.Partitions < 1 || s.Partitions > partition.MaxPartitions {
 			return nil, errors.New("/partitions: not a number of partitions")
 		}
 		for _, x := range v.GetArray("of") {
-			s.Of = append(s.Of, x.GetInt())
+			s.Covered = append(s.Covered, x.GetInt())
 		}
-		if n := len(s.Of); !slices.IsSorted(s.Of) || len(slices.Compact(slices.Clone(s.Of))) < n || n > 0 && (s.Of[0] < 0 || s.Of[n-1] >= s.Partitions) {
+		if n := len(s.Covered); !slices.IsSorted(s.Covered) || len(slices.Compact(slices.Clone(s.Covered))) < n || n > 0 && (s.Covered[0] < 0 || s.Covered[n-1] >= s.Partitions) {
 			return nil, errors.New("/of: not partitions, in order, each once")
 		}
 	}
 	if ms := v.GetInt64("toldAtMs"); ms != 0 {
-		s.Told = time.UnixMilli(ms)
+		s.ConfirmedAt = time.UnixMilli(ms)
 	}
 	names := config.Names{Zones: map[string]int{}, Kinds: map[string]int{}}
 	list := groups.NewList(true)
@@ -135,9 +135,9 @@
 
 // Export puts a list in the directory's form.
 func Export(s *dircache.Snapshot) *List {
-	l := &List{Generation: s.Generation, Reset: true, Agent: s.Agent, Partial: s.Partial, Partitions: s.Partitions, Of: s.Of, Instances: []Instance{}}
-	if !s.Told.IsZero() {
-		l.ToldAtMs = s.Told.UnixMilli()
+	l := &List{Generation: s.Generation, Reset: true, Agent: s.Agent, Partial: s.Partial, Partitions: s.Partitions, Of: s.Covered, Instances: []Instance{}}
+	if !s.ConfirmedAt.IsZero() {
+		l.ToldAtMs = s.ConfirmedAt.UnixMilli()
 	}
 	for _, e := range s.Entries {
 		l.Instances = append(l.Instances, instance(s, e))
@@ -250,18 +250,18 @@
 // Rows tells of a folder what a start at a time would make of it.
 func Rows(dir string, s *dircache.Snapshot, fresh time.Duration, now time.Time, wrong func(file string, err error)) (rows []Row) {
 	type known struct {
-		m   *memento.Memento
+		m   *memento.Snapshot
 		age time.Duration
 	}
 	learned := map[uint32]known{}
 	for _, r := range learnt.Load(dir, wrong) {
-		if m, err := memento.Decode(r.Text); err != nil {
+		if m, err := memento.Decode(r.Snapshot); err != nil {
 			wrong(filepath.Join(dir, "learnt"), err)
 		} else {
 			learned[r.Destination] = known{m, now.Sub(r.At)}
 		}
 	}
-	age := now.Sub(s.Told)
+	age := now.Sub(s.ConfirmedAt)
 	for _, e := range s.Entries {
 		r := Row{Instance: instance(s, e), Standing: "probable", Why: "the list is young", WordAgeS: age.Seconds()}
 		switch {
@@ -275,12 +275,12 @@
 		if k, ok := learned[r.Cell]; ok {
 			r.LearntS = k.age.Seconds()
 			for i, n := range k.m.Names {
-				if n != memento.NameOf(e.Name) {
+				if n != memento.HashName(e.Name) {
 					continue
 				}
-				x := k.m.State.EndpointsSeen[i]
+				x := k.m.State.Endpoints[i]
 				if r.Learnt = conditions[x.Condition]; x.Condition != snowjunction.Serving {
-					r.Learnt += " for " + x.For.Round(time.Millisecond).String()
+					r.Learnt += " for " + x.SinceCondition.Round(time.Millisecond).String()
 				}
 				if x.Route < len(k.m.State.Routes) {
 					r.Limit = k.m.State.Routes[x.Route].Limit
--- a/internal/dirtool/partitions_test.go
+++ b/internal/dirtool/partitions_test.go
@@ -12,7 +12,7 @@
 
 // A list of some partitions says so in JSON too: imported as one of all it would be held for whole.
 func TestPartThereAndBack(t *testing.T) {
-	for _, head := range []dircache.Head{{Generation: 3}, {Generation: 3, Partitions: 9, Of: []int{0, 4, 8}}, {Generation: 3, Partitions: 9}} {
+	for _, head := range []dircache.Head{{Generation: 3}, {Generation: 3, Partitions: 9, Covered: []int{0, 4, 8}}, {Generation: 3, Partitions: 9}} {
 		head.Zones, head.Kinds = []string{}, []string{}
 		var text bytes.Buffer
 		require.NoError(t, Export(&dircache.Snapshot{Head: head}).Write(&text))
--- a/internal/distrust/distrust.go
+++ b/internal/distrust/distrust.go
@@ -21,26 +21,26 @@
 
 // Config holds the thresholds.
 type Config struct {
-	Keep bool // retain the endpoints that a collapsed list omits, with reduced confidence; otherwise the list is accepted as it is
+	RetainOmitted bool // retain the endpoints that a collapsed list omits, with reduced confidence; otherwise the list is accepted as it is
 
-	Least    int           // minimum number of Ready endpoints for a loss to count
-	LossMost float64       // a collapse begins when a larger share of the Ready endpoints is omitted
-	LossBack float64       // and ends when a smaller share than this is omitted,
-	Agree    int           // after this many identical lists in a row,
-	AgreeFor time.Duration // if they span at least this time,
-	KeepMost time.Duration // or after this time
-	Recheck  time.Duration // interval between requests for the full list during a collapse
+	MinEndpoints  int           // minimum number of Ready endpoints for a loss to count
+	MaxLoss       float64       // a collapse begins when a larger share of the Ready endpoints is omitted
+	RecoveredLoss float64       // and ends when a smaller share than this is omitted,
+	Agree         int           // after this many identical lists in a row,
+	AgreeFor      time.Duration // if they span at least this time,
+	MaxCollapsed  time.Duration // or after this time
+	Recheck       time.Duration // interval between requests for the full list during a collapse
 
 	FlapTurns  int           // flapping begins after this many changes back to the list before the previous one
 	FlapWithin time.Duration // within this time
-	FlapRest   time.Duration // and ends after this time without such a change
+	FlapQuiet  time.Duration // and ends after this time without such a change
 }
 
 // Default returns the thresholds that apply without an operator file.
 func Default() Config {
 	return Config{
-		Least: 4, LossMost: 0.5, LossBack: 0.25, Agree: 3, AgreeFor: 10 * time.Second, KeepMost: 10 * time.Minute,
-		Recheck: 2 * time.Second, FlapTurns: 3, FlapWithin: time.Minute, FlapRest: 30 * time.Second,
+		MinEndpoints: 4, MaxLoss: 0.5, RecoveredLoss: 0.25, Agree: 3, AgreeFor: 10 * time.Second, MaxCollapsed: 10 * time.Minute,
+		Recheck: 2 * time.Second, FlapTurns: 3, FlapWithin: time.Minute, FlapQuiet: 30 * time.Second,
 	}
 }
 
@@ -58,23 +58,23 @@
 // String returns the name of the condition.
 func (c Condition) String() string { return [...]string{"collapsed", "flapping", "ambiguous"}[c] }
 
-// Turn is the entry into or exit from a condition.
-type Turn struct {
+// Transition is the entry into or exit from a condition.
+type Transition struct {
 	Condition Condition
 	Entered   bool
-	Why       string
+	Reason    string
 }
 
-// View compares a full list with the one in use.
-type View struct {
-	Held    int // Ready endpoints in use
+// Comparison compares a full list with the one in use.
+type Comparison struct {
+	InUse   int // Ready endpoints in use
 	Omitted int // of these, endpoints that the list does not name
 	Listed  int // Ready endpoints in the list
 	Sum     uint64
 }
 
-// Judge tracks the lists of one directory.
-type Judge struct {
+// Checker tracks the lists of one directory.
+type Checker struct {
 	cfg       Config
 	active    [conditionCount]bool
 	enteredAt [conditionCount]time.Duration // when the condition was entered
@@ -88,21 +88,21 @@
 }
 
 // New returns a checker that has seen no list.
-func New(cfg Config) *Judge { return &Judge{cfg: cfg} }
+func New(cfg Config) *Checker { return &Checker{cfg: cfg} }
 
-// In reports whether a condition holds.
-func (j *Judge) In(c Condition) bool { return j.active[c] }
+// Holds reports whether a condition holds.
+func (j *Checker) Holds(c Condition) bool { return j.active[c] }
 
 // Since returns when a condition that holds was entered.
-func (j *Judge) Since(c Condition) time.Duration { return j.enteredAt[c] }
+func (j *Checker) Since(c Condition) time.Duration { return j.enteredAt[c] }
 
-// Keeps reports whether endpoints that the last list omits are retained.
-func (j *Judge) Keeps() bool { return j.cfg.Keep && j.active[Collapsed] }
+// RetainsOmitted reports whether endpoints that the last list omits are retained.
+func (j *Checker) RetainsOmitted() bool { return j.cfg.RetainOmitted && j.active[Collapsed] }
 
-// Recheck returns the delay until the full list is requested again. Zero means that this is not
+// RecheckDelay returns the delay until the full list is requested again. Zero means that this is not
 // needed.
-func (j *Judge) Recheck() time.Duration {
-	if j.active[Collapsed] && j.cfg.Keep {
+func (j *Checker) RecheckDelay() time.Duration {
+	if j.active[Collapsed] && j.cfg.RetainOmitted {
 		return j.cfg.Recheck
 	}
 	return 0
@@ -110,60 +110,60 @@
 
 // Next returns when the passage of time may change a condition. Zero means that only a new list
 // can.
-func (j *Judge) Next() (at time.Duration) {
+func (j *Checker) Next() (at time.Duration) {
 	soonest := func(t time.Duration) {
 		if at == 0 || t < at {
 			at = t
 		}
 	}
 	if j.active[Collapsed] {
-		soonest(j.enteredAt[Collapsed] + j.cfg.KeepMost)
+		soonest(j.enteredAt[Collapsed] + j.cfg.MaxCollapsed)
 	}
 	if j.active[Flapping] {
-		soonest(j.lastReversal() + j.cfg.FlapRest)
+		soonest(j.lastReversal() + j.cfg.FlapQuiet)
 	}
 	return at
 }
 
-func (j *Judge) lastReversal() time.Duration {
+func (j *Checker) lastReversal() time.Duration {
 	if n := len(j.reversals); n > 0 {
 		return j.reversals[n-1]
 	}
 	return j.enteredAt[Flapping]
 }
 
-func (j *Judge) enter(transitions []Turn, c Condition, now time.Duration, why string, args ...any) []Turn {
+func (j *Checker) enter(transitions []Transition, c Condition, now time.Duration, why string, args ...any) []Transition {
 	if j.active[c] {
 		return transitions
 	}
 	j.active[c], j.enteredAt[c] = true, now
-	return append(transitions, Turn{c, true, fmt.Sprintf(why, args...)})
+	return append(transitions, Transition{c, true, fmt.Sprintf(why, args...)})
 }
 
-func (j *Judge) leave(transitions []Turn, c Condition, why string, args ...any) []Turn {
+func (j *Checker) leave(transitions []Transition, c Condition, why string, args ...any) []Transition {
 	if !j.active[c] {
 		return transitions
 	}
 	j.active[c] = false
-	return append(transitions, Turn{c, false, fmt.Sprintf(why, args...)})
+	return append(transitions, Transition{c, false, fmt.Sprintf(why, args...)})
 }
 
-// Full checks a usable full list and returns the conditions that it enters or leaves.
-func (j *Judge) Full(now time.Duration, v View) (transitions []Turn) {
+// CheckList checks a usable full list and returns the conditions that it enters or leaves.
+func (j *Checker) CheckList(now time.Duration, v Comparison) (transitions []Transition) {
 	transitions = j.leave(transitions, Ambiguous, "a usable list arrived")
 	transitions = append(transitions, j.countReversal(now, v)...)
 	lost := 0.0
-	if v.Held > 0 {
-		lost = float64(v.Omitted) / float64(v.Held)
+	if v.InUse > 0 {
+		lost = float64(v.Omitted) / float64(v.InUse)
 	}
 	switch {
 	case !j.active[Collapsed]:
-		if v.Held >= j.cfg.Least && lost > j.cfg.LossMost {
+		if v.InUse >= j.cfg.MinEndpoints && lost > j.cfg.MaxLoss {
 			j.identical, j.identicalSince = 1, now
-			transitions = j.enter(transitions, Collapsed, now, "%d of %d endpoints are left out, %d are listed", v.Omitted, v.Held, v.Listed)
+			transitions = j.enter(transitions, Collapsed, now, "%d of %d endpoints are left out, %d are listed", v.Omitted, v.InUse, v.Listed)
 		}
-	case lost < j.cfg.LossBack:
-		transitions = j.leave(transitions, Collapsed, "%d of %d endpoints are left out", v.Omitted, v.Held)
+	case lost < j.cfg.RecoveredLoss:
+		transitions = j.leave(transitions, Collapsed, "%d of %d endpoints are left out", v.Omitted, v.InUse)
 	case v.Sum != j.lastSum:
 		j.identical, j.identicalSince = 1, now
 	default:
@@ -173,11 +173,11 @@
 	}
 	j.lastSum, j.previousSum = v.Sum, j.lastSum
 	j.listCount++
-	return append(transitions, j.Look(now)...)
+	return append(transitions, j.Advance(now)...)
 }
 
 // countReversal counts a change back to the list before the previous one.
-func (j *Judge) countReversal(now time.Duration, v View) (transitions []Turn) {
+func (j *Checker) countReversal(now time.Duration, v Comparison) (transitions []Transition) {
 	if j.listCount < 2 || v.Sum != j.previousSum || v.Sum == j.lastSum {
 		return nil
 	}
@@ -191,18 +191,18 @@
 	return transitions
 }
 
-// Refused records a list that cannot be used.
-func (j *Judge) Refused(now time.Duration, why error) []Turn {
+// RecordUnusable records a list that cannot be used.
+func (j *Checker) RecordUnusable(now time.Duration, why error) []Transition {
 	return j.enter(nil, Ambiguous, now, "%v", why)
 }
 
-// Look returns what has changed through the passage of time alone.
-func (j *Judge) Look(now time.Duration) (transitions []Turn) {
-	if j.active[Collapsed] && now-j.enteredAt[Collapsed] >= j.cfg.KeepMost {
-		transitions = j.leave(transitions, Collapsed, "it has lasted %v: the directory's list is accepted", j.cfg.KeepMost)
+// Advance returns what has changed through the passage of time alone.
+func (j *Checker) Advance(now time.Duration) (transitions []Transition) {
+	if j.active[Collapsed] && now-j.enteredAt[Collapsed] >= j.cfg.MaxCollapsed {
+		transitions = j.leave(transitions, Collapsed, "it has lasted %v: the directory's list is accepted", j.cfg.MaxCollapsed)
 	}
-	if j.active[Flapping] && now-j.lastReversal() >= j.cfg.FlapRest {
-		transitions = j.leave(transitions, Flapping, "no turn for %v", j.cfg.FlapRest)
+	if j.active[Flapping] && now-j.lastReversal() >= j.cfg.FlapQuiet {
+		transitions = j.leave(transitions, Flapping, "no turn for %v", j.cfg.FlapQuiet)
 	}
 	return transitions
 }
--- a/internal/distrust/distrust_test.go
+++ b/internal/distrust/distrust_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-func newRetainingJudge() *Judge {
+func newRetainingJudge() *Checker {
 	c := Default()
-	c.Keep = true
+	c.RetainOmitted = true
 	return New(c)
 }
 
@@ -20,74 +20,74 @@
 
 func TestCollapse(t *testing.T) {
 	j := newRetainingJudge()
-	assert.Empty(t, j.Full(0, View{Held: 0, Listed: 10, Sum: 1}))
-	assert.Empty(t, j.Full(s, View{Held: 10, Listed: 5, Omitted: 5, Sum: 2}), "half is not more than half")
-	transitions := j.Full(2*s, View{Held: 10, Listed: 0, Omitted: 10, Sum: 0})
+	assert.Empty(t, j.CheckList(0, Comparison{InUse: 0, Listed: 10, Sum: 1}))
+	assert.Empty(t, j.CheckList(s, Comparison{InUse: 10, Listed: 5, Omitted: 5, Sum: 2}), "half is not more than half")
+	transitions := j.CheckList(2*s, Comparison{InUse: 10, Listed: 0, Omitted: 10, Sum: 0})
 	require.Len(t, transitions, 1)
-	assert.Equal(t, Turn{Collapsed, true, "10 of 10 endpoints are left out, 0 are listed"}, transitions[0])
-	assert.True(t, j.Keeps())
-	assert.Equal(t, 2*s, j.Recheck())
-	assert.Empty(t, j.Full(4*s, View{Held: 10, Listed: 6, Omitted: 4, Sum: 3}), "nothing changes between the thresholds")
-	transitions = j.Full(5*s, View{Held: 10, Listed: 8, Omitted: 2, Sum: 4})
+	assert.Equal(t, Transition{Collapsed, true, "10 of 10 endpoints are left out, 0 are listed"}, transitions[0])
+	assert.True(t, j.RetainsOmitted())
+	assert.Equal(t, 2*s, j.RecheckDelay())
+	assert.Empty(t, j.CheckList(4*s, Comparison{InUse: 10, Listed: 6, Omitted: 4, Sum: 3}), "nothing changes between the thresholds")
+	transitions = j.CheckList(5*s, Comparison{InUse: 10, Listed: 8, Omitted: 2, Sum: 4})
 	require.Len(t, transitions, 1)
 	assert.False(t, transitions[0].Entered)
-	assert.False(t, j.Keeps())
-	assert.Zero(t, j.Recheck())
+	assert.False(t, j.RetainsOmitted())
+	assert.Zero(t, j.RecheckDelay())
 }
 
 func TestCollapseEndsWhenListsAgree(t *testing.T) {
 	j := newRetainingJudge()
-	v := View{Held: 10, Listed: 1, Omitted: 9, Sum: 7}
-	require.Len(t, j.Full(0, v), 1)
+	v := Comparison{InUse: 10, Listed: 1, Omitted: 9, Sum: 7}
+	require.Len(t, j.CheckList(0, v), 1)
 	for at := 2 * s; at < 10*s; at += 2 * s {
-		require.Empty(t, j.Full(at, v), "identical, but not for long enough")
+		require.Empty(t, j.CheckList(at, v), "identical, but not for long enough")
 	}
-	transitions := j.Full(10*s, v)
+	transitions := j.CheckList(10*s, v)
 	require.Len(t, transitions, 1)
-	assert.Equal(t, "6 lists agree over 10s", transitions[0].Why)
+	assert.Equal(t, "6 lists agree over 10s", transitions[0].Reason)
 	j = newRetainingJudge()
-	require.Len(t, j.Full(0, v), 1)
+	require.Len(t, j.CheckList(0, v), 1)
 	for at := 2 * s; at < 60*s; at += 2 * s { // never two identical lists
 		v.Sum++
-		require.Empty(t, j.Full(at, v))
+		require.Empty(t, j.CheckList(at, v))
 	}
-	transitions = j.Look(10 * time.Minute)
+	transitions = j.Advance(10 * time.Minute)
 	require.Len(t, transitions, 1, "the condition ends after its maximum duration")
-	assert.Contains(t, transitions[0].Why, "list is accepted")
+	assert.Contains(t, transitions[0].Reason, "list is accepted")
 }
 
 func TestFewEndpointsDoNotCollapse(t *testing.T) {
-	assert.Empty(t, newRetainingJudge().Full(0, View{Held: 3, Omitted: 3}))
+	assert.Empty(t, newRetainingJudge().CheckList(0, Comparison{InUse: 3, Omitted: 3}))
 }
 
 func TestFlapping(t *testing.T) {
 	j := New(Default())
-	var transitions []Turn
+	var transitions []Transition
 	for i := range 5 {
 		require.Empty(t, transitions)
-		transitions = j.Full(time.Duration(i)*s, View{Held: 10, Listed: 10, Sum: uint64(i % 2)})
+		transitions = j.CheckList(time.Duration(i)*s, Comparison{InUse: 10, Listed: 10, Sum: uint64(i % 2)})
 	}
 	require.Len(t, transitions, 1)
 	assert.Equal(t, Flapping, transitions[0].Condition)
 	assert.Equal(t, 34*s, j.Next())
-	assert.Empty(t, j.Look(33*s))
-	j.Full(33*s, View{Held: 10, Listed: 10, Sum: 1})
-	assert.Empty(t, j.Look(62*s), "each change restarts the quiet period")
-	transitions = j.Look(63 * s)
+	assert.Empty(t, j.Advance(33*s))
+	j.CheckList(33*s, Comparison{InUse: 10, Listed: 10, Sum: 1})
+	assert.Empty(t, j.Advance(62*s), "each change restarts the quiet period")
+	transitions = j.Advance(63 * s)
 	require.Len(t, transitions, 1)
 	assert.False(t, transitions[0].Entered)
 	// Lists that keep changing do not flap, nor does a list that is repeated.
 	j = New(Default())
 	for i := range 50 {
-		require.Empty(t, j.Full(time.Duration(i)*s, View{Held: 10, Listed: 10, Sum: uint64(i / 2)}))
+		require.Empty(t, j.CheckList(time.Duration(i)*s, Comparison{InUse: 10, Listed: 10, Sum: uint64(i / 2)}))
 	}
 }
 
 func TestAmbiguous(t *testing.T) {
 	j := New(Default())
-	require.Len(t, j.Refused(0, errors.New("named twice")), 1)
-	require.Empty(t, j.Refused(s, errors.New("named twice")), "consecutive unusable lists are reported once")
-	require.Len(t, j.Full(2*s, View{Held: 10, Listed: 10, Sum: 1}), 1)
+	require.Len(t, j.RecordUnusable(0, errors.New("named twice")), 1)
+	require.Empty(t, j.RecordUnusable(s, errors.New("named twice")), "consecutive unusable lists are reported once")
+	require.Len(t, j.CheckList(2*s, Comparison{InUse: 10, Listed: 10, Sum: 1}), 1)
 }
 
 // For any order of lists, conditions are entered and left alternately, each collapse ends within
@@ -99,16 +99,16 @@
 		in := map[Condition]bool{}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 90000).Draw(t, "ms")) * time.Millisecond
-			var transitions []Turn
+			var transitions []Transition
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				transitions = j.Refused(now, errors.New("x"))
+				transitions = j.RecordUnusable(now, errors.New("x"))
 			case 1:
-				transitions = j.Look(now)
+				transitions = j.Advance(now)
 			default:
 				held := rapid.IntRange(0, 20).Draw(t, "held")
-				transitions = j.Full(now, View{
-					Held: held, Omitted: rapid.IntRange(0, held).Draw(t, "omitted"), Sum: uint64(rapid.IntRange(0, 2).Draw(t, "sum")),
+				transitions = j.CheckList(now, Comparison{
+					InUse: held, Omitted: rapid.IntRange(0, held).Draw(t, "omitted"), Sum: uint64(rapid.IntRange(0, 2).Draw(t, "sum")),
 				})
 			}
 			for _, x := range transitions {
@@ -116,17 +116,17 @@
 				in[x.Condition] = x.Entered
 			}
 			for c := range conditionCount {
-				require.Equal(t, in[c], j.In(c))
+				require.Equal(t, in[c], j.Holds(c))
 			}
-			j.Look(now)
+			j.Advance(now)
 			for c := range conditionCount {
-				in[c] = j.In(c)
+				in[c] = j.Holds(c)
 			}
 			if at := j.Next(); at != 0 {
 				require.Greater(t, at, now)
 			}
-			if j.In(Collapsed) {
-				require.Less(t, now-j.Since(Collapsed), Default().KeepMost)
+			if j.Holds(Collapsed) {
+				require.Less(t, now-j.Since(Collapsed), Default().MaxCollapsed)
 			}
 		}
 	})
--- a/internal/dormancy/dormancy.go
+++ b/internal/dormancy/dormancy.go
@@ -25,37 +25,37 @@
 
 // Config limits what is kept and for how long.
 type Config struct {
-	After  time.Duration // idle time after which a destination is unloaded
-	Awake  int           // if more destinations are loaded, the longest idle ones are unloaded earlier
-	Memory int           // bytes of all snapshots
+	IdleTimeout time.Duration // idle time after which a destination is unloaded
+	MaxLoaded   int           // if more destinations are loaded, the longest idle ones are unloaded earlier
+	MaxBytes    int           // bytes of all snapshots
 
-	HalfLife time.Duration // a stored limit loses half of its value in this time
-	Forget   time.Duration // age at which a snapshot that is not binding is no longer used
-	Careful  time.Duration // how long the pacing rate of a loaded destination stays low
-	First    bool          // destinations without a snapshot start cautiously too
+	HalfLife      time.Duration // a stored limit loses half of its value in this time
+	MaxAge        time.Duration // age at which a snapshot that is not binding is no longer used
+	CautiousFor   time.Duration // how long the pacing rate of a loaded destination stays low
+	CautiousFirst bool          // destinations without a snapshot start cautiously too
 
-	Ledger time.Duration // the module's retry budget window: retries within it are binding
-	Warm   time.Duration // how long a recovery with slow start is binding
-	Outage time.Duration // how long an outage is binding; after that, the cautious start suffices
+	RetryWindow time.Duration // the module's retry budget window: retries within it are binding
+	WarmUp      time.Duration // how long a recovery with slow start is binding
+	Outage      time.Duration // how long an outage is binding; after that, the cautious start suffices
 
 	// After a restart within this time, state is used unchanged. After a longer one it is aged like
 	// that of an unloaded destination.
-	Brisk time.Duration
+	QuickRestart time.Duration
 }
 
 // Default returns the limits that apply without an operator file. Binding times follow the given
 // settings.
 func Default(s snowjunction.Settings) Config {
 	return Config{
-		After: time.Minute, Awake: 4096, Memory: 1 << 20,
-		HalfLife: 10 * time.Minute, Forget: 6 * time.Hour, Careful: max(s.WarmUp, 5*time.Second),
-		Ledger: 10 * time.Second, Warm: max(s.WarmUp, s.FallTime), Outage: 10 * time.Minute,
-		Brisk: 20 * time.Second,
+		IdleTimeout: time.Minute, MaxLoaded: 4096, MaxBytes: 1 << 20,
+		HalfLife: 10 * time.Minute, MaxAge: 6 * time.Hour, CautiousFor: max(s.WarmUp, 5*time.Second),
+		RetryWindow: 10 * time.Second, WarmUp: max(s.WarmUp, s.CollapseTime), Outage: 10 * time.Minute,
+		QuickRestart: 20 * time.Second,
 	}
 }
 
-// Book tracks which destinations are loaded, idle or unloaded.
-type Book struct {
+// Tracker tracks which destinations are loaded, idle or unloaded.
+type Tracker struct {
 	cfg              Config
 	loaded           int
 	idle             *list.List // of Destination, the longest idle first
@@ -69,9 +69,9 @@
 
 // Counts are the totals since its start.
 type Counts struct {
-	Slept, Woke, Known uint64 // the last one: loaded with a snapshot
-	Dropped            uint64 // snapshots dropped for lack of room
-	Full               uint64 // idle destinations not unloaded because all snapshots are binding
+	Unloaded, Loaded, LoadedWithSnapshot uint64 // the last one: loaded with a snapshot
+	Dropped                              uint64 // snapshots dropped for lack of room
+	AllBinding                           uint64 // idle destinations not unloaded because all snapshots are binding
 }
 
 type entry struct {
@@ -89,27 +89,27 @@
 const entryOverhead = 128
 
 // New returns an empty tracker.
-func New(cfg Config) *Book {
-	return &Book{
+func New(cfg Config) *Tracker {
+	return &Tracker{
 		cfg: cfg, idle: list.New(), idleElement: map[Destination]*list.Element{}, idleSince: map[Destination]time.Duration{},
 		entries: map[Destination]*entry{},
 	}
 }
 
-// Awake returns the number of loaded destinations.
-func (b *Book) Awake() int { return b.loaded }
+// Loaded returns the number of loaded destinations.
+func (b *Tracker) Loaded() int { return b.loaded }
 
-// Over reports whether too many destinations are loaded and some of them are idle.
-func (b *Book) Over() bool { return b.loaded > b.cfg.Awake && b.idle.Len() > 0 }
+// OverLimit reports whether too many destinations are loaded and some of them are idle.
+func (b *Tracker) OverLimit() bool { return b.loaded > b.cfg.MaxLoaded && b.idle.Len() > 0 }
 
-// Asleep returns the number of snapshots.
-func (b *Book) Asleep() int { return len(b.entries) }
+// Snapshots returns the number of snapshots.
+func (b *Tracker) Snapshots() int { return len(b.entries) }
 
 // Bytes returns the approximate memory size of the snapshots.
-func (b *Book) Bytes() int { return b.bytes }
+func (b *Tracker) Bytes() int { return b.bytes }
 
 // Busy records that a loaded destination has something to do.
-func (b *Book) Busy(d Destination) {
+func (b *Tracker) Busy(d Destination) {
 	if e := b.idleElement[d]; e != nil {
 		b.idle.Remove(e)
 		delete(b.idleElement, d)
@@ -118,7 +118,7 @@
 }
 
 // Idle records that a loaded destination has nothing to do from now on.
-func (b *Book) Idle(d Destination, now time.Duration) {
+func (b *Tracker) Idle(d Destination, now time.Duration) {
 	if b.idleElement[d] == nil {
 		b.idleElement[d], b.idleSince[d] = b.idle.PushBack(d), now
 	}
@@ -126,17 +126,17 @@
 
 // Due returns the destination to unload now, or how long to wait before the next call. wait is
 // negative if no destination is idle.
-func (b *Book) Due(now time.Duration) (d Destination, due bool, wait time.Duration) {
+func (b *Tracker) Due(now time.Duration) (d Destination, due bool, wait time.Duration) {
 	front := b.idle.Front()
 	if front == nil {
 		return 0, false, -1
 	}
 	d = front.Value.(Destination)
-	if left := b.idleSince[d] + b.cfg.After - now; left > 0 && b.loaded <= b.cfg.Awake {
+	if left := b.idleSince[d] + b.cfg.IdleTimeout - now; left > 0 && b.loaded <= b.cfg.MaxLoaded {
 		return 0, false, left
 	}
 	if free, at := b.hasRoom(now); !free {
-		b.Counts.Full++
+		b.Counts.AllBinding++
 		return 0, false, max(at-now, time.Millisecond)
 	}
 	return d, true, 0
@@ -144,8 +144,8 @@
 
 // hasRoom reports whether another snapshot can be stored, if necessary in place of one that is not
 // binding, or when the first binding one expires.
-func (b *Book) hasRoom(now time.Duration) (bool, time.Duration) {
-	if b.bytes+typicalEntryBytes <= b.cfg.Memory {
+func (b *Tracker) hasRoom(now time.Duration) (bool, time.Duration) {
+	if b.bytes+typicalEntryBytes <= b.cfg.MaxBytes {
 		return true, 0
 	}
 	firstExpiry := time.Duration(math.MaxInt64)
@@ -164,9 +164,9 @@
 // typicalEntryBytes is the usual size of a snapshot with its overhead.
 const typicalEntryBytes = entryOverhead + 96
 
-// Room reports whether another destination can be loaded, and if not, when to try again.
-func (b *Book) Room(now time.Duration) (bool, time.Duration) {
-	if b.loaded < b.cfg.Awake {
+// HasRoom reports whether another destination can be loaded, and if not, when to try again.
+func (b *Tracker) HasRoom(now time.Duration) (bool, time.Duration) {
+	if b.loaded < b.cfg.MaxLoaded {
 		return true, 0
 	}
 	free, at := b.hasRoom(now)
@@ -176,15 +176,15 @@
 	return false, max(at-now, time.Second)
 }
 
-// Keep stores the snapshot of a destination that is unloaded, and returns the encoded snapshot for
+// Unload stores the snapshot of a destination that is unloaded, and returns the encoded snapshot for
 // callers that store a copy. Snapshots that no longer fit are dropped.
-func (b *Book) Keep(d Destination, m *memento.Memento, now time.Duration) (encoded []byte) {
+func (b *Tracker) Unload(d Destination, m *memento.Snapshot, now time.Duration) (encoded []byte) {
 	b.Busy(d)
 	b.loaded--
-	b.Counts.Slept++
+	b.Counts.Unloaded++
 	encoded = memento.Encode(nil, m)
 	b.addEntry(&entry{dest: d, unloadedAt: now, bindingUntil: now + b.bindingFor(&m.State), encoded: encoded})
-	for k := b.oldest; k != nil && b.bytes > b.cfg.Memory; {
+	for k := b.oldest; k != nil && b.bytes > b.cfg.MaxBytes; {
 		next := k.next
 		if k.bindingUntil <= now {
 			b.removeEntry(k)
@@ -195,7 +195,7 @@
 	return encoded
 }
 
-func (b *Book) addEntry(k *entry) {
+func (b *Tracker) addEntry(k *entry) {
 	if old := b.entries[k.dest]; old != nil {
 		b.removeEntry(old)
 	}
@@ -209,7 +209,7 @@
 	b.bytes += len(k.encoded) + entryOverhead
 }
 
-func (b *Book) removeEntry(k *entry) {
+func (b *Tracker) removeEntry(k *entry) {
 	if k.prev != nil {
 		k.prev.next = k.next
 	} else {
@@ -225,37 +225,37 @@
 }
 
 // bindingFor returns for how long a rule needs the state s.
-func (b *Book) bindingFor(s *snowjunction.State) (t time.Duration) {
-	if s.Repeats > 0 {
-		t = b.cfg.Ledger
+func (b *Tracker) bindingFor(s *snowjunction.DestinationSnapshot) (t time.Duration) {
+	if s.Retries > 0 {
+		t = b.cfg.RetryWindow
 	}
 	for _, r := range s.Routes {
-		t = max(t, r.Wait)
-		if r.ColdSends > 0 {
-			t = max(t, b.cfg.Warm)
+		t = max(t, r.BlockedFor)
+		if r.ColdCalls > 0 {
+			t = max(t, b.cfg.WarmUp)
 		}
 	}
-	for _, e := range s.EndpointsSeen {
+	for _, e := range s.Endpoints {
 		switch {
-		case e.Condition == snowjunction.Held || e.Fails > 0:
+		case e.Condition == snowjunction.Down || e.Failures > 0:
 			t = max(t, b.cfg.Outage)
-		case e.Condition == snowjunction.Warming:
-			t = max(t, b.cfg.Warm-e.For)
+		case e.Condition == snowjunction.Recovering:
+			t = max(t, b.cfg.WarmUp-e.SinceCondition)
 		}
 	}
 	return t
 }
 
-// Woken is the state with which a destination is loaded.
-type Woken struct {
-	Memento *memento.Memento // nil if nothing is known
-	Slept   time.Duration
-	Caution snowjunction.Caution
+// Loaded is the state with which a destination is loaded.
+type Loaded struct {
+	Snapshot    *memento.Snapshot // nil if nothing is known
+	UnloadedFor time.Duration
+	Caution     snowjunction.CautiousStart
 }
 
-// Wake loads a destination: it removes its snapshot and returns it, aged by the time since the
+// Load loads a destination: it removes its snapshot and returns it, aged by the time since the
 // destination was unloaded. The destination counts as loaded and busy from now on.
-func (b *Book) Wake(d Destination, now time.Duration) Woken {
+func (b *Tracker) Load(d Destination, now time.Duration) Loaded {
 	k := b.entries[d]
 	if k == nil {
 		return b.load(nil, 0)
@@ -267,43 +267,43 @@
 	}
 	if k.handedOver && m != nil {
 		b.loaded++
-		b.Counts.Woke++
-		b.Counts.Known++
-		return Woken{Memento: m, Slept: now - k.unloadedAt}
+		b.Counts.Loaded++
+		b.Counts.LoadedWithSnapshot++
+		return Loaded{Snapshot: m, UnloadedFor: now - k.unloadedAt}
 	}
 	if k.fromPreviousRun && m != nil {
 		b.loaded++
-		b.Counts.Woke++
-		b.Counts.Known++
-		return Woken{Memento: m, Slept: now - k.unloadedAt, Caution: b.adjustAfterRestart(&m.State, now-k.unloadedAt)}
+		b.Counts.Loaded++
+		b.Counts.LoadedWithSnapshot++
+		return Loaded{Snapshot: m, UnloadedFor: now - k.unloadedAt, Caution: b.adjustAfterRestart(&m.State, now-k.unloadedAt)}
 	}
 	return b.load(m, now-k.unloadedAt)
 }
 
-// Recall adds a snapshot of the given age from a previous process run. A negative age means that it
+// Restore adds a snapshot of the given age from a previous process run. A negative age means that it
 // is unknown, as after a clock was set back. It returns false if the text is not a snapshot or
 // there is no room.
-func (b *Book) Recall(d Destination, encoded []byte, age, now time.Duration) bool {
+func (b *Tracker) Restore(d Destination, encoded []byte, age, now time.Duration) bool {
 	m, err := memento.Decode(encoded)
-	if err != nil || b.bytes+len(encoded)+entryOverhead > b.cfg.Memory {
+	if err != nil || b.bytes+len(encoded)+entryOverhead > b.cfg.MaxBytes {
 		return false
 	}
 	if age < 0 {
 		age = b.cfg.HalfLife
 	}
-	if b.cfg.Forget > 0 && age >= b.cfg.Forget {
+	if b.cfg.MaxAge > 0 && age >= b.cfg.MaxAge {
 		return false
 	}
 	b.addEntry(&entry{dest: d, unloadedAt: now - age, bindingUntil: now - age + b.bindingFor(&m.State), encoded: encoded, fromPreviousRun: true})
 	return true
 }
 
-// Hand adds a snapshot that another process of this courier took a moment ago. It is used like this
+// AddHandedOver adds a snapshot that another process of this courier took a moment ago. It is used like this
 // process's own state, retry-after delays included. A destination that was loaded is taken over
 // unchanged.
-func (b *Book) Hand(d Destination, encoded []byte, at, now time.Duration, loaded, fromPreviousRun bool) bool {
+func (b *Tracker) AddHandedOver(d Destination, encoded []byte, at, now time.Duration, loaded, fromPreviousRun bool) bool {
 	m, err := memento.Decode(encoded)
-	if err != nil || b.bytes+len(encoded)+entryOverhead > b.cfg.Memory {
+	if err != nil || b.bytes+len(encoded)+entryOverhead > b.cfg.MaxBytes {
 		return false
 	}
 	b.addEntry(&entry{dest: d, unloadedAt: at, bindingUntil: at + b.bindingFor(&m.State), encoded: encoded, handedOver: loaded, fromPreviousRun: fromPreviousRun})
@@ -311,7 +311,7 @@
 }
 
 // Each calls f for every stored snapshot.
-func (b *Book) Each(f func(d Destination, text []byte, at time.Duration, restart bool)) {
+func (b *Tracker) Each(f func(d Destination, text []byte, at time.Duration, restart bool)) {
 	for d, k := range b.entries {
 		f(d, k.encoded, k.unloadedAt, k.fromPreviousRun)
 	}
@@ -320,92 +320,92 @@
 // adjustAfterRestart adjusts state from before a restart. The restart ends retry-after delays, but
 // pacing stays. An outage is not forgotten, but one that ended long ago is not assumed to last: its
 // endpoints count as recovering and cold.
-func (b *Book) adjustAfterRestart(s *snowjunction.State, age time.Duration) snowjunction.Caution {
+func (b *Tracker) adjustAfterRestart(s *snowjunction.DestinationSnapshot, age time.Duration) snowjunction.CautiousStart {
 	for i := range s.Routes {
-		s.Routes[i].Wait = 0
+		s.Routes[i].BlockedFor = 0
 	}
 	assumeSiblingsFailed(s, age)
-	if age <= b.cfg.Brisk {
-		return snowjunction.Caution{}
-	}
-	for i := range s.EndpointsSeen {
-		e := &s.EndpointsSeen[i]
-		if e.Condition == snowjunction.Held && age > b.cfg.Outage {
-			e.DownFor = max(e.DownFor, e.For)
-			e.Condition, e.Fails, e.For, e.Backoff = snowjunction.Warming, 0, -age, 0 // the warm-up starts when the destination is loaded
+	if age <= b.cfg.QuickRestart {
+		return snowjunction.CautiousStart{}
+	}
+	for i := range s.Endpoints {
+		e := &s.Endpoints[i]
+		if e.Condition == snowjunction.Down && age > b.cfg.Outage {
+			e.LastOutage = max(e.LastOutage, e.SinceCondition)
+			e.Condition, e.Failures, e.SinceCondition, e.Backoff = snowjunction.Recovering, 0, -age, 0 // the warm-up starts when the destination is loaded
 		}
 	}
 	return b.ageState(s, age)
 }
 
-// WakeWith loads a destination from a snapshot that was stored elsewhere.
-func (b *Book) WakeWith(m *memento.Memento, unloadedFor time.Duration) Woken {
+// LoadSnapshot loads a destination from a snapshot that was stored elsewhere.
+func (b *Tracker) LoadSnapshot(m *memento.Snapshot, unloadedFor time.Duration) Loaded {
 	return b.load(m, max(unloadedFor, 0))
 }
 
-func (b *Book) load(m *memento.Memento, unloadedFor time.Duration) Woken {
+func (b *Tracker) load(m *memento.Snapshot, unloadedFor time.Duration) Loaded {
 	b.loaded++
-	b.Counts.Woke++
+	b.Counts.Loaded++
 	if m == nil {
-		w := Woken{}
-		if b.cfg.First {
-			w.Caution = snowjunction.Caution{Window: 1, Careful: b.cfg.Careful}
+		w := Loaded{}
+		if b.cfg.CautiousFirst {
+			w.Caution = snowjunction.CautiousStart{Window: 1, ReducedPaceFor: b.cfg.CautiousFor}
 		}
 		return w
 	}
-	b.Counts.Known++
-	return Woken{Memento: m, Slept: unloadedFor, Caution: b.ageState(&m.State, unloadedFor)}
+	b.Counts.LoadedWithSnapshot++
+	return Loaded{Snapshot: m, UnloadedFor: unloadedFor, Caution: b.ageState(&m.State, unloadedFor)}
 }
 
 // ageState ages a snapshot: an old limit loses its value over time and is dropped in the end; the
 // best latency is kept while it is recent; the window starts anew.
-func (b *Book) ageState(s *snowjunction.State, unloadedFor time.Duration) snowjunction.Caution {
+func (b *Tracker) ageState(s *snowjunction.DestinationSnapshot, unloadedFor time.Duration) snowjunction.CautiousStart {
 	value := 0.0
-	if unloadedFor < b.cfg.Forget {
+	if unloadedFor < b.cfg.MaxAge {
 		value = math.Exp2(-float64(unloadedFor) / float64(max(b.cfg.HalfLife, time.Second)))
 	}
 	known := false
 	for i := range s.Routes {
 		r := &s.Routes[i]
 		if value == 0 {
-			r.Limit, r.Gap, r.Fulls = 0, 0, 0
+			r.Limit, r.CallGap, r.Rejections = 0, 0, 0
 		}
 		r.Limit *= max(value, minLimitValue)
-		r.Pace = 0 // pacing starts from the aged limit
-		r.Left = 1 // the remaining quota of that time is no longer valid
+		r.PacingRate = 0 // pacing starts from the aged limit
+		r.LimitLeft = 1  // the remaining quota of that time is no longer valid
 		known = known || r.Limit > 0
 	}
 	if value == 0 {
-		s.Recent, s.Best, s.Peak = 0, 0, 0
-		for i := range s.EndpointsSeen {
-			s.EndpointsSeen[i].Latency = 0
+		s.Latency, s.BestLatency, s.PeakRate = 0, 0, 0
+		for i := range s.Endpoints {
+			s.Endpoints[i].Latency = 0
 		}
 	}
-	s.Peak *= value
-	return snowjunction.Caution{Window: 1, Cold: known, Careful: b.cfg.Careful}
+	s.PeakRate *= value
+	return snowjunction.CautiousStart{Window: 1, Cold: known, ReducedPaceFor: b.cfg.CautiousFor}
 }
 
 // assumeSiblingsFailed marks endpoints that were never called as recovering from an outage if
 // another endpoint on their route failed or is warming up: most outages affect all endpoints of a
 // destination, and the calls of the previous process run that would show it are missing.
-func assumeSiblingsFailed(s *snowjunction.State, age time.Duration) {
-	worst := map[int]snowjunction.EndpointState{}
-	for _, e := range s.EndpointsSeen {
+func assumeSiblingsFailed(s *snowjunction.DestinationSnapshot, age time.Duration) {
+	worst := map[int]snowjunction.EndpointSnapshot{}
+	for _, e := range s.Endpoints {
 		if e.Condition != snowjunction.Serving {
-			if w, ok := worst[e.Route]; !ok || e.For < w.For {
+			if w, ok := worst[e.Route]; !ok || e.SinceCondition < w.SinceCondition {
 				worst[e.Route] = e
 			}
 		}
 	}
-	for i := range s.EndpointsSeen {
-		e := &s.EndpointsSeen[i]
+	for i := range s.Endpoints {
+		e := &s.Endpoints[i]
 		w, ok := worst[e.Route]
 		if !ok || e.Condition != snowjunction.Serving || e.Latency > 0 {
 			continue
 		}
-		e.Condition, e.Failed, e.DownFor = snowjunction.Warming, w.Failed, max(w.DownFor, w.Failed+age)
-		if w.Condition == snowjunction.Warming {
-			e.For = w.For
+		e.Condition, e.SinceFailure, e.LastOutage = snowjunction.Recovering, w.SinceFailure, max(w.LastOutage, w.SinceFailure+age)
+		if w.Condition == snowjunction.Recovering {
+			e.SinceCondition = w.SinceCondition
 		}
 	}
 }
@@ -414,18 +414,18 @@
 // first answer contains the current one.
 const minLimitValue = 0.25
 
-// Keeping reports whether there is a snapshot of a destination.
-func (b *Book) Keeping(d Destination) bool { return b.entries[d] != nil }
+// Has reports whether there is a snapshot of a destination.
+func (b *Tracker) Has(d Destination) bool { return b.entries[d] != nil }
 
-// Stale drops up to n of the oldest snapshots that are too old to be used, and reports whether
+// DropStale drops up to n of the oldest snapshots that are too old to be used, and reports whether
 // there may be more.
-func (b *Book) Stale(now time.Duration, n int) bool {
+func (b *Tracker) DropStale(now time.Duration, n int) bool {
 	for ; n > 0; n-- {
 		k := b.oldest
 		if k == nil {
 			return false
 		}
-		if now-k.unloadedAt < b.cfg.Forget || k.bindingUntil > now {
+		if now-k.unloadedAt < b.cfg.MaxAge || k.bindingUntil > now {
 			return false
 		}
 		b.removeEntry(k)
--- a/internal/emulate/capacity_test.go
+++ b/internal/emulate/capacity_test.go
@@ -26,21 +26,21 @@
 func (c counted) Handle(now time.Duration, events []snowjunction.Event) []snowjunction.Action {
 	actions := c.Policy.Handle(now, events)
 	for _, a := range actions {
-		t, ok := a.(snowjunction.Tell)
+		t, ok := a.(snowjunction.SendPeerMessages)
 		if !ok {
 			continue
 		}
-		if len(t.Notes) == 0 {
+		if len(t.Messages) == 0 {
 			c.n.greetings++
 			continue
 		}
-		far := make([]snowjunction.Note, len(t.Notes))
-		for i, x := range t.Notes {
+		far := make([]snowjunction.PeerMessage, len(t.Messages))
+		for i, x := range t.Messages {
 			c.n.count(x)
 			far[i] = x
 			far[i].Destination += 1_000_000 // as long as most of the fleet to come have
 		}
-		for _, b := range notes.Write(far) {
+		for _, b := range notes.Encode(far) {
 			c.n.datagrams++
 			c.n.bytes += len(b)
 		}
@@ -48,8 +48,8 @@
 	return actions
 }
 
-func (n *tally) count(x snowjunction.Note) {
-	for to, is := range map[*int]bool{&n.asks: x.Asks, &n.grants: x.Grants && !x.Serves, &n.failing: x.Failing, &n.limits: x.Limit > 0} {
+func (n *tally) count(x snowjunction.PeerMessage) {
+	for to, is := range map[*int]bool{&n.asks: x.RequestsGrant, &n.grants: x.IsGrant && !x.Recovered, &n.failing: x.Unreachable, &n.limits: x.Limit > 0} {
 		if is {
 			*to++
 		}
--- a/internal/emulate/clients.go
+++ b/internal/emulate/clients.go
@@ -133,7 +133,7 @@
 
 // worth is what a message earns in time.
 func (w *world) worth(m *message) float64 {
-	v := w.classes[m.class].Worth
+	v := w.classes[m.class].Value
 	if m.excess {
 		v *= 0.05
 	}
@@ -204,10 +204,10 @@
 		return
 	}
 	class := w.classes[m.class]
-	v, late := w.worth(m), w.now-(m.created+class.Aim)
+	v, late := w.worth(m), w.now-(m.created+class.TargetLatency)
 	if late > 0 {
 		w.res.Late++
-		v *= math.Max(0, 1-(1-class.LateShare)*float64(late)/float64(class.Deadline-class.Aim))
+		v *= math.Max(0, 1-(1-class.LateValueShare)*float64(late)/float64(class.Deadline-class.TargetLatency))
 	}
 	w.res.got(m, v, w.now-m.created)
 }
--- a/internal/emulate/courier.go
+++ b/internal/emulate/courier.go
@@ -28,8 +28,8 @@
 	view    []snowjunction.Phase
 	used    map[int32]time.Duration // endpoints with a warm connection, since when
 
-	book    *dormancy.Book // with dormancy
-	awake   map[int32]int  // destinations that the policy knows, and their messages
+	book    *dormancy.Tracker // with dormancy
+	awake   map[int32]int     // destinations that the policy knows, and their messages
 	resting bool
 
 	kept kept // on its disk
@@ -67,7 +67,7 @@
 	c.life++
 	c.seed += 7919
 	c.s = w.settings(c.seed)
-	c.s.Number, c.s.Notes = int(c.no), w.s.Network.Notes.DelayMs[1] > 0
+	c.s.Number, c.s.PeerMessages = int(c.no), w.s.Network.Notes.DelayMs[1] > 0
 	if c.o.Change != nil {
 		c.o.Change(&c.s)
 	}
@@ -107,7 +107,7 @@
 	}
 	if w.s.Dormancy {
 		cfg := dormancy.Default(c.s)
-		cfg.First = true
+		cfg.CautiousFirst = true
 		c.book, c.awake, c.resting = dormancy.New(cfg), map[int32]int{}, false
 		c.recalled()
 	} else {
@@ -199,10 +199,10 @@
 	}
 	ev := snowjunction.Request{
 		ID: snowjunction.RequestID(id), Destination: snowjunction.DestinationID(m.dest), Class: int(m.class), Tenant: int(m.tenant),
-		Key: m.key, Deadline: m.deadline - w.now, Again: m.tries > 0, Attempts: int(m.attempts), Ran: m.ran,
+		Key: m.key, Deadline: m.deadline - w.now, Resubmitted: m.tries > 0, Attempts: int(m.attempts), MayHaveRun: m.ran,
 	}
 	if m.ran {
-		ev.RanFor = w.now - m.ranAt
+		ev.SinceRun = w.now - m.ranAt
 	}
 	c.post(ev)
 }
@@ -228,11 +228,11 @@
 			w.q.push(event{at: w.now + a.After, kind: timer, who: c.no, id: int32(c.life), gen: uint32(a.Token)})
 		case snowjunction.CloseIdle:
 			delete(c.used, int32(a.Endpoint)-1)
-		case snowjunction.Tell:
+		case snowjunction.SendPeerMessages:
 			w.note(c.no, a)
-		case snowjunction.Asleep:
+		case snowjunction.Unloaded:
 			c.asleep(a)
-		case snowjunction.Seen:
+		case snowjunction.Inspected:
 			c.seen(a)
 		}
 	}
@@ -249,7 +249,7 @@
 }
 
 // note sends a note on its way to another courier, where it may not arrive.
-func (w *world) note(from int32, a snowjunction.Tell) {
+func (w *world) note(from int32, a snowjunction.SendPeerMessages) {
 	w.res.Notes++
 	n := &w.s.Network.Notes
 	for _, d := range n.Down {
@@ -261,7 +261,7 @@
 		return
 	}
 	id := int32(w.res.Notes)
-	w.notes[id] = snowjunction.Heard{Peer: int(from), Notes: a.Notes}
+	w.notes[id] = snowjunction.PeerMessagesReceived{Peer: int(from), Messages: a.Messages}
 	w.q.push(event{at: w.now + seconds(draw(w.network, n.DelayMs)/1000), kind: noted, who: int32(a.Peer), id: id})
 }
 
@@ -479,7 +479,7 @@
 	case a.Status == 200:
 		out = snowjunction.OK
 	case a.Status == 429, a.Status == 503:
-		out = snowjunction.Full
+		out = snowjunction.Rejected
 		w.res.TurnedAway++
 	}
 	if out == snowjunction.Reset || out == snowjunction.ConnectFailed {
@@ -528,17 +528,17 @@
 	}
 	if w.check != nil {
 		wait := time.Duration(0)
-		if out == snowjunction.Full {
+		if out == snowjunction.Rejected {
 			wait = x.answer.Wait
 		}
 		w.check.Came(w.now, c.no, x.msg, ran, unsure, wait)
 	}
 	ev := snowjunction.AttemptEnded{
 		Request: snowjunction.RequestID(x.msg), Endpoint: snowjunction.EndpointID(x.endpoint + 1), Attempt: x.attempt, Outcome: out,
-		Took: w.now - x.began, Kept: x.kept, Fresh: x.kept == 0,
+		Took: w.now - x.began, ConnIdle: x.kept, NewConn: x.kept == 0,
 	}
-	if out == snowjunction.Full {
-		ev.Wait = x.answer.Wait
+	if out == snowjunction.Rejected {
+		ev.RetryAfter = x.answer.Wait
 	}
 	if x.answer.Limit > 0 {
 		ev.Report = []float64{x.answer.Left, x.answer.Limit}
@@ -586,7 +586,7 @@
 		return
 	}
 	c.awake[d] = 1
-	c.post(c.woken(d, c.book.Wake(snowjunction.DestinationID(d), c.w.now-c.began)))
+	c.post(c.woken(d, c.book.Load(snowjunction.DestinationID(d), c.w.now-c.began)))
 }
 
 func (c *courier) release(id int32) {
@@ -607,7 +607,7 @@
 	d, due, wait := c.book.Due(c.w.now - c.began)
 	if due {
 		c.book.Busy(d)
-		c.post(snowjunction.Sleep{Destination: d})
+		c.post(snowjunction.Unload{Destination: d})
 		wait = c.s.Tick
 	}
 	if wait >= 0 && (due || !c.resting) {
@@ -618,13 +618,13 @@
 	}
 }
 
-func (c *courier) asleep(a snowjunction.Asleep) {
+func (c *courier) asleep(a snowjunction.Unloaded) {
 	d := int32(a.Destination)
-	if a.Busy || a.State == nil || c.awake[d] > 0 {
+	if a.Busy || a.Snapshot == nil || c.awake[d] > 0 {
 		c.book.Idle(a.Destination, c.w.now-c.began)
 		return
 	}
-	m := mementoOf(a.State)
+	m := mementoOf(a.Snapshot)
 	delete(c.awake, d)
-	c.book.Keep(a.Destination, m, c.w.now-c.began)
+	c.book.Unload(a.Destination, m, c.w.now-c.began)
 }
--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -171,7 +171,7 @@
 		}},
 		{name: "waits", scenario: "nauryz", policy: "blind", rule: rules.Wait, events: func(ev snowjunction.Event) snowjunction.Event {
 			if a, ok := ev.(snowjunction.AttemptEnded); ok {
-				a.Wait = 0
+				a.RetryAfter = 0
 				return a
 			}
 			return ev
--- a/internal/emulate/kept.go
+++ b/internal/emulate/kept.go
@@ -21,7 +21,7 @@
 	journal uint64 // writes of this life
 	due     bool   // the picker is to be asked
 
-	belief *belief.Book
+	belief *belief.Tracker
 	heard  time.Duration // when the directory was last up for this courier
 	blind  bool          // no list is held, until the directory speaks
 }
@@ -62,14 +62,14 @@
 	}
 	cfg := belief.Default()
 	if f := w.s.Kept.FreshS; f > 0 {
-		cfg.Fresh = seconds(f)
+		cfg.FreshFor = seconds(f)
 	}
 	k.belief = belief.New(cfg)
 	if c.life == 1 || !silent {
-		k.belief.Begin(belief.Live, 0, w.now)
-		k.belief.Spoken(w.now)
+		k.belief.Start(belief.Live, 0, w.now)
+		k.belief.DirectoryConfirmed(w.now)
 	} else {
-		k.belief.Begin(belief.Cached, w.now-k.heard, w.now)
+		k.belief.Start(belief.Cached, w.now-k.heard, w.now)
 	}
 	c.look()
 }
@@ -84,7 +84,7 @@
 	silent, until := w.down()
 	if !silent {
 		k.heard = w.now
-		k.belief.Spoken(w.now)
+		k.belief.DirectoryConfirmed(w.now)
 		for _, d := range w.s.Directory.Down { // the next silence
 			if from := seconds(d.At); from >= w.now {
 				w.q.push(event{at: from, kind: look, who: c.no, id: int32(c.life)})
@@ -93,8 +93,8 @@
 		}
 		return
 	}
-	change, again := k.belief.Look(w.now)
-	if change != belief.Same {
+	change, again := k.belief.Advance(w.now)
+	if change != belief.Unchanged {
 		c.represent()
 	}
 	at := until
@@ -120,7 +120,7 @@
 			}
 		}
 	}
-	if k.belief != nil && k.belief.Spoken(c.w.now) || was {
+	if k.belief != nil && k.belief.DirectoryConfirmed(c.w.now) || was {
 		c.represent()
 	}
 }
@@ -143,7 +143,7 @@
 	if c.kept.belief == nil || e.Phase != snowjunction.Ready {
 		return e
 	}
-	switch c.kept.belief.Standing(endpointName(id)) {
+	switch c.kept.belief.Level(endpointName(id)) {
 	case belief.Doubtful:
 		e.Doubtful = true
 	case belief.Refuted:
@@ -162,9 +162,9 @@
 	}
 	e := belief.EvidenceOf(out)
 	if elsewhere {
-		e = belief.Elsewhere
+		e = belief.OtherEndpoint
 	}
-	was, is, _ := k.belief.Heard(snowjunction.DestinationID(c.w.endpoints[ep].dest), endpointName(ep), e, c.w.now)
+	was, is, _ := k.belief.RecordCall(snowjunction.DestinationID(c.w.endpoints[ep].dest), endpointName(ep), e, c.w.now)
 	if is == belief.Refuted && was != is {
 		c.w.res.Refuted++
 	}
@@ -176,7 +176,7 @@
 // learn tells that something new may be known of a destination.
 func (c *courier) learn(d int32) {
 	if c.w.s.Kept.Learnt {
-		c.kept.picker.Changed(uint32(d))
+		c.kept.picker.MarkChanged(uint32(d))
 		c.learnSoon()
 	}
 }
@@ -184,7 +184,7 @@
 func (c *courier) learnSoon() {
 	if k := &c.kept; !k.due && k.picker.Waiting() {
 		k.due = true
-		c.w.q.push(event{at: c.w.now + learnt.Every, kind: learnDue, who: c.no, id: int32(c.life)})
+		c.w.q.push(event{at: c.w.now + learnt.PickInterval, kind: learnDue, who: c.no, id: int32(c.life)})
 	}
 }
 
@@ -200,18 +200,18 @@
 	k.due = false
 	for _, d := range k.picker.Pick(k.written()) {
 		if _, awake := c.awake[int32(d)]; c.book != nil && !awake {
-			k.picker.Answered(d, nil, time.Time{}, nil, learnt.Journal{})
+			k.picker.HandleState(d, nil, time.Time{}, nil, learnt.Journal{})
 			continue
 		}
-		c.post(snowjunction.Look{Destination: snowjunction.DestinationID(d)})
+		c.post(snowjunction.Inspect{Destination: snowjunction.DestinationID(d)})
 	}
 	c.learnSoon()
 }
 
 // seen takes what the policy knows of a destination.
-func (c *courier) seen(a snowjunction.Seen) {
-	form := func(s *snowjunction.State) []byte { return memento.Encode(nil, mementoOf(s)) }
-	c.kept.picker.Answered(uint32(a.Destination), a.State, epoch.Add(c.w.now), form, c.kept.written())
+func (c *courier) seen(a snowjunction.Inspected) {
+	form := func(s *snowjunction.DestinationSnapshot) []byte { return memento.Encode(nil, mementoOf(s)) }
+	c.kept.picker.HandleState(uint32(a.Destination), a.Snapshot, epoch.Add(c.w.now), form, c.kept.written())
 }
 
 // learned writes what the policy has told in one turn.
@@ -227,10 +227,10 @@
 // epoch is where a run begins on the wall's clock.
 var epoch = time.UnixMilli(0)
 
-func mementoOf(s *snowjunction.State) *memento.Memento {
-	m := &memento.Memento{State: *s}
-	for _, e := range s.EndpointsSeen {
-		m.Names = append(m.Names, memento.Name(e.ID))
+func mementoOf(s *snowjunction.DestinationSnapshot) *memento.Snapshot {
+	m := &memento.Snapshot{State: *s}
+	for _, e := range s.Endpoints {
+		m.Names = append(m.Names, memento.EndpointHash(e.ID))
 	}
 	return m
 }
@@ -246,35 +246,35 @@
 	book := c.book
 	if book == nil {
 		cfg := dormancy.Default(c.s)
-		cfg.Memory = 1 << 30
+		cfg.MaxBytes = 1 << 30
 		book = dormancy.New(cfg)
 	}
 	for _, d := range slices.Sorted(maps.Keys(k.disk)) {
 		r := k.disk[d]
 		age := w.now - r.At.Sub(epoch)
-		if !book.Recall(snowjunction.DestinationID(d), r.Text, age, now) {
+		if !book.Restore(snowjunction.DestinationID(d), r.Snapshot, age, now) {
 			continue
 		}
 		w.res.Recalled++
 		if c.book == nil {
-			events = append(events, c.woken(int32(d), book.Wake(snowjunction.DestinationID(d), now)))
+			events = append(events, c.woken(int32(d), book.Load(snowjunction.DestinationID(d), now)))
 		}
 	}
 	return events
 }
 
 // woken is the event that brings a destination back to a policy.
-func (c *courier) woken(d int32, got dormancy.Woken) snowjunction.Wake {
-	ev := snowjunction.Wake{Destination: snowjunction.DestinationID(d), Slept: got.Slept, Caution: got.Caution, Destinations: len(c.w.partners)}
+func (c *courier) woken(d int32, got dormancy.Loaded) snowjunction.Load {
+	ev := snowjunction.Load{Destination: snowjunction.DestinationID(d), UnloadedFor: got.UnloadedFor, CautiousStart: got.Caution, Destinations: len(c.w.partners)}
 	for _, id := range c.w.partners[d].eps {
 		if c.view[id] == snowjunction.Ready && !c.kept.blind {
 			ev.Endpoints = append(ev.Endpoints, c.entry(id))
 		}
 	}
-	if got.Memento != nil {
-		ev.State = &got.Memento.State
-		for i, n := range got.Memento.Names {
-			ev.State.EndpointsSeen[i].ID = snowjunction.EndpointID(n)
+	if got.Snapshot != nil {
+		ev.Snapshot = &got.Snapshot.State
+		for i, n := range got.Snapshot.Names {
+			ev.Snapshot.Endpoints[i].ID = snowjunction.EndpointID(n)
 		}
 	}
 	return ev
--- a/internal/emulate/policy/policy.go
+++ b/internal/emulate/policy/policy.go
@@ -140,9 +140,9 @@
 		switch ev := ev.(type) {
 		case snowjunction.List:
 			p.list(ev)
-		case snowjunction.Wake:
+		case snowjunction.Load:
 			p.list(snowjunction.List{Kind: snowjunction.ListDelta, Endpoints: ev.Endpoints})
-		case snowjunction.Sleep:
+		case snowjunction.Unload:
 			p.sleep(ev.Destination)
 		case snowjunction.Request:
 			p.take(ev)
@@ -205,20 +205,20 @@
 		busy = busy || r.d == d
 	}
 	if busy {
-		p.out = append(p.out, snowjunction.Asleep{Destination: id, Busy: true})
+		p.out = append(p.out, snowjunction.Unloaded{Destination: id, Busy: true})
 		return
 	}
 	for _, e := range d.eps {
 		delete(p.eps, e.ID)
 	}
 	delete(p.dests, id)
-	p.out = append(p.out, snowjunction.Asleep{Destination: id, State: &snowjunction.State{}})
+	p.out = append(p.out, snowjunction.Unloaded{Destination: id, Snapshot: &snowjunction.DestinationSnapshot{}})
 }
 
 func (p *plain) take(ev snowjunction.Request) {
 	r := &request{
 		id: ev.ID, d: p.dest(ev.Destination), class: p.s.Classes[ev.Class], deadline: p.now + ev.Deadline,
-		attempts: ev.Attempts, ran: ev.Ran, ranAt: p.now - ev.RanFor,
+		attempts: ev.Attempts, ran: ev.MayHaveRun, ranAt: p.now - ev.SinceRun,
 	}
 	p.reqs[r.id] = r
 	if r.class.InOrder && ev.Key != 0 {
@@ -311,7 +311,7 @@
 	d.fresh++
 	d.calls++
 	p.calls++
-	timeout := min(max(time.Duration(0.6*float64(r.class.Aim)), p.s.ConnectTimeout), r.deadline-p.now)
+	timeout := min(max(time.Duration(0.6*float64(r.class.TargetLatency)), p.s.ConnectTimeout), r.deadline-p.now)
 	p.out = append(p.out, snowjunction.Send{Request: r.id, Endpoint: to.ID, Timeout: timeout})
 	return true
 }
@@ -343,8 +343,8 @@
 			r.d.limit = v
 		}
 	}
-	if ev.Outcome == snowjunction.Full && ev.Wait > 0 {
-		r.d.wait = max(r.d.wait, p.now+ev.Wait+p.s.Tick)
+	if ev.Outcome == snowjunction.Rejected && ev.RetryAfter > 0 {
+		r.d.wait = max(r.d.wait, p.now+ev.RetryAfter+p.s.Tick)
 	}
 	if ev.Outcome == snowjunction.OK {
 		r.d.window = math.Min(r.d.window+1/r.d.window, float64(p.s.Slots))
--- a/internal/emulate/result.go
+++ b/internal/emulate/result.go
@@ -73,7 +73,7 @@
 	First  []rules.Breach     `json:"first_breaches,omitempty"`
 
 	classes  []snowjunction.Class
-	outcomes [snowjunction.Moot + 1]int
+	outcomes [snowjunction.NotSent + 1]int
 	ends     [fates]int
 	latency  *latency.Histogram
 	second   []account // by second of the first try
--- a/internal/emulate/scenario.go
+++ b/internal/emulate/scenario.go
@@ -173,8 +173,8 @@
 		to   *float64
 		from *float64
 	}{
-		{&t.LedgerRatio, s.Tuning.LedgerRatio}, {&t.LedgerFloor, s.Tuning.LedgerFloor}, {&t.SlotsShare, s.Tuning.SlotsShare},
-		{&t.PaceStart, s.Tuning.PaceStart}, {&t.PaceWoken, s.Tuning.PaceWoken}, {&t.ColdSafety, s.Tuning.ColdSafety},
+		{&t.RetryRatio, s.Tuning.LedgerRatio}, {&t.RetryFloor, s.Tuning.LedgerFloor}, {&t.MaxSlotShare, s.Tuning.SlotsShare},
+		{&t.InitialPace, s.Tuning.PaceStart}, {&t.PaceAfterLoad, s.Tuning.PaceWoken}, {&t.ColdBudgetFactor, s.Tuning.ColdSafety},
 	} {
 		if x.from != nil {
 			*x.to, changed = *x.from, true
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -71,8 +71,8 @@
 	res       Result
 	serial    uint32
 	keys      uint64
-	notes     map[int32]snowjunction.Heard // on their way
-	keyed     [][]keyed                    // by partner: its open keys, those first that rest longest
+	notes     map[int32]snowjunction.PeerMessagesReceived // on their way
+	keyed     [][]keyed                                   // by partner: its open keys, those first that rest longest
 }
 
 // place is a partner with where it stands in the world.
@@ -204,8 +204,8 @@
 		network: rand.New(rand.NewPCG(o.Seed, 2)), fate: rand.New(rand.NewPCG(o.Seed, 3)),
 	}
 	w.classes = []snowjunction.Class{
-		{Name: "order", Effect: snowjunction.Keyed, Window: 5 * time.Second, Aim: 3 * time.Second, Deadline: 20 * time.Second, Worth: 1, LateShare: 0.3, InOrder: true},
-		{Name: "status", Effect: snowjunction.Safe, Aim: 1500 * time.Millisecond, Deadline: 8 * time.Second, Worth: 2, LateShare: 0.1},
+		{Name: "order", Effect: snowjunction.Keyed, Window: 5 * time.Second, TargetLatency: 3 * time.Second, Deadline: 20 * time.Second, Value: 1, LateValueShare: 0.3, InOrder: true},
+		{Name: "status", Effect: snowjunction.Safe, TargetLatency: 1500 * time.Millisecond, Deadline: 8 * time.Second, Value: 2, LateValueShare: 0.1},
 	}
 	w.res = newResult(s, o, w.classes)
 	if o.Rules {
@@ -216,7 +216,7 @@
 		})
 	}
 	w.ramp = rules.NewRamp(seconds(s.Partners.FallS))
-	w.notes = map[int32]snowjunction.Heard{}
+	w.notes = map[int32]snowjunction.PeerMessagesReceived{}
 	w.makePartners(o.Seed)
 	if err := w.makeCouriers(o); err != nil {
 		return nil, err
@@ -294,10 +294,10 @@
 	out := snowjunction.Settings{
 		Seed: seed, Fleet: s.Couriers, Tick: seconds(s.TickMs / 1000), Zones: 1, Classes: w.classes,
 		Kinds: []snowjunction.Kind{{BundleMax: 1}}, Slots: s.Settings.Slots, MaxHeld: s.Settings.Held, MaxAttempts: s.Settings.Attempts,
-		OverShareWorth: 0.05, Report: []snowjunction.ReportField{snowjunction.AllowanceLeft, snowjunction.LimitRate},
-		Cancelling: true, RetryAfter: true, MaxRetry: 3 * time.Second, ConnIdle: idleFor, ConnectTimeout: connect, StreamsPerConn: 8,
+		OverQuotaValueShare: 0.05, Report: []snowjunction.ReportField{snowjunction.AllowanceLeft, snowjunction.LimitRate},
+		Cancelling: true, RetryAfter: true, MaxRetryAfter: 3 * time.Second, ConnIdle: idleFor, ConnectTimeout: connect, StreamsPerConn: 8,
 		OrderSettle: 100 * time.Millisecond, DrainGrace: time.Second, AnswerSlack: 20 * time.Millisecond,
-		ColdShare: s.Partners.ColdShare, WarmUp: seconds(s.Partners.WarmS), FallMultiple: s.Partners.FallMultiple, FallTime: seconds(s.Partners.FallS),
+		ColdShare: s.Partners.ColdShare, WarmUp: seconds(s.Partners.WarmS), CollapseMultiple: s.Partners.FallMultiple, CollapseTime: seconds(s.Partners.FallS),
 		Tuning: s.tuning(),
 	}
 	if out.Slots == 0 {
--- a/internal/exclusions/exclusions.go
+++ b/internal/exclusions/exclusions.go
@@ -17,7 +17,7 @@
 const (
 	MaxEndpoints = 128 // endpoints that are excluded or were included again recently
 	MaxNameBytes = 128 // bytes of an endpoint name
-	MaxBytes     = MaxEndpoints * (record.Frame + 2*binary.MaxVarintLen64 + 2 + MaxNameBytes)
+	MaxBytes     = MaxEndpoints * (record.FrameSize + 2*binary.MaxVarintLen64 + 2 + MaxNameBytes)
 )
 
 // ErrTooMany is returned if no further endpoint can be excluded.
@@ -37,7 +37,7 @@
 
 // Exclude excludes an endpoint. It has no effect on an endpoint that is excluded already.
 func (s *Set) Exclude(name string, now time.Time) error {
-	if s.Out(name) {
+	if s.Excluded(name) {
 		return nil
 	}
 	s.removeOld(now)
@@ -58,15 +58,15 @@
 	return true
 }
 
-// Out reports whether an endpoint is excluded.
-func (s *Set) Out(name string) bool {
+// Excluded reports whether an endpoint is excluded.
+func (s *Set) Excluded(name string) bool {
 	stay, known := s.exclusions[name]
 	return known && stay.Back.IsZero()
 }
 
-// Cold returns how long an endpoint was excluded if it was included again recently, else zero. If
+// WasExcludedFor returns how long an endpoint was excluded if it was included again recently, else zero. If
 // the clock was set back, the recent period gets longer, never shorter.
-func (s *Set) Cold(name string, now time.Time) time.Duration {
+func (s *Set) WasExcludedFor(name string, now time.Time) time.Duration {
 	stay, known := s.exclusions[name]
 	if !known || stay.Back.IsZero() || now.Sub(stay.Back) >= s.coldFor {
 		return 0
@@ -77,7 +77,7 @@
 // Names returns the excluded endpoints in sorted order.
 func (s *Set) Names() (out []string) {
 	for _, name := range slices.Sorted(maps.Keys(s.exclusions)) {
-		if s.Out(name) {
+		if s.Excluded(name) {
 			out = append(out, name)
 		}
 	}
@@ -96,7 +96,7 @@
 	s.removeOld(now)
 	for _, name := range slices.Sorted(maps.Keys(s.exclusions)) {
 		stay := s.exclusions[name]
-		b := binary.AppendVarint(make([]byte, record.Frame), stay.Out.UnixMilli())
+		b := binary.AppendVarint(make([]byte, record.FrameSize), stay.Out.UnixMilli())
 		back := int64(0)
 		if !stay.Back.IsZero() {
 			back = stay.Back.UnixMilli()
@@ -110,10 +110,10 @@
 func (s *Set) Decode(b []byte) (lost int) {
 	for len(b) > 0 {
 		payload, rest, err := record.Open(b, MaxBytes)
-		r := record.Reader{B: payload}
+		r := record.Reader{Data: payload}
 		out, back := r.Int(), r.Int()
 		name := r.Text(MaxNameBytes)
-		if err != nil || r.Bad || name == "" || len(s.exclusions) >= MaxEndpoints {
+		if err != nil || r.Failed || name == "" || len(s.exclusions) >= MaxEndpoints {
 			return len(b)
 		}
 		stay := Exclusion{Out: time.UnixMilli(out)}
--- a/internal/exclusions/exclusions_test.go
+++ b/internal/exclusions/exclusions_test.go
@@ -22,18 +22,18 @@
 	s := New(cold)
 	require.NoError(t, s.Exclude("s-1", noon))
 	require.NoError(t, s.Exclude("s-1", noon.Add(time.Second)))
-	assert.True(t, s.Out("s-1"))
-	assert.Zero(t, s.Cold("s-1", noon.Add(time.Second)))
+	assert.True(t, s.Excluded("s-1"))
+	assert.Zero(t, s.WasExcludedFor("s-1", noon.Add(time.Second)))
 	assert.True(t, s.Include("s-1", noon.Add(5*time.Second)))
 	assert.False(t, s.Include("s-1", noon.Add(6*time.Second)), "it is included already")
 	for _, x := range []*Set{s, decoded(t, s, noon.Add(6*time.Second))} {
-		assert.False(t, x.Out("s-1"))
-		assert.Equal(t, 5*time.Second, x.Cold("s-1", noon.Add(18*time.Second)))
-		assert.Equal(t, 5*time.Second, x.Cold("s-1", noon.Add(-time.Hour)), "with the clock set back")
-		assert.Zero(t, x.Cold("s-1", noon.Add(19*time.Second)))
+		assert.False(t, x.Excluded("s-1"))
+		assert.Equal(t, 5*time.Second, x.WasExcludedFor("s-1", noon.Add(18*time.Second)))
+		assert.Equal(t, 5*time.Second, x.WasExcludedFor("s-1", noon.Add(-time.Hour)), "with the clock set back")
+		assert.Zero(t, x.WasExcludedFor("s-1", noon.Add(19*time.Second)))
 	}
 	require.NoError(t, s.Exclude("s-1", noon.Add(7*time.Second)))
-	assert.Zero(t, s.Cold("s-1", noon.Add(7*time.Second)))
+	assert.Zero(t, s.WasExcludedFor("s-1", noon.Add(7*time.Second)))
 	assert.Equal(t, []string{"s-1"}, decoded(t, s, noon.Add(time.Hour)).Names(), "excluded until an operator includes it")
 }
 
--- a/internal/exclusions/file.go
+++ b/internal/exclusions/file.go
@@ -14,8 +14,8 @@
 // fileName is the name of the file in the state directory.
 const fileName = "excluded"
 
-// Room returns the disk space in bytes that the file needs, including the copy that replaces it.
-func Room() int64 { return 2 * (MaxBytes/aside.Block + 1) * aside.Block }
+// DiskSpace returns the disk space in bytes that the file needs, including the copy that replaces it.
+func DiskSpace() int64 { return 2 * (MaxBytes/aside.BlockSize + 1) * aside.BlockSize }
 
 // Read adds the exclusions that a previous process run stored in a directory. Damaged records are
 // logged, the others are kept.
@@ -48,7 +48,7 @@
 func Open(dir string, log *slog.Logger) *File {
 	f := &File{}
 	f.writer = aside.Writer[pendingWrite]{
-		Log: log, What: "exclusions file",
+		Log: log, Subject: "exclusions file",
 		Merge: func(waiting, come pendingWrite) pendingWrite {
 			return pendingWrite{come.encoded, append(waiting.done, come.done...)}
 		},
--- a/internal/front/console/console.go
+++ b/internal/front/console/console.go
@@ -26,9 +26,9 @@
 	Listen  string
 	Ready   func() bool                   // whether messages are accepted
 	Figures func(done func(core.Figures)) // returns the courier's figures
-	// Exclude takes an endpoint out of service or back in. It calls done once the change is
+	// SetExcluded takes an endpoint out of service or back in. It calls done once the change is
 	// persisted, or with the error.
-	Exclude func(id string, out bool, done func(error))
+	SetExcluded func(id string, out bool, done func(error))
 }
 
 // Front is the console front. It belongs to the loop's goroutine.
@@ -43,7 +43,7 @@
 func Start(cfg Config) (*Front, error) {
 	f := &Front{Config: cfg}
 	var err error
-	cfg.Engine.Halves(ListenerKind)
+	cfg.Engine.AllowHalfClose(ListenerKind)
 	f.addr, err = cfg.Engine.Listen(ListenerKind, cfg.Listen, f.accept, f.evictCaller)
 	return f, err
 }
@@ -80,8 +80,8 @@
 // none.
 func (f *Front) evictCaller() bool {
 	for _, c := range f.callers {
-		if !c.complete && !c.conn.Unread() {
-			c.closeConn(net.Spared)
+		if !c.complete && !c.conn.HasUnread() {
+			c.closeConn(net.Evicted)
 			return true
 		}
 	}
@@ -170,7 +170,7 @@
 	case (out || c.Word == "include") && c.Arg == "":
 		answer("", errMissingID)
 	case out || c.Word == "include":
-		f.Exclude(c.Arg, out, func(err error) { answer("done\n", err) })
+		f.SetExcluded(c.Arg, out, func(err error) { answer("done\n", err) })
 	default:
 		answer("", errUnknownCall)
 	}
--- a/internal/front/crowd_test.go
+++ b/internal/front/crowd_test.go
@@ -18,7 +18,7 @@
 
 // tightLimits are the connection limits of a courier with 256 file descriptors, as the daemon
 // divides them.
-var tightLimits = net.Config{MaxConns: 224, Kept: map[string]int{platform.WatchKind: 1, platform.NoticeKind: 1, console.ListenerKind: 2}}
+var tightLimits = net.Config{MaxConns: 224, Reserved: map[string]int{platform.WatchKind: 1, platform.NoticeKind: 1, console.ListenerKind: 2}}
 
 // makeCalls makes n calls to different endpoints, and has them answered or leaves them in flight.
 func (s *testCourier) makeCalls(n int, answered bool) {
@@ -73,7 +73,7 @@
 				}
 			}
 			s.until("all clients were accepted and some evicted", func() bool {
-				n := s.engine.Kinds()[platform.ListenerKind] - 1
+				n := s.engine.OpenByKind()[platform.ListenerKind] - 1
 				for _, c := range clients {
 					if c.server.connClosed(0) {
 						n++
@@ -84,10 +84,10 @@
 			if idleClients.interval > 0 {
 				s.after(100 * time.Millisecond) // else they were answered too recently
 			}
-			s.until("the discovery connection is closed", func() bool { return s.engine.Kinds()[platform.WatchKind] == 0 })
-			room := tightLimits.MaxConns - s.engine.Open()
+			s.until("the discovery connection is closed", func() bool { return s.engine.OpenByKind()[platform.WatchKind] == 0 })
+			room := tightLimits.MaxConns - s.engine.OpenCount()
 			s.makeCalls(room+6, !idleClients.inFlight)
-			assert.LessOrEqual(t, s.engine.Open(), tightLimits.MaxConns)
+			assert.LessOrEqual(t, s.engine.OpenCount(), tightLimits.MaxConns)
 
 			for range 2 {
 				s.connect(consoleFront.Addr(), "tele")
@@ -95,19 +95,19 @@
 			operator := s.connect(consoleFront.Addr(), "readyz\n")
 			s.until("the console call is answered", func() bool { return operator.server.hasReceived(0, "done\n", 1) })
 			s.front.Ended(&store.Message{ID: "m0", State: store.Failed})
-			s.until("the notice connection is rejected", func() bool { return s.engine.Kinds()[platform.NoticeKind] == 0 })
+			s.until("the notice connection is rejected", func() bool { return s.engine.OpenByKind()[platform.NoticeKind] == 0 })
 
 			s.discovery.setRejecting(false)
 			s.after(50 * time.Millisecond) // the longest pause in a fleet of one
 			s.until("discovery gets a new request", func() bool { return s.discovery.with(discoveryPath) != s.discovery.at(0) })
 			s.discovery.with(discoveryPath).send(t, httpAnswer("200 OK", `{"generation":2,"reset":false,"instances":[]}`))
 			s.until("the list is received", func() bool {
-				generation, _, _ := s.front.Told()
+				generation, _, _ := s.front.CurrentList()
 				return generation == 2
 			})
 			s.until("the notice is sent", func() bool { return s.discovery.with(`{"id":"m0","state":"failed"}`) != nil })
 			s.discovery.with(`{"id":"m0"`).send(t, "HTTP/1.1 204 No Content\r\n\r\n")
-			s.until("the notice is answered", s.front.Quiet)
+			s.until("the notice is answered", s.front.NoticesSettled)
 
 			late := s.connect(s.front.Addr(), addCommand("late", "debit", 20*time.Second))
 			s.until("the late client's message is read", func() bool { return s.core.Counters.In == 2 })
@@ -117,7 +117,7 @@
 			s.until("both messages are sent", func() bool {
 				return s.target.with("X-Request-ID: early\r") != nil && s.target.with("X-Request-ID: late\r") != nil
 			})
-			assert.LessOrEqual(t, s.engine.Open(), tightLimits.MaxConns)
+			assert.LessOrEqual(t, s.engine.OpenCount(), tightLimits.MaxConns)
 		})
 	}
 }
@@ -130,13 +130,13 @@
 	var waiting []func(error)
 	consoleFront, err := console.Start(console.Config{
 		Loop: s.loop, Engine: s.engine, Listen: "127.0.0.1:0", Ready: s.front.Ready,
-		Exclude: func(_ string, _ bool, done func(error)) { waiting = append(waiting, done) },
+		SetExcluded: func(_ string, _ bool, done func(error)) { waiting = append(waiting, done) },
 	})
 	require.NoError(t, err)
 	s.until("the list is watched", func() bool { return s.discovery.hasReceived(0, discoveryPath, 1) })
 	s.discovery.setRejecting(true)
 	s.discovery.at(0).Close()
-	s.until("the discovery connection is closed", func() bool { return s.engine.Kinds()[platform.WatchKind] == 0 })
+	s.until("the discovery connection is closed", func() bool { return s.engine.OpenByKind()[platform.WatchKind] == 0 })
 
 	s.makeCalls(tightLimits.MaxConns, true)
 	const maxClients = 156 // clients, of 224 connections
@@ -148,7 +148,7 @@
 	s.makeCalls(tightLimits.MaxConns-4-maxClients, false)
 	notSent := false
 	s.front.Target(core.Entry{Name: "more", Addr: s.target.listener.Addr().String()}).Call(
-		&store.Message{ID: "more"}, core.Shape{}, 10*time.Second, always, func(r core.Result) { notSent = r.Outcome == snowjunction.Moot })
+		&store.Message{ID: "more"}, core.Shape{}, 10*time.Second, always, func(r core.Result) { notSent = r.Outcome == snowjunction.NotSent })
 	s.until("another call has no connection and is not sent", func() bool { return notSent })
 
 	operators := []*testConn{s.connect(consoleFront.Addr(), "exclude s-1\n"), s.connect(consoleFront.Addr(), "exclude s-2\n")}
@@ -170,5 +170,5 @@
 	for _, c := range clients {
 		s.until("every client is answered", func() bool { return c.server.hasReceived(0, "+OK\r\n", 1) || c.server.hasReceived(0, "-BUSY", 1) })
 	}
-	assert.LessOrEqual(t, s.engine.Open(), tightLimits.MaxConns)
+	assert.LessOrEqual(t, s.engine.OpenCount(), tightLimits.MaxConns)
 }
--- a/internal/front/forward_test.go
+++ b/internal/front/forward_test.go
@@ -34,8 +34,8 @@
 // setMembership gives a courier its view of the membership. It holds the list of the partitions
 // that it owns.
 func (s *testCourier) setMembership(self string, m *partition.Membership) *partition.Router {
-	r := partition.NewRouter(partition.Options{Self: self, Region: "r1", Longest: 20 * time.Second}, m, -time.Hour)
-	r.Held(r.Wanted())
+	r := partition.NewRouter(partition.Options{Self: self, Region: "r1", MaxDeadline: 20 * time.Second}, m, -time.Hour)
+	r.MarkListReceived(r.AwaitingList())
 	s.front.Router = r
 	return r
 }
@@ -155,7 +155,7 @@
 	c, d := f.client(), f.client()
 	c.send(t, addCommand("m1", "debit", time.Second))
 	d.send(t, addCommand("m2", "debit", 200*time.Millisecond))
-	f.until("both are being dialled", func() bool { return f.engine.Kinds()[platform.ForwardKind] == 2 })
+	f.until("both are being dialled", func() bool { return f.engine.OpenByKind()[platform.ForwardKind] == 2 })
 	f.after(201 * time.Millisecond)
 	e := f.waitForwarded("m1", 1)
 	f.until("the fields arrive", func() bool { return f.owners[1].with(",d=799,") == e })
@@ -186,16 +186,16 @@
 			c := f.client()
 			c.send(t, debitCommand("m1"))
 			if row.during != nil {
-				f.until("the message is being forwarded", func() bool { return f.engine.Kinds()[platform.ForwardKind] > 0 })
+				f.until("the message is being forwarded", func() bool { return f.engine.OpenByKind()[platform.ForwardKind] > 0 })
 				row.during(f)
 			}
 			f.waitForwarded("m1", 1).send(t, "+OK\r\n")
 			f.expectAnswer(c, "+OK\r\n")
-			assert.EqualValues(t, 1, f.core.Counters.Vain)
+			assert.EqualValues(t, 1, f.core.Counters.ForwardFailed)
 			c.send(t, debitCommand("m2"))
 			if row.skipped {
 				f.waitForwarded("m2", 1)
-				assert.EqualValues(t, 1, f.core.Counters.Vain, "the first owner is not tried")
+				assert.EqualValues(t, 1, f.core.Counters.ForwardFailed, "the first owner is not tried")
 			} else {
 				f.waitForwarded("m2", 0)
 			}
@@ -247,20 +247,20 @@
 			row.happens(f, f.waitForwarded("m2", 0))
 			f.until("the client's connection is closed", func() bool { return c.server.connClosed(0) })
 			assert.Empty(t, c.answers())
-			assert.Contains(t, f.closeCodes["client"], string(net.Unknown))
+			assert.Contains(t, f.closeCodes["client"], string(net.OutcomeUnknown))
 			assert.Contains(t, f.closeCodes[platform.ForwardKind], string(row.code))
 			assert.Contains(t, f.closeCodes[platform.ForwardKind], string(net.Dropped), "idle connections to the courier are closed")
-			assert.Zero(t, f.engine.Kinds()[platform.ForwardKind], "the client's other commands are abandoned")
-			assert.True(t, f.front.Hushed())
+			assert.Zero(t, f.engine.OpenByKind()[platform.ForwardKind], "the client's other commands are abandoned")
+			assert.True(t, f.front.OutgoingIdle())
 			assert.Nil(t, f.owners[0].with(commandStart("m5")), "queued commands are abandoned")
 			assert.Nil(t, f.owners[1].at(0), "no other owner is tried")
-			assert.EqualValues(t, 1, f.core.Counters.Unknown)
+			assert.EqualValues(t, 1, f.core.Counters.ForwardUnknown)
 			d.send(t, debitCommand("m6"))
 			if row.code == net.CallTimeout {
 				f.waitForwarded("m6", 1) // an owner that did not answer is skipped for some time
 				d.send(t, addCommand("m7", "order", time.Second))
 				f.until("the key is held because the owner may have m4", func() bool {
-					return strings.Contains(d.answers(), "-BUSY 501") || f.front.Unanswered() && f.core.Counters.Unrouted == 1
+					return strings.Contains(d.answers(), "-BUSY 501") || f.front.HasUnanswered() && f.core.Counters.Unrouted == 1
 				})
 			} else {
 				f.waitForwarded("m6", 0)
@@ -288,7 +288,7 @@
 			// connection.
 			var answers []string
 			event(e)
-			require.NoError(t, f.front.HandIn(core.Request{ID: "m2", Class: "debit", Destination: 7, Left: time.Second}, func(text []byte) {
+			require.NoError(t, f.front.Submit(core.Request{ID: "m2", Class: "debit", Destination: 7, TimeLeft: time.Second}, func(text []byte) {
 				answers = append(answers, string(text))
 			}))
 			f.waitForwarded("m2", 0)
@@ -330,10 +330,10 @@
 	f.until("the second connection is idle", func() bool { return strings.Count(c.answers(), "+OK") == 4 })
 	f.after(5*time.Second - time.Millisecond)
 	f.until("the first connection is closed", func() bool { return f.owners[0].connClosed(0) })
-	assert.Equal(t, 1, f.engine.Kinds()[platform.ForwardKind], "the longest idle connection is closed first")
+	assert.Equal(t, 1, f.engine.OpenByKind()[platform.ForwardKind], "the longest idle connection is closed first")
 	f.after(time.Millisecond)
 	f.until("the second connection is closed", func() bool { return f.owners[0].connClosed(1) })
-	assert.Zero(t, f.engine.Kinds()[platform.ForwardKind])
+	assert.Zero(t, f.engine.OpenByKind()[platform.ForwardKind])
 }
 
 // If a client disconnects, its command's connection must be closed, and the key's next message must
@@ -426,7 +426,7 @@
 		f.owners[owner].blockConnects(t)
 		posted := f.posted.Load()
 		c.send(t, addCommand(id, "order", 3*time.Second))
-		f.until("the owner is dialled", func() bool { return f.engine.Kinds()[platform.ForwardKind] == 1 })
+		f.until("the owner is dialled", func() bool { return f.engine.OpenByKind()[platform.ForwardKind] == 1 })
 		f.after(201 * time.Millisecond)
 		f.until("the dial is cancelled", func() bool { return f.posted.Load() > posted+1 })
 	}
@@ -442,7 +442,7 @@
 	f.after(3001 * time.Millisecond)
 	sendAccepted("m7", "order", 0)
 	f.after(5001 * time.Millisecond)
-	f.until("the idle connections are closed", func() bool { return f.engine.Kinds()[platform.ForwardKind] == 0 })
+	f.until("the idle connections are closed", func() bool { return f.engine.OpenByKind()[platform.ForwardKind] == 0 })
 }
 
 // Guards against losing the order of a key: its messages must be rejected while the courier that
@@ -454,14 +454,14 @@
 	sendToUnreachable := func(id string) {
 		t.Helper()
 		c.send(t, addCommand(id, "order", 3*time.Second))
-		f.until("the owner is dialled", func() bool { return f.engine.Kinds()[platform.ForwardKind] == 1 })
+		f.until("the owner is dialled", func() bool { return f.engine.OpenByKind()[platform.ForwardKind] == 1 })
 		f.after(201 * time.Millisecond)
 	}
 	sendToUnreachable("m1")
 	f.waitForwarded("m1", 1).send(t, "+OK\r\n")
 	f.expectAnswer(c, "+OK\r\n")
 	f.owners[1].with(commandStart("m1")).halfClose(t)
-	f.until("the connection is closed", func() bool { return f.engine.Kinds()[platform.ForwardKind] == 0 })
+	f.until("the connection is closed", func() bool { return f.engine.OpenByKind()[platform.ForwardKind] == 0 })
 	f.owners[1].blockConnects(t)
 	f.owners[0].unblockConnects(t)
 	f.after(501 * time.Millisecond)
@@ -496,7 +496,7 @@
 	f.expectAnswer(c, "+OK\r\n") // the next tick is still to come
 	c.send(t, addCommand("m1", "order", 3*time.Second))
 	f.until("the message is being accepted", func() bool { return f.core.Counters.In == 2 })
-	router.Adopt(others, f.now.Sub(f.now))
+	router.SetMembership(others, f.now.Sub(f.now))
 	router.Expire(time.Hour, func(int) bool { return true }) // stays as long as it has messages
 	c.send(t, addCommand("m2", "order", 3*time.Second)+debitCommand("m3"))
 	f.waitForwarded("m3", 0).send(t, "-BUSY 3\r\n")
@@ -535,7 +535,7 @@
 	s.until("the list is watched", func() bool { return s.discovery.hasReceived(0, discoveryPath, 1) })
 	s.setMembership("f", singlePartition(t, partition.Member{Name: "n0", Addr: owner.listener.Addr().String(), Region: "r1"}))
 	c := s.client()
-	s.makeCalls(8-s.engine.Open(), false)
+	s.makeCalls(8-s.engine.OpenCount(), false)
 	c.send(t, debitCommand("m1"))
 	s.expectAnswer(c, "-BUSY 501\r\n")
 	s.target.at(0).send(t, httpAnswer("200 OK", ""))
@@ -617,7 +617,7 @@
 	p.client.send(t, debitCommand("m1"))
 	p.until("the message is rejected", func() bool { return strings.HasPrefix(p.client.answers(), "-BUSY 5") })
 	assert.EqualValues(t, 1, p.b.core.Counters.Moved)
-	assert.Zero(t, p.a.core.Counters.In+p.b.core.Counters.In+p.b.core.Counters.Vain)
+	assert.Zero(t, p.a.core.Counters.In+p.b.core.Counters.In+p.b.core.Counters.ForwardFailed)
 }
 
 // Both couriers regard themselves as the owner: the one that receives a message first must keep it.
@@ -634,9 +634,9 @@
 	p.until("each message is accepted once", func() bool { return p.client.answers() == "+OK\r\n" && d.answers() == "+OK\r\n" })
 	p.until("each message is sent once", func() bool { return p.a.target.with("ID: m1\r") != nil && p.b.target.with("ID: m2\r") != nil })
 	assert.Nil(t, p.a.target.with("ID: m2\r"))
-	assert.EqualValues(t, 1, p.a.core.Counters.Taken)
-	assert.EqualValues(t, 1, p.b.core.Counters.Taken)
-	assert.Zero(t, p.a.engine.Kinds()[platform.ForwardKind]+p.b.engine.Kinds()[platform.ForwardKind])
+	assert.EqualValues(t, 1, p.a.core.Counters.Accepted)
+	assert.EqualValues(t, 1, p.b.core.Counters.Accepted)
+	assert.Zero(t, p.a.engine.OpenByKind()[platform.ForwardKind]+p.b.engine.OpenByKind()[platform.ForwardKind])
 }
 
 // Three couriers have random views of the membership and of the lists they hold. Each message with
@@ -659,9 +659,9 @@
 					seen = append(seen, m)
 				}
 			}
-			r := partition.NewRouter(partition.Options{Self: members[i].Name, Region: "r1", Longest: 20 * time.Second}, singlePartition(t, seen...), -time.Hour*time.Duration(rng.IntN(2)))
+			r := partition.NewRouter(partition.Options{Self: members[i].Name, Region: "r1", MaxDeadline: 20 * time.Second}, singlePartition(t, seen...), -time.Hour*time.Duration(rng.IntN(2)))
 			if rng.IntN(4) > 0 {
-				r.Held(r.Wanted())
+				r.MarkListReceived(r.AwaitingList())
 			}
 			s.front.Router = r
 		}
@@ -699,9 +699,9 @@
 			}
 			until("all messages are answered", func() bool { return countAnswers("+OK\r\n")+countAnswers("-BUSY ") == all })
 		}
-		assert.Equal(t, countAnswers("+OK\r\n"), count(func(s *testCourier) uint64 { return s.core.Counters.Taken }), "seed %d", seed)
+		assert.Equal(t, countAnswers("+OK\r\n"), count(func(s *testCourier) uint64 { return s.core.Counters.Accepted }), "seed %d", seed)
 		assert.Equal(t, countAnswers("-BUSY "), count(func(s *testCourier) uint64 { return s.core.Counters.Unrouted }), "seed %d", seed)
-		assert.Zero(t, count(func(s *testCourier) uint64 { return s.core.Counters.Unknown }), "seed %d", seed)
+		assert.Zero(t, count(func(s *testCourier) uint64 { return s.core.Counters.ForwardUnknown }), "seed %d", seed)
 	}
 }
 
@@ -762,12 +762,12 @@
 	f.owners[0].with(commandStart("m1")).send(t, "-MOVED\r\n")
 	f.expectAnswer(clients[1], "-BUSY 401\r\n")
 	assert.Nil(t, f.owners[1].at(0))
-	assert.True(t, f.front.Unanswered())
+	assert.True(t, f.front.HasUnanswered())
 	f.after(400 * time.Millisecond)
 	f.until("all connections are closed", func() bool {
 		return clients[0].server.connClosed(0) && clients[1].server.connClosed(0) && clients[2].server.connClosed(0)
 	})
-	assert.False(t, f.front.Unanswered())
+	assert.False(t, f.front.HasUnanswered())
 	assert.Empty(t, clients[2].answers())
 }
 
@@ -775,9 +775,9 @@
 func (s *testCourier) handOver() (clients []handover.Client) {
 	s.t.Helper()
 	retired, halted := false, false
-	s.engine.Retire(func(map[string]int) { retired = true })
+	s.engine.StopAccepting(func(map[string]int) { retired = true })
 	s.until("the listener is closed", func() bool { return retired })
-	rest := s.front.Hand()
+	rest := s.front.DetachClients()
 	s.front.Close()
 	s.engine.Halt(func() { halted = true })
 	s.until("the engine has stopped", func() bool { return halted })
@@ -793,14 +793,14 @@
 	lost.send(t, debitCommand("m2")+"*1\r\n$4\r\nPING\r\n")
 	f.waitForwarded("m1", 0)
 	f.waitForwarded("m2", 0)
-	f.core.Hush()
-	f.front.Hush()
-	assert.False(t, f.front.Hushed(), "the handover waits for the answer")
+	f.core.Suspend()
+	f.front.PauseOutgoing()
+	assert.False(t, f.front.OutgoingIdle(), "the handover waits for the answer")
 	c.send(t, addCommand("m3", "order", 20*time.Second)+debitCommand("m4"))
 	f.settle()
 	f.waitForwarded("m1", 0).send(t, "+OK\r\n")
 	f.expectAnswer(out, "+OK\r\n")
-	assert.False(t, f.front.Hushed())
+	assert.False(t, f.front.OutgoingIdle())
 	clients := f.handOver()
 	assert.Nil(t, f.owners[0].with(commandStart("m3")), "nothing new is forwarded")
 	f.until("a client with a message in flight is closed", func() bool { return lost.server.connClosed(0) })
@@ -808,7 +808,7 @@
 
 	var handed []string
 	for _, x := range clients {
-		for _, d := range x.Due {
+		for _, d := range x.Replies {
 			require.NotNil(t, d.Request)
 			handed = append(handed, d.Request.ID)
 		}
@@ -816,7 +816,7 @@
 	assert.Equal(t, []string{"m3", "m4"}, handed)
 	next := newTestCourier(t)
 	next.front.Router = f.router
-	next.front.TakeOver(clients)
+	next.front.AdoptClients(clients)
 	for _, id := range handed {
 		next.until(id+" is forwarded", func() bool { return f.owners[0].with(commandStart(id)) != nil })
 		f.owners[0].with(commandStart(id)).send(t, "+OK\r\n")
@@ -831,13 +831,13 @@
 	self := singlePartition(t, partition.Member{Name: "s", Addr: "s", Region: "r1"})
 	s.setMembership("s", self)
 	c := s.client()
-	s.core.Hush()
+	s.core.Suspend()
 	c.send(t, forwardedCommand("m1"))
 	s.until("the message is read", func() bool { return s.core.Counters.In == 1 })
-	s.front.Hush()
+	s.front.PauseOutgoing()
 	clients := s.handOver()
 	f := newForwardingCourier(t, "r1")
-	f.front.TakeOver(clients)
+	f.front.AdoptClients(clients)
 	f.expectAnswer(c, "-MOVED\r\n")
 	assert.Nil(t, f.owners[0].at(0))
 }
@@ -871,7 +871,7 @@
 	d := s.client()
 	d.send(t, debitCommand("more"))
 	s.expectAnswer(d, "-BUSY 201\r\n")
-	assert.Equal(t, maxConns, s.engine.Kinds()[platform.ForwardKind])
+	assert.Equal(t, maxConns, s.engine.OpenByKind()[platform.ForwardKind])
 	assert.Nil(t, third.at(0))
 	for _, p := range []*fakeServer{first, second} {
 		for i := range maxConns / 2 {
@@ -880,10 +880,10 @@
 	}
 	s.expectAnswer(c, strings.Repeat("+OK\r\n", maxConns)+"-BUSY 201\r\n")
 
-	reserved := tightLimits.Kept[platform.NoticeKind] + tightLimits.Kept[console.ListenerKind]
-	s.makeCalls(tightLimits.MaxConns-reserved-s.engine.Open()+maxConns-1, false)
-	assert.Equal(t, 1, s.engine.Kinds()[platform.ForwardKind], "the idle connections were closed")
-	assert.LessOrEqual(t, s.engine.Open(), tightLimits.MaxConns)
+	reserved := tightLimits.Reserved[platform.NoticeKind] + tightLimits.Reserved[console.ListenerKind]
+	s.makeCalls(tightLimits.MaxConns-reserved-s.engine.OpenCount()+maxConns-1, false)
+	assert.Equal(t, 1, s.engine.OpenByKind()[platform.ForwardKind], "the idle connections were closed")
+	assert.LessOrEqual(t, s.engine.OpenCount(), tightLimits.MaxConns)
 	c.send(t, debitCommand("last"))
 	s.until("the last connection is reused", func() bool {
 		return first.with(commandStart("last")) != nil || second.with(commandStart("last")) != nil
@@ -905,7 +905,7 @@
 	f := newForwardingCourier(t, "r1")
 	var answers []string
 	submit := func(id string) {
-		require.NoError(t, f.front.HandIn(core.Request{ID: id, Class: "debit", Destination: 7, Left: time.Second, Body: []byte("b")}, func(text []byte) {
+		require.NoError(t, f.front.Submit(core.Request{ID: id, Class: "debit", Destination: 7, TimeLeft: time.Second, Body: []byte("b")}, func(text []byte) {
 			if answers = append(answers, string(text)); text == nil {
 				answers[len(answers)-1] = "unknown"
 			}
@@ -918,15 +918,15 @@
 	f.waitForwarded("m2", 0).halfClose(t)
 	f.until("the message has no answer", func() bool { return len(answers) == 2 })
 	assert.Equal(t, []string{"+OK\r\n", "unknown"}, answers)
-	assert.Error(t, f.front.HandIn(core.Request{ID: "m3", Class: "nothing"}, func([]byte) { t.Error("answer called in spite of an error") }))
+	assert.Error(t, f.front.Submit(core.Request{ID: "m3", Class: "nothing"}, func([]byte) { t.Error("answer called in spite of an error") }))
 	f.setMembership("f", singlePartition(t, partition.Member{Name: "f", Addr: "f", Region: "r1"}))
 	submit("m4")
 	f.after(5 * time.Millisecond)
 	assert.Equal(t, "+OK\r\n", answers[len(answers)-1])
-	assert.EqualValues(t, 1, f.core.Counters.Taken)
+	assert.EqualValues(t, 1, f.core.Counters.Accepted)
 	f.setMembership("f", singlePartition(t, partition.Member{Name: "n0", Addr: f.owners[0].listener.Addr().String(), Region: "r1"}))
 	submit("m5")
 	f.waitForwarded("m5", 0)
 	f.front.Close()
-	assert.Zero(t, f.engine.Kinds()[platform.ForwardKind])
+	assert.Zero(t, f.engine.OpenByKind()[platform.ForwardKind])
 }
--- a/internal/front/late_test.go
+++ b/internal/front/late_test.go
@@ -58,7 +58,7 @@
 				assert.Equal(t, snowjunction.OK, got.Outcome, name)
 				continue
 			}
-			target.Leave() // the loop has not run, so it handles any network event after this
+			target.Retire() // the loop has not run, so it handles any network event after this
 			received := make(chan []byte, 1)
 			go func() {
 				conn, err := server.Accept()
@@ -71,7 +71,7 @@
 				received <- b[:n]
 			}()
 			loop.RunUntil(func() bool { return got != nil })
-			assert.Equal(t, snowjunction.Moot, got.Outcome, name)
+			assert.Equal(t, snowjunction.NotSent, got.Outcome, name)
 			assert.NotContains(t, string(<-received), "body", name)
 		}
 	}
@@ -99,10 +99,10 @@
 		call := func(id string, may func() bool) (got *core.Result) {
 			x := target.Call(&store.Message{ID: id, Body: []byte("body")}, core.Shape{}, 10*time.Second, may, func(r core.Result) { got = &r })
 			loop.RunUntil(func() bool { return got != nil })
-			assert.Equal(t, may(), x.Left(), name)
+			assert.Equal(t, may(), x.Sent(), name)
 			return got
 		}
-		assert.Equal(t, snowjunction.Moot, call("late", func() bool { return false }).Outcome, name)
+		assert.Equal(t, snowjunction.NotSent, call("late", func() bool { return false }).Outcome, name)
 		assert.Equal(t, snowjunction.OK, call("next", always).Outcome, name)
 		assert.Equal(t, "next", <-ids, "%s: nothing of the first call was sent", name)
 		asked := false // an open connection must ask as well before it sends
@@ -114,8 +114,8 @@
 		assert.True(t, asked, name)
 		if x != nil {
 			loop.RunUntil(func() bool { return staleResult != nil })
-			assert.Equal(t, snowjunction.Moot, staleResult.Outcome, name)
-			assert.False(t, x.Left(), name)
+			assert.Equal(t, snowjunction.NotSent, staleResult.Outcome, name)
+			assert.False(t, x.Sent(), name)
 		}
 		assert.Equal(t, snowjunction.OK, call("last", always).Outcome, name)
 		assert.Equal(t, "last", <-ids, "%s: nothing of the stale call was sent", name)
@@ -153,7 +153,7 @@
 		return target.Call(&store.Message{ID: id}, core.Shape{}, 10*time.Second, always, func(r core.Result) { results[id] = r })
 	}
 	first := call("m1")
-	loop.RunUntil(first.Left)
+	loop.RunUntil(first.Sent)
 	assert.Contains(t, <-requests, "m1")
 	first.GiveUp()
 	answers <- "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
@@ -166,5 +166,5 @@
 	}()
 	loop.RunUntil(func() bool { return secondArrived && len(results) > 0 })
 	assert.Equal(t, map[string]core.Result{"m2": results["m2"]}, results)
-	assert.Equal(t, snowjunction.Full, results["m2"].Outcome)
+	assert.Equal(t, snowjunction.Rejected, results["m2"].Outcome)
 }
