--- a/internal/front/partitions_test.go
+++ b/internal/front/partitions_test.go
@@ -51,7 +51,7 @@
 	d.own, d.others = d.both.Owned(self), d.both.Owned(other)
 	require.GreaterOrEqual(t, len(d.own), 2)
 	require.GreaterOrEqual(t, len(d.others), 2)
-	d.router = partition.NewRouter(partition.Options{Self: self, Linger: lingerTime}, d.both, 0)
+	d.router = partition.NewRouter(partition.Options{Self: self, ServeAfterLoss: lingerTime}, d.both, 0)
 	d.testCourier = prepareTestCourier(t, net.Config{MaxConns: 64}, d.router, change...)
 	return d
 }
@@ -119,7 +119,7 @@
 
 // tableNames returns the names in the table.
 func (s *testCourier) tableNames() (out []string) {
-	for e := range s.core.Table(0).From(0) {
+	for e := range s.core.Table(0).EntriesFrom(0) {
 		out = append(out, e.Name)
 	}
 	slices.Sort(out)
@@ -127,15 +127,15 @@
 }
 
 // routeForwarded returns how a message forwarded by another courier is routed.
-func (d *partitionedCourier) routeForwarded(dest uint32) partition.Way {
-	return d.router.Route(partition.Message{Destination: dest, Forwarded: true}, nil, 0).Way
+func (d *partitionedCourier) routeForwarded(dest uint32) partition.Action {
+	return d.router.Route(partition.Message{Destination: dest, Forwarded: true}, nil, 0).Action
 }
 
 // startedCourier returns a courier that has read the first generation of its list: one endpoint in
 // each of its partitions.
 func startedCourier(t *testing.T, change ...func(*snowjunction.Settings)) *partitionedCourier {
 	d := newPartitionedCourier(t, change...)
-	d.start(platform.Begin{})
+	d.start(platform.InitialList{})
 	require.Equal(t, "?"+partitionQuery(d.own), d.requestPath(0, 1))
 	var entries []string
 	for _, p := range d.own {
@@ -153,7 +153,7 @@
 		t.Run(name, func(t *testing.T) {
 			d := newPartitionedCourier(t)
 			d.front.Lists.Entries = len(d.own)
-			d.start(platform.Begin{})
+			d.start(platform.InitialList{})
 			require.Equal(t, "?"+partitionQuery(d.own), d.requestPath(0, 1))
 			var entries, want []string
 			for p := range partitionCount {
@@ -170,7 +170,7 @@
 			assert.Contains(t, d.requestPath(0, 2), "?after=5&wait_ms=")
 			assert.Contains(t, d.requestPath(0, 2), "&"+partitionQuery(d.own))
 			assert.Equal(t, want, d.tableNames())
-			assert.Equal(t, partition.Here, d.routeForwarded(destinationIn(d.own[0], 0)))
+			assert.Equal(t, partition.Local, d.routeForwarded(destinationIn(d.own[0], 0)))
 			assert.Equal(t, partition.Moved, d.routeForwarded(destinationIn(d.others[0], 0)))
 			assert.Empty(t, d.discoveryCloseCodes)
 		})
@@ -181,7 +181,7 @@
 func TestListOverLimitWithRouter(t *testing.T) {
 	d := newPartitionedCourier(t)
 	d.front.Lists.Entries = 1
-	d.start(platform.Begin{})
+	d.start(platform.InitialList{})
 	d.requestPath(0, 1)
 	d.discovery.at(0).send(t, listAnswer(5, true, true, instance("a", destinationIn(d.own[0], 0), "Ready"), instance("b", destinationIn(d.own[1], 0), "Ready")))
 	d.until("the list is rejected", func() bool { return len(d.discoveryCloseCodes) > 0 })
@@ -276,8 +276,8 @@
 // the next watch must not be lost, because the watch continues from the previous generation.
 func TestGainedPartitions(t *testing.T) {
 	d := startedCourier(t)
-	d.front.Adopt(d.alone(d.own))
-	wanted := d.router.Wanted()
+	d.front.AdoptMembership(d.alone(d.own))
+	wanted := d.router.AwaitingList()
 	require.Equal(t, d.others, wanted)
 	first := wanted[:1]
 	d.discovery.at(0).send(t, listAnswer(1, false, true))
@@ -286,7 +286,7 @@
 	d.discovery.at(0).send(t, listAnswer(3, true, true, instance("new", destinationIn(first[0], 0), "Ready"), instance("late", destinationIn(first[0], 1), "Ready")))
 	all := d.router.Listed()
 	require.Equal(t, "?after=1&wait_ms=1&"+partitionQuery(all), d.requestPath(0, 4), "watches from the previous generation, without a wait")
-	assert.Equal(t, partition.Here, d.routeForwarded(destinationIn(first[0], 0)))
+	assert.Equal(t, partition.Local, d.routeForwarded(destinationIn(first[0], 0)))
 	assert.Equal(t, partition.Moved, d.routeForwarded(destinationIn(wanted[1], 0)))
 	assert.Subset(t, d.tableNames(), []string{"new", "late", d.ownName(0)})
 	d.discovery.at(0).send(t, listAnswer(4, false, true, instance(d.ownName(0), destinationIn(d.own[0], 0), "Terminating"), `{"instanceId":"late","lifecycle":"Gone"}`))
@@ -297,7 +297,7 @@
 	require.Equal(t, "?"+partitionQuery(wanted[1:min(len(wanted), 5)]), rest, "requests more partitions after a short answer")
 	d.discovery.at(0).send(t, listAnswer(4, true, false)) // an unrestricted answer covers everything
 	assert.Contains(t, d.requestPath(0, 6), "?after=4&wait_ms=1&"+partitionQuery(all))
-	assert.Empty(t, d.router.Wanted())
+	assert.Empty(t, d.router.AwaitingList())
 	d.discovery.at(0).send(t, listAnswer(4, false, true))
 	assert.NotContains(t, d.requestPath(0, 7), "wait_ms=1&", "waits when no partition is wanted")
 	assert.Empty(t, d.core.Conditions(0), "merged lists are not checked as a full list")
@@ -306,7 +306,7 @@
 // An unrestricted answer must count for all wanted partitions at once.
 func TestGainFromUnrestrictedDirectory(t *testing.T) {
 	d := startedCourier(t)
-	d.front.Adopt(d.alone(d.own))
+	d.front.AdoptMembership(d.alone(d.own))
 	d.discovery.at(0).send(t, listAnswer(1, false, false))
 	require.Equal(t, "?"+partitionQuery(d.others[:1]), d.requestPath(0, 3))
 	var entries []string
@@ -315,7 +315,7 @@
 	}
 	d.discovery.at(0).send(t, listAnswer(2, true, false, entries...))
 	assert.Contains(t, d.requestPath(0, 4), "?after=1&wait_ms=1&")
-	assert.Empty(t, d.router.Wanted())
+	assert.Empty(t, d.router.AwaitingList())
 	assert.Len(t, d.tableNames(), partitionCount)
 }
 
@@ -330,7 +330,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := startedCourier(t)
-			d.front.Adopt(d.alone(d.own))
+			d.front.AdoptMembership(d.alone(d.own))
 			end(d)
 			d.until("the connection is closed", func() bool { return len(d.discoveryCloseCodes) > 0 })
 			d.after(time.Second / 2)
@@ -351,17 +351,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := startedCourier(t)
-			d.front.Adopt(d.alone(d.own))
+			d.front.AdoptMembership(d.alone(d.own))
 			d.discovery.at(0).send(t, listAnswer(1, false, true))
 			d.requestPath(0, 3)
 			held := d.tableNames()
 			d.discovery.at(0).send(t, say(d))
 			assert.Equal(t, "?"+partitionQuery(d.router.Listed()), d.requestPath(0, 4), "requests all listed partitions at once")
 			assert.Equal(t, held, d.tableNames())
-			assert.Equal(t, d.others, d.router.Wanted())
+			assert.Equal(t, d.others, d.router.AwaitingList())
 			d.discovery.at(0).send(t, listAnswer(2, true, true, instance("new", destinationIn(d.others[0], 0), "Ready")))
 			assert.Contains(t, d.requestPath(0, 5), "?after=2&")
-			assert.Empty(t, d.router.Wanted())
+			assert.Empty(t, d.router.AwaitingList())
 		})
 	}
 }
@@ -379,14 +379,14 @@
 // that were listed after the request, or lost and gained again, must be requested again.
 func TestAdoptDuringList(t *testing.T) {
 	d := newPartitionedCourier(t)
-	d.start(platform.Begin{List: config.List{Held: true, Full: true, Generation: 1}, Partitions: partitionCount}) // of no partitions
+	d.start(platform.InitialList{List: config.List{Present: true, Full: true, Generation: 1}, PartitionCount: partitionCount}) // of no partitions
 	require.Equal(t, "?"+partitionQuery(d.own), d.requestPath(0, 1))
 	body := listAnswer(1, true, false, instance("a", destinationIn(d.own[0], 0), "Ready"), instance("b", destinationIn(d.others[0], 0), "Ready"), instance("c", destinationIn(d.own[1], 0), "Ready"))
 	cut := strings.Index(body, `{"instanceId":"c"`)
 	d.discovery.at(0).send(t, body[:cut])
 	d.settle()
-	d.front.Adopt(d.alone(d.others)) // no list is loaded yet, so lost partitions are removed at once
-	d.front.Adopt(d.alone(d.own))
+	d.front.AdoptMembership(d.alone(d.others)) // no list is loaded yet, so lost partitions are removed at once
+	d.front.AdoptMembership(d.alone(d.own))
 	d.discovery.at(0).send(t, body[cut:])
 	assert.Contains(t, d.requestPath(0, 2), "?after=1&wait_ms=1&"+partitionQuery(d.router.Listed()), "a sweep is in progress")
 	assert.Equal(t, partition.Moved, d.routeForwarded(destinationIn(d.own[0], 0)), "the list was read in part before the partition was lost")
@@ -402,7 +402,7 @@
 	for _, used := range []bool{false, true} {
 		t.Run(fmt.Sprint("used ", used), func(t *testing.T) {
 			d := newPartitionedCourier(t)
-			initial := platform.Begin{Watch: true, List: config.List{Held: true, Full: true, Generation: 1, Targets: d.initialEntries()}}
+			initial := platform.InitialList{Watchable: true, List: config.List{Present: true, Full: true, Generation: 1, Targets: d.initialEntries()}}
 			for _, p := range d.own {
 				for i := range 1500 { // more than one batch
 					initial.Targets = append(initial.Targets, core.Entry{
@@ -414,8 +414,8 @@
 			initial.Targets = slices.DeleteFunc(initial.Targets, func(e core.Entry) bool { return e.Destination == 7 && e.Name != "s-1" })
 			d.start(initial)
 			assert.Contains(t, d.requestPath(0, 1), "?after=1&wait_ms=1&"+partitionQuery(d.own))
-			assert.Empty(t, d.router.Wanted(), "the saved list is complete")
-			d.front.Adopt(d.alone(d.others))
+			assert.Empty(t, d.router.AwaitingList(), "the saved list is complete")
+			d.front.AdoptMembership(d.alone(d.others))
 			d.discovery.at(0).send(t, listAnswer(1, false, true))
 			assert.Contains(t, d.requestPath(0, 2), "&"+partitionQuery(d.own), "lost partitions are still listed")
 			name := fmt.Sprintf("p%d-0", d.own[0])
@@ -425,7 +425,7 @@
 			d.requestPath(0, 3)
 			e, _ = d.core.Table(0).Get(name)
 			assert.Equal(t, snowjunction.Draining, e.Phase, "draining endpoints are still updated")
-			assert.Equal(t, partition.Here, d.routeForwarded(7))
+			assert.Equal(t, partition.Local, d.routeForwarded(7))
 			requests := 3
 			advanceAndAnswer := func(by time.Duration) (path string) { // and the directory reports no changes
 				d.after(by)
@@ -442,7 +442,7 @@
 				advanceAndAnswer(995 * time.Millisecond)
 				assert.Contains(t, advanceAndAnswer(0), "&"+partitionQuery([]int{partition.Of(7, partitionCount)}))
 				assert.Contains(t, d.tableNames(), "s-1")
-				assert.Equal(t, partition.Here, d.routeForwarded(7))
+				assert.Equal(t, partition.Local, d.routeForwarded(7))
 				d.target.at(0).send(t, httpAnswer("200 OK", ""))
 				d.until("the message is delivered", func() bool { return d.core.Held() == 0 })
 			}
@@ -452,7 +452,7 @@
 			assert.Contains(t, advanceAndAnswer(0), "&"+partitionQuery(nil))
 			assert.Zero(t, d.core.Table(0).Len())
 			assert.Equal(t, partition.Moved, d.routeForwarded(7))
-			assert.False(t, d.router.Lingers())
+			assert.False(t, d.router.ExpiryPending())
 			assert.Empty(t, d.core.Conditions(0))
 		})
 	}
@@ -473,7 +473,7 @@
 // received.
 func TestGainDuringSweep(t *testing.T) {
 	d := startedCourier(t)
-	d.front.Adopt(d.alone(d.others))
+	d.front.AdoptMembership(d.alone(d.others))
 	requests := 2
 	advanceAndAnswer := func(by time.Duration) string {
 		d.after(by)
@@ -489,7 +489,7 @@
 	d.loop.After(time.Second/2, func() { // due with the check that ends the lingering, after it and before the first batch
 		assert.Empty(t, d.router.Listed())
 		assert.Len(t, d.tableNames(), len(d.own))
-		d.front.Adopt(d.both)
+		d.front.AdoptMembership(d.both)
 		adopted = true
 	})
 	assert.Equal(t, "?after=1&wait_ms=1&"+partitionQuery(d.own), advanceAndAnswer(time.Second/2), "the sweep completes first")
@@ -505,7 +505,7 @@
 // correctly leaves out.
 func TestFullListDuringSweep(t *testing.T) {
 	d := startedCourier(t)
-	d.front.Adopt(d.alone(d.others))
+	d.front.AdoptMembership(d.alone(d.others))
 	arrived := false
 	d.loop.After(lingerTime, func() { // before the check that ends the lingering; the list arrives right after that
 		d.now = d.now.Add(1)
@@ -547,7 +547,7 @@
 			} else {
 				assert.Contains(t, d.requestPath(0, 4), "?after=2&")
 			}
-			assert.Empty(t, d.router.Wanted())
+			assert.Empty(t, d.router.AwaitingList())
 		})
 	}
 }
@@ -575,9 +575,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newPartitionedCourier(t)
-			initial := platform.Begin{Watch: true, List: config.List{Held: true, Full: true, Generation: 5, Targets: entries(d)}, Partitions: row.partitions}
+			initial := platform.InitialList{Watchable: true, List: config.List{Present: true, Full: true, Generation: 5, Targets: entries(d)}, PartitionCount: row.partitions}
 			if row.of != nil {
-				initial.Of = row.of(d)
+				initial.CompletePartitions = row.of(d)
 			}
 			d.start(initial)
 			if row.fullList {
@@ -589,7 +589,7 @@
 			if row.gains != nil {
 				gains = row.gains(d)
 			}
-			assert.Equal(t, gains, d.router.Wanted())
+			assert.Equal(t, gains, d.router.AwaitingList())
 			assert.Len(t, d.tableNames(), len(d.own)-len(gains))
 			require.Equal(t, "?after=5&wait_ms=1&"+partitionQuery(d.own), d.requestPath(0, 1))
 			d.discovery.at(0).send(t, listAnswer(5, false, true))
@@ -605,7 +605,7 @@
 // Guards against changed requests without a router.
 func TestRequestsWithoutRouter(t *testing.T) {
 	s := prepareTestCourier(t, net.Config{MaxConns: 64}, nil)
-	s.start(platform.Begin{})
+	s.start(platform.InitialList{})
 	want := func(path string) string {
 		return "GET /discovery/hosts" + path + " HTTP/1.1\r\nHost: " + s.discovery.listener.Addr().String() + "\r\n\r\n"
 	}
@@ -628,7 +628,7 @@
 				t.Run(fmt.Sprintf("%s, fleet of %d, wanting %v", strings.Join(row, ", "), fleet, wanting), func(t *testing.T) {
 					o := newPartitionedOutage(t, fleet)
 					if wanting {
-						o.front.Adopt(o.d.alone(o.d.own))
+						o.front.AdoptMembership(o.d.alone(o.d.own))
 					}
 					for _, name := range row {
 						failures[name](o.discoveryOutage)
@@ -647,7 +647,7 @@
 
 func newPartitionedOutage(t *testing.T, fleet int) *partitionedOutage {
 	d := newPartitionedCourier(t, func(s *snowjunction.Settings) { s.Fleet = fleet })
-	d.start(platform.Begin{Watch: true, List: config.List{Held: true, Full: true, Generation: 1, Targets: d.initialEntries()}})
+	d.start(platform.InitialList{Watchable: true, List: config.List{Present: true, Full: true, Generation: 1, Targets: d.initialEntries()}})
 	return &partitionedOutage{&discoveryOutage{testCourier: d.testCourier, stepStart: d.now}, d}
 }
 
@@ -685,7 +685,7 @@
 			t.Run(fmt.Sprintf("%s, fleet of %d", name, fleet), func(t *testing.T) {
 				o := newPartitionedOutage(t, fleet)
 				e := o.discoveryOutage.nextRequest()
-				o.front.Adopt(o.d.alone(o.d.own))
+				o.front.AdoptMembership(o.d.alone(o.d.own))
 				e.send(t, listAnswer(1, false, true))
 				require.Equal(t, "?"+partitionQuery(o.d.others[:1]), o.testCourier.requestPath(0, 2))
 				o.stepStart = o.now // the previous watch was answered, so changes wait from here on
--- a/internal/front/platform/discovery.go
+++ b/internal/front/platform/discovery.go
@@ -84,10 +84,10 @@
 	switch {
 	case d.watching:
 		wait := d.backoff.WatchWait()
-		if _, _, live := d.front.core.Word(d.front.Number); !live {
+		if _, _, live := d.front.core.ListStatus(d.front.FrontIndex); !live {
 			wait = immediateWait // a live agent answers at once even without changes
 		}
-		if recheck := d.front.core.Recheck(d.front.Number); recheck > 0 {
+		if recheck := d.front.core.RecheckInterval(d.front.FrontIndex); recheck > 0 {
 			wait = min(wait, recheck)
 		}
 		if d.pollNow() {
@@ -120,7 +120,7 @@
 // agent has written counts.
 func (d *discovery) applyLeaving() {
 	if d.incoming != nil && len(d.incoming.Leaving) > 0 {
-		d.front.core.Heed(d.front.Number, d.incoming)
+		d.front.core.ApplyLeaving(d.front.FrontIndex, d.incoming)
 	}
 }
 
@@ -191,7 +191,7 @@
 		return
 	case r == nil:
 		if d.reader.Size() > 0 { // data is arriving: a long list may take long, but not forever
-			d.setTimeout(d.backoff.RestOfAnswer(d.stepAge(), d.reader.Size()), net.CallTimeout)
+			d.setTimeout(d.backoff.AnswerTimeLeft(d.stepAge(), d.reader.Size()), net.CallTimeout)
 		}
 		return
 	}
@@ -200,7 +200,7 @@
 		d.conn = nil
 	}
 	if r.Status != 200 {
-		pause := d.backoff.Refused(retryAfterHeader(r), d.stepAge())
+		pause := d.backoff.Rejected(retryAfterHeader(r), d.stepAge())
 		d.front.Log.Warn("discovery answers with an error", "status", r.Status, "pause_ms", pause.Milliseconds())
 		d.retryAfter(net.Finished, pause)
 		return
@@ -219,7 +219,7 @@
 		// These are changes to an older list than the current one: draining and removed endpoints
 		// are applied, and the full list is requested.
 		d.front.Log.Warn("discovery's list goes back", "generation", d.reader.Generation, "held", d.generation)
-		d.front.core.Heed(d.front.Number, d.incoming)
+		d.front.core.ApplyLeaving(d.front.FrontIndex, d.incoming)
 		d.incremental, d.partitions.gained = false, d.partitions.gaining
 		d.watch()
 		return
@@ -231,7 +231,7 @@
 	if d.incoming.Full && d.front.activeSweep != nil {
 		d.front.finishSweep()
 	}
-	if err := d.front.core.Listed(d.front.Number, d.incoming); err != nil {
+	if err := d.front.core.UpdateList(d.front.FrontIndex, d.incoming); err != nil {
 		d.rejectList(err)
 		return
 	}
@@ -239,8 +239,8 @@
 	d.backoff.Reset()
 	d.incoming = nil
 	d.generation, d.incremental, d.hasList, d.agent = d.reader.Generation, true, true, d.front.Discovery
-	d.front.core.Spoken(d.front.Number)
-	if d.watching && d.front.core.Recheck(d.front.Number) > 0 {
+	d.front.core.DirectoryConfirmed(d.front.FrontIndex)
+	if d.watching && d.front.core.RecheckInterval(d.front.FrontIndex) > 0 {
 		d.incremental = false // request the full list, to recheck the entries left out here
 	}
 	d.front.markReady()
@@ -252,7 +252,7 @@
 // lists remain invalid.
 func (d *discovery) rejectList(err error) {
 	d.front.Log.Warn("discovery's list cannot be read", "err", err, "entries", d.reader.Entries, "bytes", d.reader.Size())
-	d.front.core.Refused(d.front.Number, d.incoming, err)
+	d.front.core.RejectList(d.front.FrontIndex, d.incoming, err)
 	d.incremental = false
 	d.retryAfter(net.Protocol, d.backoff.Unreadable(d.stepAge()))
 }
--- a/internal/front/platform/forward.go
+++ b/internal/front/platform/forward.go
@@ -92,12 +92,12 @@
 	}
 }
 
-// HandIn submits a message like a client's command does, but without a client connection: the
+// Submit submits a message like a client's command does, but without a client connection: the
 // message is accepted here or forwarded. It calls answer once, possibly before it returns, with the
 // text that a client would be sent. A nil text means that the outcome is unknown; a client's
 // connection would be closed. HandIn returns an error if the message is invalid; answer is then not
 // called.
-func (f *Front) HandIn(r core.Request, answer func(text []byte)) error {
+func (f *Front) Submit(r core.Request, answer func(text []byte)) error {
 	_, err := f.submit(r, func(text []byte) bool {
 		answer(text)
 		return true
@@ -108,17 +108,17 @@
 // submit submits a message for a caller that may disconnect before the answer. The answer function
 // returns whether the answer was delivered.
 func (f *Front) submit(r core.Request, answer func(text []byte) bool) (*forwardedMessage, error) {
-	if f.Router == nil || !f.core.Taking() {
+	if f.Router == nil || !f.core.Accepting() {
 		return nil, f.submitLocal(r, answer)
 	}
-	class, err := f.core.Check(r)
+	class, err := f.core.Validate(r)
 	if err != nil {
 		f.core.Counters.Malformed++
 		return nil, err
 	}
 	m := &forwardedMessage{
-		front: f, request: r, deadline: f.Loop.Now().Add(r.Left), answer: answer,
-		routing: partition.Message{Destination: r.Destination, Forwarded: r.Forwarded, Left: r.Left},
+		front: f, request: r, deadline: f.Loop.Now().Add(r.TimeLeft), answer: answer,
+		routing: partition.Message{Destination: r.Destination, Forwarded: r.Forwarded, Remaining: r.TimeLeft},
 	}
 	if class.InOrder && !r.Forwarded { // messages forwarded by another courier arrive in order
 		m.routing.Key = r.Key
@@ -149,7 +149,7 @@
 
 // submitLocal submits a message to this courier's own core.
 func (f *Front) submitLocal(r core.Request, answer func(text []byte) bool) error {
-	return f.core.TakeIn(r, func(x core.Answer, _ *store.Message) bool { return answer(renderAnswer(x)) })
+	return f.core.Submit(r, func(x core.Answer, _ *store.Message) bool { return answer(renderAnswer(x)) })
 }
 
 // advance routes the waiting messages of a key as far as their order allows.
@@ -179,16 +179,16 @@
 	if f.forwarder.paused && !m.inFlight {
 		return // it will be handed over or time out
 	}
-	if m.routing.Left = m.deadline.Sub(f.Loop.Now()); m.routing.Left <= 0 {
+	if m.routing.Remaining = m.deadline.Sub(f.Loop.Now()); m.routing.Remaining <= 0 {
 		m.finish(renderAnswer(core.Answer{Verdict: core.Failed}))
 		return
 	}
-	if !f.core.Taking() {
+	if !f.core.Accepting() {
 		m.acceptHere()
 		return
 	}
-	switch x := f.Router.Route(m.routing, m.tried, f.routerTime()); x.Way {
-	case partition.Here:
+	switch x := f.Router.Route(m.routing, m.tried, f.routerTime()); x.Action {
+	case partition.Local:
 		m.acceptHere()
 	case partition.Forward:
 		m.send(x.To)
@@ -203,7 +203,7 @@
 // refuse answers that the message may be submitted again after a delay.
 func (m *forwardedMessage) refuse(after time.Duration) {
 	m.front.core.Counters.Unrouted++
-	m.finish(renderAnswer(core.Answer{Verdict: core.Fixed, After: after}))
+	m.finish(renderAnswer(core.Answer{Verdict: core.FixedResponse, RetryAfter: after}))
 }
 
 // acceptHere submits the message to this courier's core.
@@ -224,15 +224,15 @@
 			f.forwarder.advance(m.routing.Key)
 		}
 	}
-	if m.request.Left = m.deadline.Sub(f.Loop.Now()); m.request.Left <= 0 {
+	if m.request.TimeLeft = m.deadline.Sub(f.Loop.Now()); m.request.TimeLeft <= 0 {
 		m.reply(renderAnswer(core.Answer{Verdict: core.Failed}))
 		done()
 		return
 	}
-	err := f.core.TakeIn(m.request, func(x core.Answer, _ *store.Message) bool {
-		if x.Verdict == core.Taken {
-			m.routing.Left = m.deadline.Sub(f.Loop.Now())
-			f.Router.Took(m.routing, f.Router.Self(), f.routerTime())
+	err := f.core.Submit(m.request, func(x core.Answer, _ *store.Message) bool {
+		if x.Verdict == core.Accepted {
+			m.routing.Remaining = m.deadline.Sub(f.Loop.Now())
+			f.Router.RecordAccepted(m.routing, f.Router.Self(), f.routerTime())
 		}
 		delivered := m.reply(renderAnswer(x))
 		done()
@@ -313,14 +313,14 @@
 
 // recordOwner records that the courier the message was sent to may have accepted it.
 func (m *forwardedMessage) recordOwner() {
-	m.front.Router.Took(m.routing, m.owner.Name, m.front.routerTime())
+	m.front.Router.RecordAccepted(m.routing, m.owner.Name, m.front.routerTime())
 }
 
 // expire gives up on the message when the client's timeout is over.
 func (m *forwardedMessage) expire() {
 	if c := m.conn; c != nil {
 		if c.sent { // a courier that does not respond would not answer the next command either
-			m.front.Router.Unreached(m.owner.Name, m.front.routerTime())
+			m.front.Router.MarkUnreachable(m.owner.Name, m.front.routerTime())
 			c.failSent(net.CallTimeout)
 			return
 		}
@@ -336,7 +336,7 @@
 
 // tryNextOwner routes the message to another courier. The last one has certainly not accepted it.
 func (m *forwardedMessage) tryNextOwner() {
-	m.front.core.Counters.Vain++
+	m.front.core.Counters.ForwardFailed++
 	m.conn = nil
 	m.tried = append(m.tried, m.owner.Name)
 	m.route()
@@ -374,7 +374,7 @@
 
 // maxConns returns how many connections to other couriers are allowed.
 func (f *forwarder) maxConns() int {
-	return max(2, int(forwardConnShare*float64(f.front.Engine.Most())))
+	return max(2, int(forwardConnShare*float64(f.front.Engine.MaxConns())))
 }
 
 // encode returns the client's command in the form sent to another courier.
@@ -389,7 +389,7 @@
 	if r.IdempotencyKey != "" {
 		names += ",k=" + r.IdempotencyKey
 	}
-	if r.Again {
+	if r.Resubmitted {
 		names += ",again=1"
 	}
 	names += ",fwd=1"
@@ -409,7 +409,7 @@
 		f.removeIdle(c)
 		if f.front.Loop.Now().Sub(c.lastUsed) >= forwardIdleTimeout {
 			c.closeConn(net.Idle)
-		} else if bytes, ended := c.conn.Look(); bytes || ended {
+		} else if bytes, ended := c.conn.Pending(); bytes || ended {
 			c.closeConn(net.Stale)
 		} else {
 			return c
@@ -442,7 +442,7 @@
 func (f *forwarder) closeOldestIdle() bool {
 	c := f.oldestIdle()
 	if c != nil {
-		c.closeConn(net.Spared)
+		c.closeConn(net.Evicted)
 	}
 	return c != nil
 }
@@ -539,7 +539,7 @@
 	m := c.current
 	c.current = nil
 	if code != net.Limit { // a local connection limit: says nothing about the other courier
-		c.front.Router.Unreached(m.owner.Name, c.front.routerTime())
+		c.front.Router.MarkUnreachable(m.owner.Name, c.front.routerTime())
 	}
 	m.tryNextOwner()
 }
@@ -563,7 +563,7 @@
 	c.current = nil
 	c.closeConn(code)
 	c.front.forwarder.closeIdleTo(c.addr)
-	c.front.core.Counters.Unknown++
+	c.front.core.Counters.ForwardUnknown++
 	m.recordOwner()
 	m.finish(nil)
 }
@@ -586,7 +586,7 @@
 		c.failSent(net.Protocol)
 		return
 	}
-	c.front.Router.Reached(m.owner.Name)
+	c.front.Router.MarkReachable(m.owner.Name)
 	c.current = nil
 	if c.parser.Idle() {
 		c.markIdle()
--- a/internal/front/platform/handover.go
+++ b/internal/front/platform/handover.go
@@ -15,18 +15,18 @@
 // ListenerKind is the kind of the front's listener in a handover.
 const ListenerKind = "client"
 
-// Hush stops sending notices and forwarding messages; those that come from now on are handed over.
-func (f *Front) Hush() { f.notices.paused, f.forwarder.paused = true, true }
+// PauseOutgoing stops sending notices and forwarding messages; those that come from now on are handed over.
+func (f *Front) PauseOutgoing() { f.notices.paused, f.forwarder.paused = true, true }
 
-// Hushed reports whether no notice and no forwarded message waits for an answer.
-func (f *Front) Hushed() bool { return f.notices.inFlight == 0 && f.forwarder.inFlight == 0 }
+// OutgoingIdle reports whether no notice and no forwarded message waits for an answer.
+func (f *Front) OutgoingIdle() bool { return f.notices.inFlight == 0 && f.forwarder.inFlight == 0 }
 
-// Hand detaches the clients' connections from the engine, together with their unanswered requests.
+// DetachClients detaches the clients' connections from the engine, together with their unanswered requests.
 // A connection that cannot be handed over is closed with the front, and so is one with a message
 // that is being forwarded: such a message must not be submitted again while its outcome is open.
 // The returned function adds the bytes that the engine read in the meantime; call it after the
 // engine has stopped.
-func (f *Front) Hand() func() []handover.Client {
+func (f *Front) DetachClients() func() []handover.Client {
 	var handed []*client
 	var out []handover.Client
 	for c := range f.clients {
@@ -40,28 +40,28 @@
 		delete(f.clients, c)
 		x := handover.Client{Conn: conn, Served: c.validCommand, Changed: c.lastActive}
 		for _, a := range c.pending {
-			d := handover.Due{Text: a.text}
+			d := handover.Reply{Text: a.text}
 			if r := a.request; a.text == nil {
 				d.Request = &handover.Request{
 					ID: r.ID, IdempotencyKey: r.IdempotencyKey, Key: r.Key, Class: r.Class, Tenant: r.Tenant,
-					Destination: r.Destination, Deadline: a.deadline, Again: r.Again, Forwarded: r.Forwarded, Order: a.sequence, Body: r.Body,
+					Destination: r.Destination, Deadline: a.deadline, Resubmitted: r.Resubmitted, Forwarded: r.Forwarded, Order: a.sequence, Body: r.Body,
 				}
 			}
-			x.Due = append(x.Due, d)
+			x.Replies = append(x.Replies, d)
 		}
 		handed, out = append(handed, c), append(out, x)
 	}
 	return func() []handover.Client {
 		for i, c := range handed {
-			out[i].Bytes = append(c.parser.Rest(), c.conn.Rest()...)
+			out[i].Unprocessed = append(c.parser.Rest(), c.conn.Leftover()...)
 		}
 		return out
 	}
 }
 
-// TakeOver continues with the clients of the previous process run of this courier. The front owns
+// AdoptClients continues with the clients of the previous process run of this courier. The front owns
 // their file descriptors from then on.
-func (f *Front) TakeOver(clients []handover.Client) {
+func (f *Front) AdoptClients(clients []handover.Client) {
 	type handed struct {
 		c *client
 		a *pendingAnswer
@@ -76,14 +76,14 @@
 			continue
 		}
 		f.clients[c] = true
-		for _, d := range x.Due {
+		for _, d := range x.Replies {
 			a := &pendingAnswer{text: d.Text}
 			if c.pending = append(c.pending, a); d.Request != nil {
 				a.text = nil
 				requests = append(requests, handed{c, a, d.Request})
 			}
 		}
-		taken, bytes = append(taken, c), append(bytes, x.Bytes)
+		taken, bytes = append(taken, c), append(bytes, x.Unprocessed)
 	}
 	slices.SortFunc(requests, func(x, y handed) int { return cmp.Compare(x.r.Order, y.r.Order) })
 	for _, x := range requests {
@@ -93,8 +93,8 @@
 			continue
 		}
 		x.c.submit(x.a, core.Request{
-			Origin: f.Number, ID: x.r.ID, IdempotencyKey: x.r.IdempotencyKey, Key: x.r.Key, Class: x.r.Class, Tenant: x.r.Tenant,
-			Destination: x.r.Destination, Left: left, Again: x.r.Again, Forwarded: x.r.Forwarded, Body: x.r.Body,
+			Origin: f.FrontIndex, ID: x.r.ID, IdempotencyKey: x.r.IdempotencyKey, Key: x.r.Key, Class: x.r.Class, Tenant: x.r.Tenant,
+			Destination: x.r.Destination, TimeLeft: left, Resubmitted: x.r.Resubmitted, Forwarded: x.r.Forwarded, Body: x.r.Body,
 		})
 	}
 	for i, c := range taken {
@@ -103,8 +103,8 @@
 	}
 }
 
-// Hand detaches the connection of a call whose request was sent from the engine.
-func (c *targetConn) Hand() (handover.Call, bool) {
+// Detach detaches the connection of a call whose request was sent from the engine.
+func (c *targetConn) Detach() (handover.Call, bool) {
 	if !c.sent || c.done == nil {
 		return handover.Call{}, false
 	}
@@ -114,22 +114,22 @@
 	}
 	c.answerTimer.Stop()
 	c.done = nil
-	return handover.Call{Conn: conn, Kept: c.idleBefore, WholeWants: c.wantWhole}, true
+	return handover.Call{Conn: conn, IdleTime: c.idleBefore, WantsWholeAnswer: c.wantWhole}, true
 }
 
-// Rest returns what had been read of a call's answer when it was handed over.
-func (c *targetConn) Rest() []byte { return append(c.received, c.conn.Rest()...) }
+// BufferedAnswer returns what had been read of a call's answer when it was handed over.
+func (c *targetConn) BufferedAnswer() []byte { return append(c.received, c.conn.Leftover()...) }
 
 // Adopt continues a call of the previous process run of this courier. It calls done once with the
 // result, unless the call is given up, and never before Adopt returns.
 func (t *target) Adopt(m *store.Message, from handover.Call, done func(core.Result)) core.Call {
-	l := &targetConn{target: t, parser: http1.Parser{MaxBody: maxAnswerBytes}, messageID: m.ID, sent: true, wantWhole: from.WholeWants, done: done, idleBefore: from.Kept, lastUsed: time.Now()}
+	l := &targetConn{target: t, parser: http1.Parser{MaxBody: maxAnswerBytes}, messageID: m.ID, sent: true, wantWhole: from.WantsWholeAnswer, done: done, idleBefore: from.IdleTime, lastUsed: time.Now()}
 	l.conn = t.front.Engine.Adopt("target", false, from.Conn, l)
 	if l.conn == nil {
 		t.front.Loop.Post(func() { l.Closed(net.PeerReset) })
 		return l
 	}
-	if l.received = from.Bytes; len(l.received) > 0 { // bytes that arrive later are appended to these
+	if l.received = from.Unprocessed; len(l.received) > 0 { // bytes that arrive later are appended to these
 		l.parser.Feed(l.received)
 		t.front.Loop.Post(func() {
 			if l.done != nil {
--- a/internal/front/platform/listener.go
+++ b/internal/front/platform/listener.go
@@ -70,7 +70,7 @@
 func (f *Front) closeIdleClients() {
 	now := f.Loop.Now()
 	for c := range f.clients {
-		if idle, limit := c.idleTime(now); idle >= limit && !c.conn.Unread() {
+		if idle, limit := c.idleTime(now); idle >= limit && !c.conn.HasUnread() {
 			c.closeConn(net.Idle)
 		}
 	}
@@ -103,21 +103,21 @@
 		if !c.validCommand && c.parser.Idle() {
 			idle += firstCommandTimeout
 		}
-		if evictable && idle >= longest && !c.conn.Unread() {
+		if evictable && idle >= longest && !c.conn.HasUnread() {
 			oldest, longest = c, idle
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	oldest.closeConn(net.Spared)
+	oldest.closeConn(net.Evicted)
 	return true
 }
 
 func (f *Front) accept(conn *net.Conn) net.Handler {
 	// This keeps clients to about a third of the file descriptors. Clients that send one request
 	// and stay connected would otherwise use them up, and no further request could be accepted.
-	if float64(len(f.clients)) >= evictionShare*float64(f.Engine.Most()) {
+	if float64(len(f.clients)) >= evictionShare*float64(f.Engine.MaxConns()) {
 		f.evictClient(false)
 	}
 	now := f.Loop.Now()
@@ -204,7 +204,7 @@
 		c.reply(resp.Error("ERR " + err.Error()))
 		return
 	}
-	r.Origin = c.front.Number
+	r.Origin = c.front.FrontIndex
 	c.enqueue(r)
 }
 
@@ -217,13 +217,13 @@
 // submit submits a message whose answer already has its place in pending.
 func (c *client) submit(a *pendingAnswer, r core.Request) {
 	c.front.requestCount++
-	a.request, a.deadline, a.sequence = r, c.front.Loop.Now().Add(r.Left), c.front.requestCount
+	a.request, a.deadline, a.sequence = r, c.front.Loop.Now().Add(r.TimeLeft), c.front.requestCount
 	validCommand, submitted := c.validCommand, c.submitted
 	c.validCommand, c.submitted = true, true // set first: the call may evict a client
 	var err error
 	a.forwarded, err = c.front.submit(r, func(text []byte) bool {
 		if text == nil { // unknown outcome: same as a courier that crashed
-			c.closeConn(net.Unknown)
+			c.closeConn(net.OutcomeUnknown)
 			return false
 		}
 		a.text, a.request = text, core.Request{}
@@ -238,12 +238,12 @@
 // renderAnswer returns the RESP2 form of the core's answer.
 func renderAnswer(x core.Answer) []byte {
 	switch {
-	case x.Verdict == core.Taken:
+	case x.Verdict == core.Accepted:
 		return resp.Simple("OK")
 	case x.Verdict == core.Failed:
 		return resp.Error("ERR failed")
-	case x.After > 0:
-		return resp.Error("BUSY " + strconv.FormatInt(x.After.Milliseconds()+1, 10))
+	case x.RetryAfter > 0:
+		return resp.Error("BUSY " + strconv.FormatInt(x.RetryAfter.Milliseconds()+1, 10))
 	}
 	return resp.Error("BUSY")
 }
@@ -285,7 +285,7 @@
 	if len(c.pending) > 0 || !c.parser.Idle() {
 		return true
 	}
-	bytes, _ := c.conn.Look()
+	bytes, _ := c.conn.Pending()
 	return bytes
 }
 
@@ -323,7 +323,7 @@
 			if err != nil || math.IsNaN(ms) || math.Abs(ms) > 1e12 {
 				return r, errors.New("d must be a number of milliseconds")
 			}
-			r.Left, seen.left = time.Duration(ms*float64(time.Millisecond)), true
+			r.TimeLeft, seen.left = time.Duration(ms*float64(time.Millisecond)), true
 		case "dest":
 			dest, err := strconv.ParseUint(value, 10, 32)
 			if err != nil {
@@ -333,7 +333,7 @@
 		case "k":
 			r.IdempotencyKey = value
 		case "r", "again":
-			r.Again = r.Again || value == "1"
+			r.Resubmitted = r.Resubmitted || value == "1"
 		case "fwd":
 			r.Forwarded = value == "1"
 		}
--- a/internal/front/platform/notices.go
+++ b/internal/front/platform/notices.go
@@ -82,8 +82,8 @@
 	b = append(append(b, `{"id":"`...), m.ID...) // the id needs no escaping: the core accepts no other
 	b = append(append(b, `","state":"`...), m.State.String()...)
 	b = append(b, '"')
-	if m.State == store.Returned && m.After > 0 {
-		b = strconv.AppendInt(append(b, `,"after_ms":`...), m.After.Milliseconds()+1, 10)
+	if m.State == store.Returned && m.RetryAfter > 0 {
+		b = strconv.AppendInt(append(b, `,"after_ms":`...), m.RetryAfter.Milliseconds()+1, 10)
 	}
 	return append(b, "}\n"...)
 }
--- a/internal/front/platform/partitions.go
+++ b/internal/front/platform/partitions.go
@@ -65,7 +65,7 @@
 	p := &d.partitions
 	p.listedThen, p.unlistedSince = r.Listed(), nil
 	p.requested = p.listedThen
-	if wanted := r.Wanted(); d.incremental && p.mayGain && len(wanted) > 0 && d.front.activeSweep == nil {
+	if wanted := r.AwaitingList(); d.incremental && p.mayGain && len(wanted) > 0 && d.front.activeSweep == nil {
 		p.requested = wanted[:min(len(wanted), max(p.batchSize, 1))]
 		p.gaining, p.mayGain = true, false
 	}
@@ -83,7 +83,7 @@
 // pollNow reports whether the directory should answer a watch at once, because requests for
 // partitions wait behind it or it has waited behind one.
 func (d *discovery) pollNow() bool {
-	return d.front.Router != nil && (d.partitions.gained || len(d.front.Router.Wanted()) > 0)
+	return d.front.Router != nil && (d.partitions.gained || len(d.front.Router.AwaitingList()) > 0)
 }
 
 // keepEntry reports whether to keep an entry of an answer. An entry of an unlisted destination is
@@ -94,7 +94,7 @@
 	if r == nil || e.Phase != snowjunction.Gone && r.Lists(uint32(e.Destination)) {
 		return true
 	}
-	if _, held := d.front.core.Table(d.front.Number).Get(e.Name); !held {
+	if _, held := d.front.core.Table(d.front.FrontIndex).Get(e.Name); !held {
 		if _, held = list.Entries.Get(e.Name); !held {
 			return false
 		}
@@ -142,7 +142,7 @@
 		of = p.listedThen
 	}
 	if full {
-		r.Held(without(of, p.unlistedSince))
+		r.MarkListReceived(without(of, p.unlistedSince))
 	}
 	d.front.startSweep(p.unlistedSince) // entries may have been read before they were unlisted
 	p.gained, p.mayGain = p.gaining, !p.gaining
@@ -154,13 +154,13 @@
 func (d *discovery) mergeGained() {
 	d.incoming.Full = false
 	p := &d.partitions
-	if err := d.front.core.Listed(d.front.Number, d.incoming); err != nil {
+	if err := d.front.core.UpdateList(d.front.FrontIndex, d.incoming); err != nil {
 		d.front.Log.Info("list of newly listed partitions conflicts with the current list; requesting the full list", "err", err)
 		p.gained, d.incremental = true, false
 	} else {
 		p.batchSize = max(1, min(maxGainGrowth*len(p.requested), len(p.requested)*gainTargetBytes/max(d.reader.Size(), 1)))
 		d.listReceived(true)
-		d.front.Log.Debug("merged the list of newly listed partitions", "asked", len(p.requested), "wanted", len(d.front.Router.Wanted()), "entries", d.incoming.Entries.Len())
+		d.front.Log.Debug("merged the list of newly listed partitions", "asked", len(p.requested), "wanted", len(d.front.Router.AwaitingList()), "entries", d.incoming.Entries.Len())
 	}
 	d.incoming = nil
 	d.watch()
@@ -178,23 +178,23 @@
 	})
 }
 
-// Routing returns the options of a courier's router: the longest deadline of an in-order class, and
+// RouterOptions returns the options of a courier's router: the longest deadline of an in-order class, and
 // how long a message may be on its way plus the settle time of its key after that.
-func Routing(s snowjunction.Settings, self, region string, linger time.Duration) partition.Options {
-	o := partition.Options{Self: self, Region: region, Linger: linger, Rest: clientTimeout + s.OrderSettle}
+func RouterOptions(s snowjunction.Settings, self, region string, linger time.Duration) partition.Options {
+	o := partition.Options{Self: self, Region: region, ServeAfterLoss: linger, DeadlineMargin: clientTimeout + s.OrderSettle}
 	for _, class := range s.Classes {
 		if class.InOrder {
-			o.Longest = max(o.Longest, class.Deadline)
+			o.MaxDeadline = max(o.MaxDeadline, class.Deadline)
 		}
 	}
 	return o
 }
 
-// Adopt switches to another membership. Newly listed partitions are requested with the next
+// AdoptMembership switches to another membership. Newly listed partitions are requested with the next
 // request; partitions that are no longer listed are removed after they have lingered.
-func (f *Front) Adopt(m *partition.Membership) {
+func (f *Front) AdoptMembership(m *partition.Membership) {
 	listedBefore := f.Router.Listed()
-	f.Router.Adopt(m, f.routerTime())
+	f.Router.SetMembership(m, f.routerTime())
 	f.removePartitions(without(listedBefore, f.Router.Listed()))
 	f.scheduleLingerCheck()
 }
@@ -202,12 +202,12 @@
 // scheduleLingerCheck checks periodically whether lingering partitions can be removed.
 func (f *Front) scheduleLingerCheck() {
 	f.lingerTimer.Stop()
-	if !f.Router.Lingers() {
+	if !f.Router.ExpiryPending() {
 		return
 	}
 	f.lingerTimer = f.Loop.After(lingerCheckInterval, func() {
 		calling := map[int]bool{}
-		for d := range f.core.Calling() {
+		for d := range f.core.ActiveDestinations() {
 			calling[partition.Of(uint32(d), f.Router.Membership().Partitions())] = true
 		}
 		f.removePartitions(f.Router.Expire(f.routerTime(), func(p int) bool { return calling[p] }))
@@ -235,7 +235,7 @@
 	}
 	f.activeSweep.next = math.MaxInt
 	if idle {
-		f.Loop.Slices(func() bool { return f.sweepBatch(sweepBatchSize) })
+		f.Loop.RunSliced(func() bool { return f.sweepBatch(sweepBatchSize) })
 	}
 }
 
@@ -246,7 +246,7 @@
 	if s == nil {
 		return false
 	}
-	table := f.core.Table(f.Number)
+	table := f.core.Table(f.FrontIndex)
 	s.next = min(s.next, table.Len())
 	removals, from := groups.NewList(false), max(0, s.next-n)
 	for i := from; i < s.next; i++ {
@@ -259,7 +259,7 @@
 		f.activeSweep = nil
 	}
 	if removals.Entries.Len() > 0 {
-		_ = f.core.Listed(f.Number, removals) // removals never conflict
+		_ = f.core.UpdateList(f.FrontIndex, removals) // removals never conflict
 	}
 	return f.activeSweep != nil
 }
@@ -270,21 +270,21 @@
 
 // restrictToListed restricts the initial list to the partitions that the router lists, and returns
 // those that it covers completely. A list with a different number of partitions is unusable.
-func (f *Front) restrictToListed(initial Begin) (Begin, []int) {
-	if f.Router == nil || !initial.Held {
+func (f *Front) restrictToListed(initial InitialList) (InitialList, []int) {
+	if f.Router == nil || !initial.Present {
 		return initial, nil
 	}
 	n, covered := f.Router.Membership().Partitions(), f.Router.Listed()
-	switch initial.Partitions {
+	switch initial.PartitionCount {
 	case 0:
 	case n:
 		covered = slices.DeleteFunc(covered, func(p int) bool {
-			_, has := slices.BinarySearch(initial.Of, p)
+			_, has := slices.BinarySearch(initial.CompletePartitions, p)
 			return !has
 		})
 	default:
-		f.Log.Warn("ignoring the saved list because it has a different number of partitions", "partitions", initial.Partitions, "now", n)
-		return Begin{}, nil
+		f.Log.Warn("ignoring the saved list because it has a different number of partitions", "partitions", initial.PartitionCount, "now", n)
+		return InitialList{}, nil
 	}
 	var targets []core.Entry
 	for _, e := range initial.Targets {
@@ -296,11 +296,11 @@
 	return initial, covered
 }
 
-// Holds returns the number of partitions and those whose list is loaded completely. The number is
+// LoadedPartitions returns the number of partitions and those whose list is loaded completely. The number is
 // zero if destinations are not partitioned.
-func (f *Front) Holds() (partitions int, of []int) {
+func (f *Front) LoadedPartitions() (partitions int, of []int) {
 	if f.Router == nil {
 		return 0, nil
 	}
-	return f.Router.Membership().Partitions(), without(f.Router.Listed(), f.Router.Wanted())
+	return f.Router.Membership().Partitions(), without(f.Router.Listed(), f.Router.AwaitingList())
 }
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -19,17 +19,17 @@
 
 // Config holds the front's dependencies and settings.
 type Config struct {
-	Loop      *core.Loop
-	Engine    *net.Engine
-	Log       *slog.Logger
-	Number    int    // index of this front in the core
-	Listen    string // address to listen on; empty means that the front does not listen
-	Discovery string
-	Names     config.Names
-	Columns   []string // names of the values of a load report
-	Settings  snowjunction.Settings
-	Lists     ListLimits
-	Started   func(Step) // called at each step of the start; may be nil
+	Loop          *core.Loop
+	Engine        *net.Engine
+	Log           *slog.Logger
+	FrontIndex    int    // index of this front in the core
+	Listen        string // address to listen on; empty means that the front does not listen
+	Discovery     string
+	Names         config.Names
+	ReportColumns []string // names of the values of a load report
+	Settings      snowjunction.Settings
+	Lists         ListLimits
+	OnStep        func(Step) // called at each step of the start; may be nil
 	// Router assigns destinations to couriers. If nil, this courier lists and calls all
 	// destinations.
 	Router *partition.Router
@@ -41,9 +41,9 @@
 // The steps in the order in which they happen. The first two are reported before Start
 // returns.
 const (
-	Listening Step = iota
-	Listed         // the saved list, if any, is loaded
-	Ready          // messages are accepted from now on
+	Listening  Step = iota
+	ListLoaded      // the saved list, if any, is loaded
+	Ready           // messages are accepted from now on
 )
 
 // ListLimits bounds the size of a list from discovery.
@@ -51,9 +51,9 @@
 	Bytes, Entries int
 }
 
-// DefaultLists are the limits used if the configuration sets none. A list of this many entries
+// DefaultListLimits are the limits used if the configuration sets none. A list of this many entries
 // takes about 5 MB of memory.
-var DefaultLists = ListLimits{Bytes: 16 << 20, Entries: 65536}
+var DefaultListLimits = ListLimits{Bytes: 16 << 20, Entries: 65536}
 
 // Front is the front for the platform. It belongs to the loop's goroutine.
 type Front struct {
@@ -76,13 +76,13 @@
 // routerTime returns the time on the router's clock, which starts at zero with the front.
 func (f *Front) routerTime() time.Duration { return f.Loop.Now().Sub(f.createdAt) }
 
-// Divided returns figures about the partitions. It returns false if destinations are not
+// PartitionFigures returns figures about the partitions. It returns false if destinations are not
 // partitioned.
-func (f *Front) Divided() (partition.Figures, bool) {
+func (f *Front) PartitionFigures() (partition.Stats, bool) {
 	if f.Router == nil {
-		return partition.Figures{}, false
+		return partition.Stats{}, false
 	}
-	return f.Router.Figures(f.routerTime()), true
+	return f.Router.Stats(f.routerTime()), true
 }
 
 // Ready reports whether the front accepts messages.
@@ -91,15 +91,15 @@
 // New returns a front that is not started yet.
 func New(cfg Config) *Front {
 	if cfg.Lists == (ListLimits{}) {
-		cfg.Lists = DefaultLists
+		cfg.Lists = DefaultListLimits
 	}
 	f := &Front{Config: cfg, clients: map[*client]bool{}, targets: map[*target]bool{}, createdAt: cfg.Loop.Now()}
 	f.discovery.front = f
-	f.discovery.backoff = backoff.New(cfg.Settings.Fleet, cfg.Settings.Seed).Within(cfg.Settings.DrainGrace)
+	f.discovery.backoff = backoff.New(cfg.Settings.Fleet, cfg.Settings.Seed).WithGrace(cfg.Settings.DrainGrace)
 	f.notices.front = f
 	f.forwarder = newForwarder(f)
-	f.Engine.SpareIdle(f.closeOldestIdleTarget)
-	f.Engine.SpareIdle(f.forwarder.closeOldestIdle)
+	f.Engine.AddIdleEvictor(f.closeOldestIdleTarget)
+	f.Engine.AddIdleEvictor(f.forwarder.closeOldestIdle)
 	return f
 }
 
@@ -113,20 +113,20 @@
 // ready.
 const readyAfter = 2 * time.Second
 
-// Begin is the list that the front starts with.
-type Begin struct {
+// InitialList is the list that the front starts with.
+type InitialList struct {
 	config.List
-	Source belief.Source
-	Age    time.Duration // since the directory confirmed it; negative if unknown
-	Watch  bool          // changes after its generation may be requested
+	Source    belief.Source
+	Age       time.Duration // since the directory confirmed it; negative if unknown
+	Watchable bool          // changes after its generation may be requested
 	// The partitions for which the list is complete, sorted, and their total number. A total of
 	// zero means that the list is complete for all destinations.
-	Partitions int
-	Of         []int
+	PartitionCount     int
+	CompletePartitions []int
 }
 
 // Start starts to listen, loads the saved list and starts to watch the target group.
-func (f *Front) Start(c *core.Core, initial Begin) error {
+func (f *Front) Start(c *core.Core, initial InitialList) error {
 	f.core = c
 	if f.Listen != "" {
 		addr, err := f.Engine.Listen(ListenerKind, f.Listen, f.accept, func() bool { return f.evictClient(true) })
@@ -138,31 +138,31 @@
 		f.closeIdleClients()
 	}
 	initial, heldPartitions := f.restrictToListed(initial)
-	if initial.Held {
-		list, err := initial.News()
+	if initial.Present {
+		list, err := initial.GroupList()
 		if err == nil {
 			list.Full = true
-			err = c.Begin(f.Number, list, initial.Source, initial.Age)
+			err = c.SetInitialList(f.FrontIndex, list, initial.Source, initial.Age)
 		}
 		if err != nil { // a bad saved list must not prevent the start
 			f.Log.Warn("cannot use the saved list; starting without a list", "err", err)
-			initial, heldPartitions = Begin{}, nil
+			initial, heldPartitions = InitialList{}, nil
 		}
 	}
 	if f.Router != nil {
-		f.Router.Held(heldPartitions)
+		f.Router.MarkListReceived(heldPartitions)
 		// The previous process run may have left messages of partitions that are no longer owned.
 		f.scheduleLingerCheck()
 	}
-	f.reportStep(Listed)
-	if initial.Held {
+	f.reportStep(ListLoaded)
+	if initial.Present {
 		f.markReady()
 	} else {
 		f.Loop.After(readyAfter, f.markReady)
 	}
-	f.discovery.generation, f.discovery.incremental, f.discovery.hasList = initial.Generation, initial.Held && initial.Watch, initial.Held
+	f.discovery.generation, f.discovery.incremental, f.discovery.hasList = initial.Generation, initial.Present && initial.Watchable, initial.Present
 	f.discovery.agent = f.Discovery
-	if firstDelay := f.discovery.backoff.Initial(); firstDelay > 0 && initial.Held {
+	if firstDelay := f.discovery.backoff.InitialDelay(); firstDelay > 0 && initial.Present {
 		f.discovery.timer = f.Loop.After(firstDelay, f.discovery.watch)
 	} else {
 		f.discovery.watch()
@@ -171,8 +171,8 @@
 }
 
 func (f *Front) reportStep(s Step) {
-	if f.Started != nil {
-		f.Started(s)
+	if f.OnStep != nil {
+		f.OnStep(s)
 	}
 }
 
@@ -184,21 +184,21 @@
 	}
 }
 
-// Move switches to a new discovery address. The watch starts again there, and all pending notices
+// MoveDiscovery switches to a new discovery address. The watch starts again there, and all pending notices
 // are sent there, including those that were in flight.
-func (f *Front) Move(discovery string) {
+func (f *Front) MoveDiscovery(discovery string) {
 	if discovery == f.Discovery {
 		return
 	}
 	f.Discovery = discovery
-	f.core.Moved(f.Number)
+	f.core.DirectoryAgentChanged(f.FrontIndex)
 	f.discovery.restart()
 	f.notices.retryLater(net.Moved)
 }
 
-// Told returns the generation of the current list and the agent that sent it. It returns false if
+// CurrentList returns the generation of the current list and the agent that sent it. It returns false if
 // there is no list.
-func (f *Front) Told() (generation uint64, agent string, held bool) {
+func (f *Front) CurrentList() (generation uint64, agent string, held bool) {
 	return f.discovery.generation, f.discovery.agent, f.discovery.hasList
 }
 
@@ -230,8 +230,8 @@
 	}
 }
 
-// Unanswered reports whether any client's request is being read or waits for its answer.
-func (f *Front) Unanswered() bool {
+// HasUnanswered reports whether any client's request is being read or waits for its answer.
+func (f *Front) HasUnanswered() bool {
 	for c := range f.clients {
 		if c.unanswered() {
 			return true
@@ -251,5 +251,5 @@
 	f.forwarder.close()
 }
 
-// Quiet reports whether no notice is queued or in flight.
-func (f *Front) Quiet() bool { return len(f.notices.queue) == 0 && f.notices.inFlight == 0 }
+// NoticesSettled reports whether no notice is queued or in flight.
+func (f *Front) NoticesSettled() bool { return len(f.notices.queue) == 0 && f.notices.inFlight == 0 }
--- a/internal/front/platform/target.go
+++ b/internal/front/platform/target.go
@@ -73,13 +73,13 @@
 		}
 		if c = t.takeIdle(); c != nil { // checked again: recording the attempt may take long
 			c.idleBefore = max(t.front.Loop.Now().Sub(c.lastUsed), 1)
-			c.startCall(m.ID, request, shape.Whole, done)
+			c.startCall(m.ID, request, shape.BufferAnswer, done)
 			c.writeRequest()
 			return c
 		}
 	}
 	c := &targetConn{target: t, parser: http1.Parser{MaxBody: maxAnswerBytes}}
-	c.startCall(m.ID, request, shape.Whole, done)
+	c.startCall(m.ID, request, shape.BufferAnswer, done)
 	c.maySend = maySend
 	c.conn = t.front.Engine.Dial("target", t.entry.Addr, c)
 	return c
@@ -92,7 +92,7 @@
 	for n := len(t.idle); n > 0; n = len(t.idle) {
 		c := t.idle[n-1]
 		t.idle = t.idle[:n-1]
-		if bytes, ended := c.conn.Look(); !bytes && !ended {
+		if bytes, ended := c.conn.Pending(); !bytes && !ended {
 			return c
 		}
 		c.conn.Close(net.Stale)
@@ -117,8 +117,8 @@
 // CloseIdle closes the idle connections.
 func (t *target) CloseIdle() { t.closeAllIdle(net.Dropped) }
 
-// Leave closes the idle connections now, and the others when their calls end.
-func (t *target) Leave() {
+// Retire closes the idle connections now, and the others when their calls end.
+func (t *target) Retire() {
 	t.removed = true
 	delete(t.front.targets, t)
 	t.closeAllIdle(net.Drained)
@@ -136,7 +136,7 @@
 	if oldest == nil {
 		return false
 	}
-	oldest.idle[0].conn.Close(net.Spared)
+	oldest.idle[0].conn.Close(net.Evicted)
 	oldest.idle = oldest.idle[1:]
 	return true
 }
@@ -162,11 +162,11 @@
 	c.target.front.Log.Debug("request", "id", c.messageID, "to", c.target.entry.Addr, "taken", c.sent, "kept_ms", c.idleBefore.Milliseconds())
 }
 
-// Left reports whether the request's last byte may have been sent.
-func (c *targetConn) Left() bool { return c.sent }
+// Sent reports whether the request's last byte may have been sent.
+func (c *targetConn) Sent() bool { return c.sent }
 
-// Kept returns how long the connection was idle before the call.
-func (l *targetConn) Kept() time.Duration { return l.idleBefore }
+// IdleBefore returns how long the connection was idle before the call.
+func (l *targetConn) IdleBefore() time.Duration { return l.idleBefore }
 
 // GiveUp closes the connection, which lets the target notice that the call is abandoned.
 func (l *targetConn) GiveUp() {
@@ -190,13 +190,13 @@
 func (c *targetConn) Opened() {
 	if c.target.removed {
 		c.closeConn(net.Drained)
-		c.finish(core.Result{Outcome: snowjunction.Moot})
+		c.finish(core.Result{Outcome: snowjunction.NotSent})
 		return
 	}
 	if !c.maySend() {
 		c.request = nil
 		c.markIdle()
-		c.finish(core.Result{Outcome: snowjunction.Moot})
+		c.finish(core.Result{Outcome: snowjunction.NotSent})
 		return
 	}
 	c.writeRequest()
@@ -212,7 +212,7 @@
 func (c *targetConn) Closed(code net.Code) {
 	c.answerTimer.Stop()
 	if code == net.Limit { // a local connection limit: says nothing about the target
-		c.finish(core.Result{Outcome: snowjunction.Moot})
+		c.finish(core.Result{Outcome: snowjunction.NotSent})
 		return
 	}
 	if c.done == nil {
@@ -306,7 +306,7 @@
 // mapResult maps an answer to a result. If withAnswer is true, the result includes the answer
 // unchanged.
 func (t *target) mapResult(response *http1.Response, withAnswer bool) core.Result {
-	result := front.Result(response.Status, response.Get, t.front.Columns)
+	result := front.ResultFromAnswer(response.Status, response.Get, t.front.ReportColumns)
 	if !withAnswer {
 		return result
 	}
--- a/internal/front/push/listener.go
+++ b/internal/front/push/listener.go
@@ -56,14 +56,14 @@
 	var oldest *client
 	for c := range f.clients {
 		idle := c.h2.Open() == 0 && f.Loop.Now().Sub(c.idleSince) >= evictableAfter
-		if idle && (oldest == nil || c.idleSince.Before(oldest.idleSince)) && !c.conn.Unread() {
+		if idle && (oldest == nil || c.idleSince.Before(oldest.idleSince)) && !c.conn.HasUnread() {
 			oldest = c
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	oldest.closeGracefully(net.Spared)
+	oldest.closeGracefully(net.Evicted)
 	return true
 }
 
@@ -139,7 +139,7 @@
 // unanswered reports whether a request has arrived, completely or in part, and has no answer yet. A
 // request above the last stream of a GOAWAY counts as answered once it has been read.
 func (c *client) unanswered() bool {
-	bytes, _ := c.conn.Look()
+	bytes, _ := c.conn.Pending()
 	return bytes || c.h2.Open() > 0 || c.h2.Begun()
 }
 
@@ -230,7 +230,7 @@
 		c.problem(m.Stream, 400, err.Error())
 		return
 	}
-	r.Origin, r.Body = f.Number, m.Body
+	r.Origin, r.Body = f.FrontIndex, m.Body
 	if earlier := f.messages[r.ID]; earlier != nil { // submitted and accepted before
 		c.respondCreated(m.Stream, earlier)
 		return
@@ -243,20 +243,20 @@
 	}
 	if maxHeld := f.Settings.MaxHeld; maxHeld > 0 && float64(f.core.Held()) >= share*float64(maxHeld) {
 		f.core.Counters.Refused++ // less urgent messages are rejected first when many are held
-		c.respondRejected(m.Stream, f.Settings.MaxRetry/2)
+		c.respondRejected(m.Stream, f.Settings.MaxRetryAfter/2)
 		return
 	}
-	err = f.core.TakeIn(r, func(a core.Answer, accepted *store.Message) bool {
+	err = f.core.Submit(r, func(a core.Answer, accepted *store.Message) bool {
 		if !c.conn.Up() {
 			return false
 		}
 		switch a.Verdict {
-		case core.Taken:
+		case core.Accepted:
 			f.messages[r.ID] = accepted
 			f.replace(topic{r.Destination, r.Tenant, params["topic"]}, r.ID)
 			c.respondCreated(m.Stream, accepted)
-		case core.Fixed:
-			c.respondRejected(m.Stream, a.After)
+		case core.FixedResponse:
+			c.respondRejected(m.Stream, a.RetryAfter)
 		default:
 			c.problem(m.Stream, 422, "it cannot be delivered in its time")
 		}
@@ -291,7 +291,7 @@
 			return r, errors.New("order-key: a hexadecimal number of 64 bits is wanted")
 		}
 	}
-	r.Destination, r.Left = uint32(dest), time.Duration(ttl)*time.Second
+	r.Destination, r.TimeLeft = uint32(dest), time.Duration(ttl)*time.Second
 	return r, nil
 }
 
@@ -342,10 +342,10 @@
 // flight continues to its final state, which can be queried.
 func (c *client) delete(m h2.Message, params map[string]string) {
 	f := c.front
-	switch f.core.Delete(f.Number, params["id"]) {
+	switch f.core.Delete(f.FrontIndex, params["id"]) {
 	case core.Deleted:
 		c.respond(m.Stream, 204, nil)
-	case core.Out:
+	case core.InFlight:
 		c.problem(m.Stream, 409, "an attempt is out and may deliver it: ask for its end")
 	default:
 		if msg := f.messages[params["id"]]; msg != nil && msg.State != store.Open {
@@ -371,7 +371,7 @@
 	switch {
 	case m.State == store.Withdrawn: // its time was over at the target
 		return store.Failed.String()
-	case m.State == store.Deleted && slices.Contains(c.front.Life.Ended.States, describe.Withdrawn):
+	case m.State == store.Deleted && slices.Contains(c.front.Lifecycle.Ended.States, describe.Withdrawn):
 		return describe.Withdrawn
 	case m.State == store.Deleted:
 		return store.Failed.String()
@@ -400,10 +400,10 @@
 // respondStatus writes the status that the AsyncAPI document defines.
 func (c *client) respondStatus(stream uint32, m *store.Message, waited int) {
 	var a fastjson.Arena
-	body, notice := a.NewObject(), &c.front.Life.Taken
+	body, notice := a.NewObject(), &c.front.Lifecycle.Taken
 	state := "taken"
 	if m.State != store.Open {
-		notice, state = &c.front.Life.Ended, c.stateText(m)
+		notice, state = &c.front.Lifecycle.Ended, c.stateText(m)
 	}
 	for _, field := range notice.Fields {
 		switch {
@@ -413,8 +413,8 @@
 			body.Set(field, a.NewString(state))
 		case field == "at" && m.State != store.Open:
 			body.Set(field, a.NewString(m.EndedAt.UTC().Format(time.RFC3339Nano)))
-		case field == "after_ms" && m.State == store.Returned && m.After > 0:
-			body.Set(field, a.NewNumberInt(int(m.After.Milliseconds()+1)))
+		case field == "after_ms" && m.State == store.Returned && m.RetryAfter > 0:
+			body.Set(field, a.NewNumberInt(int(m.RetryAfter.Milliseconds()+1)))
 		}
 	}
 	fields := []h2.Field{{Name: "content-type", Value: "application/json"}}
--- a/internal/front/push/push.go
+++ b/internal/front/push/push.go
@@ -21,15 +21,15 @@
 
 // Config holds the front's dependencies and settings.
 type Config struct {
-	Loop     *core.Loop
-	Engine   *net.Engine
-	Log      *slog.Logger
-	Number   int // index of this front in the core
-	Push     *config.Push
-	API      *describe.API
-	Life     *describe.Life
-	Columns  []string // names of the values of a load report
-	Settings snowjunction.Settings
+	Loop          *core.Loop
+	Engine        *net.Engine
+	Log           *slog.Logger
+	FrontIndex    int // index of this front in the core
+	Push          *config.Push
+	API           *describe.API
+	Lifecycle     *describe.Life
+	ReportColumns []string // names of the values of a load report
+	Settings      snowjunction.Settings
 }
 
 // Front is the push front. It belongs to the loop's goroutine.
@@ -66,7 +66,7 @@
 	f.topics[t], f.topicOf[id] = id, t
 	if there && old != id {
 		delete(f.topicOf, old)
-		f.Loop.Post(func() { f.core.Delete(f.Number, old) })
+		f.Loop.Post(func() { f.core.Delete(f.FrontIndex, old) })
 	}
 }
 
@@ -107,14 +107,14 @@
 func (f *Front) Start(c *core.Core, restored []*store.Message) error {
 	f.core = c
 	for _, m := range restored {
-		if int(m.Origin) == f.Number {
+		if int(m.Origin) == f.FrontIndex {
 			f.messages[m.ID] = m
 			if m.Settled {
 				f.addEnded(m)
 			}
 		}
 	}
-	if err := f.Relist(f.Push.Targets); err != nil {
+	if err := f.SetTargets(f.Push.Targets); err != nil {
 		return err
 	}
 	if f.Push.Listen == "" {
@@ -131,11 +131,11 @@
 // Addr returns the address that clients connect to; "" if the front does not listen.
 func (f *Front) Addr() string { return f.addr }
 
-// Relist replaces the front's targets. If the new ones are rejected, the current ones stay in use.
-func (f *Front) Relist(targets []core.Entry) error {
+// SetTargets replaces the front's targets. If the new ones are rejected, the current ones stay in use.
+func (f *Front) SetTargets(targets []core.Entry) error {
 	list, err := groups.ListOf(true, true, targets)
 	if err == nil {
-		err = f.core.Listed(f.Number, list)
+		err = f.core.UpdateList(f.FrontIndex, list)
 	}
 	if err != nil {
 		return fmt.Errorf("cannot use the push targets: %w", err)
@@ -202,8 +202,8 @@
 	}
 }
 
-// Unanswered reports whether any client's request is being read or waits for its answer.
-func (f *Front) Unanswered() bool {
+// HasUnanswered reports whether any client's request is being read or waits for its answer.
+func (f *Front) HasUnanswered() bool {
 	for c := range f.clients {
 		if c.unanswered() {
 			return true
--- a/internal/front/push/target.go
+++ b/internal/front/push/target.go
@@ -74,7 +74,7 @@
 	if shape.Query != "" {
 		path += "?" + shape.Query
 	}
-	x := &call{maySend: maySend, done: done, body: body, wantWhole: shape.Whole, fields: []h2.Field{
+	x := &call{maySend: maySend, done: done, body: body, wantWhole: shape.BufferAnswer, fields: []h2.Field{
 		{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"},
 		{Name: ":authority", Value: t.entry.Addr}, {Name: ":path", Value: path},
 		{Name: lower(front.HeaderRequestID), Value: m.ID},
@@ -134,7 +134,7 @@
 // peerClosed reports whether the target has closed the connection, even if the close has not been
 // handled yet.
 func (c *targetConn) peerClosed() bool {
-	_, ended := c.conn.Look()
+	_, ended := c.conn.Pending()
 	return ended
 }
 
@@ -153,8 +153,8 @@
 // CloseIdle closes the connections without calls.
 func (t *target) CloseIdle() { t.closeAllIdle(net.Dropped) }
 
-// Leave closes the idle connections now, and the others when their calls end.
-func (t *target) Leave() {
+// Retire closes the idle connections now, and the others when their calls end.
+func (t *target) Retire() {
 	t.removed = true
 	t.closeAllIdle(net.Drained)
 }
@@ -200,7 +200,7 @@
 		c.waiting = nil
 		c.closeConn(net.Drained)
 		for _, x := range queue {
-			x.finish(core.Result{Outcome: snowjunction.Moot})
+			x.finish(core.Result{Outcome: snowjunction.NotSent})
 		}
 		return
 	}
@@ -233,7 +233,7 @@
 	if c.conn.Write(c.h2.Output()) || len(rejected) > 0 {
 		for _, x := range rejected {
 			// Posted, because the core does not expect the result before Call returns.
-			c.target.front.Loop.Post(func() { x.finish(core.Result{Outcome: snowjunction.Moot}) })
+			c.target.front.Loop.Post(func() { x.finish(core.Result{Outcome: snowjunction.NotSent}) })
 		}
 		return
 	}
@@ -250,11 +250,11 @@
 	c.waiting = append(c.waiting, stillWaiting...)
 }
 
-// Left reports whether the request may have been sent.
-func (x *call) Left() bool { return x.stream != 0 }
+// Sent reports whether the request may have been sent.
+func (x *call) Sent() bool { return x.stream != 0 }
 
-// Kept returns how long the connection was idle before the call.
-func (x *call) Kept() time.Duration { return x.idleBefore }
+// IdleBefore returns how long the connection was idle before the call.
+func (x *call) IdleBefore() time.Duration { return x.idleBefore }
 
 // GiveUp resets the stream, which lets the target notice that the call is abandoned. Other calls on
 // the connection continue.
@@ -317,7 +317,7 @@
 func (c *targetConn) Closed(code net.Code) {
 	unsent := snowjunction.ConnectFailed
 	if code == net.Limit || c.up { // local limit or no free stream: says nothing about the target
-		unsent = snowjunction.Moot
+		unsent = snowjunction.NotSent
 	}
 	c.retire()
 	queue, calls := c.waiting, c.calls
@@ -394,9 +394,9 @@
 	if err != nil {
 		status = 500
 	}
-	r := front.Result(status, func(name string) string {
+	r := front.ResultFromAnswer(status, func(name string) string {
 		return h2.Get(m.Fields, strings.ToLower(name))
-	}, c.target.front.Columns)
+	}, c.target.front.ReportColumns)
 	if x.wantWhole {
 		r.Answer = &core.Reply{Status: status, Body: m.Body}
 		for _, f := range m.Fields {
@@ -420,9 +420,9 @@
 	res := x.lostResult()
 	switch {
 	case r.NotRun && c.h2.Left(): // the connection ends, but the target may be healthy
-		res.Outcome = snowjunction.Moot
+		res.Outcome = snowjunction.NotSent
 	case r.NotRun:
-		res.Outcome = snowjunction.Full
+		res.Outcome = snowjunction.Rejected
 	}
 	x.finish(res)
 }
--- a/internal/front/push_races_test.go
+++ b/internal/front/push_races_test.go
@@ -97,13 +97,13 @@
 			}
 			second := call("second", may)
 			if row.recording {
-				assert.False(t, second.Left())
+				assert.False(t, second.Sent())
 				until("the call is not sent", func() bool { _, there := results["second"]; return there })
-				assert.Equal(t, snowjunction.Moot, results["second"].Outcome)
+				assert.Equal(t, snowjunction.NotSent, results["second"].Outcome)
 				second = call("second", always)
 			}
 			until("the call arrives on another connection", func() bool { return p.hasReceived(1, "second", 1) })
-			assert.True(t, second.Left())
+			assert.True(t, second.Sent())
 			assert.False(t, p.hasReceived(0, "second", 1))
 		})
 	}
@@ -128,12 +128,12 @@
 	life, err := describe.AsyncAPI("asyncapi.json", read("asyncapi.json"))
 	require.NoError(t, err)
 	settings := snowjunction.Settings{
-		Seed: 1, Fleet: 1, Tick: 5 * time.Millisecond, Slots: 8, MaxHeld: 10, MaxAttempts: 6, MaxRetry: 3 * time.Second,
+		Seed: 1, Fleet: 1, Tick: 5 * time.Millisecond, Slots: 8, MaxHeld: 10, MaxAttempts: 6, MaxRetryAfter: 3 * time.Second,
 		ConnectTimeout: time.Second, Kinds: []snowjunction.Kind{{BundleMax: 1}},
-		Classes: []snowjunction.Class{{Name: "status", Aim: time.Second, Deadline: 8 * time.Second, Worth: 2}},
+		Classes: []snowjunction.Class{{Name: "status", TargetLatency: time.Second, Deadline: 8 * time.Second, Value: 2}},
 	}
 	s.push = push.New(push.Config{
-		Loop: s.loop, Engine: s.engine, Log: log, API: api, Life: life, Settings: settings,
+		Loop: s.loop, Engine: s.engine, Log: log, API: api, Lifecycle: life, Settings: settings,
 		Push: &config.Push{Listen: "127.0.0.1:0", MaxConns: 8, TargetConns: 4, Retain: time.Minute},
 	})
 	s.core, err = core.New(core.Config{Loop: s.loop, Log: log, Journal: journal, Settings: settings, Fronts: []core.Front{s.push}})
@@ -214,7 +214,7 @@
 			c := s.client()
 			if row.read > 0 {
 				c.send(t, whole[:row.read])
-				s.until("a part is read", s.push.Unanswered)
+				s.until("a part is read", s.push.HasUnanswered)
 				s.settlePush()
 			}
 			if !row.late {
@@ -222,14 +222,14 @@
 			}
 			s.core.Drain()
 			s.push.Drain()
-			require.True(t, s.push.Unanswered(), "the process waits for the answer")
+			require.True(t, s.push.HasUnanswered(), "the process waits for the answer")
 			if row.late {
 				c.send(t, whole[row.read:])
 			}
 			s.until("the connection is closed", func() bool { return c.server.connClosed(0) })
 			assert.Equal(t, io.EOF, c.err, "closed without a reset")
 			assert.Equal(t, row.result, c.streamResult(t, 3))
-			assert.False(t, s.push.Unanswered())
+			assert.False(t, s.push.HasUnanswered())
 		})
 	}
 }
--- a/internal/front/races_test.go
+++ b/internal/front/races_test.go
@@ -246,7 +246,7 @@
 // newTestCourierWith returns a courier with these connection limits.
 func newTestCourierWith(t *testing.T, limits net.Config, change ...func(*snowjunction.Settings)) *testCourier {
 	s := prepareTestCourier(t, limits, nil, change...)
-	s.start(platform.Begin{Watch: true, List: config.List{Held: true, Full: true, Generation: 1, Targets: s.initialEntries()}})
+	s.start(platform.InitialList{Watchable: true, List: config.List{Present: true, Full: true, Generation: 1, Targets: s.initialEntries()}})
 	return s
 }
 
@@ -255,7 +255,7 @@
 	return []core.Entry{{Name: "s-1", Addr: s.target.listener.Addr().String(), Destination: 7, Weight: 1, Phase: snowjunction.Ready}}
 }
 
-func (s *testCourier) start(initial platform.Begin) {
+func (s *testCourier) start(initial platform.InitialList) {
 	require.NoError(s.t, s.front.Start(s.core, initial))
 	s.t.Cleanup(s.front.Close)
 }
@@ -265,12 +265,12 @@
 	s := &testCourier{t: t, discovery: newFakeServer(t), target: newFakeServer(t)}
 	journal := s.setUp(limits)
 	settings := snowjunction.Settings{
-		Seed: 1, Fleet: 1, Tick: 5 * time.Millisecond, Slots: 8, MaxHeld: 10, MaxAttempts: 6, RetryAfter: true, MaxRetry: 3 * time.Second,
+		Seed: 1, Fleet: 1, Tick: 5 * time.Millisecond, Slots: 8, MaxHeld: 10, MaxAttempts: 6, RetryAfter: true, MaxRetryAfter: 3 * time.Second,
 		ConnectTimeout: time.Second, ConnIdle: 15 * time.Second, OrderSettle: 100 * time.Millisecond, DrainGrace: time.Second,
 		Kinds: []snowjunction.Kind{{BundleMax: 1}},
 		Classes: []snowjunction.Class{
-			{Name: "order", Effect: snowjunction.Keyed, Window: 5 * time.Second, Aim: time.Second, Deadline: 20 * time.Second, Worth: 1, InOrder: true},
-			{Name: "debit", Effect: snowjunction.Unsafe, Aim: time.Second, Deadline: 20 * time.Second, Worth: 1},
+			{Name: "order", Effect: snowjunction.Keyed, Window: 5 * time.Second, TargetLatency: time.Second, Deadline: 20 * time.Second, Value: 1, InOrder: true},
+			{Name: "debit", Effect: snowjunction.Unsafe, TargetLatency: time.Second, Deadline: 20 * time.Second, Value: 1},
 		},
 	}
 	for _, modify := range change {
@@ -282,7 +282,7 @@
 	var err error
 	s.core, err = core.New(core.Config{
 		Loop: s.loop, Log: log, Journal: journal, Settings: settings, Fronts: []core.Front{s.front},
-		Directories: map[int]core.Directory{0: {Belief: belief.Default(), Trust: distrust.Default()}},
+		Directories: map[int]core.Directory{0: {Confidence: belief.Default(), Plausibility: distrust.Default()}},
 	})
 	require.NoError(t, err)
 	return s
@@ -436,7 +436,7 @@
 	s.after(21 * time.Millisecond)
 	s.until("the notice is sent again on a new connection", func() bool { return s.discovery.hasReceived(2, notice, 1) })
 	s.discovery.at(2).send(t, "HTTP/1.1 204 No Content\r\n\r\n")
-	s.until("the notice is answered", s.front.Quiet)
+	s.until("the notice is answered", s.front.NoticesSettled)
 }
 
 // Guards against taking unsolicited bytes on an idle connection for the answer to the next call,
@@ -467,7 +467,7 @@
 			assert.Len(t, results, 1, "the second call has no answer yet")
 			s.target.at(1).send(t, httpAnswer("503 Service Unavailable", ""))
 			s.until("the second call gets its own answer", func() bool { return len(results) == 2 })
-			assert.Equal(t, snowjunction.Full, results[1].Outcome)
+			assert.Equal(t, snowjunction.Rejected, results[1].Outcome)
 		})
 	}
 }
@@ -507,16 +507,16 @@
 			c := s.client()
 			if read > 0 {
 				c.send(t, whole[:read])
-				s.until("a part is read", s.front.Unanswered)
+				s.until("a part is read", s.front.HasUnanswered)
 				s.settle()
 			}
 			c.send(t, whole[read:])
 			s.core.Drain()
 			s.front.Drain()
-			assert.True(t, s.front.Unanswered(), "the process waits for the answer")
+			assert.True(t, s.front.HasUnanswered(), "the process waits for the answer")
 			s.until("the request is answered", func() bool { return c.server.hasReceived(0, "-BUSY 40", 1) })
 			s.until("the connection is closed", func() bool { return c.server.connClosed(0) })
-			assert.False(t, s.front.Unanswered())
+			assert.False(t, s.front.HasUnanswered())
 		})
 	}
 }
@@ -542,7 +542,7 @@
 	s.after(5 * time.Millisecond)
 	assert.False(t, s.target.hasReceived(0, "m2", 1), "the key waits until the notice is answered")
 	s.discovery.at(1).send(t, "HTTP/1.1 204 No Content\r\n\r\n")
-	s.until("the notice is answered", s.front.Quiet)
+	s.until("the notice is answered", s.front.NoticesSettled)
 	s.after(5 * time.Millisecond)
 	s.after(5 * time.Millisecond)
 	s.until("the next message is sent", func() bool { return s.target.hasReceived(0, "m2", 1) || s.target.hasReceived(1, "m2", 1) })
--- a/internal/front/result.go
+++ b/internal/front/result.go
@@ -27,30 +27,30 @@
 
 const maxRetryAfter = 24 * time.Hour // a longer retry-after delay is taken for a mistake
 
-// Result maps a target's answer to a result. Columns are the names of the values in its load
+// ResultFromAnswer maps a target's answer to a result. Columns are the names of the values in its load
 // report.
-func Result(status int, get func(string) string, columns []string) core.Result {
+func ResultFromAnswer(status int, get func(string) string, columns []string) core.Result {
 	result := core.Result{Report: parseReport(get(HeaderServerLoad), columns)}
 	switch status {
 	case 200:
 		result.Outcome = snowjunction.OK
 	case 429:
-		result.Outcome = snowjunction.Full
+		result.Outcome = snowjunction.Rejected
 		ms, err := strconv.ParseFloat(get(HeaderRateLimitWait), 64)
 		if err == nil && ms > 0 && ms < float64(maxRetryAfter.Milliseconds()) {
-			result.Wait = time.Duration(ms * float64(time.Millisecond))
+			result.RetryAfter = time.Duration(ms * float64(time.Millisecond))
 		}
 	case 503:
-		result.Outcome = snowjunction.Full
+		result.Outcome = snowjunction.Rejected
 		if get(HeaderOverSlots) == "1" { // not sent: this courier's slots were taken
-			result.Outcome = snowjunction.Moot
+			result.Outcome = snowjunction.NotSent
 		}
 	case 504: // all attempts were made; the final result is still to be reported
-		result.Outcome = snowjunction.Moot
+		result.Outcome = snowjunction.NotSent
 	case 410:
-		result.Outcome, result.Over = snowjunction.Moot, true
+		result.Outcome, result.Unwanted = snowjunction.NotSent, true
 	case 421: // RFC 9110, 15.5.20: the server is not responsible for this host
-		result.Outcome, result.Elsewhere = snowjunction.Error, true
+		result.Outcome, result.WrongEndpoint = snowjunction.Error, true
 	default:
 		result.Outcome = snowjunction.Error
 	}
--- a/internal/front/told_test.go
+++ b/internal/front/told_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-func (o *discoveryOutage) connOpen() bool { return o.front.Engine.Open() > 0 }
+func (o *discoveryOutage) connOpen() bool { return o.front.Engine.OpenCount() > 0 }
 
 // nextRequest waits for the pause to end and the next request to arrive, on a new connection.
 func (o *discoveryOutage) nextRequest() *testConn {
@@ -149,7 +149,7 @@
 		e.send(o.t, "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{")
 		for len(o.discoveryCloseCodes) == n {
 			o.settle()
-			o.until("the data is read", func() bool { return o.front.Engine.Open() <= 1 })
+			o.until("the data is read", func() bool { return o.front.Engine.OpenCount() <= 1 })
 			o.pass(500*time.Millisecond, func() bool { return len(o.discoveryCloseCodes) > n })
 			if len(o.discoveryCloseCodes) == n {
 				e.send(o.t, " ")
@@ -170,7 +170,7 @@
 	e.send(o.t, httpAnswer("200 OK", fmt.Sprintf(`{"generation":2,"reset":true,"instances":[{"instanceId":"s-1","hostPort":%q,"cell":7,`+
 		`"lifecycle":"Terminating","zone":"a","machineType":"k"}]}`, o.target.listener.Addr())))
 	o.until("the change is received", func() bool {
-		generation, _, _ := o.front.Told()
+		generation, _, _ := o.front.CurrentList()
 		return generation == 2
 	})
 	assert.LessOrEqual(o.t, o.now.Sub(changed)+slowConnect, updateBound)
@@ -237,7 +237,7 @@
 			for range 3 {
 				failure(o)
 				o.discovery, o.connNumber = newFakeServer(t), 0
-				o.front.Move(o.discovery.listener.Addr().String())
+				o.front.MoveDiscovery(o.discovery.listener.Addr().String())
 				o.stepStart = o.now
 			}
 			failure(o)
--- a/internal/groups/groups.go
+++ b/internal/groups/groups.go
@@ -206,9 +206,9 @@
 // Nth returns the nth endpoint in the order of From.
 func (t *Table) Nth(n int) Entry { return t.entry(uint32(n)) }
 
-// From yields the endpoints from the nth on. They are in listing order as long as none has been
+// EntriesFrom yields the endpoints from the nth on. They are in listing order as long as none has been
 // removed.
-func (t *Table) From(n int) iter.Seq[Entry] {
+func (t *Table) EntriesFrom(n int) iter.Seq[Entry] {
 	return func(yield func(Entry) bool) {
 		for ; n < t.n; n++ {
 			if !yield(t.entry(uint32(n))) {
@@ -412,7 +412,7 @@
 	if l.Full || l.Shared {
 		return nil
 	}
-	for e := range l.Entries.From(0) {
+	for e := range l.Entries.EntriesFrom(0) {
 		if e.Phase != snowjunction.Ready {
 			continue
 		}
--- a/internal/groups/groups_test.go
+++ b/internal/groups/groups_test.go
@@ -75,7 +75,7 @@
 			require.Equal(t, want, got)
 		}
 		n := 0
-		for range table.From(0) {
+		for range table.EntriesFrom(0) {
 			n++
 		}
 		require.Equal(t, len(model), n)
--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -22,23 +22,23 @@
 
 // The frame kinds. A frame carries at most one descriptor.
 const (
-	Hello    Kind = iota + 1 // the successor asks; Text is its courier's name
-	Refusal                  // the owner refuses; Text is the reason
-	Listens                  // a listener; carries a descriptor
-	Clients                  // a client connection; carries a descriptor
-	Calls                    // a call in flight; carries a descriptor
-	Dues                     // an outstanding answer of the preceding client
-	Reads                    // unprocessed bytes of the preceding client or call
-	Knows                    // state of a destination
-	Keys                     // an idempotency key
-	Rests                    // the pause of an ordering key
-	Lists                    // a chunk of the directory's list
-	End                      // end of the state; Number is the number of its frames
-	ReadyFor                 // the successor has received the state
-	DeedTo                   // the lock; carries a descriptor
-	Took                     // the successor owns the folder
-	Ask                      // a request from the second address for the owner, in Text
-	Told                     // the owner's answer, in Text
+	KindHello          Kind = iota + 1 // the successor asks; Text is its courier's name
+	KindRefusal                        // the owner refuses; Text is the reason
+	KindListener                       // a listener; carries a descriptor
+	KindClient                         // a client connection; carries a descriptor
+	KindCall                           // a call in flight; carries a descriptor
+	KindReply                          // an outstanding answer of the preceding client
+	KindUnprocessed                    // unprocessed bytes of the preceding client or call
+	KindDestination                    // state of a destination
+	KindIdempotencyKey                 // an idempotency key
+	KindKeyPause                       // the pause of an ordering key
+	KindList                           // a chunk of the directory's list
+	KindEnd                            // end of the state; Number is the number of its frames
+	KindReady                          // the successor has received the state
+	KindLock                           // the lock; carries a descriptor
+	KindOwned                          // the successor owns the folder
+	KindQuery                          // a request from the second address for the owner, in Text
+	KindAnswer                         // the owner's answer, in Text
 	endOfKinds
 )
 
@@ -65,7 +65,7 @@
 
 // Encode returns the frame's packet, without its descriptor.
 func (f Frame) Encode() []byte {
-	b := append(make([]byte, record.Frame), Version, byte(f.Kind))
+	b := append(make([]byte, record.FrameSize), Version, byte(f.Kind))
 	b = binary.AppendUvarint(record.AppendText(b, f.Text), f.Number)
 	return record.Seal(append(b, f.body...))
 }
@@ -79,10 +79,10 @@
 	case payload[0] != Version:
 		return Frame{}, fmt.Errorf("%w: %d", ErrVersion, payload[0])
 	}
-	r := record.Reader{B: payload[1:]}
-	f := Frame{Kind: Kind(r.Byte()), Text: r.Text(maxTextBytes), Number: r.Uint(math.MaxUint64), FD: fd, body: r.B}
-	hasDescriptor := f.Kind == Listens || f.Kind == Clients || f.Kind == Calls || f.Kind == DeedTo
-	if r.Bad || f.Kind < Hello || f.Kind >= endOfKinds || hasDescriptor != (fd >= 0) {
+	r := record.Reader{Data: payload[1:]}
+	f := Frame{Kind: Kind(r.Byte()), Text: r.Text(maxTextBytes), Number: r.Uint(math.MaxUint64), FD: fd, body: r.Data}
+	hasDescriptor := f.Kind == KindListener || f.Kind == KindClient || f.Kind == KindCall || f.Kind == KindLock
+	if r.Failed || f.Kind < KindHello || f.Kind >= endOfKinds || hasDescriptor != (fd >= 0) {
 		return Frame{}, fmt.Errorf("%w: kind %d", ErrFrame, f.Kind)
 	}
 	return f, nil
@@ -132,7 +132,7 @@
 
 // Frames calls yield with the frames of the state in order, up to and including the End frame or
 // until yield returns false.
-func (e *Estate) Frames(yield func(Frame) bool) {
+func (e *State) Frames(yield func(Frame) bool) {
 	n, more := uint64(0), true
 	emit := func(k Kind, text string, fd int, body []byte) {
 		if more {
@@ -148,37 +148,37 @@
 		}
 	}
 	for _, l := range e.Listeners {
-		emit(Listens, l.Kind, l.FD, nil)
+		emit(KindListener, l.Kind, l.FD, nil)
 	}
 	for _, c := range e.Clients {
-		emit(Clients, "", c.FD, appendTime(appendFlag(appendConn(nil, c.Conn), c.Served), c.Changed))
-		for _, d := range c.Due {
-			emit(Dues, "", -1, d.append(nil))
+		emit(KindClient, "", c.FD, appendTime(appendFlag(appendConn(nil, c.Conn), c.Served), c.Changed))
+		for _, d := range c.Replies {
+			emit(KindReply, "", -1, d.append(nil))
 		}
-		emitChunks(Reads, c.Bytes)
+		emitChunks(KindUnprocessed, c.Unprocessed)
 	}
 	for _, c := range e.Calls {
-		emit(Calls, "", c.FD, c.append(nil))
-		emitChunks(Reads, c.Bytes)
+		emit(KindCall, "", c.FD, c.append(nil))
+		emitChunks(KindUnprocessed, c.Unprocessed)
 	}
-	for _, k := range e.Known {
+	for _, k := range e.Destinations {
 		b := appendTime(binary.AppendUvarint(nil, uint64(k.Destination)), k.At)
-		emit(Knows, "", -1, append(appendFlag(appendFlag(b, k.Awake), k.Restart), k.Text...))
+		emit(KindDestination, "", -1, append(appendFlag(appendFlag(b, k.Loaded), k.FromRestart), k.Snapshot...))
 	}
 	for _, k := range e.Keys {
 		b := record.AppendText(record.AppendText(binary.AppendUvarint(nil, uint64(k.Destination)), k.Text), k.ID)
-		emit(Keys, "", -1, appendTime(appendTime(b, k.At), k.Until))
+		emit(KindIdempotencyKey, "", -1, appendTime(appendTime(b, k.At), k.Until))
 	}
-	for _, k := range e.Rests {
-		emit(Rests, "", -1, appendTime(binary.AppendUvarint(nil, k.Key), k.Until))
+	for _, k := range e.KeyPauses {
+		emit(KindKeyPause, "", -1, appendTime(binary.AppendUvarint(nil, k.Key), k.Until))
 	}
-	emitChunks(Lists, e.List)
+	emitChunks(KindList, e.List)
 	if more {
 		live := ""
-		if e.Live {
+		if e.ListConfirmed {
 			live = "live"
 		}
-		yield(Frame{Kind: End, Text: live, Number: n, FD: -1})
+		yield(Frame{Kind: KindEnd, Text: live, Number: n, FD: -1})
 	}
 }
 
@@ -188,7 +188,7 @@
 	flagForwarded
 )
 
-func (d Due) append(b []byte) []byte {
+func (d Reply) append(b []byte) []byte {
 	if b = appendFlag(b, d.Request != nil); d.Request == nil {
 		return append(b, d.Text...)
 	}
@@ -199,7 +199,7 @@
 	b = binary.AppendUvarint(binary.AppendUvarint(b, q.Key), uint64(q.Destination))
 	b = appendTime(b, q.Deadline)
 	flags := byte(0)
-	if q.Again {
+	if q.Resubmitted {
 		flags |= flagResubmitted
 	}
 	if q.Forwarded {
@@ -216,13 +216,13 @@
 	b = binary.AppendUvarint(b, uint64(e.Destination))
 	b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(max(e.Zone, 0))), uint64(max(e.Kind, 0)))
 	b = binary.BigEndian.AppendUint64(b, math.Float64bits(e.Weight))
-	b = appendTime(appendTime(b, c.Began), c.Until)
-	return appendFlag(binary.AppendVarint(b, int64(c.Kept)), c.WholeWants)
+	b = appendTime(appendTime(b, c.Began), c.Deadline)
+	return appendFlag(binary.AppendVarint(b, int64(c.IdleTime)), c.WantsWholeAnswer)
 }
 
 // Collector assembles a handover state from its frames.
 type Collector struct {
-	Estate      Estate
+	State       State
 	unprocessed *[]byte // target of the next frame of unprocessed bytes
 	received    uint64
 }
@@ -230,41 +230,41 @@
 // Add adds a frame. done is true once the state is complete. After an error the collected state is
 // unusable, but the caller must close its descriptors.
 func (c *Collector) Add(f Frame) (done bool, err error) {
-	e, r := &c.Estate, &fieldReader{record.Reader{B: f.body}}
+	e, r := &c.State, &fieldReader{record.Reader{Data: f.body}}
 	bad := func() error { return fmt.Errorf("%w: kind %d out of order or malformed", ErrFrame, f.Kind) }
 	c.received++
 	switch f.Kind {
-	case Listens:
+	case KindListener:
 		e.Listeners = append(e.Listeners, Listener{f.Text, f.FD})
-	case Clients:
+	case KindClient:
 		e.Clients = append(e.Clients, Client{Conn: r.conn(f.FD), Served: r.flag(), Changed: r.time()})
-		c.unprocessed = &e.Clients[len(e.Clients)-1].Bytes
-	case Dues:
+		c.unprocessed = &e.Clients[len(e.Clients)-1].Unprocessed
+	case KindReply:
 		if len(e.Clients) == 0 || len(e.Calls) > 0 {
 			return false, bad()
 		}
 		last := &e.Clients[len(e.Clients)-1]
-		last.Due = append(last.Due, r.reply())
-	case Calls:
+		last.Replies = append(last.Replies, r.reply())
+	case KindCall:
 		e.Calls = append(e.Calls, r.call(f.FD))
-		c.unprocessed = &e.Calls[len(e.Calls)-1].Bytes
-	case Reads:
+		c.unprocessed = &e.Calls[len(e.Calls)-1].Unprocessed
+	case KindUnprocessed:
 		if c.unprocessed == nil {
 			return false, bad()
 		}
 		*c.unprocessed = append(*c.unprocessed, f.body...)
-	case Knows:
-		k := Known{Destination: uint32(r.Uint(math.MaxUint32)), At: r.time(), Awake: r.flag(), Restart: r.flag()}
-		k.Text = append([]byte(nil), r.B...)
-		e.Known = append(e.Known, k)
-	case Keys:
+	case KindDestination:
+		k := DestinationState{Destination: uint32(r.Uint(math.MaxUint32)), At: r.time(), Loaded: r.flag(), FromRestart: r.flag()}
+		k.Snapshot = append([]byte(nil), r.Data...)
+		e.Destinations = append(e.Destinations, k)
+	case KindIdempotencyKey:
 		e.Keys = append(e.Keys, Key{Destination: uint32(r.Uint(math.MaxUint32)), Text: r.Text(maxNameBytes), ID: r.Text(maxNameBytes), At: r.time(), Until: r.time()})
-	case Rests:
-		e.Rests = append(e.Rests, Rest{r.Uint(math.MaxUint64), r.time()})
-	case Lists:
+	case KindKeyPause:
+		e.KeyPauses = append(e.KeyPauses, KeyPause{r.Uint(math.MaxUint64), r.time()})
+	case KindList:
 		e.List = append(e.List, f.body...)
-	case End:
-		e.Live = f.Text == "live"
+	case KindEnd:
+		e.ListConfirmed = f.Text == "live"
 		if f.Number != c.received-1 {
 			return false, fmt.Errorf("%w: %d frames of %d", ErrFrame, c.received-1, f.Number)
 		}
@@ -272,23 +272,23 @@
 	default:
 		return false, bad()
 	}
-	if r.Bad {
+	if r.Failed {
 		return false, bad()
 	}
 	return false, nil
 }
 
-func (r *fieldReader) reply() Due {
+func (r *fieldReader) reply() Reply {
 	if !r.flag() {
-		return Due{Text: append([]byte(nil), r.B...)}
+		return Reply{Text: append([]byte(nil), r.Data...)}
 	}
 	q := &Request{ID: r.Text(maxNameBytes), IdempotencyKey: r.Text(maxNameBytes), Class: r.Text(maxNameBytes), Tenant: r.Text(maxNameBytes)}
 	q.Key, q.Destination = r.Uint(math.MaxUint64), uint32(r.Uint(math.MaxUint32))
 	q.Deadline = r.time()
 	flags := r.Byte()
-	q.Again, q.Forwarded, q.Order = flags&flagResubmitted != 0, flags&flagForwarded != 0, r.Uint(math.MaxUint64)
-	q.Body = append([]byte(nil), r.B...)
-	return Due{Request: q}
+	q.Resubmitted, q.Forwarded, q.Order = flags&flagResubmitted != 0, flags&flagForwarded != 0, r.Uint(math.MaxUint64)
+	q.Body = append([]byte(nil), r.Data...)
+	return Reply{Request: q}
 }
 
 func (r *fieldReader) call(fd int) Call {
@@ -297,7 +297,7 @@
 	if v := r.Take(8); len(v) == 8 {
 		c.Endpoint.Weight = math.Float64frombits(binary.BigEndian.Uint64(v))
 	}
-	c.Began, c.Until, c.Kept = r.time(), r.time(), time.Duration(r.Int())
-	c.WholeWants = r.flag()
+	c.Began, c.Deadline, c.IdleTime = r.time(), r.time(), time.Duration(r.Int())
+	c.WantsWholeAnswer = r.flag()
 	return c
 }
--- a/internal/handover/frame_test.go
+++ b/internal/handover/frame_test.go
@@ -19,7 +19,7 @@
 var noon = time.Unix(1772366400, 5)
 
 // fullState returns a handover state with all fields set and descriptors of its own.
-func fullState(t testing.TB) *Estate {
+func fullState(t testing.TB) *State {
 	fd := func() int {
 		f, err := os.Open(os.DevNull)
 		require.NoError(t, err)
@@ -29,29 +29,29 @@
 		return n
 	}
 	conn := func(bytes string) Conn {
-		return Conn{FD: fd(), Peer: "127.0.0.1:9", Since: noon, In: 7, Out: 5, Bytes: []byte(bytes)}
+		return Conn{FD: fd(), Peer: "127.0.0.1:9", Since: noon, In: 7, Out: 5, Unprocessed: []byte(bytes)}
 	}
-	return &Estate{
+	return &State{
 		Listeners: []Listener{{"client", fd()}},
 		Clients: []Client{
-			{Conn: conn("*5\r\n$7\r\nOUT"), Served: true, Changed: noon, Due: []Due{
-				{Request: &Request{ID: "m1", IdempotencyKey: "k", Key: 9, Class: "order", Tenant: "town", Destination: 7, Deadline: noon, Again: true, Forwarded: true, Order: 3, Body: []byte("x\x00y")}},
+			{Conn: conn("*5\r\n$7\r\nOUT"), Served: true, Changed: noon, Replies: []Reply{
+				{Request: &Request{ID: "m1", IdempotencyKey: "k", Key: 9, Class: "order", Tenant: "town", Destination: 7, Deadline: noon, Resubmitted: true, Forwarded: true, Order: 3, Body: []byte("x\x00y")}},
 				{Text: []byte("+OK\r\n")},
 			}},
 			{Conn: conn(strings.Repeat("long", maxChunkBytes/3))},
 		},
 		Calls: []Call{{
 			Conn: conn("HTTP/1.1 2"), Seq: 12, Endpoint: Endpoint{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Zone: 1, Kind: 2, Weight: 1.5},
-			Began: noon, Until: noon.Add(time.Second), Kept: time.Millisecond, WholeWants: true,
+			Began: noon, Deadline: noon.Add(time.Second), IdleTime: time.Millisecond, WantsWholeAnswer: true,
 		}},
-		Known: []Known{{Destination: 7, At: noon, Text: []byte("state"), Awake: true}},
-		Keys:  []Key{{Destination: 7, Text: "k", ID: "m0", At: noon, Until: noon.Add(time.Second)}},
-		Rests: []Rest{{Key: 9, Until: noon}},
-		List:  []byte("list"), Live: true,
+		Destinations: []DestinationState{{Destination: 7, At: noon, Snapshot: []byte("state"), Loaded: true}},
+		Keys:         []Key{{Destination: 7, Text: "k", ID: "m0", At: noon, Until: noon.Add(time.Second)}},
+		KeyPauses:    []KeyPause{{Key: 9, Until: noon}},
+		List:         []byte("list"), ListConfirmed: true,
 	}
 }
 
-func collectFrames(e *Estate) (out []Frame) {
+func collectFrames(e *State) (out []Frame) {
 	for f := range e.Frames {
 		out = append(out, f)
 	}
@@ -73,13 +73,13 @@
 		require.NoError(t, err)
 		require.Equal(t, i == len(all)-1, done)
 	}
-	assert.Equal(t, e, &got.Estate)
+	assert.Equal(t, e, &got.State)
 }
 
 // Truncated and corrupt frames and those of other protocols or versions are rejected; so is a state
 // with a missing or misplaced frame.
 func TestInvalidFrames(t *testing.T) {
-	good := Frame{Kind: Hello, Text: "n0", FD: -1}.Encode()
+	good := Frame{Kind: KindHello, Text: "n0", FD: -1}.Encode()
 	for at := range good {
 		_, err := Decode(good[:at], -1)
 		assert.ErrorIs(t, err, ErrFrame)
@@ -87,7 +87,7 @@
 	for what, b := range map[string][]byte{
 		"bit":     append(append([]byte{}, good[:len(good)-1]...), good[len(good)-1]^1),
 		"foreign": []byte("GET / HTTP/1.1\r\n\r\n"), "more": append(append([]byte{}, good...), 0),
-		"kind": Frame{Kind: endOfKinds, FD: -1}.Encode(), "no descriptor": Frame{Kind: DeedTo}.Encode(),
+		"kind": Frame{Kind: endOfKinds, FD: -1}.Encode(), "no descriptor": Frame{Kind: KindLock}.Encode(),
 	} {
 		_, err := Decode(b, -1)
 		assert.ErrorIs(t, err, ErrFrame, what)
@@ -95,7 +95,7 @@
 	_, err := Decode(good, 5)
 	assert.ErrorIs(t, err, ErrFrame, "an unexpected descriptor")
 	other := append([]byte{}, good...)
-	other[record.Frame] = Version + 1
+	other[record.FrameSize] = Version + 1
 	_, err = Decode(record.Seal(other), -1)
 	assert.ErrorIs(t, err, ErrVersion)
 
@@ -115,7 +115,7 @@
 		}
 	}
 	var got Collector
-	_, err = got.Add(Frame{Kind: Reads, FD: -1})
+	_, err = got.Add(Frame{Kind: KindUnprocessed, FD: -1})
 	assert.ErrorIs(t, err, ErrFrame)
 }
 
@@ -132,7 +132,7 @@
 		}
 		if x, err := Decode(b, fd); err == nil {
 			var got Collector
-			_, _ = got.Add(Frame{Kind: Clients, FD: 1 << 20, body: appendTime(appendFlag(appendConn(nil, Conn{}), false), noon)})
+			_, _ = got.Add(Frame{Kind: KindClient, FD: 1 << 20, body: appendTime(appendFlag(appendConn(nil, Conn{}), false), noon)})
 			_, _ = got.Add(x)
 		}
 	})
@@ -159,7 +159,7 @@
 	link, err := Dial(dir)
 	require.NoError(t, err)
 	defer link.Close()
-	require.NoError(t, link.Send(Frame{Kind: DeedTo, FD: lock.FD()}))
+	require.NoError(t, link.Send(Frame{Kind: KindLock, FD: lock.FD()}))
 	lock.Close()
 	assert.True(t, locked(), "in transit")
 	other := <-received
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -13,7 +13,7 @@
 
 // Timeouts.
 const (
-	StepWithin   = 2 * time.Second        // for the peer's next frame
+	StepTimeout  = 2 * time.Second        // for the peer's next frame
 	QueryTimeout = 400 * time.Millisecond // for the owner's answer to a query
 )
 
@@ -34,7 +34,7 @@
 	if f.FD >= 0 {
 		rights = unix.UnixRights(f.FD)
 	}
-	if err := l.conn.SetWriteDeadline(time.Now().Add(StepWithin)); err != nil {
+	if err := l.conn.SetWriteDeadline(time.Now().Add(StepTimeout)); err != nil {
 		return fmt.Errorf("handover link: %w", err)
 	}
 	if _, _, err := l.conn.WriteMsgUnix(f.Encode(), rights, nil); err != nil {
@@ -93,7 +93,7 @@
 func (l *Link) Close() { l.conn.Close() }
 
 // Close closes all descriptors of the handover state.
-func (e *Estate) Close() {
+func (e *State) Close() {
 	e.EachDescriptor(func(fd *int) {
 		if *fd >= 0 {
 			unix.Close(*fd)
@@ -185,7 +185,7 @@
 			go func() {
 				defer func() { <-slots }()
 				link := newLink(c)
-				f, err := link.Receive(StepWithin)
+				f, err := link.Receive(StepTimeout)
 				if err != nil && !errors.Is(err, ErrVersion) {
 					onError(err)
 					link.Close()
--- a/internal/idlestore/idlestore.go
+++ b/internal/idlestore/idlestore.go
@@ -22,12 +22,12 @@
 
 // Options configure a Store.
 type Options struct {
-	Path   string
-	Bytes  int64         // approximate size of the file; the oldest entries are dropped first
-	Forget time.Duration // older entries are dropped when the store is opened
-	Post   func(func())  // runs the callbacks of Take
-	Log    *slog.Logger
-	Now    func() time.Time
+	Path     string
+	MaxBytes int64         // approximate size of the file; the oldest entries are dropped first
+	MaxAge   time.Duration // older entries are dropped when the store is opened
+	Post     func(func())  // runs the callbacks of Take
+	Log      *slog.Logger
+	Now      func() time.Time
 }
 
 // Store is an open store.
@@ -125,7 +125,7 @@
 // load creates the buckets, drops entries that are too old and records which destinations have an
 // entry.
 func (s *Store) load() error {
-	oldest := s.options.Now().Add(-s.options.Forget)
+	oldest := s.options.Now().Add(-s.options.MaxAge)
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		m, err := tx.CreateBucketIfNotExists(snapshotBucket)
 		if err != nil {
@@ -331,7 +331,7 @@
 				return err
 			}
 		}
-		most := int(s.options.Bytes / entryBytes)
+		most := int(s.options.MaxBytes / entryBytes)
 		return s.prune(tx, func(_ time.Time, n int) bool { return n > most })
 	})
 }
--- a/internal/idlestore/idlestore_test.go
+++ b/internal/idlestore/idlestore_test.go
@@ -25,7 +25,7 @@
 	f := &fixture{t: t, posts: make(chan func(), 100)}
 	var err error
 	f.Store, err = Open(Options{
-		Path: path, Bytes: 64 * entryBytes, Forget: time.Hour, Post: func(g func()) { f.posts <- g },
+		Path: path, MaxBytes: 64 * entryBytes, MaxAge: time.Hour, Post: func(g func()) { f.posts <- g },
 		Log: slog.New(slog.NewTextHandler(&f.log, nil)), Now: func() time.Time { return now },
 	})
 	require.NoError(t, err)
@@ -147,7 +147,7 @@
 func TestFullQueueDrops(t *testing.T) {
 	held, entered := make(chan struct{}), make(chan struct{})
 	s, err := Open(Options{
-		Path: filepath.Join(t.TempDir(), "idle.db"), Bytes: 1 << 20, Forget: time.Hour, Log: slog.New(slog.DiscardHandler),
+		Path: filepath.Join(t.TempDir(), "idle.db"), MaxBytes: 1 << 20, MaxAge: time.Hour, Log: slog.New(slog.DiscardHandler),
 		Now: func() time.Time { return noon }, Post: func(func()) { close(entered); <-held },
 	})
 	require.NoError(t, err)
--- a/internal/learnt/learnt.go
+++ b/internal/learnt/learnt.go
@@ -31,7 +31,7 @@
 type Record struct {
 	Destination uint32
 	At          time.Time // with millisecond precision
-	Text        []byte    // an encoded snapshot
+	Snapshot    []byte    // an encoded snapshot
 }
 
 // Options configure a Store.
@@ -48,14 +48,14 @@
 	segmentPrefix  = "learnt-"
 )
 
-// Append appends the encoded record to b.
-func Append(b []byte, r Record) []byte {
+// AppendRecord appends the encoded record to b.
+func AppendRecord(b []byte, r Record) []byte {
 	at := len(b)
-	b = append(b, make([]byte, record.Frame)...)
+	b = append(b, make([]byte, record.FrameSize)...)
 	b = append(b, Version)
 	b = binary.AppendVarint(b, r.At.UnixMilli())
 	b = binary.AppendUvarint(b, uint64(r.Destination))
-	b = append(b, r.Text...)
+	b = append(b, r.Snapshot...)
 	record.Seal(b[at:])
 	return b
 }
@@ -67,12 +67,12 @@
 	if err != nil || body[0] != Version {
 		return r, false, rest, err
 	}
-	f := record.Reader{B: body[1:]}
+	f := record.Reader{Data: body[1:]}
 	r.At, r.Destination = time.UnixMilli(f.Int()), uint32(f.Uint(math.MaxUint32))
-	if f.Bad {
+	if f.Failed {
 		return Record{}, false, nil, record.ErrDamaged
 	}
-	r.Text = slices.Clone(f.B)
+	r.Snapshot = slices.Clone(f.Data)
 	return r, true, rest, nil
 }
 
@@ -158,10 +158,10 @@
 // Open starts a segment with the known records and removes the older segments.
 func Open(o Options, known []Record) (*Store, error) {
 	s := &Store{
-		options: o, maxSegment: o.Bytes/2 - aside.Block, records: list.New(), byDestination: map[uint32]*list.Element{},
+		options: o, maxSegment: o.Bytes/2 - aside.BlockSize, records: list.New(), byDestination: map[uint32]*list.Element{},
 	}
 	s.writer = &aside.Writer[[]Record]{
-		Merge: func(waiting, come []Record) []Record { return append(waiting, come...) }, Write: s.write, Log: o.Log, What: "learned state",
+		Merge: func(waiting, come []Record) []Record { return append(waiting, come...) }, Write: s.write, Log: o.Log, Subject: "learned state",
 	}
 	if s.maxSegment < 1024 {
 		return nil, fmt.Errorf("open learned state: %d bytes are not enough", o.Bytes)
@@ -186,7 +186,7 @@
 			total += int(i.Size())
 		}
 	}
-	if total > o.Bytes-s.liveBytes-2*aside.Block {
+	if total > o.Bytes-s.liveBytes-2*aside.BlockSize {
 		for _, name := range old {
 			if err := os.Remove(name); err != nil {
 				return nil, fmt.Errorf("open learned state: %w", err)
@@ -200,7 +200,7 @@
 }
 
 // sizeOf returns the maximum size of a record on disk in bytes.
-func sizeOf(r Record) int { return record.Frame + 16 + len(r.Text) }
+func sizeOf(r Record) int { return record.FrameSize + 16 + len(r.Snapshot) }
 
 // remember keeps a record as the latest of its destination. If there is no room, it drops the
 // oldest records and returns their number.
@@ -223,7 +223,7 @@
 func (s *Store) startSegment() error {
 	var b []byte
 	for e := s.records.Front(); e != nil; e = e.Next() {
-		b = Append(b, e.Value.(Record))
+		b = AppendRecord(b, e.Value.(Record))
 	}
 	path := aside.Path(s.options.Dir, segmentPrefix, s.segmentNumber+1)
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
@@ -269,7 +269,7 @@
 	droppedRecords := uint64(0)
 	for _, r := range batch {
 		droppedRecords += s.remember(r)
-		b = Append(b, r)
+		b = AppendRecord(b, r)
 	}
 	n, err := s.appendEncoded(b)
 	s.mu.Lock()
--- a/internal/learnt/learnt_test.go
+++ b/internal/learnt/learnt_test.go
@@ -31,7 +31,7 @@
 func load(t assert.TestingT, dir string) (out map[uint32]string) {
 	out = map[uint32]string{}
 	for _, r := range Load(dir, func(file string, err error) { assert.NoError(t, err, file) }) {
-		out[r.Destination] = string(r.Text)
+		out[r.Destination] = string(r.Snapshot)
 	}
 	return out
 }
@@ -43,7 +43,7 @@
 	for _, name := range names {
 		i, err := os.Stat(name)
 		require.NoError(t, err)
-		n += int(i.Size()+aside.Block-1) / aside.Block * aside.Block
+		n += int(i.Size()+aside.BlockSize-1) / aside.BlockSize * aside.BlockSize
 	}
 	return n
 }
@@ -66,7 +66,7 @@
 					ms++
 					r := newRecord(rapid.IntRange(0, 15).Draw(t, "dest"), ms, fmt.Sprintf("%d %s", ms, bytes.Repeat([]byte("x"), rapid.IntRange(0, 60).Draw(t, "len"))))
 					batch = append(batch, r)
-					model[r.Destination] = string(r.Text)
+					model[r.Destination] = string(r.Snapshot)
 				}
 				s.Put(batch)
 			}
@@ -98,7 +98,7 @@
 func TestDamage(t *testing.T) {
 	var b []byte
 	for i := range 3 {
-		b = Append(b, newRecord(i, i, "text"))
+		b = AppendRecord(b, newRecord(i, i, "text"))
 	}
 	one := len(b) / 3
 	for name, tc := range map[string]struct {
@@ -108,12 +108,12 @@
 	}{
 		"whole":     {func(b []byte) []byte { return b }, 3, 0},
 		"cut short": {func(b []byte) []byte { return b[:len(b)-2] }, 2, 1},
-		"a bit":     {func(b []byte) []byte { b[one+record.Frame+2] ^= 1; return b }, 1, 1},
+		"a bit":     {func(b []byte) []byte { b[one+record.FrameSize+2] ^= 1; return b }, 1, 1},
 		"length":    {func(b []byte) []byte { b[one+3] = 0xff; return b }, 1, 1},
 		"empty":     {func([]byte) []byte { return nil }, 0, 0},
 		"future": {func(b []byte) []byte {
-			x := Append(nil, newRecord(7, 7, "new"))
-			x[record.Frame] = Version + 1
+			x := AppendRecord(nil, newRecord(7, 7, "new"))
+			x[record.FrameSize] = Version + 1
 			record.Seal(x)
 			return append(x, b...)
 		}, 3, 0},
@@ -173,39 +173,43 @@
 // restart depends on are written at once.
 func TestMarkDiffers(t *testing.T) {
 	at := time.UnixMilli(1e12)
-	state := func(change func(s *snowjunction.State)) Mark {
-		s := &snowjunction.State{
-			Recent: 0.2, Routes: []snowjunction.RouteState{{Limit: 10, Pace: 4}},
-			EndpointsSeen: []snowjunction.EndpointState{{}, {}},
+	state := func(change func(s *snowjunction.DestinationSnapshot)) Mark {
+		s := &snowjunction.DestinationSnapshot{
+			Latency: 0.2, Routes: []snowjunction.RouteSnapshot{{Limit: 10, PacingRate: 4}},
+			Endpoints: []snowjunction.EndpointSnapshot{{}, {}},
 		}
 		change(s)
 		return MarkOf(s, at.Add(time.Second))
 	}
-	was := MarkOf(&snowjunction.State{
-		Recent: 0.2, Routes: []snowjunction.RouteState{{Limit: 10, Pace: 4}}, EndpointsSeen: []snowjunction.EndpointState{{}, {}},
+	was := MarkOf(&snowjunction.DestinationSnapshot{
+		Latency: 0.2, Routes: []snowjunction.RouteSnapshot{{Limit: 10, PacingRate: 4}}, Endpoints: []snowjunction.EndpointSnapshot{{}, {}},
 	}, at)
-	assert.False(t, state(func(s *snowjunction.State) { s.Routes[0].Pace = 4.5; s.Recent = 0.25; s.Repeats = 9 }).Differs(was))
-	for name, change := range map[string]func(s *snowjunction.State){
-		"held":    func(s *snowjunction.State) { s.EndpointsSeen[1].Condition = snowjunction.Held },
-		"warming": func(s *snowjunction.State) { s.EndpointsSeen[0].Condition = snowjunction.Warming },
-		"fails":   func(s *snowjunction.State) { s.EndpointsSeen[0].Fails = 1 },
-		"refused": func(s *snowjunction.State) { s.Routes[0].Fulls = 1 },
-		"limit":   func(s *snowjunction.State) { s.Routes[0].Limit = 5 },
-		"pace":    func(s *snowjunction.State) { s.Routes[0].Pace = 2 },
-		"gap":     func(s *snowjunction.State) { s.Routes[0].Gap = time.Second },
+	assert.False(t, state(func(s *snowjunction.DestinationSnapshot) {
+		s.Routes[0].PacingRate = 4.5
+		s.Latency = 0.25
+		s.Retries = 9
+	}).Differs(was))
+	for name, change := range map[string]func(s *snowjunction.DestinationSnapshot){
+		"held":    func(s *snowjunction.DestinationSnapshot) { s.Endpoints[1].Condition = snowjunction.Down },
+		"warming": func(s *snowjunction.DestinationSnapshot) { s.Endpoints[0].Condition = snowjunction.Recovering },
+		"fails":   func(s *snowjunction.DestinationSnapshot) { s.Endpoints[0].Failures = 1 },
+		"refused": func(s *snowjunction.DestinationSnapshot) { s.Routes[0].Rejections = 1 },
+		"limit":   func(s *snowjunction.DestinationSnapshot) { s.Routes[0].Limit = 5 },
+		"pace":    func(s *snowjunction.DestinationSnapshot) { s.Routes[0].PacingRate = 2 },
+		"gap":     func(s *snowjunction.DestinationSnapshot) { s.Routes[0].CallGap = time.Second },
 	} {
 		assert.True(t, state(change).Differs(was), name)
 	}
-	m := state(func(*snowjunction.State) {})
+	m := state(func(*snowjunction.DestinationSnapshot) {})
 	m.at = at.Add(maxMarkAge)
 	assert.True(t, m.Differs(was))
 }
 
 func FuzzNext(f *testing.F) {
-	f.Add(Append(nil, newRecord(1, 2, "text")), false)
+	f.Add(AppendRecord(nil, newRecord(1, 2, "text")), false)
 	f.Add([]byte{9, 0, 0, 0}, true)
 	f.Fuzz(func(t *testing.T, b []byte, sealed bool) {
-		if sealed && len(b) > record.Frame {
+		if sealed && len(b) > record.FrameSize {
 			record.Seal(b)
 		}
 		r, ok, rest, err := ReadRecord(b)
@@ -214,13 +218,13 @@
 		}
 		assert.Less(t, len(rest), len(b))
 		if ok {
-			again, ok, rest, err := ReadRecord(Append(nil, r))
+			again, ok, rest, err := ReadRecord(AppendRecord(nil, r))
 			require.NoError(t, err)
 			assert.True(t, ok)
 			assert.Empty(t, rest)
 			assert.Equal(t, r.Destination, again.Destination)
 			assert.Equal(t, r.At.UnixMilli(), again.At.UnixMilli())
-			assert.Equal(t, r.Text, again.Text)
+			assert.Equal(t, r.Snapshot, again.Snapshot)
 		}
 	})
 }
@@ -233,14 +237,14 @@
 		writes, size, at := 0, 0, time.UnixMilli(1e12)
 		var requested []uint32 // requested and not answered
 		waiting := map[uint32]bool{}
-		encode := func(s *snowjunction.State) []byte { return make([]byte, 20+int(s.Recent*100)) }
+		encode := func(s *snowjunction.DestinationSnapshot) []byte { return make([]byte, 20+int(s.Latency*100)) }
 		for range 200 {
 			j.Writes += uint64(rapid.IntRange(0, 60).Draw(t, "writes"))
 			j.Bytes += uint64(rapid.IntRange(0, 6000).Draw(t, "bytes"))
 			at = at.Add(time.Second)
 			switch d := uint32(rapid.IntRange(0, 40).Draw(t, "dest")); rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				p.Changed(d)
+				p.MarkChanged(d)
 				waiting[d] = true
 			case 1:
 				picked := p.Pick(j)
@@ -251,17 +255,17 @@
 				}
 				requested = append(requested, picked...)
 			case 2:
-				p.Asleep(d, at, make([]byte, rapid.IntRange(20, 200).Draw(t, "text")), j)
+				p.AddUnloaded(d, at, make([]byte, rapid.IntRange(20, 200).Draw(t, "text")), j)
 			default:
 				for _, d := range requested {
-					var s *snowjunction.State
+					var s *snowjunction.DestinationSnapshot
 					if rapid.Bool().Draw(t, "known") {
-						s = &snowjunction.State{Recent: float64(rapid.IntRange(1, 9).Draw(t, "recent"))}
+						s = &snowjunction.DestinationSnapshot{Latency: float64(rapid.IntRange(1, 9).Draw(t, "recent"))}
 					}
 					before := len(p.batch)
-					p.Answered(d, s, at, encode, j)
+					p.HandleState(d, s, at, encode, j)
 					if waiting[d] = waiting[d] || p.queued[d]; s != nil && len(p.batch) == before {
-						require.True(t, p.queued[d] || p.Same > 0, "it waits, or had changed too little")
+						require.True(t, p.queued[d] || p.Unchanged > 0, "it waits, or had changed too little")
 					}
 				}
 				requested = nil
@@ -269,7 +273,7 @@
 			if batch := p.Flush(); len(batch) > 0 {
 				writes++
 				for _, r := range batch {
-					size += len(Append(nil, r))
+					size += len(AppendRecord(nil, r))
 				}
 			}
 			require.LessOrEqual(t, float64(writes), writesShare*float64(j.Writes))
@@ -283,10 +287,10 @@
 // next write respects the budget again.
 func TestPlannedStop(t *testing.T) {
 	p := NewPicker()
-	for _, d := range p.All([]uint32{1, 2, 3}) {
-		p.Answered(d, &snowjunction.State{}, time.UnixMilli(1), func(*snowjunction.State) []byte { return []byte("x") }, Journal{})
+	for _, d := range p.PickAll([]uint32{1, 2, 3}) {
+		p.HandleState(d, &snowjunction.DestinationSnapshot{}, time.UnixMilli(1), func(*snowjunction.DestinationSnapshot) []byte { return []byte("x") }, Journal{})
 	}
 	assert.Len(t, p.Flush(), 3)
-	p.Asleep(4, time.UnixMilli(2), []byte("x"), Journal{})
+	p.AddUnloaded(4, time.UnixMilli(2), []byte("x"), Journal{})
 	assert.Empty(t, p.Flush())
 }
--- a/internal/learnt/mark.go
+++ b/internal/learnt/mark.go
@@ -27,17 +27,17 @@
 )
 
 // MarkOf returns the mark of a state at a time.
-func MarkOf(s *snowjunction.State, at time.Time) Mark {
-	m := Mark{at: at, retries: s.Repeats, latency: math.Max(s.Recent, minLatency)}
+func MarkOf(s *snowjunction.DestinationSnapshot, at time.Time) Mark {
+	m := Mark{at: at, retries: s.Retries, latency: math.Max(s.Latency, minLatency)}
 	for _, r := range s.Routes {
 		m.limit += r.Limit
-		m.pace += r.Pace
-		m.gap += r.Gap.Seconds()
-		m.state = m.state*31 + uint64(min(r.Fulls, 5))
+		m.pace += r.PacingRate
+		m.gap += r.CallGap.Seconds()
+		m.state = m.state*31 + uint64(min(r.Rejections, 5))
 	}
-	for _, e := range s.EndpointsSeen {
+	for _, e := range s.Endpoints {
 		n := uint64(e.Condition) + 1
-		if e.Fails > 0 {
+		if e.Failures > 0 {
 			n += 4
 		}
 		m.state = m.state*31 + n
--- a/internal/learnt/picker.go
+++ b/internal/learnt/picker.go
@@ -17,8 +17,8 @@
 	minWriteBytes = 256 // bytes that must be available before a write is started
 )
 
-// Every is the interval at which to call Pick while Waiting returns true.
-const Every = 250 * time.Millisecond
+// PickInterval is the interval at which to call Pick while Waiting returns true.
+const PickInterval = 250 * time.Millisecond
 
 // Journal is the number of writes and bytes that the journal has written.
 type Journal struct{ Writes, Bytes uint64 }
@@ -27,7 +27,7 @@
 // and starts no goroutine. The caller requests the states of the picked destinations from the
 // decision module and passes back every answer; Flush ends each round.
 type Picker struct {
-	Same uint64 // states that were not written again because they had changed too little
+	Unchanged uint64 // states that were not written again because they had changed too little
 
 	budget      Budget
 	changed     []uint32 // in the order of change
@@ -47,8 +47,8 @@
 	}
 }
 
-// Changed records that a destination's state may have changed.
-func (p *Picker) Changed(d uint32) {
+// MarkChanged records that a destination's state may have changed.
+func (p *Picker) MarkChanged(d uint32) {
 	if !p.queued[d] {
 		p.queued[d] = true
 		p.changed = append(p.changed, d)
@@ -73,36 +73,36 @@
 	return picked
 }
 
-// All returns the loaded destinations whose state to request at a planned stop.
-func (p *Picker) All(loaded []uint32) []uint32 {
+// PickAll returns the loaded destinations whose state to request at a planned stop.
+func (p *Picker) PickAll(loaded []uint32) []uint32 {
 	p.plannedStop = true
 	loaded = loaded[:min(len(loaded), maxAtStop)]
 	p.pending += len(loaded)
 	return loaded
 }
 
-// Answered handles the state of a destination that was requested, or nil if there is none or it was
+// HandleState handles the state of a destination that was requested, or nil if there is none or it was
 // not requested after all. A state that differs little from the last written one is not written
 // again, and one without room waits.
-func (p *Picker) Answered(d uint32, s *snowjunction.State, at time.Time, encode func(*snowjunction.State) []byte, j Journal) {
+func (p *Picker) HandleState(d uint32, s *snowjunction.DestinationSnapshot, at time.Time, encode func(*snowjunction.DestinationSnapshot) []byte, j Journal) {
 	p.pending = max(p.pending-1, 0)
 	if s == nil {
 		return
 	}
 	m := MarkOf(s, at)
 	if was, ok := p.written[d]; ok && !p.plannedStop && !m.Differs(was) {
-		p.Same++
+		p.Unchanged++
 		return
 	}
 	if !p.add(Record{d, at, encode(s)}, j) {
-		p.Changed(d)
+		p.MarkChanged(d)
 		return
 	}
 	p.written[d] = m
 }
 
-// Asleep adds the snapshot of a destination that was unloaded, if there is room.
-func (p *Picker) Asleep(d uint32, at time.Time, encoded []byte, j Journal) {
+// AddUnloaded adds the snapshot of a destination that was unloaded, if there is room.
+func (p *Picker) AddUnloaded(d uint32, at time.Time, encoded []byte, j Journal) {
 	delete(p.written, d)
 	p.add(Record{d, at, encoded}, j)
 }
--- a/internal/lease/capacity_test.go
+++ b/internal/lease/capacity_test.go
@@ -17,13 +17,13 @@
 func BenchmarkKeepers(b *testing.B) {
 	for _, fleet := range []int{20, 80, 320, 3_400} {
 		b.Run(fmt.Sprint(fleet), func(b *testing.B) {
-			before, after := NewLine(fleet, 0), NewLine(fleet+1, 0)
+			before, after := NewOwnerView(fleet, 0), NewOwnerView(fleet+1, 0)
 			var moved, restarted, runs, dealt float64
 			for b.Loop() {
 				moved, restarted, runs, dealt = 0, 0, 0, 0
 				for dest := range uint32(ledgers) {
-					first := before.First(dest)
-					moved += fraction(first != after.First(dest))
+					first := before.PreferredOwner(dest)
+					moved += fraction(first != after.PreferredOwner(dest))
 					restarted += fraction(first == 1)
 					runs += fraction(allLost(fleet, first, func(p int) bool { return p*6/fleet == 3 }))
 					dealt += fraction(allLost(fleet, first, func(p int) bool { return p%6 == 3 }))
@@ -61,17 +61,17 @@
 	for _, failing := range []int{0, 120} {
 		b.Run(fmt.Sprintf("failing=%d", failing), func(b *testing.B) {
 			gauge.Held(b, n, "account", func() any {
-				ledgers := map[uint32]*Ledger{}
+				ledgers := map[uint32]*QuotaLedger{}
 				for dest := range uint32(n) {
-					l := NewLedger(Slow{Share: 0.2, Over: 1.8, Warm: 14 * time.Second, Least: 425})
+					l := NewQuotaLedger(SlowStart{InitialShare: 0.2, LoadFactor: 1.8, WarmUp: 14 * time.Second, MinObservers: 425})
 					l.Report(0, 12)
 					for p := range 12 {
 						at := time.Duration(p) * time.Second
-						l.Ask(at, p, 1, 100, 0)
+						l.Request(at, p, 1, 100, 0)
 						l.Grants(at)
 					}
 					for p := range failing {
-						l.Failing(12*time.Second, p)
+						l.RecordFailing(12*time.Second, p)
 					}
 					ledgers[dest] = l
 				}
--- a/internal/lease/footprint.go
+++ b/internal/lease/footprint.go
@@ -6,14 +6,14 @@
 const mapEntryWords = 3
 
 // Bytes returns the memory size of the ledger in bytes, without allocator overhead.
-func (l *Ledger) Bytes() int {
+func (l *QuotaLedger) Bytes() int {
 	word := int(unsafe.Sizeof(uintptr(0)))
 	n := int(unsafe.Sizeof(*l)) + word*(cap(l.requests)+mapEntryWords*len(l.byPeer)+mapEntryWords*len(l.failingSince))
 	return n + len(l.requests)*int(unsafe.Sizeof(request{}))
 }
 
 // Bytes returns the memory size of the fleet view in bytes, without allocator overhead.
-func (l *Line) Bytes() int {
+func (l *OwnerView) Bytes() int {
 	word := int(unsafe.Sizeof(uintptr(0)))
 	return int(unsafe.Sizeof(*l)) + word*mapEntryWords*len(l.unreachableUntil)
 }
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -12,25 +12,25 @@
 	maxDebt               = 20                     // calls made without a grant that are charged at most
 )
 
-// PassedFor is how long an owner that does not answer counts as unreachable.
-const PassedFor = 2 * time.Second
+// UnreachableFor is how long an owner that does not answer counts as unreachable.
+const UnreachableFor = 2 * time.Second
 
-// Line is one courier's view of the fleet: which courier owns the quota ledger of each destination,
+// OwnerView is one courier's view of the fleet: which courier owns the quota ledger of each destination,
 // and which couriers did not answer recently.
-type Line struct {
+type OwnerView struct {
 	Fleet, Self      int
 	unreachableUntil map[int]time.Duration // by courier: when it is tried again
 }
 
-// NewLine returns the view that courier self has of a fleet of the given size.
-func NewLine(fleet, self int) *Line {
-	return &Line{Fleet: fleet, Self: self, unreachableUntil: map[int]time.Duration{}}
+// NewOwnerView returns the view that courier self has of a fleet of the given size.
+func NewOwnerView(fleet, self int) *OwnerView {
+	return &OwnerView{Fleet: fleet, Self: self, unreachableUntil: map[int]time.Duration{}}
 }
 
-// Keeper returns the courier that owns the ledger of a destination now. It returns false if no
+// Owner returns the courier that owns the ledger of a destination now. It returns false if no
 // candidate is reachable.
-func (l *Line) Keeper(dest uint32, now time.Duration) (peer int, ok bool) {
-	first := l.First(dest)
+func (l *OwnerView) Owner(dest uint32, now time.Duration) (peer int, ok bool) {
+	first := l.PreferredOwner(dest)
 	for i := range min(maxCandidates, l.Fleet) {
 		p := (first + i) % l.Fleet
 		if p == l.Self || now >= l.unreachableUntil[p] {
@@ -40,27 +40,29 @@
 	return 0, false
 }
 
-// First returns the preferred owner of a destination's ledger, which owns it while all couriers
+// PreferredOwner returns the preferred owner of a destination's ledger, which owns it while all couriers
 // answer.
-func (l *Line) First(dest uint32) int {
+func (l *OwnerView) PreferredOwner(dest uint32) int {
 	return int((uint64(dest) * 0x9e3779b97f4a7c15 >> 32) % uint64(max(1, l.Fleet)))
 }
 
-// Heard records that a message from a courier was received.
-func (l *Line) Heard(peer int) { delete(l.unreachableUntil, peer) }
+// MarkReachable records that a message from a courier was received.
+func (l *OwnerView) MarkReachable(peer int) { delete(l.unreachableUntil, peer) }
 
-// Silent reports whether a courier was marked unreachable and has sent nothing since.
-func (l *Line) Silent(peer int) bool {
+// Unreachable reports whether a courier was marked unreachable and has sent nothing since.
+func (l *OwnerView) Unreachable(peer int) bool {
 	_, marked := l.unreachableUntil[peer]
 	return marked
 }
 
-// Pass marks a courier unreachable for a fixed time.
-func (l *Line) Pass(peer int, now time.Duration) { l.unreachableUntil[peer] = now + PassedFor }
+// MarkUnreachable marks a courier unreachable for a fixed time.
+func (l *OwnerView) MarkUnreachable(peer int, now time.Duration) {
+	l.unreachableUntil[peer] = now + UnreachableFor
+}
 
-// Holder holds the calls that one courier is granted for one destination, and the state of its
+// QuotaClient holds the calls that one courier is granted for one destination, and the state of its
 // requests to the ledger's owner.
-type Holder struct {
+type QuotaClient struct {
 	// granted is the number of granted calls that are still unused.
 	granted          int
 	grantExpires     time.Duration // expiry of the granted calls
@@ -76,8 +78,8 @@
 	wanted           bool          // a message could be sent if a grant were available
 }
 
-// May reports whether a call may be made now. If not, it records that a grant is wanted.
-func (h *Holder) May(now time.Duration) bool {
+// Allow reports whether a call may be made now. If not, it records that a grant is wanted.
+func (h *QuotaClient) Allow(now time.Duration) bool {
 	h.expire(now)
 	if h.granted > 0 {
 		return true
@@ -86,25 +88,25 @@
 	return h.withoutOwner
 }
 
-// Lost reports whether calls are made without a grant because no owner answers. The caller has to
+// WithoutOwner reports whether calls are made without a grant because no owner answers. The caller has to
 // limit the rate of such calls, as all couriers may be in this state at once. As soon as a message
 // from the owner is received, calls wait for its grants again: calls made without one would be
 // added to all that the owner grants to other couriers.
-func (h *Holder) Lost(l *Line) bool {
-	h.withoutOwner = h.withoutOwner && l.Silent(h.firstUnreachable)
+func (h *QuotaClient) WithoutOwner(l *OwnerView) bool {
+	h.withoutOwner = h.withoutOwner && l.Unreachable(h.firstUnreachable)
 	return h.withoutOwner
 }
 
-func (h *Holder) expire(now time.Duration) {
+func (h *QuotaClient) expire(now time.Duration) {
 	if h.granted > 0 && now >= h.grantExpires {
 		h.balance += h.granted
 		h.granted = 0
 	}
 }
 
-// Called counts a call that was made. A call without a grant is charged later, except while the
+// RecordCall counts a call that was made. A call without a grant is charged later, except while the
 // owner is unreachable: the limit has recovered from those calls by then.
-func (h *Holder) Called() {
+func (h *QuotaClient) RecordCall() {
 	if h.granted > 0 {
 		h.granted--
 	} else if h.balance > -maxDebt && !h.withoutOwner {
@@ -112,9 +114,9 @@
 	}
 }
 
-// Granted handles a grant from an owner. A grant of zero calls acknowledges a request that waits.
+// HandleGrant handles a grant from an owner. A grant of zero calls acknowledges a request that waits.
 // cold means that the owner's grants are limited to the capacity of a cold destination.
-func (h *Holder) Granted(now time.Duration, peer, calls int, cold bool) {
+func (h *QuotaClient) HandleGrant(now time.Duration, peer, calls int, cold bool) {
 	if peer == h.owner {
 		h.unanswered, h.renewAt, h.withoutOwner = 0, now+renewInterval, false
 	}
@@ -132,18 +134,20 @@
 	}
 }
 
-// Pools reports whether the owner divides the capacity of a cold destination among the couriers.
-func (h *Holder) Pools(now time.Duration) bool { return now < h.coldUntil && !h.withoutOwner }
+// OwnerLimitsRecovery reports whether the owner divides the capacity of a cold destination among the couriers.
+func (h *QuotaClient) OwnerLimitsRecovery(now time.Duration) bool {
+	return now < h.coldUntil && !h.withoutOwner
+}
 
 // Idle reports whether there is no request to send or withdraw and no call to return.
-func (h *Holder) Idle() bool {
+func (h *QuotaClient) Idle() bool {
 	return !h.wanted && h.requestedAt == 0 && h.balance == 0 && h.granted == 0
 }
 
-// Ask returns the request to send now, if any: peer is the owner to send it to, returned the number
+// NextRequest returns the request to send now, if any: peer is the owner to send it to, returned the number
 // of calls to return, send whether to send it, and next when to check again. n is the number of
 // waiting messages; zero withdraws an open request.
-func (h *Holder) Ask(now time.Duration, dest uint32, n int, l *Line) (peer, returned int, send bool, next time.Duration) {
+func (h *QuotaClient) NextRequest(now time.Duration, dest uint32, n int, l *OwnerView) (peer, returned int, send bool, next time.Duration) {
 	h.expire(now)
 	wanted := h.wanted && h.granted == 0
 	h.wanted = false
@@ -161,15 +165,15 @@
 		return 0, 0, false, 0
 	}
 	if h.requestedAt > 0 && h.unanswered > 0 && now-h.requestedAt >= answerTimeout && h.unanswered >= maxUnansweredRequests {
-		l.Pass(h.owner, now)
+		l.MarkUnreachable(h.owner, now)
 		if h.requestedAt = 0; !h.withoutOwner {
 			h.withoutOwner, h.firstUnreachable = true, h.owner
 		}
 	}
-	peer, ok := l.Keeper(dest, now)
+	peer, ok := l.Owner(dest, now)
 	if !ok {
 		if h.requestedAt, h.balance = 0, 0; !h.withoutOwner {
-			h.withoutOwner, h.firstUnreachable = true, l.First(dest)
+			h.withoutOwner, h.firstUnreachable = true, l.PreferredOwner(dest)
 		}
 		return 0, 0, false, now + noOwnerRetry
 	}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -11,11 +11,11 @@
 const ms = time.Millisecond
 
 func TestLedgerGrantsByRank(t *testing.T) {
-	l := NewLedger(Slow{})
+	l := NewQuotaLedger(SlowStart{})
 	l.Report(0, 10)
 	require.Len(t, grants(l, 0), 0)
 	for peer, rank := range []int{50, 200, 100, 200} {
-		l.Ask(0, peer, 2, rank, 0)
+		l.Request(0, peer, 2, rank, 0)
 	}
 	var order []int
 	for now := time.Duration(0); len(order) < 8; now += 10 * ms {
@@ -26,7 +26,7 @@
 	assert.Zero(t, l.Next(time.Second))
 }
 
-func grants(l *Ledger, now time.Duration) (peers []int) {
+func grants(l *QuotaLedger, now time.Duration) (peers []int) {
 	for _, g := range l.Grants(now) {
 		for range g.Calls {
 			peers = append(peers, g.Peer)
@@ -36,9 +36,9 @@
 }
 
 // rateOf returns how many calls per second a ledger grants to a courier that requests many.
-func rateOf(l *Ledger, from time.Duration) (n int) {
+func rateOf(l *QuotaLedger, from time.Duration) (n int) {
 	for now := from; now < from+time.Second; now += ms {
-		l.Ask(now, 1, 100, 1, 0)
+		l.Request(now, 1, 100, 1, 0)
 		n += len(grants(l, now))
 	}
 	return n
@@ -47,17 +47,17 @@
 // A reduced or restored limit is adopted at once. Small variations move the estimate little, and
 // values that cannot be a limit are ignored.
 func TestLedgerFollowsLimit(t *testing.T) {
-	l := NewLedger(Slow{})
-	l.Known(0, 100)
+	l := NewQuotaLedger(SlowStart{})
+	l.ReportStale(0, 100)
 	assert.InDelta(t, 97, rateOf(l, 0), 15, "no limit was known before")
 	l.Report(time.Second, 25)
 	assert.Equal(t, 25.0, l.Rate())
 	assert.InDelta(t, 25, rateOf(l, time.Second), 4)
 	l.Report(2*time.Second, 30)
 	assert.Less(t, l.Rate(), 26.0)
-	l.Known(2*time.Second, 100)
+	l.ReportStale(2*time.Second, 100)
 	assert.Less(t, l.Rate(), 26.0, "the report predates the reduction")
-	l.Known(2*time.Second, 24)
+	l.ReportStale(2*time.Second, 24)
 	assert.Less(t, l.Rate(), 25.7)
 	assert.Greater(t, l.Rate(), 25.0, "averaged like any other report")
 	l.Report(2*time.Second, 100)
@@ -71,26 +71,26 @@
 // Rejections pause grants briefly and lower the grant rate for longer. Calls made without a grant
 // are charged.
 func TestLedgerAfterRejections(t *testing.T) {
-	l := NewLedger(Slow{})
+	l := NewQuotaLedger(SlowStart{})
 	l.Report(0, 100)
 	fullRate := rateOf(l, 0)
 	require.Positive(t, fullRate)
 	for at := time.Second; at < 3*time.Second; at += 200 * ms {
-		l.Refused(at)
+		l.RecordRejection(at)
 	}
 	assert.Empty(t, grants(l, 2900*ms))
 	assert.Less(t, rateOf(l, 3*time.Second), fullRate*95/100)
-	l.Ask(4*time.Second, 2, 0, 0, -50)
+	l.Request(4*time.Second, 2, 0, 0, -50)
 	assert.LessOrEqual(t, rateOf(l, 4*time.Second), fullRate-40)
 }
 
 // A request that is not renewed expires, as its courier may have ended.
 func TestRequestExpires(t *testing.T) {
-	l := NewLedger(Slow{})
+	l := NewQuotaLedger(SlowStart{})
 	l.Report(0, 10)
-	l.Ask(0, 1, 5, 200, -30)
+	l.Request(0, 1, 5, 200, -30)
 	later := requestLifetime + 2*time.Second
-	l.Ask(later, 2, 1, 1, 0)
+	l.Request(later, 2, 1, 1, 0)
 	assert.Equal(t, []int{2}, grants(l, later))
 	assert.Zero(t, l.Next(later))
 }
@@ -100,65 +100,65 @@
 // charge those calls. A candidate that sends a message again is used again, also by a courier
 // without a waiting message.
 func TestHolderWithoutOwner(t *testing.T) {
-	view, h, asked := NewLine(80, 99), Holder{}, []int{}
+	view, h, asked := NewOwnerView(80, 99), QuotaClient{}, []int{}
 	now := ms
 	for ; now < time.Second; now += ms {
-		assert.Equal(t, len(asked) > 2, h.May(now))
-		if peer, _, ask, _ := h.Ask(now, 7, 1, view); ask {
+		assert.Equal(t, len(asked) > 2, h.Allow(now))
+		if peer, _, ask, _ := h.NextRequest(now, 7, 1, view); ask {
 			asked = append(asked, peer)
 		}
 	}
 	first := asked[0]
 	assert.Equal(t, []int{first, first, first + 1, first + 1, first + 2, first + 2}, asked)
-	h.Called()
-	view.Heard(first + 1)
-	assert.True(t, h.Lost(view), "the preferred owner is still unreachable")
-	assert.True(t, h.May(now))
-	peer, back, ask, _ := h.Ask(now, 7, 0, view)
+	h.RecordCall()
+	view.MarkReachable(first + 1)
+	assert.True(t, h.WithoutOwner(view), "the preferred owner is still unreachable")
+	assert.True(t, h.Allow(now))
+	peer, back, ask, _ := h.NextRequest(now, 7, 0, view)
 	assert.True(t, ask)
 	assert.Equal(t, first+1, peer)
 	assert.Zero(t, back)
 	copied := h
-	h.Granted(now, peer, 0, false)
-	assert.False(t, h.May(now))
-	view.Heard(first)
-	assert.False(t, copied.Lost(view), "the preferred owner grants calls again")
-	assert.False(t, copied.May(now))
+	h.HandleGrant(now, peer, 0, false)
+	assert.False(t, h.Allow(now))
+	view.MarkReachable(first)
+	assert.False(t, copied.WithoutOwner(view), "the preferred owner grants calls again")
+	assert.False(t, copied.Allow(now))
 }
 
 // A grant expires, and calls that were not made are returned.
 func TestGrantExpires(t *testing.T) {
-	view, h := NewLine(80, 99), Holder{}
-	assert.False(t, h.May(ms))
-	peer, _, ask, _ := h.Ask(ms, 7, 2, view)
+	view, h := NewOwnerView(80, 99), QuotaClient{}
+	assert.False(t, h.Allow(ms))
+	peer, _, ask, _ := h.NextRequest(ms, 7, 2, view)
 	require.True(t, ask)
-	h.Granted(20*ms, peer, 0, false)
-	h.May(30 * ms)
-	_, _, ask, next := h.Ask(30*ms, 7, 2, view)
+	h.HandleGrant(20*ms, peer, 0, false)
+	h.Allow(30 * ms)
+	_, _, ask, next := h.NextRequest(30*ms, 7, 2, view)
 	assert.False(t, ask, "the request is already open")
 	assert.Equal(t, 20*ms+renewInterval, next)
-	h.Granted(40*ms, peer, 2, false)
-	assert.True(t, h.May(50*ms))
-	h.Called()
-	assert.False(t, h.May(40*ms+grantLifetime))
-	_, back, ask, _ := h.Ask(40*ms+grantLifetime, 7, 1, view)
+	h.HandleGrant(40*ms, peer, 2, false)
+	assert.True(t, h.Allow(50*ms))
+	h.RecordCall()
+	assert.False(t, h.Allow(40*ms+grantLifetime))
+	_, back, ask, _ := h.NextRequest(40*ms+grantLifetime, 7, 1, view)
 	assert.True(t, ask)
 	assert.Equal(t, 1, back)
-	_, _, ask, _ = h.Ask(400*ms, 7, 0, view)
+	_, _, ask, _ = h.NextRequest(400*ms, 7, 0, view)
 	assert.False(t, ask, "the request is unanswered and expires by itself")
 }
 
 // If many couriers saw an outage, the ledger treats the destination as cold once it answers again:
 // grants start low and grow. If few couriers had failing calls, it does not.
 func TestLedgerOfColdDestination(t *testing.T) {
-	slow := Slow{Share: 0.2, Over: 1.8, Warm: 14 * time.Second, Least: 10}
+	slow := SlowStart{InitialShare: 0.2, LoadFactor: 1.8, WarmUp: 14 * time.Second, MinObservers: 10}
 	for observers, want := range map[int][]int{9: {97, 97, 97}, 40: {44, 66, 104}} {
-		l := NewLedger(slow)
+		l := NewQuotaLedger(slow)
 		l.Report(0, 100)
 		for peer := range observers {
-			l.Failing(time.Second, peer)
+			l.RecordFailing(time.Second, peer)
 		}
-		assert.Len(t, l.Serves(2*time.Second), observers)
+		assert.Len(t, l.RecordRecovery(2*time.Second), observers)
 		for i, at := range []time.Duration{2 * time.Second, 4 * time.Second, 9 * time.Second} {
 			assert.InDelta(t, want[i], rateOf(l, at), 14, "%d couriers, at %v", observers, at)
 		}
@@ -171,19 +171,19 @@
 // a cold destination.
 func TestLedgerWithoutLimitIsNotCold(t *testing.T) {
 	for _, limit := range []float64{0, 10} {
-		l := NewLedger(Slow{Share: 0.2, Over: 1.8, Warm: 10 * time.Second, Least: 3})
+		l := NewQuotaLedger(SlowStart{InitialShare: 0.2, LoadFactor: 1.8, WarmUp: 10 * time.Second, MinObservers: 3})
 		l.Report(0, limit)
 		for peer := range 5 {
-			l.Failing(0, peer)
+			l.RecordFailing(0, peer)
 		}
-		l.Serves(time.Second)
+		l.RecordRecovery(time.Second)
 		assert.Equal(t, limit > 0, l.Cold(1100*ms), "limit %v", limit)
 	}
-	l := NewLedger(Slow{Share: 0.2, Over: 1.8, Warm: 10 * time.Second, Least: 3})
+	l := NewQuotaLedger(SlowStart{InitialShare: 0.2, LoadFactor: 1.8, WarmUp: 10 * time.Second, MinObservers: 3})
 	for peer := range 5 {
-		l.Failing(0, peer)
+		l.RecordFailing(0, peer)
 	}
-	l.Serves(time.Second)
+	l.RecordRecovery(time.Second)
 	l.Report(1200*ms, 10)
 	assert.True(t, l.Cold(1300*ms), "the limit is known now")
 }
--- a/internal/lease/ledger.go
+++ b/internal/lease/ledger.go
@@ -36,8 +36,8 @@
 	recoveryNoticeWindow   = 30 * time.Second // how long after its report a courier is notified that the destination recovered
 )
 
-// Ledger is the owner's quota ledger of one destination.
-type Ledger struct {
+// QuotaLedger is the owner's quota ledger of one destination.
+type QuotaLedger struct {
 	rate float64 // limit in calls per second, of all couriers; zero means unknown: everything is granted
 	// utilization is the share of the limit that the fleet uses.
 	utilization float64
@@ -51,41 +51,41 @@
 	byPeer           map[int]*request
 	failingSince     map[int]time.Duration // by courier: when it reported that its calls fail
 	recoveredAt      time.Duration         // when the destination recovered; used with slowStart
-	slowStart        Slow
+	slowStart        SlowStart
 	// cold is set while the destination recovers from an outage.
 	cold bool
 }
 
-// Slow configures the slow start of a destination that recovers from an outage.
-type Slow struct {
-	Share float64       // share of the limit that it can take at once
-	Over  float64       // load sent, as a multiple of its estimated capacity; below the factor that makes it collapse
-	Warm  time.Duration // time until it takes the full limit
-	Least int           // number of couriers that must have seen the outage
+// SlowStart configures the slow start of a destination that recovers from an outage.
+type SlowStart struct {
+	InitialShare float64       // share of the limit that it can take at once
+	LoadFactor   float64       // load sent, as a multiple of its estimated capacity; below the factor that makes it collapse
+	WarmUp       time.Duration // time until it takes the full limit
+	MinObservers int           // number of couriers that must have seen the outage
 }
 
 // grantableShare returns the share of the limit that may be granted now. For a destination that is
 // down, calls are granted as if it had recovered at this moment, because the next call may find
 // that it has.
-func (l *Ledger) grantableShare(now time.Duration) float64 {
-	least := math.Min(1, l.slowStart.Over*l.slowStart.Share)
+func (l *QuotaLedger) grantableShare(now time.Duration) float64 {
+	least := math.Min(1, l.slowStart.LoadFactor*l.slowStart.InitialShare)
 	switch {
-	case len(l.failingSince) >= l.slowStart.Least && l.slowStart.Least > 0:
+	case len(l.failingSince) >= l.slowStart.MinObservers && l.slowStart.MinObservers > 0:
 		return least
 	case !l.cold:
 		return 1
 	}
-	progress := float64(now-l.recoveredAt) / math.Max(1, float64(l.slowStart.Warm))
+	progress := float64(now-l.recoveredAt) / math.Max(1, float64(l.slowStart.WarmUp))
 	if progress >= 1 {
 		l.cold = false
 		return 1
 	}
-	return math.Min(1, l.slowStart.Over*(l.slowStart.Share+(1-l.slowStart.Share)*progress))
+	return math.Min(1, l.slowStart.LoadFactor*(l.slowStart.InitialShare+(1-l.slowStart.InitialShare)*progress))
 }
 
 // Cold reports whether grants are limited to the capacity of a destination that recovers from an
 // outage. Without a known limit everything is granted, and the callers limit themselves.
-func (l *Ledger) Cold(now time.Duration) bool {
+func (l *QuotaLedger) Cold(now time.Duration) bool {
 	l.grantableShare(now)
 	return l.cold && l.rate > 0
 }
@@ -100,27 +100,27 @@
 // waits.
 type Grant struct{ Peer, Calls int }
 
-// NewLedger returns the ledger of a destination whose limit is not known yet.
-func NewLedger(slowStart Slow) *Ledger {
-	return &Ledger{utilization: initialUtilization, byPeer: map[int]*request{}, slowStart: slowStart}
+// NewQuotaLedger returns the ledger of a destination whose limit is not known yet.
+func NewQuotaLedger(slowStart SlowStart) *QuotaLedger {
+	return &QuotaLedger{utilization: initialUtilization, byPeer: map[int]*request{}, slowStart: slowStart}
 }
 
 // Rate returns the known limit in calls per second. Zero means unknown.
-func (l *Ledger) Rate() float64 { return l.rate }
+func (l *QuotaLedger) Rate() float64 { return l.rate }
 
-// Used returns when the ledger was last used.
-func (l *Ledger) Used() time.Duration { return l.lastUsed }
+// LastUsed returns when the ledger was last used.
+func (l *QuotaLedger) LastUsed() time.Duration { return l.lastUsed }
 
 // Report records a limit that a courier has read from an answer.
-func (l *Ledger) Report(now time.Duration, limit float64) { l.report(now, limit, false) }
+func (l *QuotaLedger) Report(now time.Duration, limit float64) { l.report(now, limit, false) }
 
-// Known records a limit that a courier has known for some time. If a fleet calls a destination
+// ReportStale records a limit that a courier has known for some time. If a fleet calls a destination
 // rarely, many couriers still know the limit from before a cut, and each report would undo newer
 // ones. The report therefore only counts if no limit is known, or as a further sample close to the
 // current one.
-func (l *Ledger) Known(now time.Duration, limit float64) { l.report(now, limit, true) }
+func (l *QuotaLedger) ReportStale(now time.Duration, limit float64) { l.report(now, limit, true) }
 
-func (l *Ledger) report(now time.Duration, limit float64, stale bool) {
+func (l *QuotaLedger) report(now time.Duration, limit float64, stale bool) {
 	if !(limit > 0) || math.IsInf(limit, 0) {
 		return
 	}
@@ -136,8 +136,8 @@
 	}
 }
 
-// Failing records that a courier's calls do not reach the destination.
-func (l *Ledger) Failing(now time.Duration, peer int) {
+// RecordFailing records that a courier's calls do not reach the destination.
+func (l *QuotaLedger) RecordFailing(now time.Duration, peer int) {
 	l.lastUsed = now
 	if l.failingSince == nil {
 		l.failingSince = map[int]time.Duration{}
@@ -147,15 +147,15 @@
 	}
 }
 
-// Serves records that the destination has answered a call again. It returns the couriers to notify,
+// RecordRecovery records that the destination has answered a call again. It returns the couriers to notify,
 // in ascending order.
-func (l *Ledger) Serves(now time.Duration) (peers []int) {
+func (l *QuotaLedger) RecordRecovery(now time.Duration) (peers []int) {
 	for p, at := range l.failingSince {
 		if now-at <= recoveryNoticeWindow {
 			peers = append(peers, p)
 		}
 	}
-	if len(peers) >= l.slowStart.Least && !l.cold {
+	if len(peers) >= l.slowStart.MinObservers && !l.cold {
 		l.refill(now)
 		l.cold, l.recoveredAt = true, now
 		l.tokens = math.Min(l.tokens, math.Max(1, l.maxTokens()*l.grantableShare(now)))
@@ -165,8 +165,8 @@
 	return peers
 }
 
-// Refused records that the destination rejected a call above the limit.
-func (l *Ledger) Refused(now time.Duration) {
+// RecordRejection records that the destination rejected a call above the limit.
+func (l *QuotaLedger) RecordRejection(now time.Duration) {
 	l.refill(now)
 	l.tokens = math.Min(l.tokens, -l.rate*rejectionDebtSeconds)
 	if l.utilizationCutAt == 0 || now-l.utilizationCutAt >= utilizationCutInterval {
@@ -174,10 +174,10 @@
 	}
 }
 
-// Ask records a courier's request for n calls, the first of which has the given rank. It replaces
+// Request records a courier's request for n calls, the first of which has the given rank. It replaces
 // the courier's previous request. returned is the number of granted calls that were not made, minus
 // calls made without a grant.
-func (l *Ledger) Ask(now time.Duration, peer, n, rank, returned int) {
+func (l *QuotaLedger) Request(now time.Duration, peer, n, rank, returned int) {
 	l.refill(now)
 	l.lastUsed = now
 	l.tokens = math.Min(l.tokens+float64(returned), l.maxTokens())
@@ -198,7 +198,7 @@
 // the request with the highest rank, and among equals to the oldest. A waiting request is
 // acknowledged once each time it is received, because a courier that gets no answer takes the owner
 // for unreachable.
-func (l *Ledger) Grants(now time.Duration) (out []Grant) {
+func (l *QuotaLedger) Grants(now time.Duration) (out []Grant) {
 	l.refill(now)
 	for _, a := range slices.Clone(l.requests) {
 		if now-a.at > requestLifetime {
@@ -237,16 +237,16 @@
 }
 
 // Next returns when more can be granted. Zero means that no request waits or everything is granted.
-func (l *Ledger) Next(now time.Duration) time.Duration {
+func (l *QuotaLedger) Next(now time.Duration) time.Duration {
 	if len(l.requests) == 0 || l.rate == 0 {
 		return 0
 	}
 	return now + max(clampedSeconds((1-l.tokens)/(l.rate*l.utilization*l.grantableShare(now))), time.Millisecond)
 }
 
-func (l *Ledger) maxTokens() float64 { return math.Max(1, l.rate*burstSeconds) }
+func (l *QuotaLedger) maxTokens() float64 { return math.Max(1, l.rate*burstSeconds) }
 
-func (l *Ledger) refill(now time.Duration) {
+func (l *QuotaLedger) refill(now time.Duration) {
 	dt := (now - l.refilledAt).Seconds()
 	if dt <= 0 {
 		return
@@ -256,7 +256,7 @@
 	l.tokens = math.Min(l.tokens+dt*l.rate*l.utilization*l.grantableShare(now), l.maxTokens())
 }
 
-func (l *Ledger) remove(a *request) {
+func (l *QuotaLedger) remove(a *request) {
 	if a != nil {
 		delete(l.byPeer, a.peer)
 		l.requests = slices.DeleteFunc(l.requests, func(x *request) bool { return x == a })
--- a/internal/lease/ramp.go
+++ b/internal/lease/ramp.go
@@ -17,13 +17,13 @@
 	chanceAllowance  = 2.0 // calls that are allowed on top
 )
 
-// Stands returns how many calls within the collapse window a destination that recovers from an
+// CollapseThreshold returns how many calls within the collapse window a destination that recovers from an
 // outage tolerates if the settings allow n.
-func Stands(n float64) float64 { return n + chanceDeviations*math.Sqrt(n) + chanceAllowance }
+func CollapseThreshold(n float64) float64 { return n + chanceDeviations*math.Sqrt(n) + chanceAllowance }
 
-// Saw estimates how many couriers of a fleet have seen an outage of a destination with a capacity
+// OutageObservers estimates how many couriers of a fleet have seen an outage of a destination with a capacity
 // in calls per second: every call that the fleet made during the outage came from one of them.
-func Saw(fleet, capacity float64, outage time.Duration) float64 {
+func OutageObservers(fleet, capacity float64, outage time.Duration) float64 {
 	return math.Max(1, fleet*(1-math.Exp(-outageLoadFactor*capacity*outage.Seconds()/fleet)))
 }
 
@@ -41,12 +41,12 @@
 // Reset forgets the outage.
 func (s *Spread) Reset() { *s = Spread{} }
 
-// Room reports whether a call may be made now, with the given interval between calls. The first
+// Allow reports whether a call may be made now, with the given interval between calls. The first
 // call waits for a random part of the interval (draw returns a number from 0 to 1), so that the
 // calls of all couriers are spread evenly. The shortest interval since the last call is kept:
 // during an outage the estimated number of couriers that saw it grows, and the next call would
 // otherwise be postponed faster than time passes.
-func (s *Spread) Room(now, interval time.Duration, draw func() float64) bool {
+func (s *Spread) Allow(now, interval time.Duration, draw func() float64) bool {
 	if !s.started {
 		s.Called(now - time.Duration(draw()*float64(interval)))
 	}
--- a/internal/lease/ramp_test.go
+++ b/internal/lease/ramp_test.go
@@ -10,12 +10,12 @@
 )
 
 func TestCollapseLimitAndObservers(t *testing.T) {
-	assert.Equal(t, 2.0, Stands(0))
-	assert.Equal(t, 17.0, Stands(9))
-	assert.InDelta(t, 1, Saw(30, 10, 0), 1e-9, "at least this courier")
-	assert.InDelta(t, 30, Saw(30, 10, 30*time.Second), 1e-6, "all couriers see a long outage")
-	assert.InDelta(t, 0.2, Saw(300, 0.1, time.Second), 0.9, "few couriers see it if few call")
-	assert.Less(t, Saw(300, 10, time.Second), Saw(300, 10, 2*time.Second))
+	assert.Equal(t, 2.0, CollapseThreshold(0))
+	assert.Equal(t, 17.0, CollapseThreshold(9))
+	assert.InDelta(t, 1, OutageObservers(30, 10, 0), 1e-9, "at least this courier")
+	assert.InDelta(t, 30, OutageObservers(30, 10, 30*time.Second), 1e-6, "all couriers see a long outage")
+	assert.InDelta(t, 0.2, OutageObservers(300, 0.1, time.Second), 0.9, "few couriers see it if few call")
+	assert.Less(t, OutageObservers(300, 10, time.Second), OutageObservers(300, 10, 2*time.Second))
 }
 
 // Couriers that start at the same moment spread their calls evenly: the first calls within one
@@ -28,7 +28,7 @@
 		var s Spread
 		var at []time.Duration
 		for now := time.Hour; now < time.Hour+2*apart; now += 10 * ms {
-			if s.Room(now, apart, rng.Float64) {
+			if s.Allow(now, apart, rng.Float64) {
 				at = append(at, now)
 				quarter[4*(now-time.Hour)/apart]++
 				s.Called(now)
@@ -54,7 +54,7 @@
 			now += time.Duration(rapid.IntRange(1, 500).Draw(t, "after")) * ms
 			apart := time.Duration(rapid.IntRange(100, 9000).Draw(t, "apart")) * ms
 			least = min(least, apart)
-			if got := s.Room(now, apart, nil); got != (now-last >= least) {
+			if got := s.Allow(now, apart, nil); got != (now-last >= least) {
 				t.Fatalf("allowed=%v %v after the last call with a shortest interval of %v", got, now-last, least)
 			}
 			if now-last >= least && rapid.Bool().Draw(t, "calls") {
@@ -63,7 +63,7 @@
 			}
 		}
 		s.Reset()
-		if s.Room(now, time.Second, func() float64 { return 0.5 }) || !s.Room(now+500*ms, time.Second, nil) {
+		if s.Allow(now, time.Second, func() float64 { return 0.5 }) || !s.Allow(now+500*ms, time.Second, nil) {
 			t.Fatal("the first call of another outage must wait for a new draw")
 		}
 	})
--- a/internal/measure/hollow.go
+++ b/internal/measure/hollow.go
@@ -145,7 +145,7 @@
 		h.arrivals = w.plan.ArrivalsAt(number, w.may)
 	}
 	h.settings, err = config.ParseSettings(courierSeed(w.plan, number), text)
-	h.settings.Notes = true
+	h.settings.PeerMessages = true
 	return h, err
 }
 
@@ -158,23 +158,23 @@
 func (h *hollow) begin() (err error) {
 	h.life++
 	log := slog.New(slog.DiscardHandler)
-	if h.socket, err = net.Exchange(h.each[h.number], h.peers, notes.Most, h.shard.loop.Post, log, h.noted); err != nil {
+	if h.socket, err = net.ListenDatagrams(h.each[h.number], h.peers, notes.MaxBytes, h.shard.loop.Post, log, h.noted); err != nil {
 		return err
 	}
 	h.front = platform.New(platform.Config{
 		Loop: h.shard.loop, Engine: h.shard.engine, Log: log, Discovery: h.discovery, Names: h.names,
-		Columns: h.columns, Settings: h.settings, Lists: h.lists, Listen: h.clients(h.number), Router: h.router(),
+		ReportColumns: h.columns, Settings: h.settings, Lists: h.lists, Listen: h.clients(h.number), Router: h.router(),
 	})
 	h.core, err = core.New(core.Config{
 		Loop: h.shard.loop, Log: log, Journal: &store.Memory{}, Settings: h.settings,
 		Fronts:      []core.Front{hollowFront{h.front, h}},
-		Directories: map[int]core.Directory{0: {Belief: belief.Default(), Trust: distrust.Default()}},
-		Fleet:       h, Heard: func(int) { h.holds() },
+		Directories: map[int]core.Directory{0: {Confidence: belief.Default(), Plausibility: distrust.Default()}},
+		Fleet:       h, OnListChange: func(int) { h.holds() },
 	})
 	if err != nil {
 		return err
 	}
-	if err := h.front.Start(h.core, platform.Begin{}); err != nil {
+	if err := h.front.Start(h.core, platform.InitialList{}); err != nil {
 		return err
 	}
 	h.alive = true
@@ -193,14 +193,14 @@
 	h.socket.Close()
 	h.passed = sumOf(h.passed, h.forwardedNow())
 	h.past = sum(h.past, h.socket.Counts())
-	h.unread += h.core.Counters.Unread
+	h.unread += h.core.Counters.PeerMessagesInvalid
 }
 
 func sum(a, b net.DatagramCounts) net.DatagramCounts {
 	return net.DatagramCounts{
 		Sent: a.Sent + b.Sent, SentBytes: a.SentBytes + b.SentBytes, Received: a.Received + b.Received,
-		ReceivedBytes: a.ReceivedBytes + b.ReceivedBytes, Strange: a.Strange + b.Strange,
-		Oversize: a.Oversize + b.Oversize, Crowded: a.Crowded + b.Crowded,
+		ReceivedBytes: a.ReceivedBytes + b.ReceivedBytes, UnknownSender: a.UnknownSender + b.UnknownSender,
+		Oversize: a.Oversize + b.Oversize, Overflow: a.Overflow + b.Overflow,
 	}
 }
 
@@ -221,7 +221,7 @@
 		h.serial++
 		m := message(h.number, h.serial, dest, keyed)
 		r := core.Request{
-			ID: m.ID, Class: m.Class, Tenant: m.Tenant, Destination: m.Destination, Left: m.Left,
+			ID: m.ID, Class: m.Class, Tenant: m.Tenant, Destination: m.Destination, TimeLeft: m.Left,
 			Body: standin.Body(0, 0, time.Now().Add(m.Left)),
 		}
 		if m.Keyed {
@@ -230,16 +230,16 @@
 		if h.members != nil {
 			h.handIn(r)
 		} else if h.front.Ready() {
-			_ = h.core.TakeIn(r, func(core.Answer, *store.Message) bool { return true }) // it is well-formed
+			_ = h.core.Submit(r, func(core.Answer, *store.Message) bool { return true }) // it is well-formed
 		}
 		h.arrive(next)
 	})
 }
 
-// Tell sends notes to another courier.
-func (h *hollow) Tell(peer int, items []snowjunction.Note) {
+// Send sends notes to another courier.
+func (h *hollow) Send(peer int, items []snowjunction.PeerMessage) {
 	granted := granted(items)
-	for _, b := range notes.Write(items) {
+	for _, b := range notes.Encode(items) {
 		if h.cuts(h.number, peer) {
 			h.cut.Add(1)
 			continue
@@ -255,13 +255,13 @@
 }
 
 // granted is the share of notes that are a keeper's; a greeting has none.
-func granted(items []snowjunction.Note) float64 {
+func granted(items []snowjunction.PeerMessage) float64 {
 	if len(items) == 0 {
 		return 0
 	}
 	n := 0
 	for _, x := range items {
-		if x.Grants {
+		if x.IsGrant {
 			n++
 		}
 	}
@@ -277,15 +277,15 @@
 		h.cut.Add(1)
 		return
 	}
-	items, err := notes.Read(b)
+	items, err := notes.Decode(b)
 	if err != nil {
-		h.core.Counters.Unread++
+		h.core.Counters.PeerMessagesInvalid++
 		return
 	}
 	granted := granted(items)
 	h.asks.Received, h.asks.ReceivedBytes = h.asks.Received+granted, h.asks.ReceivedBytes+granted*float64(len(b))
 	h.grants.Received, h.grants.ReceivedBytes = h.grants.Received+1-granted, h.grants.ReceivedBytes+(1-granted)*float64(len(b))
-	h.core.Noted(peer, items)
+	h.core.ReceivePeerMessages(peer, items)
 }
 
 // hollowFront is the platform's front but for its targets.
@@ -327,8 +327,8 @@
 // CloseIdle ends idle connections.
 func (t *drawnTarget) CloseIdle() { t.idle = nil }
 
-// Leave ends idle connections.
-func (t *drawnTarget) Leave() { t.idle = nil }
+// Retire ends idle connections.
+func (t *drawnTarget) Retire() { t.idle = nil }
 
 type drawnCall struct {
 	left bool
@@ -350,7 +350,7 @@
 		case x.done == nil:
 		case !may():
 			t.idle = append(t.idle, loop.Now())
-			x.finish(core.Result{Outcome: snowjunction.Moot})
+			x.finish(core.Result{Outcome: snowjunction.NotSent})
 		default:
 			t.leave(x, m)
 		}
@@ -381,15 +381,15 @@
 		x.end(a.Status == 200)
 		x.end = nil
 		t.idle = append(t.idle, loop.Now())
-		x.finish(front.Result(a.Status, func(name string) string { return standin.Header(a, name) }, t.h.columns))
+		x.finish(front.ResultFromAnswer(a.Status, func(name string) string { return standin.Header(a, name) }, t.h.columns))
 	})
 }
 
-// Left tells whether its last byte would have left.
-func (x *drawnCall) Left() bool { return x.left }
+// Sent tells whether its last byte would have left.
+func (x *drawnCall) Sent() bool { return x.left }
 
-// Kept is how long its connection would have been idle.
-func (x *drawnCall) Kept() time.Duration { return x.kept }
+// IdleBefore is how long its connection would have been idle.
+func (x *drawnCall) IdleBefore() time.Duration { return x.kept }
 
 // GiveUp stops waiting.
 func (x *drawnCall) GiveUp() {
--- a/internal/measure/scale.go
+++ b/internal/measure/scale.go
@@ -351,7 +351,7 @@
 	t.force.hist, t.force.held = latency.New(10*time.Minute, 3), map[string]uint64{}
 	t.directory.Watched(t.force.watched)
 	t.settings = rig.Large(48, 1000, 1.5*p.Events)
-	t.lists = platform.ListLimits{Bytes: listBytes(len(t.list)), Entries: max(len(t.list), platform.DefaultLists.Entries)}
+	t.lists = platform.ListLimits{Bytes: listBytes(len(t.list)), Entries: max(len(t.list), platform.DefaultListLimits.Entries)}
 	t.columns = []string{"x0", "x1"}
 	t.names = config.Names{Zones: map[string]int{}, Kinds: map[string]int{"k": 0}}
 	for i, z := range t.zones {
--- a/internal/measure/scaleparts.go
+++ b/internal/measure/scaleparts.go
@@ -52,12 +52,12 @@
 	if h.members == nil {
 		return nil
 	}
-	return partition.NewRouter(platform.Routing(h.settings, scale.MemberName(h.number), "", linger), h.members, 0)
+	return partition.NewRouter(platform.RouterOptions(h.settings, scale.MemberName(h.number), "", linger), h.members, 0)
 }
 
 // handIn hands a message in as a client would, but for the connection.
 func (h *hollow) handIn(r core.Request) {
-	_ = h.front.HandIn(r, func([]byte) {}) // it is well-formed
+	_ = h.front.Submit(r, func([]byte) {}) // it is well-formed
 }
 
 // forwarded is what it has forwarded in all its lives.
@@ -207,6 +207,6 @@
 	n := h.core.Counters
 	return map[string]float64{
 		"forwarded": float64(n.Forwarded), "forward_bytes": float64(n.ForwardedBytes), "moved": float64(n.Moved),
-		"no_owner": float64(n.Unrouted), "lost": float64(n.Unknown),
+		"no_owner": float64(n.Unrouted), "lost": float64(n.ForwardUnknown),
 	}
 }
--- a/internal/measure/scalerun.go
+++ b/internal/measure/scalerun.go
@@ -323,7 +323,7 @@
 	for _, s := range t.shards {
 		r.hollow["cpu"] += s.cpu().Seconds()
 		s.on(func() {
-			r.hollow["open"] += float64(s.engine.Kinds()[platform.ForwardKind])
+			r.hollow["open"] += float64(s.engine.OpenByKind()[platform.ForwardKind])
 			for _, h := range t.hollow {
 				if h.shard == s {
 					r.add(h, collect)
@@ -369,12 +369,12 @@
 	n := h.past
 	if h.alive {
 		n = sum(n, h.socket.Counts())
-		r.unread += float64(h.core.Counters.Unread)
+		r.unread += float64(h.core.Counters.PeerMessagesInvalid)
 	}
 	r.unread += float64(h.unread)
 	for name, v := range map[string]uint64{
 		"sent": n.Sent, "sent_bytes": n.SentBytes, "received": n.Received, "received_bytes": n.ReceivedBytes,
-		"strange": n.Strange, "oversize": n.Oversize, "crowded": n.Crowded,
+		"strange": n.UnknownSender, "oversize": n.Oversize, "crowded": n.Overflow,
 	} {
 		r.hollow[name] += float64(v)
 	}
@@ -389,8 +389,8 @@
 		r.hollow["list"] += float64(f.ListBytes)
 		r.hollow["entries"] += float64(f.ListEntries)
 		r.state += float64(f.Carried())
-		r.accounts += float64(f.Accounts)
-		r.accountBytes += float64(f.AccountBytes)
+		r.accounts += float64(f.QuotaLedgers)
+		r.accountBytes += float64(f.QuotaLedgerBytes)
 	}
 }
 
--- a/internal/measure/start.go
+++ b/internal/measure/start.go
@@ -139,7 +139,7 @@
 func (o Start) Run(out io.Writer) (*StartFigures, error) {
 	f := &StartFigures{
 		Machine: machine(), Listed: o.Entries, Ms: map[string]map[string]Spread{},
-		Steps: slices.Concat([]string{execStep}, daemon.Steps, []string{pongStep, whole}),
+		Steps: slices.Concat([]string{execStep}, daemon.StartSteps, []string{pongStep, whole}),
 	}
 	fmt.Fprintln(out, f.Machine)
 	dir, err := os.MkdirTemp("", "snowjunction-start-")
@@ -263,7 +263,7 @@
 	if err != nil {
 		return err
 	}
-	w := dircache.NewWriter(dircache.Head{Told: time.Now(), Generation: 2, Agent: agent, Zones: []string{"a"}, Kinds: []string{"k"}}, o.cacheKB()<<10)
+	w := dircache.NewWriter(dircache.Head{ConfirmedAt: time.Now(), Generation: 2, Agent: agent, Zones: []string{"a"}, Kinds: []string{"k"}}, o.cacheKB()<<10)
 	f.OnDisk = 0
 	for _, x := range list {
 		if w.Add(groups.Entry{Name: x.InstanceID, Addr: x.HostPort, Destination: snowjunction.DestinationID(x.Cell), Weight: 1, Phase: snowjunction.Ready}) {
@@ -289,14 +289,14 @@
 	past := 0
 	for ; j.Size() < int64(0.6*float64(room)); past++ {
 		m := message(past)
-		err := errors.Join(j.Take(m), j.Sent(m, now), j.Came(m, true, now), j.Ended(m, store.Delivered, 0, now), j.Settle(m))
+		err := errors.Join(j.Accept(m), j.RecordAttempt(m, now), j.RecordOutcome(m, true, now), j.RecordFinalState(m, store.Delivered, 0, now), j.Settle(m))
 		if err != nil {
 			return err
 		}
 	}
 	live := 0
 	for ; ; live++ {
-		if err := j.Take(message(past + live)); errors.Is(err, store.ErrFull) {
+		if err := j.Accept(message(past + live)); errors.Is(err, store.ErrFull) {
 			break
 		} else if err != nil {
 			return err
@@ -331,7 +331,7 @@
 	}
 	own := rig.Number(line, "ms")
 	add := func(step string, ms float64) { took[step] = append(took[step], ms) }
-	for _, step := range daemon.Steps {
+	for _, step := range daemon.StartSteps {
 		add(step, rig.Number(line, "steps_ms", step))
 	}
 	add(execStep, ms(at.Sub(begun))-own)
--- a/internal/memento/memento.go
+++ b/internal/memento/memento.go
@@ -35,17 +35,17 @@
 // ErrFormat wraps all errors of Decode.
 var ErrFormat = errors.New("invalid destination snapshot")
 
-// Name identifies an endpoint by the hash of its name.
-type Name uint64
+// EndpointHash identifies an endpoint by the hash of its name.
+type EndpointHash uint64
 
-// NameOf returns the Name of an endpoint of the given name.
-func NameOf(name string) Name { return Name(xxhash.Sum64String(name)) }
+// HashName returns the Name of an endpoint of the given name.
+func HashName(name string) EndpointHash { return EndpointHash(xxhash.Sum64String(name)) }
 
-// Memento is a destination's state with the names of its endpoints, in the order of
+// Snapshot is a destination's state with the names of its endpoints, in the order of
 // State.EndpointsSeen, whose endpoint numbers are not used.
-type Memento struct {
-	State snowjunction.State
-	Names []Name
+type Snapshot struct {
+	State snowjunction.DestinationSnapshot
+	Names []EndpointHash
 }
 
 type encoder []byte
@@ -67,32 +67,32 @@
 }
 
 // Encode appends the encoded form of m to b.
-func Encode(b []byte, m *Memento) []byte {
+func Encode(b []byte, m *Snapshot) []byte {
 	w, s := encoder(b), &m.State
 	w = append(w, Version)
-	for _, v := range []float64{s.Recent, s.Best, s.Peak, s.Window, s.First, s.Repeats} {
+	for _, v := range []float64{s.Latency, s.BestLatency, s.PeakRate, s.Window, s.FirstAttempts, s.Retries} {
 		w.float(v)
 	}
 	routes := s.Routes[:min(len(s.Routes), MaxRoutes)]
 	w.count(len(routes))
 	for _, r := range routes {
-		for _, v := range []float64{r.Limit, r.Left, r.Pace, r.ColdSends} {
+		for _, v := range []float64{r.Limit, r.LimitLeft, r.PacingRate, r.ColdCalls} {
 			w.float(v)
 		}
-		w.time(r.Gap)
-		w.wait(r.Wait)
-		w.count(r.Fulls)
-		w.time(r.FullAgo)
+		w.time(r.CallGap)
+		w.wait(r.BlockedFor)
+		w.count(r.Rejections)
+		w.time(r.SinceRejection)
 	}
-	eps := s.EndpointsSeen[:min(len(s.EndpointsSeen), len(m.Names), MaxEndpoints)]
+	eps := s.Endpoints[:min(len(s.Endpoints), len(m.Names), MaxEndpoints)]
 	w.count(len(eps))
 	for i, e := range eps {
 		w = binary.BigEndian.AppendUint64(w, uint64(m.Names[i]))
 		flags := byte(e.Condition) & 3
-		if e.Vouched {
+		if e.TrialSafe {
 			flags |= 4
 		}
-		plain := e.Condition == snowjunction.Serving && e.Fails == 0
+		plain := e.Condition == snowjunction.Serving && e.Failures == 0
 		if plain {
 			flags |= 8 // no further fields
 		}
@@ -102,14 +102,14 @@
 		if plain {
 			continue
 		}
-		w.count(e.Fails)
-		for _, t := range []time.Duration{e.For, e.Failed, e.DownFor, e.Backoff, e.Trial} {
+		w.count(e.Failures)
+		for _, t := range []time.Duration{e.SinceCondition, e.SinceFailure, e.LastOutage, e.Backoff, e.UntilTrial} {
 			w.time(t)
 		}
 	}
-	w.float(s.Served)
-	w.time(s.RepeatGap)
-	w.time(s.Small)
+	w.float(s.Successes)
+	w.time(s.RetryGap)
+	w.time(s.SmallTableFor)
 	return w
 }
 
@@ -122,19 +122,19 @@
 	}
 	v := float64(math.Float32frombits(binary.BigEndian.Uint32(b)))
 	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
-		r.Bad = true
+		r.Failed = true
 	}
 	return v
 }
 
 func (r *decoder) count(most int) int { return int(r.Uint(uint64(most))) }
 
-func (r *decoder) name() Name {
+func (r *decoder) name() EndpointHash {
 	b := r.Take(8)
 	if b == nil {
 		return 0
 	}
-	return Name(binary.BigEndian.Uint64(b))
+	return EndpointHash(binary.BigEndian.Uint64(b))
 }
 
 // maxTime is the longest time that is accepted: ten years.
@@ -143,52 +143,52 @@
 func (r *decoder) time() time.Duration {
 	v := r.Int()
 	if most := int64(maxTime / time.Millisecond); v > most || v < -most {
-		r.Bad = true
+		r.Failed = true
 		return 0
 	}
 	return time.Duration(v) * time.Millisecond
 }
 
 // Decode decodes a snapshot that Encode has written. Its errors wrap ErrForm.
-func Decode(b []byte) (*Memento, error) {
+func Decode(b []byte) (*Snapshot, error) {
 	if len(b) == 0 || b[0] < minVersion || b[0] > Version {
 		return nil, fmt.Errorf("%w: unknown version", ErrFormat)
 	}
-	r, m := &decoder{record.Reader{B: b[1:]}}, &Memento{}
+	r, m := &decoder{record.Reader{Data: b[1:]}}, &Snapshot{}
 	s := &m.State
-	for _, v := range []*float64{&s.Recent, &s.Best, &s.Peak, &s.Window, &s.First, &s.Repeats} {
+	for _, v := range []*float64{&s.Latency, &s.BestLatency, &s.PeakRate, &s.Window, &s.FirstAttempts, &s.Retries} {
 		*v = r.float()
 	}
-	for n := r.count(MaxRoutes); n > 0 && !r.Bad; n-- {
-		var x snowjunction.RouteState
-		for _, v := range []*float64{&x.Limit, &x.Left, &x.Pace, &x.ColdSends} {
+	for n := r.count(MaxRoutes); n > 0 && !r.Failed; n-- {
+		var x snowjunction.RouteSnapshot
+		for _, v := range []*float64{&x.Limit, &x.LimitLeft, &x.PacingRate, &x.ColdCalls} {
 			*v = r.float()
 		}
-		x.Gap, x.Wait, x.Fulls, x.FullAgo = r.time(), r.time(), r.count(math.MaxInt32), r.time()
+		x.CallGap, x.BlockedFor, x.Rejections, x.SinceRejection = r.time(), r.time(), r.count(math.MaxInt32), r.time()
 		s.Routes = append(s.Routes, x)
 	}
-	for n := r.count(MaxEndpoints); n > 0 && !r.Bad; n-- {
+	for n := r.count(MaxEndpoints); n > 0 && !r.Failed; n-- {
 		m.Names = append(m.Names, r.name())
 		flags := r.Byte()
-		e := snowjunction.EndpointState{
-			Condition: snowjunction.Condition(flags & 3), Vouched: flags&4 != 0,
+		e := snowjunction.EndpointSnapshot{
+			Condition: snowjunction.Condition(flags & 3), TrialSafe: flags&4 != 0,
 			Route: r.count(MaxRoutes), Latency: r.float(),
 		}
-		if e.Condition > snowjunction.Warming || flags > 15 {
-			r.Bad = true
+		if e.Condition > snowjunction.Recovering || flags > 15 {
+			r.Failed = true
 		}
 		if flags&8 == 0 {
-			e.Fails = r.count(math.MaxInt32)
-			for _, t := range []*time.Duration{&e.For, &e.Failed, &e.DownFor, &e.Backoff, &e.Trial} {
+			e.Failures = r.count(math.MaxInt32)
+			for _, t := range []*time.Duration{&e.SinceCondition, &e.SinceFailure, &e.LastOutage, &e.Backoff, &e.UntilTrial} {
 				*t = r.time()
 			}
 		}
-		s.EndpointsSeen = append(s.EndpointsSeen, e)
+		s.Endpoints = append(s.Endpoints, e)
 	}
 	if b[0] > 1 {
-		s.Served, s.RepeatGap, s.Small = r.float(), r.time(), r.time()
+		s.Successes, s.RetryGap, s.SmallTableFor = r.float(), r.time(), r.time()
 	}
-	if r.Bad || len(r.B) > 0 {
+	if r.Failed || len(r.Data) > 0 {
 		return nil, fmt.Errorf("%w: truncated or damaged", ErrFormat)
 	}
 	return m, nil
--- a/internal/net/capacity_test.go
+++ b/internal/net/capacity_test.go
@@ -22,7 +22,7 @@
 	each := []string{free(), free()}
 	received := make(chan struct{}, 1)
 	for i := range each {
-		d, err := Exchange(each[i], NewPeers(each), 256, func(f func()) { f() }, slog.New(slog.DiscardHandler), func(int, []byte) { received <- struct{}{} })
+		d, err := ListenDatagrams(each[i], NewPeers(each), 256, func(f func()) { f() }, slog.New(slog.DiscardHandler), func(int, []byte) { received <- struct{}{} })
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/net/conn.go
+++ b/internal/net/conn.go
@@ -71,8 +71,8 @@
 	return handover.Conn{FD: fd, Peer: c.peer, Since: c.since, In: c.in, Out: c.out}, true
 }
 
-// Rest returns the bytes that were read from a detached connection and not passed to its handler.
-func (c *Conn) Rest() []byte { return c.leftover }
+// Leftover returns the bytes that were read from a detached connection and not passed to its handler.
+func (c *Conn) Leftover() []byte { return c.leftover }
 
 // Peer returns the peer's address.
 func (c *Conn) Peer() string { return c.peer }
@@ -80,18 +80,18 @@
 // Up reports whether the connection is established and not closed.
 func (c *Conn) Up() bool { return c.up && !c.closed }
 
-// Unread reports whether bytes have arrived that have not been passed to the handler: in the
+// HasUnread reports whether bytes have arrived that have not been passed to the handler: in the
 // socket, or on their way to the loop.
-func (c *Conn) Unread() bool {
-	bytes, _ := c.Look()
+func (c *Conn) HasUnread() bool {
+	bytes, _ := c.Pending()
 	return bytes
 }
 
-// Look reports what has arrived on a connection and has not been passed to its handler: bytes, or
+// Pending reports what has arrived on a connection and has not been passed to its handler: bytes, or
 // the end of the stream. The kernel's count of received bytes is the only reliable source: bytes
 // that the reader has taken and not yet counted show up nowhere else. If the kernel does not count,
 // the socket and the reader are asked; if these show nothing, nothing is reported.
-func (c *Conn) Look() (bytes, ended bool) {
+func (c *Conn) Pending() (bytes, ended bool) {
 	switch {
 	case !c.Up():
 		return false, true
--- a/internal/net/datagrams.go
+++ b/internal/net/datagrams.go
@@ -27,17 +27,17 @@
 type DatagramCounts struct {
 	Sent, SentBytes         uint64
 	Received, ReceivedBytes uint64 // and passed to the handler
-	Strange                 uint64 // dropped: unknown sender address
+	UnknownSender           uint64 // dropped: unknown sender address
 	Oversize                uint64 // dropped: over the size limit
-	Crowded                 uint64 // dropped: too many unprocessed datagrams
+	Overflow                uint64 // dropped: too many unprocessed datagrams
 }
 
 // LogValue returns the counts as a log group.
 func (n DatagramCounts) LogValue() slog.Value {
 	return slog.GroupValue(
 		slog.Uint64("sent", n.Sent), slog.Uint64("sent_bytes", n.SentBytes), slog.Uint64("received", n.Received),
-		slog.Uint64("received_bytes", n.ReceivedBytes), slog.Uint64("strange", n.Strange),
-		slog.Uint64("oversize", n.Oversize), slog.Uint64("crowded", n.Crowded),
+		slog.Uint64("received_bytes", n.ReceivedBytes), slog.Uint64("strange", n.UnknownSender),
+		slog.Uint64("oversize", n.Oversize), slog.Uint64("crowded", n.Overflow),
 	)
 }
 
@@ -69,9 +69,9 @@
 // owns b.
 type DatagramHandler func(peer int, b []byte)
 
-// Exchange opens the socket at listen. Datagrams over maxSize bytes and those of unknown senders
+// ListenDatagrams opens the socket at listen. Datagrams over maxSize bytes and those of unknown senders
 // are dropped.
-func Exchange(listen string, peers *Peers, maxSize int, post func(func()), log *slog.Logger, handler DatagramHandler) (*Datagrams, error) {
+func ListenDatagrams(listen string, peers *Peers, maxSize int, post func(func()), log *slog.Logger, handler DatagramHandler) (*Datagrams, error) {
 	addr, err := netip.ParseAddrPort(listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen for peer messages: %w", err)
@@ -138,7 +138,7 @@
 func (d *Datagrams) Counts() DatagramCounts {
 	return DatagramCounts{
 		Sent: d.sent.Load(), SentBytes: d.sentBytes.Load(), Received: d.received.Load(), ReceivedBytes: d.receivedBytes.Load(),
-		Strange: d.unknownSender.Load(), Oversize: d.oversize.Load(), Crowded: d.overflow.Load(),
+		UnknownSender: d.unknownSender.Load(), Oversize: d.oversize.Load(), Overflow: d.overflow.Load(),
 	}
 }
 
--- a/internal/net/datagrams_test.go
+++ b/internal/net/datagrams_test.go
@@ -28,7 +28,7 @@
 	}
 	received := make(chan got, 8)
 	open := func(i int) *Datagrams {
-		d, err := Exchange(each[i], NewPeers(each), 4, func(f func()) { f() }, slog.New(slog.DiscardHandler), func(peer int, b []byte) {
+		d, err := ListenDatagrams(each[i], NewPeers(each), 4, func(f func()) { f() }, slog.New(slog.DiscardHandler), func(peer int, b []byte) {
 			received <- got{peer, string(b)}
 		})
 		require.NoError(t, err)
@@ -50,11 +50,11 @@
 	b.Send(0, []byte("back"))
 	assert.Equal(t, got{1, "back"}, <-received)
 	n := b.Counts()
-	assert.Equal(t, DatagramCounts{Sent: 1, SentBytes: 4, Received: 1, ReceivedBytes: 4, Strange: 1, Oversize: 1}, n)
+	assert.Equal(t, DatagramCounts{Sent: 1, SentBytes: 4, Received: 1, ReceivedBytes: 4, UnknownSender: 1, Oversize: 1}, n)
 	assert.Equal(t, DatagramCounts{Sent: 2, SentBytes: 12, Received: 1, ReceivedBytes: 4}, a.Counts())
-	_, err = Exchange("nowhere", NewPeers(each), 4, nil, nil, nil)
+	_, err = ListenDatagrams("nowhere", NewPeers(each), 4, nil, nil, nil)
 	require.Error(t, err)
-	_, err = Exchange(each[0], NewPeers(each), 4, nil, nil, nil)
+	_, err = ListenDatagrams(each[0], NewPeers(each), 4, nil, nil, nil)
 	require.Error(t, err, "the address is in use")
 }
 
--- a/internal/net/engine.go
+++ b/internal/net/engine.go
@@ -29,26 +29,26 @@
 
 // The connection end codes.
 const (
-	PeerClosed  Code = "peer_closed"  // the peer closed the connection
-	PeerReset   Code = "peer_reset"   // the connection broke
-	DialFailed  Code = "dial_failed"  // dial failed: refused or unreachable
-	DialTimeout Code = "dial_timeout" // dial failed: no answer in time
-	CallTimeout Code = "call_timeout" // the call on the connection timed out
-	Protocol    Code = "protocol"     // the peer violated its protocol
-	Idle        Code = "idle"         // idle for too long
-	Stale       Code = "stale"        // an idle connection that the peer closed, or sent unexpected data on
-	Dropped     Code = "dropped"      // an idle connection that the decision module no longer trusts
-	Drained     Code = "drained"      // its target is leaving the target group
-	Moved       Code = "moved"        // the platform has moved to another address
-	Finished    Code = "finished"     // one side asked to close after this exchange
-	Spared      Code = "spared"       // evicted to make room for another connection
-	Limit       Code = "limit"        // the connection limit is reached
-	SlowPeer    Code = "slow"         // the peer does not read what it is sent
-	Abuse       Code = "abuse"        // too many requests that are costly for this side only
-	Shutdown    Code = "shutdown"     // the courier is shutting down
-	Unknown     Code = "unknown"      // a message from this connection was forwarded and its outcome is unknown
-	ClientGone  Code = "client_gone"  // the client of the message that was forwarded on this connection is gone
-	HandedOver  Code = "handed_over"  // another process of this courier took over the connection
+	PeerClosed     Code = "peer_closed"  // the peer closed the connection
+	PeerReset      Code = "peer_reset"   // the connection broke
+	DialFailed     Code = "dial_failed"  // dial failed: refused or unreachable
+	DialTimeout    Code = "dial_timeout" // dial failed: no answer in time
+	CallTimeout    Code = "call_timeout" // the call on the connection timed out
+	Protocol       Code = "protocol"     // the peer violated its protocol
+	Idle           Code = "idle"         // idle for too long
+	Stale          Code = "stale"        // an idle connection that the peer closed, or sent unexpected data on
+	Dropped        Code = "dropped"      // an idle connection that the decision module no longer trusts
+	Drained        Code = "drained"      // its target is leaving the target group
+	Moved          Code = "moved"        // the platform has moved to another address
+	Finished       Code = "finished"     // one side asked to close after this exchange
+	Evicted        Code = "spared"       // evicted to make room for another connection
+	Limit          Code = "limit"        // the connection limit is reached
+	SlowPeer       Code = "slow"         // the peer does not read what it is sent
+	Abuse          Code = "abuse"        // too many requests that are costly for this side only
+	Shutdown       Code = "shutdown"     // the courier is shutting down
+	OutcomeUnknown Code = "unknown"      // a message from this connection was forwarded and its outcome is unknown
+	ClientGone     Code = "client_gone"  // the client of the message that was forwarded on this connection is gone
+	HandedOver     Code = "handed_over"  // another process of this courier took over the connection
 )
 
 // Handler receives the events of a connection, on the loop's goroutine.
@@ -63,10 +63,10 @@
 	Post     func(func()) // posts work to the loop's goroutine
 	Log      *slog.Logger
 	MaxConns int // limit on open connections, accepted and dialed together
-	// Kept is the number of connections, by kind, that are reserved for that kind. Without a
+	// Reserved is the number of connections, by kind, that are reserved for that kind. Without a
 	// reservation, idle clients and calls to targets could take all connections and cut the courier
 	// off from those it depends on.
-	Kept map[string]int
+	Reserved map[string]int
 }
 
 // Engine opens and accepts connections.
@@ -176,9 +176,9 @@
 	e.processed.Signal()
 }
 
-// Halves allows the peers of a kind's accepted connections to close their sending side and still be
+// AllowHalfClose allows the peers of a kind's accepted connections to close their sending side and still be
 // answered; their handlers implement HalfClosed. It must be called before Listen for that kind.
-func (e *Engine) Halves(kind string) { e.halfClose[kind] = true }
+func (e *Engine) AllowHalfClose(kind string) { e.halfClose[kind] = true }
 
 // Stop closes the listeners. Connections are closed by their owners.
 func (e *Engine) Stop() {
@@ -279,9 +279,9 @@
 	e.inherited = nil
 }
 
-// Retire stops accepting and calls done with duplicates of the listening sockets, by kind, once
+// StopAccepting stops accepting and calls done with duplicates of the listening sockets, by kind, once
 // every accepted connection has its handler. Connections in the accept queues stay there.
-func (e *Engine) Retire(done func(fds map[string]int)) {
+func (e *Engine) StopAccepting(done func(fds map[string]int)) {
 	fds := map[string]int{}
 	for _, l := range e.listeners {
 		if fd, err := dupSocket(l.Listener); err == nil {
@@ -362,7 +362,7 @@
 // reservations of other kinds.
 func (e *Engine) overLimit(kind string) bool {
 	limit := e.cfg.MaxConns
-	for k, n := range e.cfg.Kept {
+	for k, n := range e.cfg.Reserved {
 		if k != kind {
 			limit -= max(0, n-e.openByKind[k])
 		}
@@ -370,9 +370,9 @@
 	return e.openCount > limit
 }
 
-// SpareIdle registers a function that closes an idle dialed connection to make room. It returns
+// AddIdleEvictor registers a function that closes an idle dialed connection to make room. It returns
 // false if there is none.
-func (e *Engine) SpareIdle(evict func() bool) { e.idleEvictors = append(e.idleEvictors, evict) }
+func (e *Engine) AddIdleEvictor(evict func() bool) { e.idleEvictors = append(e.idleEvictors, evict) }
 
 // evictIdle closes an idle dialed connection to make room. It returns false if there is none.
 func (e *Engine) evictIdle() bool {
@@ -389,7 +389,7 @@
 func (e *Engine) evictAccepted(kind string) bool {
 	for _, own := range []bool{true, false} {
 		for _, l := range e.listeners {
-			if (l.kind == kind) == own && (own || e.cfg.Kept[l.kind] == 0) && l.evict() {
+			if (l.kind == kind) == own && (own || e.cfg.Reserved[l.kind] == 0) && l.evict() {
 				return true
 			}
 		}
@@ -397,14 +397,14 @@
 	return false
 }
 
-// Most returns the limit on open connections.
-func (e *Engine) Most() int { return e.cfg.MaxConns }
+// MaxConns returns the limit on open connections.
+func (e *Engine) MaxConns() int { return e.cfg.MaxConns }
 
-// Open returns the number of connections that are open or being opened.
-func (e *Engine) Open() int { return e.openCount }
+// OpenCount returns the number of connections that are open or being opened.
+func (e *Engine) OpenCount() int { return e.openCount }
 
-// Kinds returns the number of open connections by kind.
-func (e *Engine) Kinds() map[string]int { return maps.Clone(e.openByKind) }
+// OpenByKind returns the number of open connections by kind.
+func (e *Engine) OpenByKind() map[string]int { return maps.Clone(e.openByKind) }
 
 // Listen accepts connections on addr; accept returns the handler of each. If there is no room,
 // evict may close a connection that is not needed and then returns true. Listen returns the bound
@@ -466,7 +466,7 @@
 func (e *Engine) accept(kind string, raw stdnet.Conn, accept func(*Conn) Handler, lastTry bool) bool {
 	c := &Conn{engine: e, kind: kind, peer: raw.RemoteAddr().String(), since: time.Now(), accepted: true, halfClose: e.halfClose[kind]}
 	e.countOpen(c, 1)
-	overShare := float64(e.acceptedCount) > maxAcceptedShare*float64(e.cfg.MaxConns) && e.openByKind[kind] > e.cfg.Kept[kind]
+	overShare := float64(e.acceptedCount) > maxAcceptedShare*float64(e.cfg.MaxConns) && e.openByKind[kind] > e.cfg.Reserved[kind]
 	if overShare && !e.evictAccepted(kind) || e.overLimit(kind) && !e.evictIdle() && !e.evictAccepted(kind) {
 		if !lastTry {
 			e.countOpen(c, -1)
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -103,14 +103,14 @@
 	b.until(func() bool { return client.opened && accepted != nil })
 	require.True(t, conn.Write([]byte("hello")))
 	b.until(func() bool { return server.received == "hello" })
-	assert.Equal(t, 2, b.engine.Open())
+	assert.Equal(t, 2, b.engine.OpenCount())
 	accepted.Close(Finished)
 	accepted.Close(Idle)
 	b.until(func() bool { return client.code != "" })
 	assert.Equal(t, PeerClosed, client.code)
 	assert.Empty(t, server.code, "the handler is not notified of its own close")
 	assert.Equal(t, 2, b.lines())
-	assert.Zero(t, b.engine.Open())
+	assert.Zero(t, b.engine.OpenCount())
 	assert.False(t, conn.Write([]byte("x")))
 }
 
@@ -175,7 +175,7 @@
 	client := &recorder{}
 	conn := b.engine.Dial("test", l.Addr().String(), client)
 	conn.Close(DialTimeout)
-	assert.Zero(t, b.engine.Open())
+	assert.Zero(t, b.engine.OpenCount())
 	(<-b.tasks)()
 	assert.False(t, client.opened)
 	assert.Empty(t, client.code)
@@ -187,7 +187,7 @@
 	b := newTestEngine(t, 2)
 	var conns []*Conn
 	evict := func() bool {
-		conns[0].Close(Spared)
+		conns[0].Close(Evicted)
 		return true
 	}
 	addr, err := b.engine.Listen("test", "127.0.0.1:0", func(c *Conn) Handler {
@@ -201,7 +201,7 @@
 		defer c.Close()
 		b.until(func() bool { return len(conns) == n })
 	}
-	assert.Equal(t, 1, b.engine.Open())
+	assert.Equal(t, 1, b.engine.OpenCount())
 	assert.True(t, conns[1].Up())
 }
 
@@ -215,7 +215,7 @@
 	c, err := stdnet.Dial("tcp", addr)
 	require.NoError(t, err)
 	defer c.Close()
-	b.until(func() bool { return b.engine.Open() == 1 })
+	b.until(func() bool { return b.engine.OpenCount() == 1 })
 	const all = 8 * maxPendingBytes
 	go func() { _, _ = c.Write(make([]byte, all)) }()
 	b.until(func() bool {
@@ -234,7 +234,7 @@
 	first, err := stdnet.Dial("tcp", addr)
 	require.NoError(t, err)
 	defer first.Close()
-	b.until(func() bool { return b.engine.Open() == 1 })
+	b.until(func() bool { return b.engine.OpenCount() == 1 })
 	second, err := stdnet.Dial("tcp", addr)
 	require.NoError(t, err)
 	defer second.Close()
@@ -250,7 +250,7 @@
 	b.engine.Dial("test", l.Addr().String(), more)
 	b.until(func() bool { return more.code != "" })
 	assert.Equal(t, Limit, more.code)
-	assert.Equal(t, 2, b.engine.Open())
+	assert.Equal(t, 2, b.engine.OpenCount())
 }
 
 // Guards against child processes that inherit connections: they would keep them open after their
@@ -274,12 +274,12 @@
 	b := newTestEngine(t, 10)
 	server := &recorder{}
 	accepted, c, _ := b.pair(server)
-	assert.False(t, accepted.Unread())
+	assert.False(t, accepted.HasUnread())
 	_, err := c.Write([]byte("x"))
 	require.NoError(t, err)
-	require.Eventually(t, accepted.Unread, waitLimit, time.Millisecond)
+	require.Eventually(t, accepted.HasUnread, waitLimit, time.Millisecond)
 	b.until(func() bool { return server.received == "x" })
-	assert.False(t, accepted.Unread())
+	assert.False(t, accepted.HasUnread())
 }
 
 // A detached connection continues at another engine without losing bytes that were read before.
@@ -291,11 +291,11 @@
 	require.NoError(t, err)
 	// Wait until nbio's poller runs: a stop before that is lost and the engine never ends.
 	require.Eventually(t, func() bool { return accepted.unprocessed.Load() > 0 }, waitLimit, time.Millisecond)
-	require.True(t, accepted.Unread())
+	require.True(t, accepted.HasUnread())
 	from, ok := accepted.Detach()
 	require.True(t, ok)
 	var fds map[string]int
-	b.engine.Retire(func(m map[string]int) { fds = m })
+	b.engine.StopAccepting(func(m map[string]int) { fds = m })
 	b.until(func() bool { return fds != nil })
 	queued, err := stdnet.Dial("tcp", addr) // stays in the accept queue
 	require.NoError(t, err)
@@ -316,7 +316,7 @@
 	_, err = c.Write([]byte("c"))
 	require.NoError(t, err)
 	other.until(func() bool { return strings.HasSuffix(second.received, "c") })
-	assert.Equal(t, "abc", string(accepted.Rest())+second.received)
+	assert.Equal(t, "abc", string(accepted.Leftover())+second.received)
 	require.True(t, conn.Write([]byte("d")))
 	got := make([]byte, 1)
 	_, err = c.Read(got)
@@ -346,7 +346,7 @@
 	assert.True(t, accepted.Up(), "the loop is not yet notified of the end")
 	_, ok := accepted.Detach()
 	assert.False(t, ok)
-	assert.False(t, accepted.Unread())
+	assert.False(t, accepted.HasUnread())
 }
 
 // Guards against rejecting a connection too early: whether another one can be evicted may show only
@@ -362,7 +362,7 @@
 		if asked++; asked < 3 {
 			return false
 		}
-		accepted[0].Close(Spared)
+		accepted[0].Close(Evicted)
 		return true
 	})
 	require.NoError(t, err)
@@ -374,6 +374,6 @@
 	}
 	assert.Len(t, accepted, 8)
 	assert.Equal(t, 3, asked)
-	assert.Equal(t, 7, b.engine.Open())
+	assert.Equal(t, 7, b.engine.OpenCount())
 	assert.Equal(t, 1, b.lines(), "the evicted connection only, none rejected")
 }
--- a/internal/notes/capacity_test.go
+++ b/internal/notes/capacity_test.go
@@ -12,19 +12,19 @@
 	const dest = 1_200_000
 	for _, x := range []struct {
 		name string
-		note snowjunction.Note
+		note snowjunction.PeerMessage
 	}{
-		{"ask", snowjunction.Note{Destination: dest, Asks: true, Calls: 1, Rank: 150}},
-		{"ask-with-limit", snowjunction.Note{Destination: dest, Asks: true, Calls: 1, Rank: 150, Limit: 12.5}},
-		{"grant", snowjunction.Note{Destination: dest, Grants: true, Calls: 1}},
-		{"failing", snowjunction.Note{Destination: dest, Asks: true, Calls: 1, Rank: 150, Failing: true}},
+		{"ask", snowjunction.PeerMessage{Destination: dest, RequestsGrant: true, Calls: 1, Rank: 150}},
+		{"ask-with-limit", snowjunction.PeerMessage{Destination: dest, RequestsGrant: true, Calls: 1, Rank: 150, Limit: 12.5}},
+		{"grant", snowjunction.PeerMessage{Destination: dest, IsGrant: true, Calls: 1}},
+		{"failing", snowjunction.PeerMessage{Destination: dest, RequestsGrant: true, Calls: 1, Rank: 150, Unreachable: true}},
 	} {
 		b.Run(x.name, func(b *testing.B) {
 			bytes := 0
 			for b.Loop() {
-				text := Write([]snowjunction.Note{x.note})[0]
+				text := Encode([]snowjunction.PeerMessage{x.note})[0]
 				bytes = len(text)
-				if _, err := Read(text); err != nil {
+				if _, err := Decode(text); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/notes/notes.go
+++ b/internal/notes/notes.go
@@ -23,8 +23,8 @@
 	"snowjunction/internal/record"
 )
 
-// Most is the maximum size of a message in bytes.
-const Most = 256
+// MaxBytes is the maximum size of a message in bytes.
+const MaxBytes = 256
 
 const (
 	// formatVersion is the format byte; the following constants are the flags of an item.
@@ -51,12 +51,12 @@
 	ErrItem   = errors.New("peer message is truncated or has a value out of range")
 )
 
-// Write encodes items as one or more messages. Without items it returns one empty message, which
+// Encode encodes items as one or more messages. Without items it returns one empty message, which
 // tells the receiver that the sender is alive.
-func Write(items []snowjunction.Note) (out [][]byte) {
+func Encode(items []snowjunction.PeerMessage) (out [][]byte) {
 	b := []byte{formatVersion}
 	for _, n := range items {
-		if len(b)+maxItemBytes > Most {
+		if len(b)+maxItemBytes > MaxBytes {
 			out, b = append(out, b), []byte{formatVersion}
 		}
 		b = appendItem(b, n)
@@ -67,7 +67,7 @@
 	return out
 }
 
-func appendItem(b []byte, n snowjunction.Note) []byte {
+func appendItem(b []byte, n snowjunction.PeerMessage) []byte {
 	b = binary.AppendUvarint(b, uint64(n.Destination))
 	at := len(b)
 	b = append(b, 0)
@@ -77,21 +77,21 @@
 		}
 		return set
 	}
-	flag(n.Failing, flagFailing)
-	flag(n.Serves, flagRecovered)
-	flag(n.Cold && !n.Asks, flagCold)
-	flag(n.Old && n.Asks, flagStaleLimit)
-	if flag(n.Asks, flagRequest) || flag(n.Grants, flagGrant) {
+	flag(n.Unreachable, flagFailing)
+	flag(n.Recovered, flagRecovered)
+	flag(n.Cold && !n.RequestsGrant, flagCold)
+	flag(n.OldLimit && n.RequestsGrant, flagStaleLimit)
+	if flag(n.RequestsGrant, flagRequest) || flag(n.IsGrant, flagGrant) {
 		b = append(b, byte(min(max(n.Calls, 0), maxCalls)))
 	}
-	if n.Asks {
+	if n.RequestsGrant {
 		b = append(b, byte(min(max(n.Rank, 0), 255)))
 	}
-	if flag(n.Back != 0, flagReturned) {
-		b = binary.AppendVarint(b, int64(min(max(n.Back, -maxReturned), maxReturned)))
+	if flag(n.ReturnedCalls != 0, flagReturned) {
+		b = binary.AppendVarint(b, int64(min(max(n.ReturnedCalls, -maxReturned), maxReturned)))
 	}
-	if flag(n.Refused > 0, flagRejected) {
-		b = binary.AppendUvarint(b, uint64(min(n.Refused, maxReturned)))
+	if flag(n.RejectedCalls > 0, flagRejected) {
+		b = binary.AppendUvarint(b, uint64(min(n.RejectedCalls, maxReturned)))
 	}
 	if flag(n.Limit > 0, flagLimit) {
 		b = binary.AppendUvarint(b, uint64(math.Round(10*math.Min(n.Limit, maxLimit))))
@@ -99,35 +99,35 @@
 	return b
 }
 
-// Read decodes a message. A message with any invalid item is rejected as a whole.
-func Read(b []byte) (items []snowjunction.Note, err error) {
-	if len(b) == 0 || len(b) > Most || b[0] != formatVersion {
+// Decode decodes a message. A message with any invalid item is rejected as a whole.
+func Decode(b []byte) (items []snowjunction.PeerMessage, err error) {
+	if len(b) == 0 || len(b) > MaxBytes || b[0] != formatVersion {
 		return nil, ErrFormat
 	}
-	for r := (record.Reader{B: b[1:]}); len(r.B) > 0; {
-		n := snowjunction.Note{Destination: snowjunction.DestinationID(r.Uint(math.MaxUint32))}
+	for r := (record.Reader{Data: b[1:]}); len(r.Data) > 0; {
+		n := snowjunction.PeerMessage{Destination: snowjunction.DestinationID(r.Uint(math.MaxUint32))}
 		flags := r.Byte()
-		n.Asks, n.Grants = flags&flagRequest != 0, flags&flagGrant != 0
-		n.Failing, n.Serves = flags&flagFailing != 0, flags&flagRecovered != 0
-		n.Cold, n.Old = !n.Asks && flags&flagCold != 0, n.Asks && flags&flagStaleLimit != 0
-		if n.Asks || n.Grants {
+		n.RequestsGrant, n.IsGrant = flags&flagRequest != 0, flags&flagGrant != 0
+		n.Unreachable, n.Recovered = flags&flagFailing != 0, flags&flagRecovered != 0
+		n.Cold, n.OldLimit = !n.RequestsGrant && flags&flagCold != 0, n.RequestsGrant && flags&flagStaleLimit != 0
+		if n.RequestsGrant || n.IsGrant {
 			n.Calls = int(r.Byte())
 		}
-		if n.Asks {
+		if n.RequestsGrant {
 			n.Rank = int(r.Byte())
 		}
 		if flags&flagReturned != 0 {
 			v := r.Int()
-			r.Bad = r.Bad || v < -maxReturned || v > maxReturned
-			n.Back = int(v)
+			r.Failed = r.Failed || v < -maxReturned || v > maxReturned
+			n.ReturnedCalls = int(v)
 		}
 		if flags&flagRejected != 0 {
-			n.Refused = int(r.Uint(maxReturned))
+			n.RejectedCalls = int(r.Uint(maxReturned))
 		}
 		if flags&flagLimit != 0 {
 			n.Limit = float64(r.Uint(maxLimit*10)) / 10
 		}
-		if r.Bad || n.Asks && n.Grants {
+		if r.Failed || n.RequestsGrant && n.IsGrant {
 			return nil, ErrItem
 		}
 		items = append(items, n)
--- a/internal/partition/capacity_test.go
+++ b/internal/partition/capacity_test.go
@@ -37,7 +37,7 @@
 		for range turns {
 			for _, members := range [][]Member{without, all} {
 				var err error
-				if m, err = m.With(members); err != nil {
+				if m, err = m.WithMembers(members); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -64,7 +64,7 @@
 	n, removed := 0, 0
 	for b.Loop() {
 		for i := 0; i < plannedMembers; i += 100 {
-			after, err := before.With(slices.Delete(slices.Clone(all), i, i+1))
+			after, err := before.WithMembers(slices.Delete(slices.Clone(all), i, i+1))
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -81,8 +81,8 @@
 func BenchmarkRoute(b *testing.B) {
 	for name, keyed := range map[string]bool{"no key": false, "keys": true} {
 		b.Run(name, func(b *testing.B) {
-			r := NewRouter(Options{Self: "n7", Linger: serveAfterLoss, Longest: maxDeadline}, plannedMembership(b), 0)
-			r.Held(r.Wanted())
+			r := NewRouter(Options{Self: "n7", ServeAfterLoss: serveAfterLoss, MaxDeadline: maxDeadline}, plannedMembership(b), 0)
+			r.MarkListReceived(r.AwaitingList())
 			const events = 1 << 16
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
@@ -91,13 +91,13 @@
 				for range events {
 					n++
 					now += time.Second / 2300
-					m := Message{Destination: n * 2654435761 % 1300000, Left: maxDeadline}
+					m := Message{Destination: n * 2654435761 % 1300000, Remaining: maxDeadline}
 					if keyed {
 						m.Key = uint64(n%40000) + 1
 					}
 					way := r.Route(m, nil, now)
-					if way.Way == Forward {
-						r.Took(m, way.To.Name, now)
+					if way.Action == Forward {
+						r.RecordAccepted(m, way.To.Name, now)
 					}
 				}
 			})
--- a/internal/partition/membership.go
+++ b/internal/partition/membership.go
@@ -20,9 +20,9 @@
 
 // Limits of a membership.
 const (
-	Most       = 1 << 16 // maximum number of partitions
-	MaxMembers = 1 << 14
-	CopiesMax  = 4
+	MaxPartitions = 1 << 16 // maximum number of partitions
+	MaxMembers    = 1 << 14
+	CopiesMax     = 4
 )
 
 // ErrMembers wraps the reason why a membership is invalid.
@@ -67,8 +67,8 @@
 	return (*Membership)(nil).with(partitions, copies, members)
 }
 
-// With returns a membership with other members. Its cost depends on how many members changed.
-func (m *Membership) With(members []Member) (*Membership, error) {
+// WithMembers returns a membership with other members. Its cost depends on how many members changed.
+func (m *Membership) WithMembers(members []Member) (*Membership, error) {
 	return m.with(m.partitions, m.copies, members)
 }
 
@@ -77,8 +77,8 @@
 		return nil, fmt.Errorf("%w: %s", ErrMembers, fmt.Sprintf(format, args...))
 	}
 	switch {
-	case partitions < 1 || partitions > Most:
-		return bad("%d partitions are not between 1 and %d", partitions, Most)
+	case partitions < 1 || partitions > MaxPartitions:
+		return bad("%d partitions are not between 1 and %d", partitions, MaxPartitions)
 	case copies < 1 || copies > CopiesMax:
 		return bad("%d copies are not between 1 and %d", copies, CopiesMax)
 	case len(members) > MaxMembers:
--- a/internal/partition/partition_test.go
+++ b/internal/partition/partition_test.go
@@ -41,7 +41,7 @@
 	all := fleet(40, 2, 4)
 	before, err := New(512, 2, all)
 	require.NoError(t, err)
-	after, err := before.With(append(all[:7:7], all[8:]...))
+	after, err := before.WithMembers(append(all[:7:7], all[8:]...))
 	require.NoError(t, err)
 	fromScratch, err := New(512, 2, append(all[:7:7], all[8:]...))
 	require.NoError(t, err)
@@ -63,7 +63,7 @@
 		members            []Member
 	}{
 		"0 partitions are not between 1 and 65536":     {0, 1, []Member{one}},
-		"65537 partitions are not between 1 and 65536": {Most + 1, 1, []Member{one}},
+		"65537 partitions are not between 1 and 65536": {MaxPartitions + 1, 1, []Member{one}},
 		"0 copies are not between 1 and 4":             {8, 0, []Member{one}},
 		"5 copies are not between 1 and 4":             {8, 5, []Member{one}},
 		"16385 members are more than 16384":            {8, 1, make([]Member, MaxMembers+1)},
@@ -138,7 +138,7 @@
 		m := membership(t, partitions, copies, all)
 		for step := range rapid.IntRange(1, 4).Draw(t, "steps") {
 			next := randomChanges(t, all, step)
-			after, err := m.With(next)
+			after, err := m.WithMembers(next)
 			require.NoError(t, err)
 			fromScratch := membership(t, partitions, copies, next)
 			require.Equal(t, fromScratch.regions, after.regions)
@@ -187,7 +187,7 @@
 	all := fleet(16, 1, 1)
 	before := membership(t, 256, 2, all)
 	all = append(all, Member{Name: "far", Addr: "127.1.0.1:1", Region: "r0", Zone: "other"})
-	after, err := before.With(all)
+	after, err := before.WithMembers(all)
 	require.NoError(t, err)
 	assert.Len(t, after.Owned("far"), 256)
 }
@@ -238,9 +238,9 @@
 	const partitions = 1 << 14
 	all := fleet(3400, 3, 4)
 	before := membership(t, partitions, 1, all)
-	after, err := before.With(slices.Delete(slices.Clone(all), 1700, 1701))
+	after, err := before.WithMembers(slices.Delete(slices.Clone(all), 1700, 1701))
 	require.NoError(t, err)
-	restored, err := after.With(all)
+	restored, err := after.WithMembers(all)
 	require.NoError(t, err)
 	assert.Equal(t, before.regions, restored.regions)
 	own := before.Owned(all[1700].Name)
