--- a/internal/partition/router.go
+++ b/internal/partition/router.go
@@ -8,12 +8,12 @@
 // Options configure a Router.
 type Options struct {
 	// Self is this courier's name.
-	Self     string
-	Region   string        // region of this courier if it is not a member itself
-	Linger   time.Duration // how long partitions are served after they are no longer owned, for couriers that do not know yet
-	Longest  time.Duration // the longest deadline of a class that keeps order
-	Rest     time.Duration // added to a message's deadline: its time in transit, and the delay of its key after an attempt
-	PinsMost int           // keys whose last courier is remembered; zero means defaultMaxPins
+	Self           string
+	Region         string        // region of this courier if it is not a member itself
+	ServeAfterLoss time.Duration // how long partitions are served after they are no longer owned, for couriers that do not know yet
+	MaxDeadline    time.Duration // the longest deadline of a class that keeps order
+	DeadlineMargin time.Duration // added to a message's deadline: its time in transit, and the delay of its key after an attempt
+	MaxPins        int           // keys whose last courier is remembered; zero means defaultMaxPins
 }
 
 const (
@@ -27,26 +27,26 @@
 	Destination uint32
 	Key         uint64        // zero: the message has no ordering key
 	Forwarded   bool          // by another courier
-	Left        time.Duration // time until the deadline
+	Remaining   time.Duration // time until the deadline
 }
 
-// Way is the kind of decision on a message.
-type Way int
+// Action is the kind of decision on a message.
+type Action int
 
 // The kinds of decisions.
 const (
-	// Here means that this courier handles the message.
-	Here    Way = iota
-	Forward     // to another courier
-	Busy        // no permitted courier is reachable: the client may resubmit the message
-	Moved       // another courier took this one for an owner, which it is not
+	// Local means that this courier handles the message.
+	Local   Action = iota
+	Forward        // to another courier
+	Busy           // no permitted courier is reachable: the client may resubmit the message
+	Moved          // another courier took this one for an owner, which it is not
 )
 
 // Route is the decision on a message.
 type Route struct {
-	Way   Way
-	To    Member        // with Forward
-	After time.Duration // with Busy: the delay until a retry makes sense
+	Action Action
+	To     Member        // with Forward
+	After  time.Duration // with Busy: the delay until a retry makes sense
 }
 
 // Router decides where messages go, and which partitions of the list this courier reads. All times
@@ -89,8 +89,8 @@
 
 // NewRouter returns a router that has received no list yet.
 func NewRouter(o Options, m *Membership, now time.Duration) *Router {
-	if o.PinsMost == 0 {
-		o.PinsMost = defaultMaxPins
+	if o.MaxPins == 0 {
+		o.MaxPins = defaultMaxPins
 	}
 	r := &Router{options: o, startedAt: now, periodStart: now, partitions: map[int]*partitionState{}, unreachable: map[string]*unreachablePeer{}}
 	r.pins = [2]map[uint64]pin{{}, {}}
@@ -111,14 +111,14 @@
 	}
 }
 
-// Adopt sets a new membership. Partitions that this courier no longer owns are still served for
+// SetMembership sets a new membership. Partitions that this courier no longer owns are still served for
 // a while; partitions that it now owns are served once their list was received.
-func (r *Router) Adopt(m *Membership, now time.Duration) {
-	r.previous, r.previousUntil = r.membership, now+r.options.Linger
+func (r *Router) SetMembership(m *Membership, now time.Duration) {
+	r.previous, r.previousUntil = r.membership, now+r.options.ServeAfterLoss
 	owned := m.Owned(r.options.Self)
 	for p, x := range r.partitions {
 		if _, still := slices.BinarySearch(owned, p); x.owned && !still {
-			x.owned, x.servedUntil = false, now+r.options.Linger
+			x.owned, x.servedUntil = false, now+r.options.ServeAfterLoss
 			if !x.hasList && !x.retained {
 				delete(r.partitions, p)
 			}
@@ -134,9 +134,9 @@
 	}
 }
 
-// Keep records that a previous process run of this courier left messages of a partition: its list
+// Retain records that a previous process run of this courier left messages of a partition: its list
 // is read, whoever owns it, until Expire finds the partition unused.
-func (r *Router) Keep(p int) {
+func (r *Router) Retain(p int) {
 	if r.partitions[p] == nil {
 		r.partitions[p] = &partitionState{}
 	}
@@ -159,8 +159,8 @@
 	return dropped
 }
 
-// Lingers reports whether there is something for Expire to drop, now or later.
-func (r *Router) Lingers() bool {
+// ExpiryPending reports whether there is something for Expire to drop, now or later.
+func (r *Router) ExpiryPending() bool {
 	for _, x := range r.partitions {
 		if !x.owned {
 			return true
@@ -179,8 +179,8 @@
 // owns and those that it still serves.
 func (r *Router) Listed() []int { return r.partitionsWhere(func(*partitionState) bool { return true }) }
 
-// Wanted returns the partitions in Listed whose list has not been received yet.
-func (r *Router) Wanted() []int {
+// AwaitingList returns the partitions in Listed whose list has not been received yet.
+func (r *Router) AwaitingList() []int {
 	return r.partitionsWhere(func(x *partitionState) bool { return !x.hasList })
 }
 
@@ -199,8 +199,8 @@
 	return r.partitions[Of(destination, r.membership.partitions)] != nil
 }
 
-// Held records that the list of partitions was received completely.
-func (r *Router) Held(parts []int) {
+// MarkListReceived records that the list of partitions was received completely.
+func (r *Router) MarkListReceived(parts []int) {
 	for _, p := range parts {
 		if x := r.partitions[p]; x != nil {
 			x.hasList = true
@@ -208,28 +208,28 @@
 	}
 }
 
-// Figures are the state of a router in numbers.
-type Figures struct {
+// Stats are the state of a router in numbers.
+type Stats struct {
 	Owned, Listed int // partitions
-	Wanted        int // listed partitions without a list
+	AwaitingList  int // listed partitions without a list
 	Pins          int // keys that are remembered
-	Unreached     int // couriers that are skipped
+	Unreachable   int // couriers that are skipped
 }
 
-// Figures returns the router's state in numbers.
-func (r *Router) Figures(now time.Duration) Figures {
-	f := Figures{Listed: len(r.partitions), Pins: len(r.pins[0]) + len(r.pins[1])}
+// Stats returns the router's state in numbers.
+func (r *Router) Stats(now time.Duration) Stats {
+	f := Stats{Listed: len(r.partitions), Pins: len(r.pins[0]) + len(r.pins[1])}
 	for _, x := range r.partitions {
 		if x.owned {
 			f.Owned++
 		}
 		if !x.hasList {
-			f.Wanted++
+			f.AwaitingList++
 		}
 	}
 	for _, d := range r.unreachable {
 		if now < d.skipUntil {
-			f.Unreached++
+			f.Unreachable++
 		}
 	}
 	return f
@@ -249,9 +249,9 @@
 	servedHere := state != nil && state.hasList
 	if m.Forwarded {
 		if servedHere {
-			return Route{Way: Here}
+			return Route{Action: Local}
 		}
-		return Route{Way: Moved}
+		return Route{Action: Moved}
 	}
 	mayFailOver := true
 	if m.Key != 0 {
@@ -260,21 +260,21 @@
 		case to != r.options.Self:
 			return r.pinnedRoute(to, tried, now)
 		case servedHere:
-			return Route{Way: Here}
+			return Route{Action: Local}
 		case state != nil: // it waits for the list of the partition, like the previous message of its key
-			return Route{Way: Busy, After: firstSkip}
+			return Route{Action: Busy, After: firstSkip}
 		} // a partition that is no longer listed has no messages here
 		mayFailOver = r.mayFailOver(now)
 	}
 	if servedHere && state.owned {
-		return Route{Way: Here}
+		return Route{Action: Local}
 	}
 	owners := r.membership.ownerIndexes(r.owners[0][:0], p, r.region)
 	r.owners[0] = owners
 	var former []int32
 	switch {
 	case !mayFailOver && state != nil && state.owned: // this courier is an owner and waits for the list
-		return Route{Way: Busy, After: firstSkip}
+		return Route{Action: Busy, After: firstSkip}
 	case !mayFailOver:
 		owners = owners[:min(1, len(owners))]
 	case r.previous != nil: // former owners still serve the partition until the new ones are ready
@@ -292,16 +292,16 @@
 		switch d := r.unreachable[o.Name]; {
 		case o.Name == r.options.Self:
 			if servedHere {
-				return Route{Way: Here}
+				return Route{Action: Local}
 			}
 		case slices.Contains(tried, o.Name):
 		case d != nil && now < d.skipUntil:
 			after = min(after, d.skipUntil-now)
 		default:
-			return Route{Way: Forward, To: *o}
+			return Route{Action: Forward, To: *o}
 		}
 	}
-	return Route{Way: Busy, After: after}
+	return Route{Action: Busy, After: after}
 }
 
 // pinnedRoute decides about a message of a key whose previous message may still be held by another
@@ -312,16 +312,16 @@
 		x, member = r.previous.Member(to)
 	}
 	if d := r.unreachable[to]; !member || slices.Contains(tried, to) || d != nil && now < d.skipUntil {
-		return Route{Way: Busy, After: firstSkip}
+		return Route{Action: Busy, After: firstSkip}
 	}
-	return Route{Way: Forward, To: x}
+	return Route{Action: Forward, To: x}
 }
 
 // mayFailOver reports whether an ordered message may go to an owner other than the first. It may
 // not while a previous process run of this courier may have left a message of its key at the first
 // owner, or while a message may be there whose key could not be remembered for lack of room.
 func (r *Router) mayFailOver(now time.Duration) bool {
-	return now-r.startedAt >= r.options.Longest+r.options.Rest && now >= r.unpinnedUntil && len(r.pins[0])+len(r.pins[1]) < r.options.PinsMost
+	return now-r.startedAt >= r.options.MaxDeadline+r.options.DeadlineMargin && now >= r.unpinnedUntil && len(r.pins[0])+len(r.pins[1]) < r.options.MaxPins
 }
 
 func (r *Router) pinnedCourier(key uint64, now time.Duration) (string, bool) {
@@ -336,7 +336,7 @@
 // rotatePins starts a new period of pins. Pins from two periods ago have expired, except those that
 // outlast a period.
 func (r *Router) rotatePins(now time.Duration) {
-	if now-r.periodStart < max(r.options.Longest+r.options.Rest, time.Second) {
+	if now-r.periodStart < max(r.options.MaxDeadline+r.options.DeadlineMargin, time.Second) {
 		return
 	}
 	next := map[uint64]pin{}
@@ -348,33 +348,33 @@
 	r.pins, r.periodStart = [2]map[uint64]pin{next, r.pins[0]}, now
 }
 
-// Took records that a courier (or this one) may have accepted a message: the next message of its
+// RecordAccepted records that a courier (or this one) may have accepted a message: the next message of its
 // key goes to the same courier.
-func (r *Router) Took(m Message, by string, now time.Duration) {
+func (r *Router) RecordAccepted(m Message, by string, now time.Duration) {
 	if m.Key == 0 || m.Forwarded {
 		return
 	}
 	r.rotatePins(now)
-	until := now + m.Left + r.options.Rest
+	until := now + m.Remaining + r.options.DeadlineMargin
 	for _, pins := range r.pins { // an earlier message may be held for longer
 		if x, ok := pins[m.Key]; ok && x.courier == by {
 			until = max(until, x.until)
 		}
 	}
 	delete(r.pins[1], m.Key)
-	if _, known := r.pins[0][m.Key]; !known && len(r.pins[0])+len(r.pins[1]) >= r.options.PinsMost {
+	if _, known := r.pins[0][m.Key]; !known && len(r.pins[0])+len(r.pins[1]) >= r.options.MaxPins {
 		r.unpinnedUntil = max(r.unpinnedUntil, until)
 		return
 	}
 	r.pins[0][m.Key] = pin{by, until}
 }
 
-// Reached records that a courier answered.
-func (r *Router) Reached(name string) { delete(r.unreachable, name) }
+// MarkReachable records that a courier answered.
+func (r *Router) MarkReachable(name string) { delete(r.unreachable, name) }
 
-// Unreached records that a courier was unreachable: it is skipped for a time that doubles with each
+// MarkUnreachable records that a courier was unreachable: it is skipped for a time that doubles with each
 // failure.
-func (r *Router) Unreached(name string, now time.Duration) {
+func (r *Router) MarkUnreachable(name string, now time.Duration) {
 	d := r.unreachable[name]
 	if d == nil {
 		d = &unreachablePeer{}
--- a/internal/partition/world_test.go
+++ b/internal/partition/world_test.go
@@ -43,8 +43,8 @@
 		w.views = append(w.views, membership(t, partitionCount, copies, some))
 	}
 	for _, name := range append(names(w.members), "x") {
-		r := NewRouter(Options{Self: name, Region: "r0", Linger: serveAfterLoss, Longest: maxDeadline, PinsMost: 6}, w.anyView(), 0)
-		r.Held(r.Wanted())
+		r := NewRouter(Options{Self: name, Region: "r0", ServeAfterLoss: serveAfterLoss, MaxDeadline: maxDeadline, MaxPins: 6}, w.anyView(), 0)
+		r.MarkListReceived(r.AwaitingList())
 		w.routers[name] = r
 	}
 	return w
@@ -63,11 +63,11 @@
 func (w *simulation) step() {
 	switch rapid.IntRange(0, 11).Draw(w.t, "step") {
 	case 0:
-		w.routers[w.anyCourier()].Adopt(w.anyView(), w.now)
+		w.routers[w.anyCourier()].SetMembership(w.anyView(), w.now)
 	case 1:
 		r := w.routers[w.anyCourier()]
-		want := r.Wanted()
-		r.Held(want[:rapid.IntRange(0, len(want)).Draw(w.t, "come")])
+		want := r.AwaitingList()
+		r.MarkListReceived(want[:rapid.IntRange(0, len(want)).Draw(w.t, "come")])
 	case 2:
 		w.now += rapid.SampledFrom([]time.Duration{time.Millisecond, time.Second, 5 * time.Second, serveAfterLoss}).Draw(w.t, "time")
 	case 3:
@@ -98,10 +98,10 @@
 		return
 	}
 	r := w.routers[x]
-	m := Message{Destination: uint32(rapid.IntRange(0, 20).Draw(w.t, "destination")), Left: maxDeadline}
+	m := Message{Destination: uint32(rapid.IntRange(0, 20).Draw(w.t, "destination")), Remaining: maxDeadline}
 	if m.Key = uint64(rapid.IntRange(0, 8).Draw(w.t, "key")); m.Key != 0 {
 		m.Destination = uint32(m.Key)
-		m.Left = time.Duration(rapid.IntRange(1, 12).Draw(w.t, "left")) * time.Second
+		m.Remaining = time.Duration(rapid.IntRange(1, 12).Draw(w.t, "left")) * time.Second
 	}
 	p := Of(m.Destination, partitionCount)
 	maxTries := len(r.membership.Owners(p, ""))
@@ -112,13 +112,13 @@
 	for {
 		require.LessOrEqual(w.t, len(tried), maxTries, "%v", tried)
 		route := r.Route(m, tried, w.now)
-		switch route.Way {
+		switch route.Action {
 		case Busy:
 			require.Positive(w.t, route.After)
 			return
-		case Here:
+		case Local:
 			w.accept(x, x, m)
-			r.Took(m, x, w.now)
+			r.RecordAccepted(m, x, w.now)
 			return
 		case Moved:
 			require.Fail(w.t, "a client's message is never answered MOVED")
@@ -128,27 +128,27 @@
 		require.NotContains(w.t, tried, y, "tried twice")
 		tried = append(tried, y)
 		if !w.reaches(x, y) {
-			r.Unreached(y, w.now)
+			r.MarkUnreachable(y, w.now)
 			continue
 		}
 		result := rapid.SampledFrom([]string{"answered", "busy", "silent", "lost"}).Draw(w.t, "fate")
 		forwarded := m
 		forwarded.Forwarded = true
 		received := w.routers[y].Route(forwarded, nil, w.now)
-		require.Contains(w.t, []Way{Here, Moved}, received.Way, "never forwarded again")
+		require.Contains(w.t, []Action{Local, Moved}, received.Action, "never forwarded again")
 		switch {
 		case result == "lost": // the request was sent and got no answer: the client's connection is closed
-			r.Took(m, y, w.now)
+			r.RecordAccepted(m, y, w.now)
 			return
-		case received.Way == Moved:
-			r.Reached(y)
+		case received.Action == Moved:
+			r.MarkReachable(y)
 			continue
 		case result == "busy":
-			r.Reached(y)
+			r.MarkReachable(y)
 			return
 		}
 		w.accept(y, x, m)
-		r.Took(m, y, w.now)
+		r.RecordAccepted(m, y, w.now)
 		return
 	}
 }
@@ -159,7 +159,7 @@
 	p := Of(m.Destination, partitionCount)
 	require.True(w.t, w.routers[by].Lists(m.Destination), "%s accepts a message that it does not list", by)
 	require.Contains(w.t, w.routers[by].Listed(), p)
-	require.NotContains(w.t, w.routers[by].Wanted(), p, "served before its list was received")
+	require.NotContains(w.t, w.routers[by].AwaitingList(), p, "served before its list was received")
 	for other, holds := range w.accepted {
 		for _, h := range holds {
 			if m.Key != 0 && other != by && h.key == m.Key && h.client == client {
@@ -167,7 +167,7 @@
 			}
 		}
 	}
-	w.accepted[by] = append(w.accepted[by], acceptedMessage{client, m.Key, p, w.now + m.Left})
+	w.accepted[by] = append(w.accepted[by], acceptedMessage{client, m.Key, p, w.now + m.Remaining})
 }
 
 // For any views of the couriers and any connectivity: a client's message ends at one courier, with
--- a/internal/plugin/guard/guard.go
+++ b/internal/plugin/guard/guard.go
@@ -58,7 +58,7 @@
 // ran tells that an attempt with that outcome may have run.
 func ran(o snowjunction.Outcome) bool {
 	switch o {
-	case snowjunction.Full, snowjunction.ConnectFailed, snowjunction.Moot:
+	case snowjunction.Rejected, snowjunction.ConnectFailed, snowjunction.NotSent:
 		return false
 	}
 	return true
@@ -92,7 +92,7 @@
 			correct(Outcome)
 		}
 	case "full":
-		if known.Outcome != snowjunction.Full {
+		if known.Outcome != snowjunction.Rejected {
 			correct(Outcome)
 		}
 	default:
--- a/internal/plugin/guard/guard_test.go
+++ b/internal/plugin/guard/guard_test.go
@@ -18,7 +18,7 @@
 
 func TestRead(t *testing.T) {
 	ok, failed, lost := Reading{Outcome: snowjunction.OK}, Reading{Outcome: snowjunction.Error}, Reading{Outcome: snowjunction.Reset}
-	full, told := Reading{Outcome: snowjunction.Full}, Reading{Outcome: snowjunction.Full, Wait: 500 * ms}
+	full, told := Reading{Outcome: snowjunction.Rejected}, Reading{Outcome: snowjunction.Rejected, Wait: 500 * ms}
 	wait := func(v float64) Said { return Said{HasWait: true, WaitMs: v} }
 	for _, tc := range []struct {
 		name  string
@@ -37,12 +37,12 @@
 		{"a refusal that may have run", told, Said{Outcome: "error"}, told, []Rule{Outcome}},
 		{"a refusal that went well", full, Said{Outcome: "ok"}, full, []Rule{Outcome}},
 		{"an outcome of its own", failed, Said{Outcome: "moot"}, failed, []Rule{Outcome}},
-		{"a wait where none was told", full, wait(700), Reading{snowjunction.Full, 700 * ms}, nil},
-		{"a longer one", told, wait(700), Reading{snowjunction.Full, 700 * ms}, nil},
+		{"a wait where none was told", full, wait(700), Reading{snowjunction.Rejected, 700 * ms}, nil},
+		{"a longer one", told, wait(700), Reading{snowjunction.Rejected, 700 * ms}, nil},
 		{"a shorter one", told, wait(100), told, []Rule{Wait}},
 		{"none at all", told, wait(0), told, []Rule{Wait}},
 		{"-1", told, wait(-1), told, []Rule{Wait}},
-		{"ten years", full, wait(10 * 365 * 24 * 3600e3), Reading{snowjunction.Full, WaitMost}, []Rule{Wait}},
+		{"ten years", full, wait(10 * 365 * 24 * 3600e3), Reading{snowjunction.Rejected, WaitMost}, []Rule{Wait}},
 		{"not a number", told, wait(math.NaN()), told, []Rule{Number}},
 		{"for ever", told, wait(math.Inf(1)), told, []Rule{Number}},
 		{"a wait with a delivery", ok, wait(100), ok, []Rule{Wait}},
@@ -57,8 +57,8 @@
 // Whatever is said, a reading is never less safe than what is known.
 func TestReadIsNeverLessSafe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		known := Reading{Outcome: snowjunction.Outcome(rapid.IntRange(0, int(snowjunction.Moot)).Draw(t, "known"))}
-		if known.Outcome == snowjunction.Full {
+		known := Reading{Outcome: snowjunction.Outcome(rapid.IntRange(0, int(snowjunction.NotSent)).Draw(t, "known"))}
+		if known.Outcome == snowjunction.Rejected {
 			known.Wait = time.Duration(rapid.IntRange(0, 1e6).Draw(t, "told")) * ms
 		}
 		s := Said{
@@ -70,7 +70,7 @@
 		require.GreaterOrEqual(t, got.Wait, known.Wait)
 		require.LessOrEqual(t, got.Wait, max(known.Wait, WaitMost))
 		if got == known && s.Outcome != "" && s.Outcome != "error" && !(s.Outcome == "ok" && known.Outcome == snowjunction.OK) &&
-			!(s.Outcome == "full" && known.Outcome == snowjunction.Full) {
+			!(s.Outcome == "full" && known.Outcome == snowjunction.Rejected) {
 			require.NotEmpty(t, rules, "what is not taken is counted")
 		}
 	})
--- a/internal/plugin/plugin.go
+++ b/internal/plugin/plugin.go
@@ -535,7 +535,7 @@
 func (s *Set) flow(m *store.Message, p *plug) flow {
 	f := flow{
 		ID: m.ID, IdempotencyKey: m.IdempotencyKey, Class: m.Class, Tenant: m.Tenant, Destination: m.Destination,
-		Again: m.Again, Attempts: m.Attempts, LeftMs: m.Deadline.Sub(s.cfg.Loop.Now()).Milliseconds(),
+		Again: m.Resubmitted, Attempts: m.Attempts, LeftMs: m.Deadline.Sub(s.cfg.Loop.Now()).Milliseconds(),
 	}
 	if m.Key != 0 {
 		f.Key = fmt.Sprintf("%016x", m.Key)
@@ -632,8 +632,8 @@
 	}
 }
 
-// Reads tells whether any plug-in reads the answers to a message.
-func (s *Set) Reads(m *store.Message) bool {
+// ReadsAnswers tells whether any plug-in reads the answers to a message.
+func (s *Set) ReadsAnswers(m *store.Message) bool {
 	return s.sees[manifest.Read] && slices.ContainsFunc(s.plugs, func(p *plug) bool {
 		return p.m.Has(manifest.Read) && p.m.Sees.Flow(m.Destination, m.Class, m.Tenant)
 	})
@@ -663,9 +663,9 @@
 			base64.StdEncoding.EncodeToString(r.Answer.Body[:min(len(r.Answer.Body), p.m.Budget.BodyBytes)]),
 		}, func(x *reply) {
 			if x != nil {
-				got, rules := guard.Read(guard.Reading{Outcome: r.Outcome, Wait: r.Wait}, x.word)
+				got, rules := guard.Read(guard.Reading{Outcome: r.Outcome, Wait: r.RetryAfter}, x.word)
 				p.correct(rules)
-				r.Outcome, r.Wait = got.Outcome, got.Wait
+				r.Outcome, r.RetryAfter = got.Outcome, got.Wait
 			}
 			next(true)
 		})
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -11,8 +11,8 @@
 	"hash/crc32"
 )
 
-// Frame is the size in bytes of the frame header in front of a payload.
-const Frame = 8
+// FrameSize is the size in bytes of the frame header in front of a payload.
+const FrameSize = 8
 
 // ErrDamaged is returned by Open if there is no complete, intact record.
 var ErrDamaged = errors.New("damaged record")
@@ -22,22 +22,22 @@
 // Seal fills in the frame header at the start of b, which is followed by the payload, and returns
 // b.
 func Seal(b []byte) []byte {
-	binary.LittleEndian.PutUint32(b, uint32(len(b)-Frame))
-	binary.LittleEndian.PutUint32(b[4:], crc32.Checksum(b[Frame:], castagnoli))
+	binary.LittleEndian.PutUint32(b, uint32(len(b)-FrameSize))
+	binary.LittleEndian.PutUint32(b[4:], crc32.Checksum(b[FrameSize:], castagnoli))
 	return b
 }
 
 // Open returns the payload of the record at the start of b, of at most maxPayload bytes, and the
 // bytes after the record.
 func Open(b []byte, maxPayload int) (payload, rest []byte, err error) {
-	if len(b) < Frame {
+	if len(b) < FrameSize {
 		return nil, nil, ErrDamaged
 	}
 	n := binary.LittleEndian.Uint32(b)
-	if n == 0 || uint64(n) > uint64(maxPayload) || int(n) > len(b)-Frame {
+	if n == 0 || uint64(n) > uint64(maxPayload) || int(n) > len(b)-FrameSize {
 		return nil, nil, ErrDamaged
 	}
-	payload, rest = b[Frame:Frame+int(n)], b[Frame+int(n):]
+	payload, rest = b[FrameSize:FrameSize+int(n)], b[FrameSize+int(n):]
 	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(b[4:]) {
 		return nil, nil, ErrDamaged
 	}
@@ -52,18 +52,18 @@
 // Reader decodes fields from a byte slice. After the first field that is missing or over its limit,
 // decoding has failed and all fields decode as zero values.
 type Reader struct {
-	B   []byte
-	Bad bool
+	Data   []byte
+	Failed bool
 }
 
 // Take returns the next n bytes, or nil if Bad.
 func (r *Reader) Take(n int) []byte {
-	if r.Bad || n < 0 || len(r.B) < n {
-		r.Bad = true
+	if r.Failed || n < 0 || len(r.Data) < n {
+		r.Failed = true
 		return nil
 	}
-	b := r.B[:n:n]
-	r.B = r.B[n:]
+	b := r.Data[:n:n]
+	r.Data = r.Data[n:]
 	return b
 }
 
@@ -77,23 +77,23 @@
 
 // Uint decodes a uvarint of at most limit.
 func (r *Reader) Uint(limit uint64) uint64 {
-	v, n := binary.Uvarint(r.B)
-	if r.Bad || n <= 0 || v > limit {
-		r.Bad = true
+	v, n := binary.Uvarint(r.Data)
+	if r.Failed || n <= 0 || v > limit {
+		r.Failed = true
 		return 0
 	}
-	r.B = r.B[n:]
+	r.Data = r.Data[n:]
 	return v
 }
 
 // Int decodes a signed varint.
 func (r *Reader) Int() int64 {
-	v, n := binary.Varint(r.B)
-	if r.Bad || n <= 0 {
-		r.Bad = true
+	v, n := binary.Varint(r.Data)
+	if r.Failed || n <= 0 {
+		r.Failed = true
 		return 0
 	}
-	r.B = r.B[n:]
+	r.Data = r.Data[n:]
 	return v
 }
 
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -16,16 +16,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		payload := rapid.SliceOfN(rapid.Byte(), 1, 100).Draw(t, "payload")
 		behind := rapid.SliceOfN(rapid.Byte(), 0, 10).Draw(t, "behind")
-		b := append(Seal(append(make([]byte, Frame), payload...)), behind...)
+		b := append(Seal(append(make([]byte, FrameSize), payload...)), behind...)
 		got, rest, err := Open(b, len(payload))
 		require.NoError(t, err)
 		assert.Equal(t, payload, got)
 		assert.Equal(t, len(behind), len(rest))
 		_, _, err = Open(b, len(payload)-1)
 		assert.ErrorIs(t, err, ErrDamaged)
-		_, _, err = Open(b[:Frame+rapid.IntRange(0, len(payload)-1).Draw(t, "cut")], 1<<20)
+		_, _, err = Open(b[:FrameSize+rapid.IntRange(0, len(payload)-1).Draw(t, "cut")], 1<<20)
 		assert.ErrorIs(t, err, ErrDamaged)
-		b[rapid.IntRange(0, Frame+len(payload)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
+		b[rapid.IntRange(0, FrameSize+len(payload)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		_, _, err = Open(b, 1<<20)
 		assert.ErrorIs(t, err, ErrDamaged)
 	})
@@ -35,24 +35,24 @@
 // any earlier failure.
 func TestReader(t *testing.T) {
 	b := AppendText(binary.AppendVarint(binary.AppendUvarint([]byte{7}, 300), -5), "text")
-	r := Reader{B: b}
+	r := Reader{Data: b}
 	assert.Equal(t, byte(7), r.Byte())
 	assert.Equal(t, uint64(300), r.Uint(300))
 	assert.Equal(t, int64(-5), r.Int())
 	assert.Equal(t, "text", r.Text(4))
-	assert.False(t, r.Bad)
-	assert.Empty(t, r.B)
+	assert.False(t, r.Failed)
+	assert.Empty(t, r.Data)
 	assert.Zero(t, r.Byte())
-	assert.True(t, r.Bad)
-	r = Reader{B: b, Bad: true}
+	assert.True(t, r.Failed)
+	r = Reader{Data: b, Failed: true}
 	assert.Zero(t, r.Int())
 	assert.Zero(t, r.Uint(math.MaxUint64))
-	r = Reader{B: b[1:]}
+	r = Reader{Data: b[1:]}
 	assert.Zero(t, r.Uint(299))
-	assert.True(t, r.Bad)
-	r = Reader{B: AppendText(nil, "text")}
+	assert.True(t, r.Failed)
+	r = Reader{Data: AppendText(nil, "text")}
 	assert.Empty(t, r.Text(3))
-	r = Reader{B: []byte{200}}
+	r = Reader{Data: []byte{200}}
 	assert.Empty(t, r.Text(1000))
-	assert.True(t, r.Bad)
+	assert.True(t, r.Failed)
 }
--- a/internal/scale/scale.go
+++ b/internal/scale/scale.go
@@ -67,8 +67,8 @@
 		return fmt.Errorf("--cuts: %d is under 0", p.Cuts)
 	case !(p.Changes >= 0) || math.IsInf(p.Changes, 0):
 		return fmt.Errorf("--changes: %g is not a number from 0 on", p.Changes)
-	case p.Partitions < 0 || p.Partitions > partition.Most:
-		return fmt.Errorf("--partitions: %d is not between 0 and %d", p.Partitions, partition.Most)
+	case p.Partitions < 0 || p.Partitions > partition.MaxPartitions:
+		return fmt.Errorf("--partitions: %d is not between 0 and %d", p.Partitions, partition.MaxPartitions)
 	case p.Copies < 1 || p.Copies > partition.CopiesMax:
 		return fmt.Errorf("--copies: %d is not between 1 and %d", p.Copies, partition.CopiesMax)
 	case p.Copies > 1 && p.Partitions == 0:
--- a/internal/standin/partitions.go
+++ b/internal/standin/partitions.go
@@ -37,8 +37,8 @@
 		return bad("partitions and of come together, once")
 	}
 	n, err := strconv.ParseUint(q.Get("partitions"), 10, 32)
-	if err != nil || n < 1 || n > partition.Most {
-		return bad("%q partitions are not between 1 and %d", q.Get("partitions"), partition.Most)
+	if err != nil || n < 1 || n > partition.MaxPartitions {
+		return bad("%q partitions are not between 1 and %d", q.Get("partitions"), partition.MaxPartitions)
 	}
 	p.partitions = int(n)
 	for text := range strings.SplitSeq(q.Get("of"), ",") {
@@ -46,7 +46,7 @@
 			break
 		}
 		x, err := strconv.ParseUint(text, 10, 32)
-		if err != nil || x >= n || len(p.of) >= partition.Most {
+		if err != nil || x >= n || len(p.of) >= partition.MaxPartitions {
 			return bad("%q is none of %d", text, n)
 		}
 		p.of = append(p.of, int(x))
--- a/internal/store/capacity_test.go
+++ b/internal/store/capacity_test.go
@@ -18,13 +18,13 @@
 			Tenant: "town", Deadline: time.UnixMilli(1_800_000_000_000), Body: make([]byte, 256),
 		}
 		if err == nil {
-			err = j.Take(m)
+			err = j.Accept(m)
 		}
 		if err == nil {
-			err = j.Sent(m, m.Deadline)
+			err = j.RecordAttempt(m, m.Deadline)
 		}
 		if err == nil {
-			err = j.Came(m, false, time.Time{})
+			err = j.RecordOutcome(m, false, time.Time{})
 		}
 	}
 	if err != nil {
--- a/internal/store/memory.go
+++ b/internal/store/memory.go
@@ -4,11 +4,11 @@
 // progress as a Journal does, but writes nothing.
 type Memory struct{ Journal }
 
-// Room always returns true.
-func (*Memory) Room(int) bool { return true }
+// HasRoom always returns true.
+func (*Memory) HasRoom(int) bool { return true }
 
-// Take assigns a sequence number to a new message.
-func (m *Memory) Take(x *Message) error {
+// Accept assigns a sequence number to a new message.
+func (m *Memory) Accept(x *Message) error {
 	m.nextSeq++
 	x.Seq = m.nextSeq
 	return nil
--- a/internal/store/memory_test.go
+++ b/internal/store/memory_test.go
@@ -16,20 +16,20 @@
 	defer disk.Close()
 	at := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	type journal interface {
-		Room(int) bool
-		Take(*Message) error
-		Sent(*Message, time.Time) error
-		Came(*Message, bool, time.Time) error
-		Ended(*Message, State, time.Duration, time.Time) error
+		HasRoom(int) bool
+		Accept(*Message) error
+		RecordAttempt(*Message, time.Time) error
+		RecordOutcome(*Message, bool, time.Time) error
+		RecordFinalState(*Message, State, time.Duration, time.Time) error
 		Settle(*Message) error
 	}
 	played := func(j journal) (seen []Message) {
 		for _, id := range []string{"a", "b"} {
 			m := &Message{ID: id, Class: "status", Deadline: at.Add(time.Minute)}
-			require.True(t, j.Room(100))
+			require.True(t, j.HasRoom(100))
 			for _, err := range []error{
-				j.Take(m), j.Sent(m, at), j.Came(m, true, at), j.Sent(m, at.Add(time.Second)), j.Came(m, false, time.Time{}),
-				j.Ended(m, Returned, time.Second, at.Add(2*time.Second)), j.Settle(m),
+				j.Accept(m), j.RecordAttempt(m, at), j.RecordOutcome(m, true, at), j.RecordAttempt(m, at.Add(time.Second)), j.RecordOutcome(m, false, time.Time{}),
+				j.RecordFinalState(m, Returned, time.Second, at.Add(2*time.Second)), j.Settle(m),
 			} {
 				require.NoError(t, err)
 			}
@@ -43,7 +43,7 @@
 	assert.Equal(t, played(disk), played(&Memory{}))
 	a, b := &Message{}, &Message{}
 	j := &Memory{}
-	require.NoError(t, j.Take(a))
-	require.NoError(t, j.Take(b))
+	require.NoError(t, j.Accept(a))
+	require.NoError(t, j.Accept(b))
 	assert.Less(t, a.Seq, b.Seq)
 }
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -41,19 +41,19 @@
 	Destination    uint32
 	Class, Tenant  string
 	Deadline       time.Time
-	Again          bool // resubmitted by the client
+	Resubmitted    bool // resubmitted by the client
 	Body           []byte
 
-	Attempts int
-	Out      bool      // the last attempt is in flight: it has no outcome yet
-	OutSince time.Time // when that attempt was sent
-	Ran      bool      // an attempt may have run
-	RanSince time.Time // when the first such attempt was sent
+	Attempts        int
+	InFlight        bool      // the last attempt is in flight: it has no outcome yet
+	InFlightSince   time.Time // when that attempt was sent
+	MayHaveRun      bool      // an attempt may have run
+	MayHaveRunSince time.Time // when the first such attempt was sent
 
-	State   State
-	After   time.Duration // in state Returned: delay after which it may be resubmitted
-	EndedAt time.Time
-	Settled bool // the final state is known to the client that submitted it
+	State      State
+	RetryAfter time.Duration // in state Returned: delay after which it may be resubmitted
+	EndedAt    time.Time
+	Settled    bool // the final state is known to the client that submitted it
 }
 
 type recordKind byte
@@ -70,7 +70,7 @@
 const maxRecordSize = 1 << 20
 
 func newRecord(k recordKind, seq uint64) []byte {
-	b := make([]byte, record.Frame, 64)
+	b := make([]byte, record.FrameSize, 64)
 	return binary.AppendUvarint(append(b, byte(k)), seq)
 }
 
@@ -96,11 +96,11 @@
 	}
 	b = binary.AppendUvarint(b, m.Key)
 	b = binary.AppendUvarint(b, uint64(m.Destination))
-	b = appendBool(appendTime(b, m.Deadline), m.Again)
+	b = appendBool(appendTime(b, m.Deadline), m.Resubmitted)
 	b = binary.AppendUvarint(b, uint64(m.Attempts))
-	b = appendTime(appendBool(b, m.Out), m.OutSince)
-	b = appendTime(appendBool(b, m.Ran), m.RanSince)
-	b = binary.AppendVarint(append(b, byte(m.State)), int64(m.After))
+	b = appendTime(appendBool(b, m.InFlight), m.InFlightSince)
+	b = appendTime(appendBool(b, m.MayHaveRun), m.MayHaveRunSince)
+	b = binary.AppendVarint(append(b, byte(m.State)), int64(m.RetryAfter))
 	b = appendBool(appendTime(b, m.EndedAt), m.Settled)
 	return record.Seal(record.AppendText(b, string(m.Body)))
 }
@@ -125,11 +125,11 @@
 	m := &Message{Seq: seq, Origin: r.Byte()}
 	m.ID, m.IdempotencyKey, m.Class, m.Tenant = r.string(), r.string(), r.string(), r.string()
 	m.Key, m.Destination = r.uint(), uint32(r.uint())
-	m.Deadline, m.Again = r.time(), r.bool()
+	m.Deadline, m.Resubmitted = r.time(), r.bool()
 	m.Attempts = int(r.uint())
-	m.Out, m.OutSince = r.bool(), r.time()
-	m.Ran, m.RanSince = r.bool(), r.time()
-	m.State, m.After = State(r.Byte()), time.Duration(r.Int())
+	m.InFlight, m.InFlightSince = r.bool(), r.time()
+	m.MayHaveRun, m.MayHaveRunSince = r.bool(), r.time()
+	m.State, m.RetryAfter = State(r.Byte()), time.Duration(r.Int())
 	m.EndedAt, m.Settled = r.time(), r.bool()
 	m.Body = []byte(r.string())
 	return m
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -80,21 +80,21 @@
 	Retain time.Duration // how long a settled message's final state can be queried, if its Origin is not 0
 	Log    *slog.Logger
 
-	// Until returns the time until which a settled message is remembered whose attempt may have run
+	// RememberUntil returns the time until which a settled message is remembered whose attempt may have run
 	// or may still be running. If nil, no settled message is remembered.
-	Until func(m *Message) time.Time
+	RememberUntil func(m *Message) time.Time
 
-	// Goes reports whether the attempt of the message with this sequence number that is in flight
+	// StillInFlight reports whether the attempt of the message with this sequence number that is in flight
 	// continues in this process. If nil, none does.
-	Goes func(seq uint64) bool
+	StillInFlight func(seq uint64) bool
 }
 
-// Ran returns the remembered and retained settled messages with an attempt that may have run. A
+// SettledMayHaveRun returns the remembered and retained settled messages with an attempt that may have run. A
 // client may resubmit one under another ID; the deduplication window is then that of the first
 // attempt.
-func (j *Journal) Ran() (out []*Message) {
+func (j *Journal) SettledMayHaveRun() (out []*Message) {
 	for _, seq := range slices.Concat(j.remembered, j.retained) {
-		if e := j.live[seq]; e != nil && (e.message.Ran || e.message.Out) {
+		if e := j.live[seq]; e != nil && (e.message.MayHaveRun || e.message.InFlight) {
 			out = append(out, e.message)
 		}
 	}
@@ -114,7 +114,7 @@
 // ones, in the order in which they were accepted.
 func Load(opts Options) (*Journal, []*Message, error) {
 	j := &Journal{
-		dir: opts.Dir, log: opts.Log, maxBytes: int64(float64(opts.Bytes) * usableShare), retain: opts.Retain, rememberUntil: opts.Until,
+		dir: opts.Dir, log: opts.Log, maxBytes: int64(float64(opts.Bytes) * usableShare), retain: opts.Retain, rememberUntil: opts.RememberUntil,
 		live: map[uint64]*entry{}, nextSeq: 1,
 	}
 	if err := os.MkdirAll(opts.Dir, 0o700); err != nil {
@@ -154,7 +154,7 @@
 			j.retained = append(j.retained, m.Seq)
 		}
 		// The previous process ended with the attempt in flight: it may have run.
-		if m.Out && (opts.Goes == nil || !opts.Goes(m.Seq)) {
+		if m.InFlight && (opts.StillInFlight == nil || !opts.StillInFlight(m.Seq)) {
 			j.markMayHaveRun(m)
 		}
 	}
@@ -174,28 +174,28 @@
 			j.log.Warn("journal segment truncated at a damaged record", "segment", s.no, "at", at, "lost", len(b)-at)
 			return
 		}
-		at += record.Frame + len(payload)
+		at += record.FrameSize + len(payload)
 	}
 }
 
 func (j *Journal) apply(s *segment, payload []byte) error {
-	r := &reader{record.Reader{B: payload}}
+	r := &reader{record.Reader{Data: payload}}
 	k, seq := recordKind(r.Byte()), r.uint()
-	if !r.Bad {
+	if !r.Failed {
 		j.nextSeq = max(j.nextSeq, seq+1) // also for messages deleted with an older segment
 	}
 	if k == kindAccepted {
 		m := decode(seq, r)
-		if r.Bad {
+		if r.Failed {
 			return record.ErrDamaged
 		}
 		j.forget(seq) // a copy made by compaction replaces the original
-		j.track(m, s, int64(record.Frame+len(payload)))
+		j.track(m, s, int64(record.FrameSize+len(payload)))
 		return nil
 	}
 	e := j.live[seq]
 	at, n, after := r.time(), r.Byte(), time.Duration(r.Int())
-	if r.Bad || k < kindSent || k > kindSettled {
+	if r.Failed || k < kindSent || k > kindSettled {
 		return record.ErrDamaged
 	}
 	if e == nil {
@@ -203,7 +203,7 @@
 	}
 	j.applyChange(e.message, k, at, n, after)
 	if m := e.message; m.Settled {
-		if m.Body = nil; !m.Ran && !m.Out && !j.isRetained(m) {
+		if m.Body = nil; !m.MayHaveRun && !m.InFlight && !j.isRetained(m) {
 			j.forget(seq)
 		}
 	}
@@ -218,20 +218,20 @@
 	}
 	switch k {
 	case kindSent:
-		if m.Out { // the previous process ended with an attempt in flight and its successor recorded no outcome
+		if m.InFlight { // the previous process ended with an attempt in flight and its successor recorded no outcome
 			j.markMayHaveRun(m)
 		}
-		m.Attempts, m.Out, m.OutSince = m.Attempts+1, true, at
+		m.Attempts, m.InFlight, m.InFlightSince = m.Attempts+1, true, at
 	case kindOutcome:
 		if n != 0 {
 			if !at.IsZero() {
-				m.OutSince = at
+				m.InFlightSince = at
 			}
 			j.markMayHaveRun(m)
 		}
-		m.Out = false
+		m.InFlight = false
 	case kindEnded:
-		m.State, m.After, m.EndedAt = State(n), after, at
+		m.State, m.RetryAfter, m.EndedAt = State(n), after, at
 	case kindSettled:
 		m.Settled = true
 	}
@@ -239,8 +239,8 @@
 
 // markMayHaveRun records that the attempt in flight has ended and may have run.
 func (j *Journal) markMayHaveRun(m *Message) {
-	if m.Out = false; !m.Ran {
-		m.Ran, m.RanSince = true, m.OutSince
+	if m.InFlight = false; !m.MayHaveRun {
+		m.MayHaveRun, m.MayHaveRunSince = true, m.InFlightSince
 	}
 }
 
@@ -293,7 +293,7 @@
 // isRelevant reports whether an attempt of a settled message that may have run still constrains
 // other messages.
 func (j *Journal) isRelevant(m *Message) bool {
-	return j.rememberUntil != nil && (m.Ran || m.Out) && j.rememberUntil(m).After(j.lastTime)
+	return j.rememberUntil != nil && (m.MayHaveRun || m.InFlight) && j.rememberUntil(m).After(j.lastTime)
 }
 
 // evictRemembered forgets remembered messages, oldest first, that are no longer relevant or that
@@ -310,15 +310,15 @@
 	}
 }
 
-// Room reports whether a message whose text fields and body have this many bytes fits.
-func (j *Journal) Room(bytes int) bool {
+// HasRoom reports whether a message whose text fields and body have this many bytes fits.
+func (j *Journal) HasRoom(bytes int) bool {
 	return j.liveSize+int64(bytes)+2*progressReserve <= int64(float64(j.maxBytes)*maxLiveShare)
 }
 
-// Take assigns a sequence number to a new message and writes it. It returns ErrFull if the message
+// Accept assigns a sequence number to a new message and writes it. It returns ErrFull if the message
 // does not fit.
-func (j *Journal) Take(m *Message) error {
-	if !j.Room(len(m.Body) + len(m.ID) + len(m.IdempotencyKey)) {
+func (j *Journal) Accept(m *Message) error {
+	if !j.HasRoom(len(m.Body) + len(m.ID) + len(m.IdempotencyKey)) {
 		return ErrFull
 	}
 	m.Seq = j.nextSeq
@@ -332,8 +332,8 @@
 	return nil
 }
 
-// Copy writes a message again after it was changed by information from another message.
-func (j *Journal) Copy(m *Message) error {
+// Rewrite writes a message again after it was changed by information from another message.
+func (j *Journal) Rewrite(m *Message) error {
 	e := j.live[m.Seq]
 	if e == nil {
 		return nil
@@ -355,12 +355,14 @@
 	e.segment.seqs[e.message.Seq] = true
 }
 
-// Sent records that an attempt is about to be sent.
-func (j *Journal) Sent(m *Message, at time.Time) error { return j.appendChange(m, kindSent, at, 0, 0) }
+// RecordAttempt records that an attempt is about to be sent.
+func (j *Journal) RecordAttempt(m *Message, at time.Time) error {
+	return j.appendChange(m, kindSent, at, 0, 0)
+}
 
-// Came records the outcome of the attempt in flight and, if its first byte left, when that was:
+// RecordOutcome records the outcome of the attempt in flight and, if its first byte left, when that was:
 // writing the attempt's record may have delayed it.
-func (j *Journal) Came(m *Message, mayHaveRun bool, left time.Time) error {
+func (j *Journal) RecordOutcome(m *Message, mayHaveRun bool, left time.Time) error {
 	n := byte(0)
 	if mayHaveRun {
 		n = 1
@@ -368,8 +370,8 @@
 	return j.appendChange(m, kindOutcome, left, n, 0)
 }
 
-// Ended records a message's final state.
-func (j *Journal) Ended(m *Message, s State, after time.Duration, at time.Time) error {
+// RecordFinalState records a message's final state.
+func (j *Journal) RecordFinalState(m *Message, s State, after time.Duration, at time.Time) error {
 	return j.appendChange(m, kindEnded, at, byte(s), after)
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -27,8 +27,8 @@
 func accept(t *testing.T, j *Journal, id string, size int) *Message {
 	t.Helper()
 	m := &Message{ID: id, IdempotencyKey: "k", Key: 5, Destination: 7, Class: "order", Tenant: "town",
-		Deadline: noon.Add(time.Second), Again: true, Body: make([]byte, size)}
-	require.NoError(t, j.Take(m))
+		Deadline: noon.Add(time.Second), Resubmitted: true, Body: make([]byte, size)}
+	require.NoError(t, j.Accept(m))
 	return m
 }
 
@@ -37,25 +37,25 @@
 	j, left := load(t, dir, 3e6)
 	require.Empty(t, left)
 	first, second, third := accept(t, j, "a", 10), accept(t, j, "b", 20), accept(t, j, "c", 0)
-	require.NoError(t, j.Sent(first, noon))
-	require.NoError(t, j.Came(first, false, time.Time{}))
-	require.NoError(t, j.Sent(first, noon.Add(time.Second)))
-	require.NoError(t, j.Sent(second, noon))
-	require.NoError(t, j.Came(second, true, time.Time{}))
-	require.NoError(t, j.Sent(second, noon.Add(time.Second)))
-	require.NoError(t, j.Came(second, true, time.Time{}))
-	require.NoError(t, j.Ended(second, Returned, 300*time.Millisecond, noon))
-	require.NoError(t, j.Ended(third, Delivered, 0, noon))
+	require.NoError(t, j.RecordAttempt(first, noon))
+	require.NoError(t, j.RecordOutcome(first, false, time.Time{}))
+	require.NoError(t, j.RecordAttempt(first, noon.Add(time.Second)))
+	require.NoError(t, j.RecordAttempt(second, noon))
+	require.NoError(t, j.RecordOutcome(second, true, time.Time{}))
+	require.NoError(t, j.RecordAttempt(second, noon.Add(time.Second)))
+	require.NoError(t, j.RecordOutcome(second, true, time.Time{}))
+	require.NoError(t, j.RecordFinalState(second, Returned, 300*time.Millisecond, noon))
+	require.NoError(t, j.RecordFinalState(third, Delivered, 0, noon))
 	require.NoError(t, j.Settle(third))
 
 	j, left = load(t, dir, 3e6) // the first journal was never closed, as after SIGKILL
 	require.Len(t, left, 2)
 	want := *first
-	want.Out, want.Ran, want.RanSince = false, true, noon.Add(time.Second)
+	want.InFlight, want.MayHaveRun, want.MayHaveRunSince = false, true, noon.Add(time.Second)
 	assert.Equal(t, want, *left[0], "the attempt in flight may have run")
 	assert.Equal(t, 2, left[0].Attempts)
 	assert.Equal(t, *second, *left[1])
-	assert.Equal(t, noon, left[1].RanSince, "the window starts with the first attempt that may have run")
+	assert.Equal(t, noon, left[1].MayHaveRunSince, "the window starts with the first attempt that may have run")
 	assert.Greater(t, accept(t, j, "d", 1).Seq, third.Seq, "sequence numbers are not reused")
 }
 
@@ -95,15 +95,15 @@
 	j, _ := load(t, dir, maxBytes)
 	var live []*Message
 	for i := range 3000 {
-		if !j.Room(700) {
-			require.NoError(t, j.Ended(live[0], Failed, 0, noon))
+		if !j.HasRoom(700) {
+			require.NoError(t, j.RecordFinalState(live[0], Failed, 0, noon))
 			require.NoError(t, j.Settle(live[0]))
 			live = live[1:]
 		}
 		live = append(live, accept(t, j, fmt.Sprint("m", i), 600))
 		if i%3 == 0 {
-			require.NoError(t, j.Sent(live[len(live)/2], noon))
-			require.NoError(t, j.Came(live[len(live)/2], i%2 == 0, time.Time{}))
+			require.NoError(t, j.RecordAttempt(live[len(live)/2], noon))
+			require.NoError(t, j.RecordOutcome(live[len(live)/2], i%2 == 0, time.Time{}))
 		}
 		require.LessOrEqual(t, diskUsage(t, dir), int64(maxBytes), "after %d", i)
 	}
@@ -113,7 +113,7 @@
 	for i := range live {
 		require.Equal(t, *live[i], *left[i])
 	}
-	assert.ErrorIs(t, j.Take(&Message{ID: "big", Body: make([]byte, maxBytes)}), ErrFull)
+	assert.ErrorIs(t, j.Accept(&Message{ID: "big", Body: make([]byte, maxBytes)}), ErrFull)
 }
 
 func diskUsage(t *testing.T, dir string) (total int64) {
@@ -131,15 +131,15 @@
 	dir := t.TempDir()
 	j, _ := load(t, dir, 3e6)
 	m := &Message{Origin: 1, ID: "p", Body: []byte("x"), Class: "order"}
-	require.NoError(t, j.Take(m))
-	require.NoError(t, j.Ended(m, Delivered, 0, noon))
+	require.NoError(t, j.Accept(m))
+	require.NoError(t, j.RecordFinalState(m, Delivered, 0, noon))
 	require.NoError(t, j.Settle(m))
 	j, left := load(t, dir, 3e6)
 	require.Len(t, left, 1)
 	assert.Equal(t, Delivered, left[0].State)
 	other := &Message{Origin: 1, ID: "q", Class: "order"}
-	require.NoError(t, j.Take(other))
-	require.NoError(t, j.Ended(other, Failed, 0, noon.Add(2*time.Minute)))
+	require.NoError(t, j.Accept(other))
+	require.NoError(t, j.RecordFinalState(other, Failed, 0, noon.Add(2*time.Minute)))
 	require.NoError(t, j.Settle(other))
 	_, left = load(t, dir, 3e6)
 	require.Len(t, left, 2, "on disk until compaction")
@@ -149,13 +149,13 @@
 
 func FuzzOpen(f *testing.F) {
 	f.Add(encode(&Message{Seq: 1, ID: "a", Class: "b", Body: []byte("c")}))
-	f.Add(encode(&Message{Seq: 1, ID: "a", IdempotencyKey: "k", Ran: true, RanSince: noon, State: Failed, Settled: true})) // a remembered message
+	f.Add(encode(&Message{Seq: 1, ID: "a", IdempotencyKey: "k", MayHaveRun: true, MayHaveRunSince: noon, State: Failed, Settled: true})) // a remembered message
 	f.Fuzz(func(t *testing.T, b []byte) {
 		j := &Journal{live: map[uint64]*entry{}, log: slog.New(slog.DiscardHandler)}
 		j.replay(&segment{seqs: map[uint64]bool{}}, b)
 		// Payloads that no checksum protects: arbitrary bytes.
 		_ = j.apply(&segment{seqs: map[uint64]bool{}}, b)
-		j.rememberUntil = func(m *Message) time.Time { return m.RanSince.Add(5 * time.Second) }
+		j.rememberUntil = func(m *Message) time.Time { return m.MayHaveRunSince.Add(5 * time.Second) }
 		for _, seq := range slices.Sorted(maps.Keys(j.live)) {
 			j.remember(seq)
 		}
@@ -169,15 +169,15 @@
 func TestOutcomeSurvivesTwoCrashes(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := load(t, dir, 3e6)
-	require.NoError(t, j.Sent(accept(t, j, "a", 10), noon))
+	require.NoError(t, j.RecordAttempt(accept(t, j, "a", 10), noon))
 	j, left := load(t, dir, 3e6)
 	require.Len(t, left, 1)
-	require.NoError(t, j.Sent(left[0], noon.Add(time.Second)))
-	require.NoError(t, j.Came(left[0], false, time.Time{}))
+	require.NoError(t, j.RecordAttempt(left[0], noon.Add(time.Second)))
+	require.NoError(t, j.RecordOutcome(left[0], false, time.Time{}))
 	_, left = load(t, dir, 3e6)
 	require.Len(t, left, 1)
-	assert.True(t, left[0].Ran)
-	assert.Equal(t, noon, left[0].RanSince, "the window starts with the first attempt")
+	assert.True(t, left[0].MayHaveRun)
+	assert.Equal(t, noon, left[0].MayHaveRunSince, "the window starts with the first attempt")
 	assert.Equal(t, 2, left[0].Attempts)
 }
 
@@ -186,11 +186,11 @@
 	t.Helper()
 	j, left, err := Load(Options{
 		Dir: dir, Bytes: bytes, Log: slog.New(slog.DiscardHandler),
-		Until: func(m *Message) time.Time {
-			if m.Ran {
-				return m.RanSince.Add(5 * time.Second)
+		RememberUntil: func(m *Message) time.Time {
+			if m.MayHaveRun {
+				return m.MayHaveRunSince.Add(5 * time.Second)
 			}
-			return m.OutSince.Add(5 * time.Second)
+			return m.InFlightSince.Add(5 * time.Second)
 		},
 	})
 	require.NoError(t, err)
@@ -205,8 +205,8 @@
 	t.Helper()
 	for newest := j.newest().no; j.segments[0].no <= newest; {
 		m := &Message{ID: "filler", Class: "order", Body: make([]byte, 3000)}
-		require.NoError(t, j.Take(m))
-		require.NoError(t, j.Ended(m, Withdrawn, 0, now))
+		require.NoError(t, j.Accept(m))
+		require.NoError(t, j.RecordFinalState(m, Withdrawn, 0, now))
 		require.NoError(t, j.Settle(m))
 	}
 }
@@ -232,16 +232,16 @@
 			dir := t.TempDir()
 			j := loadRemembering(t, dir, room)
 			m := accept(t, j, "a", 1000)
-			require.NoError(t, j.Sent(m, noon))
+			require.NoError(t, j.RecordAttempt(m, noon))
 			recordOutcomes := func() {
 				for _, ran := range tc.came {
-					require.NoError(t, j.Came(m, ran, noon.Add(100*time.Millisecond)))
+					require.NoError(t, j.RecordOutcome(m, ran, noon.Add(100*time.Millisecond)))
 				}
 			}
 			if !tc.after {
 				recordOutcomes()
 			}
-			require.NoError(t, j.Ended(m, tc.state, 0, noon.Add(time.Second)))
+			require.NoError(t, j.RecordFinalState(m, tc.state, 0, noon.Add(time.Second)))
 			require.NoError(t, j.Settle(m))
 			if tc.after {
 				recordOutcomes()
@@ -257,24 +257,24 @@
 					j = loadRemembering(t, dir, room) // the previous journal was never closed, as after SIGKILL
 				}
 				if !tc.kept {
-					assert.Empty(t, j.Ran(), step)
+					assert.Empty(t, j.SettledMayHaveRun(), step)
 					continue
 				}
-				require.Len(t, j.Ran(), 1, step)
-				got := j.Ran()[0]
+				require.Len(t, j.SettledMayHaveRun(), 1, step)
+				got := j.SettledMayHaveRun()[0]
 				assert.Equal(t, []any{"a", "k", uint64(5), uint32(7), "order", tc.state, 1},
 					[]any{got.ID, got.IdempotencyKey, got.Key, got.Destination, got.Class, got.State, got.Attempts}, step)
 				assert.Empty(t, got.Body)
-				if got.Ran {
-					assert.Equal(t, since, got.RanSince, step)
+				if got.MayHaveRun {
+					assert.Equal(t, since, got.MayHaveRunSince, step)
 				}
 			}
 			if tc.kept {
-				require.True(t, j.Ran()[0].Ran)
+				require.True(t, j.SettledMayHaveRun()[0].MayHaveRun)
 			}
 			compactAll(t, j, noon.Add(6*time.Second))
 			j = loadRemembering(t, dir, room)
-			assert.Empty(t, j.Ran(), "it is no longer relevant")
+			assert.Empty(t, j.SettledMayHaveRun(), "it is no longer relevant")
 			assert.Zero(t, j.rememberedSize)
 		})
 	}
@@ -288,29 +288,29 @@
 	j := loadRemembering(t, dir, room)
 	for i := range 3000 {
 		m := accept(t, j, fmt.Sprint("ran", i), 30)
-		require.NoError(t, j.Sent(m, noon))
-		require.NoError(t, j.Ended(m, Delivered, 0, noon))
+		require.NoError(t, j.RecordAttempt(m, noon))
+		require.NoError(t, j.RecordFinalState(m, Delivered, 0, noon))
 		require.NoError(t, j.Settle(m))
 		require.LessOrEqual(t, diskUsage(t, dir), int64(room), "after %d", i)
 	}
-	before := j.Ran()
+	before := j.SettledMayHaveRun()
 	require.Greater(t, len(before), 500)
 	assert.Equal(t, "ran2999", before[len(before)-1].ID)
 	assert.Equal(t, fmt.Sprint("ran", 3000-len(before)), before[0].ID, "the most recent messages remain")
 	j = loadRemembering(t, dir, room)
-	assert.GreaterOrEqual(t, len(j.Ran()), len(before))
+	assert.GreaterOrEqual(t, len(j.SettledMayHaveRun()), len(before))
 	held := 0
-	for ; j.Room(1000); held++ {
+	for ; j.HasRoom(1000); held++ {
 		accept(t, j, fmt.Sprint("held", held), 900)
 		require.LessOrEqual(t, diskUsage(t, dir), int64(room), "with %d held", held)
 	}
 	empty, baseline := loadRemembering(t, t.TempDir(), room), 0
-	for ; empty.Room(1000); baseline++ {
+	for ; empty.HasRoom(1000); baseline++ {
 		accept(t, empty, fmt.Sprint("held", baseline), 900)
 	}
 	assert.Equal(t, baseline, held, "as many messages are accepted as without remembered ones")
-	assert.Less(t, len(j.Ran()), len(before))
-	assert.Greater(t, len(j.Ran()), 100, "and some are still remembered")
+	assert.Less(t, len(j.SettledMayHaveRun()), len(before))
+	assert.Greater(t, len(j.SettledMayHaveRun()), 100, "and some are still remembered")
 	var liveSize, rememberedSize int64
 	for _, e := range j.live {
 		if e.remembered {
--- a/sleep_test.go
+++ b/sleep_test.go
@@ -13,7 +13,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Handle(0, []Event{Wake{Destination: 1, Endpoints: []Endpoint{
+	c.Handle(0, []Event{Load{Destination: 1, Endpoints: []Endpoint{
 		{ID: 1, Destination: 1, Phase: Ready}, {ID: 2, Destination: 1, Phase: Ready},
 	}}, Request{ID: 1, Destination: 1, Class: 1, Deadline: 8 * time.Second}})
 	return c
@@ -21,48 +21,48 @@
 
 func unloadSettings() Settings {
 	return Settings{
-		Seed: 1, Fleet: 1, Tick: 5 * time.Millisecond, Slots: 8, MaxAttempts: 6, RetryAfter: true, MaxRetry: 3 * time.Second,
-		ConnectTimeout: time.Second, WarmUp: 14 * time.Second, ColdShare: 0.2, FallMultiple: 2, FallTime: 1500 * time.Millisecond,
+		Seed: 1, Fleet: 1, Tick: 5 * time.Millisecond, Slots: 8, MaxAttempts: 6, RetryAfter: true, MaxRetryAfter: 3 * time.Second,
+		ConnectTimeout: time.Second, WarmUp: 14 * time.Second, ColdShare: 0.2, CollapseMultiple: 2, CollapseTime: 1500 * time.Millisecond,
 		Report: []ReportField{AllowanceLeft, LimitRate},
 		Classes: []Class{
-			{Name: "order", Effect: Keyed, Window: 5 * time.Second, Aim: 3 * time.Second, Deadline: 20 * time.Second, Worth: 1, InOrder: true},
-			{Name: "status", Aim: 1500 * time.Millisecond, Deadline: 8 * time.Second, Worth: 2, LateShare: .1},
+			{Name: "order", Effect: Keyed, Window: 5 * time.Second, TargetLatency: 3 * time.Second, Deadline: 20 * time.Second, Value: 1, InOrder: true},
+			{Name: "status", TargetLatency: 1500 * time.Millisecond, Deadline: 8 * time.Second, Value: 2, LateValueShare: .1},
 		},
 	}
 }
 
-func unloadResult(t *testing.T, actions []Action) Asleep {
+func unloadResult(t *testing.T, actions []Action) Unloaded {
 	t.Helper()
 	for _, a := range actions {
-		if a, ok := a.(Asleep); ok {
+		if a, ok := a.(Unloaded); ok {
 			return a
 		}
 	}
 	t.Fatal("no answer to the unload")
-	return Asleep{}
+	return Unloaded{}
 }
 
 // A destination with an open call stays loaded. One without is removed completely and its snapshot
 // returned.
 func TestUnloadReturnsSnapshot(t *testing.T) {
 	c := newLoadedCourier(t)
-	if a := unloadResult(t, c.Handle(10*time.Millisecond, []Event{Sleep{1}})); !a.Busy || a.State != nil {
+	if a := unloadResult(t, c.Handle(10*time.Millisecond, []Event{Unload{1}})); !a.Busy || a.Snapshot != nil {
 		t.Errorf("with an open call: %+v", a)
 	}
 	c.Handle(200*time.Millisecond, []Event{AttemptEnded{
 		Request: 1, Endpoint: 1, Outcome: OK, Took: 200 * time.Millisecond, Report: []float64{.5, 4}, Done: true,
 	}})
-	a := unloadResult(t, c.Handle(time.Second, []Event{Sleep{1}}))
-	if a.Busy || a.State == nil || len(a.State.Routes) != 1 || len(a.State.EndpointsSeen) != 2 {
+	a := unloadResult(t, c.Handle(time.Second, []Event{Unload{1}}))
+	if a.Busy || a.Snapshot == nil || len(a.Snapshot.Routes) != 1 || len(a.Snapshot.Endpoints) != 2 {
 		t.Fatalf("%+v", a)
 	}
-	if r := a.State.Routes[0]; r.Limit != 4 || a.State.Recent == 0 || a.State.First != 1 {
-		t.Errorf("%+v", a.State)
+	if r := a.Snapshot.Routes[0]; r.Limit != 4 || a.Snapshot.Latency == 0 || a.Snapshot.FirstAttempts != 1 {
+		t.Errorf("%+v", a.Snapshot)
 	}
 	if len(c.destinations)+len(c.endpoints)+len(c.destinationOrder)+len(c.active)+len(c.requests)+len(c.pending) != 0 {
 		t.Errorf("left after the unload: %d %d %d %d", len(c.destinations), len(c.endpoints), len(c.destinationOrder), len(c.active))
 	}
-	if a := unloadResult(t, c.Handle(2*time.Second, []Event{Sleep{1}})); a.Busy || a.State != nil {
+	if a := unloadResult(t, c.Handle(2*time.Second, []Event{Unload{1}})); a.Busy || a.Snapshot != nil {
 		t.Errorf("unknown destination: %+v", a)
 	}
 }
@@ -72,15 +72,15 @@
 	for name, ids := range map[string][2]EndpointID{"same": {1, 2}, "replaced": {7, 8}} {
 		c := newLoadedCourier(t)
 		c.Handle(100*time.Millisecond, []Event{AttemptEnded{
-			Request: 1, Endpoint: 1, Outcome: Full, Took: 100 * time.Millisecond, Wait: 5 * time.Second, Report: []float64{0, 4},
+			Request: 1, Endpoint: 1, Outcome: Rejected, Took: 100 * time.Millisecond, RetryAfter: 5 * time.Second, Report: []float64{0, 4},
 		}, Withdrawn{1}})
-		a := unloadResult(t, c.Handle(200*time.Millisecond, []Event{Sleep{1}}))
-		if a.State == nil {
+		a := unloadResult(t, c.Handle(200*time.Millisecond, []Event{Unload{1}}))
+		if a.Snapshot == nil {
 			t.Fatalf("%s: %+v", name, a)
 		}
 		at := 2 * time.Second
-		events := []Event{Wake{
-			Destination: 1, State: a.State, Slept: at - 200*time.Millisecond,
+		events := []Event{Load{
+			Destination: 1, Snapshot: a.Snapshot, UnloadedFor: at - 200*time.Millisecond,
 			Endpoints: []Endpoint{{ID: ids[0], Destination: 1, Phase: Ready}, {ID: ids[1], Destination: 1, Phase: Ready}},
 		}, Request{ID: 2, Destination: 1, Class: 1, Deadline: 8 * time.Second}}
 		for ; at < 5*time.Second; at += 50 * time.Millisecond {
@@ -102,9 +102,9 @@
 // A retry-after delay also continues while the destination has no endpoints.
 func TestRetryAfterDelaySurvivesWithoutEndpoints(t *testing.T) {
 	c := newLoadedCourier(t)
-	c.Handle(100*time.Millisecond, []Event{AttemptEnded{Request: 1, Endpoint: 1, Outcome: Full, Took: time.Millisecond, Wait: 5 * time.Second}, Withdrawn{1}})
-	a := unloadResult(t, c.Handle(200*time.Millisecond, []Event{Sleep{1}}))
-	c.Handle(time.Second, []Event{Wake{Destination: 1, State: a.State, Slept: 800 * time.Millisecond},
+	c.Handle(100*time.Millisecond, []Event{AttemptEnded{Request: 1, Endpoint: 1, Outcome: Rejected, Took: time.Millisecond, RetryAfter: 5 * time.Second}, Withdrawn{1}})
+	a := unloadResult(t, c.Handle(200*time.Millisecond, []Event{Unload{1}}))
+	c.Handle(time.Second, []Event{Load{Destination: 1, Snapshot: a.Snapshot, UnloadedFor: 800 * time.Millisecond},
 		Request{ID: 2, Destination: 1, Class: 1, Deadline: 8 * time.Second}})
 	if n := len(sends(c.Handle(1100*time.Millisecond, []Event{List{Kind: ListDelta, Endpoints: []Endpoint{{ID: 9, Destination: 1, Phase: Ready}}}}))); n != 0 {
 		t.Error("sent during the delay to an endpoint that was listed later")
@@ -116,19 +116,19 @@
 	c := newLoadedCourier(t)
 	c.destinations[1].retries.add(0, 5)
 	c.Handle(100*time.Millisecond, []Event{AttemptEnded{Request: 1, Endpoint: 1, Outcome: OK, Took: time.Millisecond, Done: true}})
-	a := unloadResult(t, c.Handle(200*time.Millisecond, []Event{Sleep{1}}))
-	if a.State.Repeats != 5 {
-		t.Fatalf("%+v", a.State)
+	a := unloadResult(t, c.Handle(200*time.Millisecond, []Event{Unload{1}}))
+	if a.Snapshot.Retries != 5 {
+		t.Fatalf("%+v", a.Snapshot)
 	}
-	c.Handle(5*time.Second, []Event{Wake{Destination: 1, State: a.State, Slept: 5 * time.Second}})
+	c.Handle(5*time.Second, []Event{Load{Destination: 1, Snapshot: a.Snapshot, UnloadedFor: 5 * time.Second}})
 	if got := c.destinations[1].retries.sum(c.now); got != 5 {
 		t.Errorf("retries: %v", got)
 	}
 	if got := c.destinations[1].firstAttempts.sum(c.now); got > 0.6 {
 		t.Errorf("first attempts count longer than in a loaded destination: %v", got)
 	}
-	unloadResult(t, c.Handle(6*time.Second, []Event{Sleep{1}}))
-	c.Handle(30*time.Second, []Event{Wake{Destination: 1, State: a.State, Slept: 24 * time.Second}})
+	unloadResult(t, c.Handle(6*time.Second, []Event{Unload{1}}))
+	c.Handle(30*time.Second, []Event{Load{Destination: 1, Snapshot: a.Snapshot, UnloadedFor: 24 * time.Second}})
 	if got := c.destinations[1].retries.sum(c.now); got != 0 {
 		t.Errorf("retries from before the window: %v", got)
 	}
@@ -142,9 +142,9 @@
 	for _, e := range c.endpoints {
 		c.setHealth(e, down, "", "")
 	}
-	a := unloadResult(t, c.Handle(3*time.Second, []Event{Sleep{1}}))
-	events := []Event{Wake{
-		Destination: 1, State: a.State, Slept: time.Minute,
+	a := unloadResult(t, c.Handle(3*time.Second, []Event{Unload{1}}))
+	events := []Event{Load{
+		Destination: 1, Snapshot: a.Snapshot, UnloadedFor: time.Minute,
 		Endpoints: []Endpoint{{ID: 1, Destination: 1, Phase: Ready}, {ID: 2, Destination: 1, Phase: Ready}},
 	}}
 	for i := range RequestID(6) {
@@ -158,7 +158,7 @@
 // deliverBacklog loads a destination with n queued requests. It accepts limit calls in each span and
 // answers after latency. The results are the highest number of calls in a span, the number of
 // rejections, and the time of the last delivery.
-func deliverBacklog(t *testing.T, state *State, caution Caution, n, limit int, span, latency time.Duration) (peak, refused int, last time.Duration) {
+func deliverBacklog(t *testing.T, state *DestinationSnapshot, caution CautiousStart, n, limit int, span, latency time.Duration) (peak, refused int, last time.Duration) {
 	t.Helper()
 	s := unloadSettings()
 	s.Slots = 32
@@ -166,8 +166,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	events := []Event{Wake{
-		Destination: 1, State: state, Slept: time.Hour, Caution: caution,
+	events := []Event{Load{
+		Destination: 1, Snapshot: state, UnloadedFor: time.Hour, CautiousStart: caution,
 		Endpoints: []Endpoint{{ID: 1, Destination: 1, Phase: Ready}},
 	}}
 	for i := range n {
@@ -197,7 +197,7 @@
 				Report: []float64{max(0, 1-float64(spans[in])/float64(limit)), float64(limit) / span.Seconds()},
 			}
 			if spans[in] > limit {
-				ev.Outcome, ev.Done = Full, false
+				ev.Outcome, ev.Done = Rejected, false
 				refused++
 			} else {
 				delivered++
@@ -217,14 +217,14 @@
 // The requests waiting at a load do not push the destination over its limit, even if the limit has
 // changed since, and are delivered nearly as fast as the limit allows.
 func TestBacklogAfterLoadStaysWithinLimit(t *testing.T) {
-	caution := Caution{Window: 1, Cold: true, Careful: 14 * time.Second}
-	known := func(limit float64) *State {
-		return &State{Recent: .2, Best: .2, Peak: limit, Window: 8, Routes: []RouteState{{Limit: limit, Left: 1}}, EndpointsSeen: []EndpointState{{ID: 1}}}
+	caution := CautiousStart{Window: 1, Cold: true, ReducedPaceFor: 14 * time.Second}
+	known := func(limit float64) *DestinationSnapshot {
+		return &DestinationSnapshot{Latency: .2, BestLatency: .2, PeakRate: limit, Window: 8, Routes: []RouteSnapshot{{Limit: limit, LimitLeft: 1}}, Endpoints: []EndpointSnapshot{{ID: 1}}}
 	}
 	for _, tc := range []struct {
 		name    string
-		state   *State
-		caution Caution
+		state   *DestinationSnapshot
+		caution CautiousStart
 		limit   int
 		span    time.Duration
 	}{
@@ -233,7 +233,7 @@
 		{"cut to a tenth", known(20), caution, 2, time.Second},
 		{"limit raised", known(2), caution, 6, time.Second},
 		{"long spans", known(6), caution, 12, 2 * time.Second},
-		{"nothing known", nil, Caution{Window: 1, Careful: 14 * time.Second}, 3, time.Second},
+		{"nothing known", nil, CautiousStart{Window: 1, ReducedPaceFor: 14 * time.Second}, 3, time.Second},
 	} {
 		rate := float64(tc.limit) / tc.span.Seconds()
 		n := int(3 * rate)
@@ -246,7 +246,7 @@
 		}
 	}
 	// Without a cautious start the same requests exceed the limit, so the test can fail.
-	if most, _, _ := deliverBacklog(t, known(12), Caution{}, 12, 4, time.Second, 200*time.Millisecond); most <= 4 {
+	if most, _, _ := deliverBacklog(t, known(12), CautiousStart{}, 12, 4, time.Second, 200*time.Millisecond); most <= 4 {
 		t.Errorf("without a cautious start %d calls in a span: the test cannot fail", most)
 	}
 }
@@ -254,7 +254,7 @@
 // Inspecting a destination returns the snapshot that an unload would and changes nothing: the same
 // events lead to the same actions with and without it.
 func TestInspectHasNoEffect(t *testing.T) {
-	run := func(inspect bool) (out []Action, seen *State) {
+	run := func(inspect bool) (out []Action, seen *DestinationSnapshot) {
 		c := newLoadedCourier(t)
 		for i := range 40 {
 			now := time.Duration(i+1) * 10 * time.Millisecond
@@ -263,13 +263,13 @@
 				events = append(events, Request{ID: RequestID(i + 10), Destination: 1, Class: i / 4 % 2, Deadline: 8 * time.Second})
 			}
 			if inspect {
-				events = append(events, Look{1}, Look{99})
+				events = append(events, Inspect{1}, Inspect{99})
 			}
 			for _, a := range c.Handle(now, events) {
-				if s, ok := a.(Seen); ok {
+				if s, ok := a.(Inspected); ok {
 					if s.Destination == 1 {
-						seen = s.State
-					} else if s.State != nil {
+						seen = s.Snapshot
+					} else if s.Snapshot != nil {
 						t.Error("a snapshot of an unknown destination")
 					}
 					continue
@@ -282,7 +282,7 @@
 	with, seen := run(true)
 	without, _ := run(false)
 	want(t, "actions", with, without)
-	if seen == nil || len(seen.EndpointsSeen) != 2 || len(seen.Routes) != 1 {
+	if seen == nil || len(seen.Endpoints) != 2 || len(seen.Routes) != 1 {
 		t.Errorf("seen: %+v", seen)
 	}
 }
@@ -293,13 +293,13 @@
 	c := newLoadedCourier(t)
 	c.retryGap[0], c.smallTableUntil[0] = 9*time.Second, 30*time.Second
 	c.Handle(time.Second, []Event{AttemptEnded{Request: 1, Endpoint: 1, Outcome: OK, Took: 100 * time.Millisecond, Done: true}})
-	s := unloadResult(t, c.Handle(2*time.Second, []Event{Sleep{1}})).State
-	want(t, "gap", s.RepeatGap, c.retryGap[0])
+	s := unloadResult(t, c.Handle(2*time.Second, []Event{Unload{1}})).Snapshot
+	want(t, "gap", s.RetryGap, c.retryGap[0])
 	other := newLoadedCourier(t)
-	other.Handle(time.Second, []Event{Wake{Destination: 2, State: s, Slept: time.Second}})
-	want(t, "gap", other.retryGap[0], s.RepeatGap)
-	want(t, "small tables", other.smallTableUntil[0], s.Small) // one second loaded, one second unloaded
-	s.RepeatGap = 5 * time.Second
-	other.Handle(time.Second, []Event{Wake{Destination: 3, State: s}})
-	want(t, "restored although a newer gap was learned", other.retryGap[0] == s.RepeatGap, false)
+	other.Handle(time.Second, []Event{Load{Destination: 2, Snapshot: s, UnloadedFor: time.Second}})
+	want(t, "gap", other.retryGap[0], s.RetryGap)
+	want(t, "small tables", other.smallTableUntil[0], s.SmallTableFor) // one second loaded, one second unloaded
+	s.RetryGap = 5 * time.Second
+	other.Handle(time.Second, []Event{Load{Destination: 3, Snapshot: s}})
+	want(t, "restored although a newer gap was learned", other.retryGap[0] == s.RetryGap, false)
 }
--- a/state.go
+++ b/state.go
@@ -46,12 +46,12 @@
 	idleSuccesses      slidingSum     // successes on connections idle for at least idleFailureAge
 	idleFailureAge     time.Duration  // shortest idle time after which a connection failed
 	minTargetLatency   time.Duration  // shortest target latency of the classes
-	leaseOwners        *lease.Line
-	quotaLedgers       map[DestinationID]*lease.Ledger // of destinations whose lease owner this is
-	announced          bool                            // this courier has announced itself to the fleet
-	lastPeerAt         time.Duration                   // last message from another courier
-	requestedLedgers   []DestinationID                 // keys of quotaLedgers with unanswered grant requests
-	outbox             []Tell                          // peer messages to be sent
+	leaseOwners        *lease.OwnerView
+	quotaLedgers       map[DestinationID]*lease.QuotaLedger // of destinations whose lease owner this is
+	announced          bool                                 // this courier has announced itself to the fleet
+	lastPeerAt         time.Duration                        // last message from another courier
+	requestedLedgers   []DestinationID                      // keys of quotaLedgers with unanswered grant requests
+	outbox             []SendPeerMessages                   // peer messages to be sent
 }
 
 // New returns a Courier, or an error that names an invalid setting.
@@ -79,13 +79,13 @@
 		requests: map[RequestID]*request{}, keyQueues: map[uint64]*keyQueue{},
 		tenantQuotas: make([]tokenBucket, len(s.Tenants)), roundCalls: map[*endpoint]*call{},
 		smallTableUntil:  make([]time.Duration, max(1, len(s.Kinds))),
-		minTargetLatency: s.Classes[0].Aim,
+		minTargetLatency: s.Classes[0].TargetLatency,
 	}
 	if c.tuning = StandardTuning(); s.Tuning != nil {
 		c.tuning = *s.Tuning
 	}
 	for i, cl := range s.Classes {
-		c.minTargetLatency = max(min(c.minTargetLatency, cl.Aim), s.Tick)
+		c.minTargetLatency = max(min(c.minTargetLatency, cl.TargetLatency), s.Tick)
 		c.classes = append(c.classes, class{cl, i})
 	}
 	unknown := c.classes[len(c.classes)-1]
@@ -94,7 +94,7 @@
 	for range c.smallTableUntil {
 		c.retryGap = append(c.retryGap, c.minTargetLatency)
 	}
-	c.leaseOwners, c.quotaLedgers = lease.NewLine(s.Fleet, s.Number), map[DestinationID]*lease.Ledger{}
+	c.leaseOwners, c.quotaLedgers = lease.NewOwnerView(s.Fleet, s.Number), map[DestinationID]*lease.QuotaLedger{}
 	c.idleFailures.window, c.idleSuccesses.window = idleFailureWindows*retryBudgetWindow,
 		idleFailureWindows*retryBudgetWindow
 	return c, nil
@@ -108,17 +108,17 @@
 		switch ev := ev.(type) {
 		case List:
 			c.applyList(ev)
-		case Sleep:
+		case Unload:
 			c.unload(ev)
-		case Wake:
+		case Load:
 			c.load(ev)
-		case Look:
+		case Inspect:
 			c.inspect(ev)
 		case Request:
 			c.acceptRequest(ev)
-		case WaitTold:
+		case RetryAfterReceived:
 			if e := c.endpoints[ev.Endpoint]; e != nil {
-				e.route.setRetryAfter(c.now + ev.Wait + c.settings.Tick)
+				e.route.setRetryAfter(c.now + ev.RetryAfter + c.settings.Tick)
 			}
 		case AttemptEnded:
 			c.attemptEnded(ev)
@@ -132,9 +132,9 @@
 			if r := c.requests[ev.Request]; r != nil {
 				r.streaming = true
 			}
-		case Heard:
+		case PeerMessagesReceived:
 			c.receiveFromPeer(ev)
-		case Rests:
+		case KeySettling:
 			if c.keyQueues[ev.Key] == nil {
 				c.keyQueues[ev.Key] = &keyQueue{settleUntil: c.now + ev.For}
 				c.emptyKeyQueues = append(c.emptyKeyQueues, ev.Key)
@@ -326,20 +326,20 @@
 // resumeAttempt restores the open attempt of a request that was sent by a previous process run. It
 // returns false if there is none.
 func (c *Courier) resumeAttempt(r *request, ev Request) bool {
-	e := c.endpoints[ev.OutOn]
-	if ev.OutOn == 0 || e == nil || e.route.dest != r.dest {
+	e := c.endpoints[ev.OpenEndpoint]
+	if ev.OpenEndpoint == 0 || e == nil || e.route.dest != r.dest {
 		return false
 	}
 	b := c.openCall(e)
 	delete(c.roundCalls, e) // no request can join a call that has been sent
-	b.sentAt, b.size, b.pendingOutcomes = c.now-ev.OutFor, 1, 1
+	b.sentAt, b.size, b.pendingOutcomes = c.now-ev.OpenFor, 1, 1
 	r.call = b
 	r.dest.queue = remove(r.dest.queue, r)
 	return true
 }
 
-// Resting calls f with each key in its settling delay and the rest of that delay.
-func (c *Courier) Resting(f func(key uint64, left time.Duration)) {
+// SettlingKeys calls f with each key in its settling delay and the rest of that delay.
+func (c *Courier) SettlingKeys(f func(key uint64, left time.Duration)) {
 	for key, l := range c.keyQueues {
 		if l.settleUntil > c.now {
 			f(key, l.settleUntil-c.now)
@@ -347,11 +347,11 @@
 	}
 }
 
-// Stands reports whether an open attempt of which no byte has been sent yet may still be sent at
+// MayStillSend reports whether an open attempt of which no byte has been sent yet may still be sent at
 // now. Setting up a connection may take more than a second: meanwhile the deduplication window or
 // the deadline of the message may have ended, or the destination may have named a retry-after delay
 // or begun to drain. The call changes no state.
-func (c *Courier) Stands(now time.Duration, id RequestID) bool {
+func (c *Courier) MayStillSend(now time.Duration, id RequestID) bool {
 	r := c.requests[id]
 	if r == nil || r.call == nil || r.answered {
 		return false
@@ -360,8 +360,8 @@
 	return e.Phase == Ready && now >= e.route.retryAfterUntil && now < c.latestSend(r)
 }
 
-// Avoided returns the number of listed endpoints that get trial calls only.
-func (c *Courier) Avoided() (n int) {
+// OpenBreakers returns the number of listed endpoints that get trial calls only.
+func (c *Courier) OpenBreakers() (n int) {
 	for _, d := range c.destinationOrder {
 		for _, e := range d.endpoints {
 			if e.Phase == Ready && e.state == down {
@@ -473,10 +473,10 @@
 	rejectedAt            time.Duration
 	rejections            int // consecutive rejections, counted in episodes
 	openProbes            int
-	coldCalls             callHistory   // calls to endpoints that were not healthy
-	coldSpread            lease.Spread  // for shares below one call in the collapse time
-	lease                 *lease.Holder // nil unless the fleet shares the limit
-	ownerReport           Note          // news for the lease owner
+	coldCalls             callHistory        // calls to endpoints that were not healthy
+	coldSpread            lease.Spread       // for shares below one call in the collapse time
+	lease                 *lease.QuotaClient // nil unless the fleet shares the limit
+	ownerReport           PeerMessage        // news for the lease owner
 	reportedLimit         float64
 	reportedTo            int           // index of the lease owner that got reportedLimit, plus one
 	limitReportedAt       time.Duration // last limit report in an answer
@@ -504,7 +504,7 @@
 
 // maxPacingRate returns the upper bound of the pacing rate that a rejection reduces.
 func (c *Courier) maxPacingRate(r *route) float64 {
-	return math.Max(r.ownerlessRate, c.evenShare(r)*c.tuning.PaceStart)
+	return math.Max(r.ownerlessRate, c.evenShare(r)*c.tuning.InitialPace)
 }
 
 // assumedLimit returns r's limit in calls per second. While it is unknown, that is the mean
@@ -585,7 +585,7 @@
 		total += t.Quota
 	}
 	part := unknownCapacityShare * total / float64(max(1, c.listedDestinations, len(c.destinationOrder)))
-	return math.Max(part, 1/seconds(max(c.settings.FallTime, c.settings.Tick)))
+	return math.Max(part, 1/seconds(max(c.settings.CollapseTime, c.settings.Tick)))
 }
 
 // jitter varies d by up to a quarter either way, so that couriers do not act in step.
@@ -605,13 +605,13 @@
 	if e.Kind >= 0 && e.Kind < len(c.settings.Kinds) {
 		d.kind, d.kindIndex = c.settings.Kinds[e.Kind], e.Kind
 	}
-	if len(d.routes) == 0 || d.kind.RoutesApart {
+	if len(d.routes) == 0 || d.kind.LimitPerEndpoint {
 		d.routes = append(d.routes, &route{dest: d, limitLeft: 1})
 	}
 	e.route = d.routes[len(d.routes)-1]
 	e.route.endpoints = append(e.route.endpoints, e)
 	d.endpoints = append(d.endpoints, e)
-	e.classFailedAt, e.WasOut = make([]time.Duration, len(c.settings.Classes)), 0 // update sets it
+	e.classFailedAt, e.ExcludedFor = make([]time.Duration, len(c.settings.Classes)), 0 // update sets it
 }
 
 // destinationFor returns the destination with this id and creates it if necessary.
@@ -703,9 +703,9 @@
 // update applies a list entry. An endpoint whose exclusion by an operator has ended is cold,
 // whatever its state was.
 func (e *endpoint) update(entry Endpoint, now time.Duration) {
-	restarted := entry.WasOut > 0 && e.WasOut == 0
-	e.Phase, e.Weight, e.Doubtful, e.WasOut = entry.Phase, entry.Weight, entry.Doubtful,
-		entry.WasOut
+	restarted := entry.ExcludedFor > 0 && e.ExcludedFor == 0
+	e.Phase, e.Weight, e.Doubtful, e.ExcludedFor = entry.Phase, entry.Weight, entry.Doubtful,
+		entry.ExcludedFor
 	if restarted {
 		e.enterRecovery(now)
 	}
@@ -714,7 +714,7 @@
 // enterRecovery makes e cold after its exclusion by an operator.
 func (e *endpoint) enterRecovery(now time.Duration) {
 	e.setState(cold, now)
-	e.lastOutage, e.failures = e.WasOut, 0
+	e.lastOutage, e.failures = e.ExcludedFor, 0
 }
 
 // wakeBy makes sure that a timer expires at t at the latest.
