--- a/cmd/snowjunction/directory_test.go
+++ b/cmd/snowjunction/directory_test.go
@@ -16,8 +16,8 @@
 
 	"snowjunction"
 	"snowjunction/internal/dircache"
-	"snowjunction/internal/learnt"
-	"snowjunction/internal/memento"
+	"snowjunction/internal/learnedstate"
+	"snowjunction/internal/snapshot"
 	"snowjunction/internal/standin"
 	"snowjunction/internal/standin/load"
 	"snowjunction/internal/standin/partner"
@@ -339,8 +339,8 @@
 // is in it; with every, that all of its endpoints are.
 func (s *stage) condition(dest uint32, c snowjunction.Condition, every ...bool) bool {
 	in := map[bool]int{}
-	for _, r := range learnt.Load(s.State(), func(string, error) {}) {
-		m, err := memento.Decode(r.Snapshot)
+	for _, r := range learnedstate.Load(s.State(), func(string, error) {}) {
+		m, err := snapshot.Decode(r.Snapshot)
 		require.NoError(s.t, err)
 		for _, e := range m.State.Endpoints {
 			if r.Destination == dest {
@@ -434,8 +434,8 @@
 	s.many(1, "before", 30)
 	require.NoError(t, s.Stop(syscall.SIGTERM))
 	limit := 0.0
-	for _, r := range learnt.Load(s.State(), func(string, error) {}) {
-		m, err := memento.Decode(r.Snapshot)
+	for _, r := range learnedstate.Load(s.State(), func(string, error) {}) {
+		m, err := snapshot.Decode(r.Snapshot)
 		require.NoError(t, err)
 		require.Len(t, m.State.Routes, 1)
 		limit = m.State.Routes[0].Limit
--- a/cmd/snowjunction/fleet_test.go
+++ b/cmd/snowjunction/fleet_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"snowjunction"
-	"snowjunction/internal/notes"
+	"snowjunction/internal/peermsg"
 	"snowjunction/internal/scenario"
 )
 
@@ -125,7 +125,7 @@
 			if err != nil {
 				return
 			}
-			items, err := notes.Decode(buf[:n])
+			items, err := peermsg.Decode(buf[:n])
 			if err != nil {
 				items = nil
 			}
@@ -136,7 +136,7 @@
 				if !x.RequestsGrant {
 					continue
 				}
-				for _, b := range append([][]byte{nil, []byte("bad"), make([]byte, 4000)}, notes.Encode([]snowjunction.PeerMessage{{Destination: 7, IsGrant: true, Calls: 1}})...) {
+				for _, b := range append([][]byte{nil, []byte("bad"), make([]byte, 4000)}, peermsg.Encode([]snowjunction.PeerMessage{{Destination: 7, IsGrant: true, Calls: 1}})...) {
 					_, _ = keeper.WriteTo(b, from)
 				}
 			}
@@ -159,7 +159,7 @@
 	stranger, err := net.Dial("udp4", peers[79])
 	require.NoError(t, err)
 	defer stranger.Close()
-	_, err = stranger.Write(notes.Encode([]snowjunction.PeerMessage{{Destination: 7, IsGrant: true, Calls: 9}})[0])
+	_, err = stranger.Write(peermsg.Encode([]snowjunction.PeerMessage{{Destination: 7, IsGrant: true, Calls: 9}})[0])
 	require.NoError(t, err)
 	for {
 		require.NoError(t, c.Signal(syscall.SIGUSR1))
--- a/internal/belief/belief.go
+++ b/internal/confidence/confidence.go
@@ -1,4 +1,4 @@
-// Package belief tracks the confidence in endpoints while the directory does not confirm them:
+// Package confidence tracks the confidence in endpoints while the directory does not confirm them:
 // after a start from a list that was stored on disk, and while the directory does not answer. It
 // does no I/O, reads no clock and starts no goroutine: times are passed in, as the time since a
 // moment of the caller's choice.
@@ -15,7 +15,7 @@
 //
 // As soon as the directory answers, these results are discarded: a call shows that somebody answers
 // at an address, not who.
-package belief
+package confidence
 
 import (
 	"fmt"
--- a/internal/belief/belief_test.go
+++ b/internal/confidence/confidence_test.go
@@ -1,4 +1,4 @@
-package belief
+package confidence
 
 import (
 	"fmt"
--- a/internal/config/directory.go
+++ b/internal/config/directory.go
@@ -6,10 +6,10 @@
 
 	"github.com/valyala/fastjson"
 
-	"snowjunction/internal/belief"
+	"snowjunction/internal/confidence"
 	"snowjunction/internal/core"
 	"snowjunction/internal/dircache"
-	"snowjunction/internal/distrust"
+	"snowjunction/internal/plausibility"
 )
 
 // Directory is the operator file for the directory: how much of its list is kept on disk, how long
@@ -51,7 +51,7 @@
 		Cache: !v.Exists("cache") || v.GetBool("cache"), CacheBytes: positiveOr(v.GetInt("cache_kb"), defaultCacheKB) << 10,
 		Generations: positiveOr(v.GetInt("generations"), defaultGenerations),
 		Learn:       !v.Exists("learn") || v.GetBool("learn"), LearnBytes: positiveOr(v.GetInt("learn_kb"), defaultLearnKB) << 10,
-		Directory: core.Directory{Confidence: belief.Default(), Plausibility: distrust.Default()},
+		Directory: core.Directory{Confidence: confidence.Default(), Plausibility: plausibility.Default()},
 	}
 	for key, to := range map[string]*time.Duration{
 		"fresh_s": &d.Confidence.FreshFor, "silent_s": &d.Confidence.SilentAfter, "refute_after_s": &d.Confidence.RefuteAfter,
--- a/internal/config/idle.go
+++ b/internal/config/idle.go
@@ -4,12 +4,12 @@
 	"time"
 
 	"snowjunction"
-	"snowjunction/internal/dormancy"
+	"snowjunction/internal/idlestate"
 )
 
 // Idle is the operator file for idle destinations.
 type Idle struct {
-	Dormancy    dormancy.Config
+	Dormancy    idlestate.Config
 	ListBytes   int    // maximum size of a list that discovery may send
 	ListEntries int    // maximum number of entries of such a list
 	StorePath   string // path of the on-disk store for unloaded destinations; empty disables it
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := dormancy.Default(s)
+	d := idlestate.Default(s)
 	for key, to := range map[string]*time.Duration{
 		"sleep_after_s": &d.IdleTimeout, "half_life_s": &d.HalfLife, "forget_s": &d.MaxAge, "careful_s": &d.CautiousFor,
 	} {
--- a/internal/core/belief.go
+++ b/internal/core/belief.go
@@ -8,23 +8,23 @@
 	"time"
 
 	"snowjunction"
-	"snowjunction/internal/belief"
-	"snowjunction/internal/distrust"
+	"snowjunction/internal/confidence"
 	"snowjunction/internal/groups"
+	"snowjunction/internal/plausibility"
 )
 
 // Directory holds the bounds within which a front's directory and its list are trusted.
 type Directory struct {
-	Confidence   belief.Config
-	Plausibility distrust.Config
+	Confidence   confidence.Config
+	Plausibility plausibility.Config
 }
 
 // directory is the trust state of one front's directory.
 type directory struct {
-	confidence  *belief.Tracker
+	confidence  *confidence.Tracker
 	reviewTimer *Timer // fires when elapsed time may change the confidence
 
-	plausibility   *distrust.Checker
+	plausibility   *plausibility.Checker
 	conditionTimer *Timer          // fires when elapsed time may end a condition
 	retained       map[string]bool // endpoints kept although an implausible list omits them
 	unconfirmed    map[string]bool // endpoints added while the directory was flapping
@@ -32,7 +32,7 @@
 
 // SetInitialList sets the list that a front starts with. age is the time since the directory last confirmed
 // it; a negative age means unknown.
-func (c *Core) SetInitialList(front int, list *groups.List, source belief.Source, age time.Duration) error {
+func (c *Core) SetInitialList(front int, list *groups.List, source confidence.Source, age time.Duration) error {
 	if d := c.directories[front]; d != nil {
 		d.confidence.Start(source, age, c.elapsed())
 	}
@@ -73,10 +73,10 @@
 	d := c.directories[front]
 	change, again := d.confidence.Advance(c.elapsed())
 	switch change {
-	case belief.Silent:
+	case confidence.Silent:
 		c.Log.Warn("belief", "of", "directory", "is", "silent", "was", "live", "why", "the directory has not answered for too long")
 		c.republish(front)
-	case belief.Aged:
+	case confidence.Aged:
 		c.Log.Warn("belief", "of", "list", "is", "old", "was", "young", "why", "the directory has not confirmed it for too long")
 		c.republish(front)
 	}
@@ -101,11 +101,11 @@
 }
 
 // confidenceIn returns the confidence in an endpoint of a front.
-func (c *Core) confidenceIn(front int, name string) belief.Level {
+func (c *Core) confidenceIn(front int, name string) confidence.Level {
 	if d := c.directories[front]; d != nil {
 		return d.confidence.Level(name)
 	}
-	return belief.Listed
+	return confidence.Listed
 }
 
 // updateConfidence updates an endpoint's confidence and returns the module's view of it if that has
@@ -125,16 +125,16 @@
 	if l == nil || c.directories[l.front] == nil || l.Phase != snowjunction.Ready {
 		return
 	}
-	e := belief.EvidenceOf(r.Outcome)
+	e := confidence.EvidenceOf(r.Outcome)
 	if r.WrongEndpoint {
-		e = belief.OtherEndpoint
+		e = confidence.OtherEndpoint
 	}
 	before, after, why := c.directories[l.front].confidence.RecordCall(l.Destination, l.Name, e, c.elapsed())
 	if before == after {
 		return
 	}
 	level := slog.LevelInfo
-	if after >= belief.Doubtful {
+	if after >= confidence.Doubtful {
 		level = slog.LevelWarn
 	}
 	c.Log.Log(context.Background(), level, "belief", "of", l.Name, "destination", l.Destination, "addr", l.Addr, "is", after.String(), "was", before.String(), "why", why)
@@ -188,10 +188,10 @@
 
 // ListStatus returns the source of a front's list, the time since the directory last confirmed it, and
 // whether the directory is live.
-func (c *Core) ListStatus(front int) (s belief.Source, age time.Duration, live bool) {
+func (c *Core) ListStatus(front int) (s confidence.Source, age time.Duration, live bool) {
 	d := c.directories[front]
 	if d == nil {
-		return belief.Live, 0, true
+		return confidence.Live, 0, true
 	}
 	return d.confidence.Source(), c.elapsed() - d.confidence.ConfirmedAt(), d.confidence.Live()
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -22,13 +22,13 @@
 	"time"
 
 	"snowjunction"
-	"snowjunction/internal/belief"
-	"snowjunction/internal/distrust"
-	"snowjunction/internal/dormancy"
+	"snowjunction/internal/confidence"
 	"snowjunction/internal/exclusions"
 	"snowjunction/internal/handover"
 	"snowjunction/internal/idempotency"
-	"snowjunction/internal/learnt"
+	"snowjunction/internal/idlestate"
+	"snowjunction/internal/learnedstate"
+	"snowjunction/internal/plausibility"
 	"snowjunction/internal/store"
 )
 
@@ -105,9 +105,9 @@
 	Settings      snowjunction.Settings
 	Plugins       Plugins // nil means none
 	Fronts        []Front
-	Dormancy      *dormancy.Config // nil means the defaults
-	SnapshotStore SnapshotStore    // nil keeps snapshots in memory only
-	LearnedStore  LearnedStore     // nil means that learned state is lost when the process ends
+	Dormancy      *idlestate.Config // nil means the defaults
+	SnapshotStore SnapshotStore     // nil keeps snapshots in memory only
+	LearnedStore  LearnedStore      // nil means that learned state is lost when the process ends
 	// Directories holds the trust bounds by front number. The lists of fronts without an entry are
 	// always trusted.
 	Directories map[int]Directory
@@ -150,10 +150,10 @@
 	pendingExclusions     map[string]*pendingExclusion // by endpoint name
 	unwrittenExclusions   int                          // exclusion changes that are not on disk yet
 	paused                bool                         // the first decisions wait until the directory confirms its list
-	idleTracker           *dormancy.Tracker
+	idleTracker           *idlestate.Tracker
 	updates               listUpdates
 	directories           []*directory // by front; nil means that its list is always trusted
-	picker                *learnt.Picker
+	picker                *learnedstate.Picker
 	learnedTimer          *Timer // fires when learned state may be written next
 	idleTimer             *Timer // fires when destinations may be unloaded next
 	attemptedKeys         *idempotency.Tracker
@@ -198,21 +198,21 @@
 	if err != nil {
 		return nil, err
 	}
-	dormancyConfig := dormancy.Default(cfg.Settings)
+	dormancyConfig := idlestate.Default(cfg.Settings)
 	if cfg.Dormancy != nil {
 		dormancyConfig = *cfg.Dormancy
 	}
 	c := &Core{
-		Config: cfg, idleTracker: dormancy.New(dormancyConfig), courier: courier, start: cfg.Loop.Now(),
+		Config: cfg, idleTracker: idlestate.New(dormancyConfig), courier: courier, start: cfg.Loop.Now(),
 		flows: map[snowjunction.RequestID]*flow{}, flowsByRef: map[messageRef]*flow{},
 		retryAfterReceived: map[uint32]bool{}, pluginQueues: map[uint64][]*flow{}, awaitingSettlement: map[uint64][]*flow{}, unsettledEnds: map[uint64]int{},
 		classes: map[string]int{}, tenants: map[string]int{},
-		routes: newRoutes(len(cfg.Fronts)), picker: learnt.NewPicker(),
+		routes: newRoutes(len(cfg.Fronts)), picker: learnedstate.NewPicker(),
 		attemptedKeys: idempotency.New(maxIdempotencyKeys), flowsByIdempotencyKey: map[idempotency.Key][]*flow{}, endedBefore: map[idempotency.Key]*store.Message{}, tallies: make([]tally, len(cfg.Settings.Classes)+1),
 		directories: make([]*directory, len(cfg.Fronts)), exclusionSet: exclusions.New(cfg.Settings.WarmUp), pendingExclusions: map[string]*pendingExclusion{},
 	}
 	for front, d := range cfg.Directories {
-		c.directories[front] = &directory{confidence: belief.New(d.Confidence), plausibility: distrust.New(d.Plausibility)}
+		c.directories[front] = &directory{confidence: confidence.New(d.Confidence), plausibility: plausibility.New(d.Plausibility)}
 	}
 	for i, cl := range cfg.Settings.Classes {
 		c.classes[cl.Name] = i
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 
 	"snowjunction"
-	"snowjunction/internal/belief"
-	"snowjunction/internal/dormancy"
+	"snowjunction/internal/confidence"
 	"snowjunction/internal/groups"
+	"snowjunction/internal/idlestate"
 	"snowjunction/internal/store"
 )
 
@@ -34,7 +34,7 @@
 	emptyList    bool // start without listed endpoints
 	leftTargets  int  // targets that have left their groups
 	targets      []Entry
-	dormancy     *dormancy.Config
+	dormancy     *idlestate.Config
 	beyond       SnapshotStore
 	learnt       LearnedStore
 	directories  map[int]Directory
@@ -154,7 +154,7 @@
 }
 
 // standing returns the confidence in an endpoint of the first front.
-func (b *harness) standing(name string) belief.Level { return b.c.confidenceIn(0, name) }
+func (b *harness) standing(name string) confidence.Level { return b.c.confidenceIn(0, name) }
 
 func (b *harness) advance(d time.Duration) {
 	b.c.Loop.Turn()
--- a/internal/core/distrust.go
+++ b/internal/core/distrust.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"snowjunction"
-	"snowjunction/internal/distrust"
 	"snowjunction/internal/groups"
+	"snowjunction/internal/plausibility"
 )
 
 // Bounds of what is kept against a directory's list.
@@ -27,7 +27,7 @@
 	}
 	held := c.routes.tables[front]
 	omitted := omittedEndpoints(held, list, sampleSize)
-	view := distrust.Comparison{InUse: held.Ready(), Listed: list.Entries.Ready(), Sum: list.Entries.ReadyHash()}
+	view := plausibility.Comparison{InUse: held.Ready(), Listed: list.Entries.Ready(), Sum: list.Entries.ReadyHash()}
 	if n := len(omitted); n > 0 {
 		if held.Len() > sampleSize && n*8 > sampleSize { // many of the sample are missing: check all
 			omitted = omittedEndpoints(held, list, held.Len())
@@ -44,7 +44,7 @@
 	} else {
 		d.retained = nil
 	}
-	if d.plausibility.Holds(distrust.Flapping) {
+	if d.plausibility.Holds(plausibility.Flapping) {
 		for e := range list.Entries.EntriesFrom(0) {
 			if _, known := held.Get(e.Name); !known && e.Phase == snowjunction.Ready && len(d.unconfirmed) < maxRetained {
 				if d.unconfirmed == nil {
@@ -126,7 +126,7 @@
 }
 
 // applyConditions logs conditions that were entered or left, and reverts the effects of those left.
-func (c *Core) applyConditions(front int, changes []distrust.Transition) {
+func (c *Core) applyConditions(front int, changes []plausibility.Transition) {
 	d := c.directories[front]
 	for _, t := range changes {
 		level, transition := slog.LevelWarn, "entered"
@@ -138,9 +138,9 @@
 			continue
 		}
 		switch t.Condition {
-		case distrust.Collapsed:
+		case plausibility.Collapsed:
 			c.dropRetained(front)
-		case distrust.Flapping:
+		case plausibility.Flapping:
 			for name := range d.unconfirmed {
 				d.confidence.Remove(name)
 			}
@@ -182,7 +182,7 @@
 func (c *Core) Conditions(front int) map[string]float64 {
 	out := map[string]float64{}
 	if d := c.directories[front]; d != nil {
-		for _, x := range []distrust.Condition{distrust.Collapsed, distrust.Flapping, distrust.Ambiguous} {
+		for _, x := range []plausibility.Condition{plausibility.Collapsed, plausibility.Flapping, plausibility.Ambiguous} {
 			if d.plausibility.Holds(x) {
 				out[x.String()] = (c.elapsed() - d.plausibility.Since(x)).Seconds()
 			}
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"snowjunction"
-	"snowjunction/internal/belief"
+	"snowjunction/internal/confidence"
 	"snowjunction/internal/handover"
 	"snowjunction/internal/idempotency"
-	"snowjunction/internal/memento"
+	"snowjunction/internal/snapshot"
 	"snowjunction/internal/store"
 )
 
@@ -130,7 +130,7 @@
 		case snowjunction.Inspected:
 			if a.Snapshot != nil {
 				e.Destinations = append(e.Destinations, handover.DestinationState{
-					Destination: uint32(a.Destination), At: now, Snapshot: memento.Encode(nil, c.memento(a.Snapshot)), Loaded: true,
+					Destination: uint32(a.Destination), At: now, Snapshot: snapshot.Encode(nil, c.memento(a.Snapshot)), Loaded: true,
 				})
 			}
 		case snowjunction.Log:
@@ -188,7 +188,7 @@
 	l := g.find(front, call.Endpoint.Name)
 	if l == nil {
 		c.routes.lastID++
-		l = &loadedEndpoint{front: front, id: c.routes.lastID, standing: belief.Listed, Entry: Entry{
+		l = &loadedEndpoint{front: front, id: c.routes.lastID, standing: confidence.Listed, Entry: Entry{
 			Name: call.Endpoint.Name, Addr: call.Endpoint.Addr, Destination: destination, Zone: call.Endpoint.Zone, Kind: call.Endpoint.Kind,
 			Phase: snowjunction.Draining, Weight: call.Endpoint.Weight,
 		}}
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -7,22 +7,22 @@
 	"time"
 
 	"snowjunction"
-	"snowjunction/internal/learnt"
-	"snowjunction/internal/memento"
+	"snowjunction/internal/learnedstate"
+	"snowjunction/internal/snapshot"
 )
 
 // LearnedStore stores learned state across restarts. Put does not block.
 type LearnedStore interface {
-	Put(batch []learnt.Record)
-	Counts() learnt.Counts
+	Put(batch []learnedstate.Record)
+	Counts() learnedstate.Counts
 }
 
 // RestoreLearned loads the state learned by a previous process run. It must be called before any message is
 // accepted. A record with a time in the future means that the clock was set back; its age is then
 // unknown.
-func (c *Core) RestoreLearned(records []learnt.Record) {
+func (c *Core) RestoreLearned(records []learnedstate.Record) {
 	records = slices.Clone(records)
-	slices.SortStableFunc(records, func(a, b learnt.Record) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(records, func(a, b learnedstate.Record) int { return a.At.Compare(b.At) })
 	now := c.Loop.Now()
 	for _, r := range records {
 		age := now.Sub(r.At)
@@ -47,7 +47,7 @@
 
 func (c *Core) scheduleSnapshots() {
 	if c.learnedTimer == nil && c.picker.Waiting() {
-		c.learnedTimer = c.Loop.After(learnt.PickInterval, func() {
+		c.learnedTimer = c.Loop.After(learnedstate.PickInterval, func() {
 			c.learnedTimer = nil
 			if !c.frozen {
 				c.requestSnapshots(c.picker.Pick(c.journalWritten()))
@@ -58,16 +58,16 @@
 }
 
 // journalWritten returns how much the journal has written so far.
-func (c *Core) journalWritten() learnt.Journal {
+func (c *Core) journalWritten() learnedstate.Journal {
 	w := c.Journal.Written()
-	return learnt.Journal{Writes: w.Records, Bytes: w.Bytes}
+	return learnedstate.Journal{Writes: w.Records, Bytes: w.Bytes}
 }
 
 // requestSnapshots asks the module for snapshots of destinations.
 func (c *Core) requestSnapshots(picked []uint32) {
 	for _, d := range picked {
 		if g := c.routes.loaded[snowjunction.DestinationID(d)]; g == nil || g.loading || g.unloading {
-			c.picker.HandleState(d, nil, time.Time{}, nil, learnt.Journal{})
+			c.picker.HandleState(d, nil, time.Time{}, nil, learnedstate.Journal{})
 			continue
 		}
 		c.queueEvent(snowjunction.Inspect{Destination: snowjunction.DestinationID(d)})
@@ -88,7 +88,7 @@
 
 // receiveSnapshot handles a snapshot from the module.
 func (c *Core) receiveSnapshot(a snowjunction.Inspected) {
-	encode := func(s *snowjunction.DestinationSnapshot) []byte { return memento.Encode(nil, c.memento(s)) }
+	encode := func(s *snowjunction.DestinationSnapshot) []byte { return snapshot.Encode(nil, c.memento(s)) }
 	c.picker.HandleState(uint32(a.Destination), a.Snapshot, c.Loop.Now(), encode, c.journalWritten())
 }
 
@@ -107,16 +107,16 @@
 }
 
 // memento converts a module snapshot to its stored form.
-func (c *Core) memento(s *snowjunction.DestinationSnapshot) *memento.Snapshot {
-	m := &memento.Snapshot{}
+func (c *Core) memento(s *snowjunction.DestinationSnapshot) *snapshot.Snapshot {
+	m := &snapshot.Snapshot{}
 	if s == nil {
 		return m
 	}
 	m.State = *s
 	for _, e := range s.Endpoints {
-		var n memento.EndpointHash
+		var n snapshot.EndpointHash
 		if l := c.routes.byID[e.ID]; l != nil {
-			n = memento.HashName(l.Name)
+			n = snapshot.HashName(l.Name)
 		}
 		m.Names = append(m.Names, n)
 	}
--- a/internal/core/learn_test.go
+++ b/internal/core/learn_test.go
@@ -9,30 +9,30 @@
 	"github.com/stretchr/testify/require"
 
 	"snowjunction"
-	"snowjunction/internal/belief"
-	"snowjunction/internal/distrust"
-	"snowjunction/internal/learnt"
-	"snowjunction/internal/memento"
+	"snowjunction/internal/confidence"
+	"snowjunction/internal/learnedstate"
+	"snowjunction/internal/plausibility"
+	"snowjunction/internal/snapshot"
 )
 
 // learnedStore is a Learnt that stores the records in memory.
 type learnedStore struct {
-	n       learnt.Counts
-	records map[uint32]learnt.Record
+	n       learnedstate.Counts
+	records map[uint32]learnedstate.Record
 }
 
-func (s *learnedStore) Put(batch []learnt.Record) {
+func (s *learnedStore) Put(batch []learnedstate.Record) {
 	if s.records == nil {
-		s.records = map[uint32]learnt.Record{}
+		s.records = map[uint32]learnedstate.Record{}
 	}
 	s.n.Writes++
 	for _, r := range batch {
 		s.records[r.Destination] = r
-		s.n.Bytes += uint64(len(learnt.AppendRecord(nil, r)))
+		s.n.Bytes += uint64(len(learnedstate.AppendRecord(nil, r)))
 	}
 }
 
-func (s *learnedStore) Counts() learnt.Counts { return s.n }
+func (s *learnedStore) Counts() learnedstate.Counts { return s.n }
 
 // completeCalls ends every call in flight with an outcome.
 func (b *harness) completeCalls(o snowjunction.Outcome) {
@@ -62,17 +62,17 @@
 	b.submit("lost", "status", 0)
 	b.advance(20 * ms)
 	b.completeCalls(snowjunction.TimedOut)
-	b.advance(learnt.PickInterval)
+	b.advance(learnedstate.PickInterval)
 	b.advance(20 * ms)
-	m, err := memento.Decode(learned.records[7].Snapshot)
+	m, err := snapshot.Decode(learned.records[7].Snapshot)
 	require.NoError(t, err)
 	require.Len(t, m.Names, 1)
-	assert.Equal(t, memento.HashName("s-1"), m.Names[0])
+	assert.Equal(t, snapshot.HashName("s-1"), m.Names[0])
 	assert.Equal(t, snowjunction.Down, m.State.Endpoints[0].Condition)
 
 	// The next process run uses the record.
 	next := newHarnessWith(&harness{t: t, now: b.now.Add(time.Second), settle: true}, nil)
-	next.c.RestoreLearned([]learnt.Record{learned.records[7]})
+	next.c.RestoreLearned([]learnedstate.Record{learned.records[7]})
 	assert.Equal(t, uint64(1), next.c.Counters.LearnedRestored)
 	for i := range 4 {
 		next.submit(fmt.Sprint("n", i), "status", 0)
@@ -101,12 +101,12 @@
 // calls, then overridden by the directory. A refuted endpoint gets nothing, not even for earlier
 // decisions.
 func TestConfidenceInEndpoints(t *testing.T) {
-	cfg := belief.Default()
+	cfg := confidence.Default()
 	cfg.RefuteAfter, cfg.RefuteFails = 0, 1
 	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, directories: map[int]Directory{0: {Confidence: cfg}}}, nil)
 	l := full(Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready},
 		Entry{Name: "s-2", Addr: "127.0.0.1:2", Destination: 7, Phase: snowjunction.Ready})
-	require.NoError(t, b.c.SetInitialList(0, l, belief.Cached, time.Hour))
+	require.NoError(t, b.c.SetInitialList(0, l, confidence.Cached, time.Hour))
 	for i := range 4 {
 		b.submit(fmt.Sprint("m", i), "status", 0)
 	}
@@ -114,12 +114,12 @@
 	require.Len(t, b.calls, 2, "one call to each endpoint")
 	b.calls[0].done(Result{Outcome: snowjunction.OK})
 	b.advance(20 * ms)
-	assert.Equal(t, belief.Confirmed, b.standing("s-1"))
-	assert.Equal(t, belief.Doubtful, b.standing("s-2"))
+	assert.Equal(t, confidence.Confirmed, b.standing("s-1"))
+	assert.Equal(t, confidence.Doubtful, b.standing("s-2"))
 	require.Greater(t, len(b.calls), 2, "the other messages go to the endpoint that answers")
 	b.calls[1].done(Result{Outcome: snowjunction.ConnectFailed})
 	b.advance(20 * ms)
-	assert.Equal(t, belief.Refuted, b.standing("s-2"))
+	assert.Equal(t, confidence.Refuted, b.standing("s-2"))
 	b.calls = nil
 	for i := range 4 {
 		b.submit(fmt.Sprint("n", i), "status", 0)
@@ -130,7 +130,7 @@
 		b.completeCalls(snowjunction.OK)
 	}
 	b.c.DirectoryConfirmed(0)
-	assert.Equal(t, belief.Listed, b.standing("s-2"))
+	assert.Equal(t, confidence.Listed, b.standing("s-2"))
 	beliefs, total := b.c.EndpointConfidences(0, 10)
 	assert.Len(t, beliefs, 2)
 	assert.Equal(t, 2, total)
@@ -139,8 +139,8 @@
 
 // An endpoint that answers that it is another one gets nothing more.
 func TestEndpointIsAnother(t *testing.T) {
-	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, directories: map[int]Directory{0: {Confidence: belief.Default()}}}, nil)
-	require.NoError(t, b.c.SetInitialList(0, full(Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready}), belief.Configured, 0))
+	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, directories: map[int]Directory{0: {Confidence: confidence.Default()}}}, nil)
+	require.NoError(t, b.c.SetInitialList(0, full(Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready}), confidence.Configured, 0))
 	b.submit("m1", "status", 0)
 	b.advance(20 * ms)
 	require.Len(t, b.calls, 1)
@@ -161,8 +161,8 @@
 // endpoint that has left. If it does not answer, they wait for the given time.
 func TestPauseUntilDirectoryConfirms(t *testing.T) {
 	for _, confirms := range []bool{true, false} {
-		b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, directories: map[int]Directory{0: {Confidence: belief.Default()}}}, nil)
-		require.NoError(t, b.c.SetInitialList(0, full(Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready}), belief.Cached, time.Minute))
+		b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, directories: map[int]Directory{0: {Confidence: confidence.Default()}}}, nil)
+		require.NoError(t, b.c.SetInitialList(0, full(Entry{Name: "s-1", Addr: "127.0.0.1:1", Destination: 7, Phase: snowjunction.Ready}), confidence.Cached, time.Minute))
 		b.advance(10 * ms)
 		b.c.Pause(80 * ms)
 		b.submit("m1", "status", 0)
@@ -188,17 +188,17 @@
 // even if that has lost most endpoints and collapsed lists are retained. Only a list that the same
 // directory has confirmed is retained against it.
 func TestReplacedListIsNoCollapse(t *testing.T) {
-	trust := distrust.Default()
+	trust := plausibility.Default()
 	trust.RetainOmitted = true
 	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true,
-		directories: map[int]Directory{0: {Confidence: belief.Default(), Plausibility: trust}}}, nil)
+		directories: map[int]Directory{0: {Confidence: confidence.Default(), Plausibility: trust}}}, nil)
 	list := func(from, n int) (out []Entry) {
 		for i := from; i < from+n; i++ {
 			out = append(out, Entry{Name: fmt.Sprint("e", i), Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Destination: 7, Phase: snowjunction.Ready})
 		}
 		return out
 	}
-	require.NoError(t, b.c.SetInitialList(0, full(list(0, 10)...), belief.Cached, 7*24*time.Hour))
+	require.NoError(t, b.c.SetInitialList(0, full(list(0, 10)...), confidence.Cached, 7*24*time.Hour))
 	b.listed(0, true, list(9, 4)...)
 	b.c.DirectoryConfirmed(0)
 	assert.Equal(t, 4, b.c.Table(0).Len(), "nine endpoints left within a week")
@@ -210,7 +210,7 @@
 	b.c.DirectoryConfirmed(0)
 	assert.Equal(t, 5, b.c.Table(0).Len(), "the same agent's next list has collapsed")
 	assert.Contains(t, b.c.Conditions(0), "collapsed")
-	assert.Equal(t, belief.Doubtful, b.standing("e24"))
+	assert.Equal(t, confidence.Doubtful, b.standing("e24"))
 	gone := list(24, 1)
 	gone[0].Phase = snowjunction.Gone
 	b.listed(0, false, gone...)
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"snowjunction"
-	"snowjunction/internal/belief"
+	"snowjunction/internal/confidence"
 	"snowjunction/internal/groups"
 	"snowjunction/internal/store"
 )
@@ -84,7 +84,7 @@
 	id          snowjunction.EndpointID
 	target      Target // nil unless the endpoint can be called
 	goneAt      time.Time
-	standing    belief.Level
+	standing    confidence.Level
 	excluded    bool          // by an operator
 	excludedFor time.Duration // how long it had been excluded, if it was included again recently; otherwise 0
 }
@@ -336,9 +336,9 @@
 func (l *loadedEndpoint) moduleView() snowjunction.Endpoint {
 	e := snowjunction.Endpoint{
 		ID: l.id, Destination: l.Destination, Zone: l.Zone, Kind: l.Kind, Phase: l.Phase, Weight: l.Weight,
-		Doubtful: l.standing == belief.Doubtful, ExcludedFor: l.excludedFor,
+		Doubtful: l.standing == confidence.Doubtful, ExcludedFor: l.excludedFor,
 	}
-	if (l.excluded || l.standing == belief.Refuted) && e.Phase == snowjunction.Ready {
+	if (l.excluded || l.standing == confidence.Refuted) && e.Phase == snowjunction.Ready {
 		e.Phase = snowjunction.Draining
 	}
 	return e
@@ -348,7 +348,7 @@
 // list may have changed since the module's decision.
 func (c *Core) target(f *flow, id snowjunction.EndpointID) Target {
 	l := c.routes.byID[id]
-	if l == nil || l.target == nil || uint32(l.Destination) != f.msg.Destination || l.standing == belief.Refuted {
+	if l == nil || l.target == nil || uint32(l.Destination) != f.msg.Destination || l.standing == confidence.Refuted {
 		return nil
 	}
 	return l.target
--- a/internal/core/sleep.go
+++ b/internal/core/sleep.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"snowjunction"
-	"snowjunction/internal/dormancy"
-	"snowjunction/internal/memento"
+	"snowjunction/internal/idlestate"
+	"snowjunction/internal/snapshot"
 )
 
 // SnapshotStore is an external store for snapshots of unloaded destinations that exceed the memory limit
@@ -57,8 +57,8 @@
 		return
 	}
 	g.loading = false
-	loaded := dormancy.Loaded{}
-	if m, err := memento.Decode(text); err == nil {
+	loaded := idlestate.Loaded{}
+	if m, err := snapshot.Decode(text); err == nil {
 		loaded = c.idleTracker.LoadSnapshot(m, c.Loop.Now().Sub(at))
 	} else {
 		loaded = c.idleTracker.Load(g.destination, c.elapsed())
@@ -72,16 +72,16 @@
 }
 
 // activate tells the module of a destination, with its snapshot if there is one.
-func (c *Core) activate(g *group, loaded dormancy.Loaded) {
+func (c *Core) activate(g *group, loaded idlestate.Loaded) {
 	event := snowjunction.Load{
 		Destination: g.destination, UnloadedFor: loaded.UnloadedFor, CautiousStart: loaded.Caution, Destinations: c.destinations(),
 	}
-	names := map[memento.EndpointHash]snowjunction.EndpointID{}
+	names := map[snapshot.EndpointHash]snowjunction.EndpointID{}
 	for front, t := range c.routes.tables {
 		for e := range t.ByDestination(g.destination) {
 			for _, x := range c.updateEndpoint(g, front, e) {
 				event.Endpoints = append(event.Endpoints, x)
-				names[memento.HashName(e.Name)] = x.ID
+				names[snapshot.HashName(e.Name)] = x.ID
 			}
 		}
 	}
--- a/internal/core/sleep_test.go
+++ b/internal/core/sleep_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 
 	"snowjunction"
-	"snowjunction/internal/dormancy"
 	"snowjunction/internal/groups"
+	"snowjunction/internal/idlestate"
 	"snowjunction/internal/store"
 )
 
@@ -153,7 +153,7 @@
 // All stored snapshots are binding and memory is full. A message for a further destination gets a
 // fixed response with a retry delay at once, and no binding state is dropped.
 func TestAllSnapshotsBinding(t *testing.T) {
-	cfg := dormancy.Default(snowjunction.Settings{})
+	cfg := idlestate.Default(snowjunction.Settings{})
 	cfg.MaxLoaded, cfg.MaxBytes = 1, 1
 	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, dormancy: &cfg}, nil)
 	b.listed(0, false, Entry{Name: "s-2", Addr: "127.0.0.1:2", Destination: 8, Phase: snowjunction.Ready})
@@ -344,7 +344,7 @@
 // A message that may have run keeps its destination loaded while its window is open. After that the
 // destination is unloaded, and the next message of the key is sent.
 func TestKeyedWindowPreventsUnload(t *testing.T) {
-	cfg := dormancy.Default(snowjunction.Settings{})
+	cfg := idlestate.Default(snowjunction.Settings{})
 	cfg.IdleTimeout = 500 * ms
 	b := newHarnessWith(&harness{t: t, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, dormancy: &cfg}, nil)
 	submit := func(id string) {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -26,7 +26,7 @@
 	"snowjunction/internal/front/push"
 	"snowjunction/internal/handover"
 	"snowjunction/internal/idlestore"
-	"snowjunction/internal/learnt"
+	"snowjunction/internal/learnedstate"
 	"snowjunction/internal/net"
 	"snowjunction/internal/plugin"
 	"snowjunction/internal/store"
@@ -66,10 +66,10 @@
 	idle            *config.Idle
 	directoryConfig *config.Directory
 	startList       platform.InitialList
-	learnedRecords  []learnt.Record
-	cache           *dircache.Cache  // nil if the list is not kept on disk
-	learnedStore    *learnt.Store    // nil if learned state is not kept on disk
-	idleStore       *idlestore.Store // nil if disabled
+	learnedRecords  []learnedstate.Record
+	cache           *dircache.Cache     // nil if the list is not kept on disk
+	learnedStore    *learnedstate.Store // nil if learned state is not kept on disk
+	idleStore       *idlestore.Store    // nil if disabled
 	exclusionFile   *exclusions.File
 	fleet           *config.Fleet
 	datagrams       *net.Datagrams // nil if peer messages are disabled
--- a/internal/daemon/directory.go
+++ b/internal/daemon/directory.go
@@ -5,13 +5,13 @@
 	"time"
 
 	"snowjunction"
-	"snowjunction/internal/belief"
+	"snowjunction/internal/confidence"
 	"snowjunction/internal/config"
 	"snowjunction/internal/core"
 	"snowjunction/internal/dircache"
 	"snowjunction/internal/front/platform"
 	"snowjunction/internal/handover"
-	"snowjunction/internal/learnt"
+	"snowjunction/internal/learnedstate"
 )
 
 // chooseStartList returns the list to start with: the newer of the one kept on disk and the one in
@@ -23,7 +23,7 @@
 		if !configured.Present {
 			return platform.InitialList{}
 		}
-		return platform.InitialList{List: configured, Source: belief.Configured, Watchable: true}
+		return platform.InitialList{List: configured, Source: confidence.Configured, Watchable: true}
 	}
 	age := now.Sub(cached.ConfirmedAt)
 	if age < -clockTolerance { // the clock was set back: the age is unknown
@@ -33,7 +33,7 @@
 	}
 	return platform.InitialList{
 		List:   config.List{Present: true, Generation: cached.Generation, Full: true, Targets: cached.Entries},
-		Source: belief.Cached, Age: age, Watchable: !cached.Partial && cached.Agent == agent,
+		Source: confidence.Cached, Age: age, Watchable: !cached.Partial && cached.Agent == agent,
 		PartitionCount: cached.Partitions, CompletePartitions: cached.Covered,
 	}
 }
@@ -94,7 +94,7 @@
 		if version == 1 {
 			return // the list of the start: it is already on disk, or its age is unknown
 		}
-		if source == belief.Configured {
+		if source == confidence.Configured {
 			age = max(age, k.freshFor)
 		}
 		confirmedAt = confirmedAt.Add(-age)
@@ -200,8 +200,8 @@
 		c.log.Info("starting list", "source", b.Source.String(), "generation", b.Generation, "endpoints", len(b.Targets), "age", b.Age.Round(time.Millisecond))
 	}
 	if c.directoryConfig.Learn {
-		c.learnedRecords = learnt.Load(c.cfg.StateDir, warn)
-		store, err := learnt.Open(learnt.Options{Dir: c.cfg.StateDir, Bytes: c.directoryConfig.LearnBytes, Log: c.log}, c.learnedRecords)
+		c.learnedRecords = learnedstate.Load(c.cfg.StateDir, warn)
+		store, err := learnedstate.Open(learnedstate.Options{Dir: c.cfg.StateDir, Bytes: c.directoryConfig.LearnBytes, Log: c.log}, c.learnedRecords)
 		if err != nil {
 			c.log.Warn("learned state is not kept", "err", err)
 		} else {
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -18,14 +18,14 @@
 	"golang.org/x/net/http2"
 
 	"snowjunction"
-	"snowjunction/internal/belief"
+	"snowjunction/internal/confidence"
 	"snowjunction/internal/config"
 	"snowjunction/internal/core"
 	"snowjunction/internal/describe"
-	"snowjunction/internal/distrust"
 	"snowjunction/internal/front/platform"
 	"snowjunction/internal/front/push"
 	"snowjunction/internal/net"
+	"snowjunction/internal/plausibility"
 	"snowjunction/internal/store"
 )
 
@@ -89,7 +89,7 @@
 	})
 	e.core, err = core.New(core.Config{
 		Loop: e.loop, Log: e.log, Journal: e.journal, Settings: settings, Fronts: []core.Front{platformFrontNumber: e.platform, pushFrontNumber: e.push},
-		Directories: map[int]core.Directory{platformFrontNumber: {Confidence: belief.Default(), Plausibility: distrust.Default()}},
+		Directories: map[int]core.Directory{platformFrontNumber: {Confidence: confidence.Default(), Plausibility: plausibility.Default()}},
 	})
 	require.NoError(t, err)
 	require.NoError(t, e.push.Start(e.core, nil))
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -4,7 +4,7 @@
 	"snowjunction"
 	"snowjunction/internal/core"
 	"snowjunction/internal/net"
-	"snowjunction/internal/notes"
+	"snowjunction/internal/peermsg"
 )
 
 // peerSender sends messages to the other couriers by datagrams.
@@ -12,7 +12,7 @@
 
 // Send sends messages to a peer.
 func (s peerSender) Send(peer int, items []snowjunction.PeerMessage) {
-	for _, b := range notes.Encode(items) {
+	for _, b := range peermsg.Encode(items) {
 		s.socket.Send(peer, b)
 	}
 }
@@ -24,7 +24,7 @@
 	if !c.fleet.Notes || !p.Enabled() {
 		return
 	}
-	socket, err := net.ListenDatagrams(p.Listen, net.NewPeers(p.Addrs), notes.MaxBytes, c.loop.Post, c.log, c.handlePeerMessage)
+	socket, err := net.ListenDatagrams(p.Listen, net.NewPeers(p.Addrs), peermsg.MaxBytes, c.loop.Post, c.log, c.handlePeerMessage)
 	if err != nil {
 		c.log.Warn("no notes between couriers", "err", err)
 		return
@@ -39,7 +39,7 @@
 	if peer == c.cfg.Settings.Number {
 		return
 	}
-	items, err := notes.Decode(b)
+	items, err := peermsg.Decode(b)
 	if err != nil {
 		c.core.Counters.PeerMessagesInvalid++
 		return
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -16,7 +16,7 @@
 	"snowjunction/internal/dircache"
 	"snowjunction/internal/front/console"
 	"snowjunction/internal/handover"
-	"snowjunction/internal/learnt"
+	"snowjunction/internal/learnedstate"
 	"snowjunction/internal/net"
 )
 
@@ -234,10 +234,10 @@
 
 // loadedDestinations returns the state of loaded destinations that is handed over, as a fallback
 // for an ordinary restart if both processes die.
-func (c *courier) loadedDestinations() (out []learnt.Record) {
+func (c *courier) loadedDestinations() (out []learnedstate.Record) {
 	for _, k := range c.handoverState.Destinations {
 		if k.Loaded {
-			out = append(out, learnt.Record{Destination: k.Destination, At: k.At, Snapshot: k.Snapshot})
+			out = append(out, learnedstate.Record{Destination: k.Destination, At: k.At, Snapshot: k.Snapshot})
 		}
 	}
 	return out
--- a/internal/daemon/partitions_start_test.go
+++ b/internal/daemon/partitions_start_test.go
@@ -11,14 +11,14 @@
 	"github.com/stretchr/testify/require"
 
 	"snowjunction"
-	"snowjunction/internal/belief"
+	"snowjunction/internal/confidence"
 	"snowjunction/internal/config"
 	"snowjunction/internal/core"
 	"snowjunction/internal/dircache"
-	"snowjunction/internal/distrust"
 	"snowjunction/internal/front/platform"
 	"snowjunction/internal/net"
 	"snowjunction/internal/partition"
+	"snowjunction/internal/plausibility"
 	"snowjunction/internal/standin"
 	"snowjunction/internal/store"
 )
@@ -58,7 +58,7 @@
 	k := &listKeeper{loop: r.loop, front: r.front, cache: r.cache, names: names, maxBytes: 1 << 20, freshFor: time.Hour, refreshInterval: time.Hour}
 	r.core, err = core.New(core.Config{
 		Loop: r.loop, Log: log, Journal: journal, Settings: settings, Fronts: []core.Front{platformFrontNumber: r.front},
-		Directories:  map[int]core.Directory{platformFrontNumber: {Confidence: belief.Default(), Plausibility: distrust.Default()}},
+		Directories:  map[int]core.Directory{platformFrontNumber: {Confidence: confidence.Default(), Plausibility: plausibility.Default()}},
 		OnListChange: func(int) { k.core = r.core; k.changed() },
 		ListedShare:  func(int) float64 { return r.router.Share() },
 	})
--- a/internal/dircache/dircache.go
+++ b/internal/dircache/dircache.go
@@ -9,7 +9,7 @@
 	"slices"
 	"sync/atomic"
 
-	"snowjunction/internal/aside"
+	"snowjunction/internal/sidefile"
 )
 
 // Options configures a Cache.
@@ -21,7 +21,9 @@
 }
 
 // MaxDiskBytes returns the maximum disk space of a cache in bytes: its snapshots and the one being written.
-func (o Options) MaxDiskBytes() int64 { return int64(o.Generations+1) * int64(o.Bytes+aside.BlockSize) }
+func (o Options) MaxDiskBytes() int64 {
+	return int64(o.Generations+1) * int64(o.Bytes+sidefile.BlockSize)
+}
 
 const (
 	filePrefix  = "directory-"
@@ -32,7 +34,7 @@
 type Cache struct {
 	opts       Options
 	lastNumber uint64 // number of the newest file
-	writer     *aside.Writer[[]byte]
+	writer     *sidefile.Writer[[]byte]
 
 	written, bytes atomic.Uint64
 }
@@ -45,7 +47,7 @@
 
 // Files returns the snapshots in a folder, newest first.
 func Files(dir string) ([]string, error) {
-	out, err := aside.Files(dir, filePrefix)
+	out, err := sidefile.Files(dir, filePrefix)
 	slices.Reverse(out)
 	return out, err
 }
@@ -89,7 +91,7 @@
 // the configured generations.
 func Open(o Options) (*Cache, error) {
 	c := &Cache{opts: o}
-	c.writer = &aside.Writer[[]byte]{
+	c.writer = &sidefile.Writer[[]byte]{
 		Merge: func(_, newest []byte) []byte { return newest }, Write: c.save, Log: o.Log, Subject: "the directory's list",
 	}
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
@@ -103,7 +105,7 @@
 		return nil, fmt.Errorf("open the directory cache: %w", err)
 	}
 	if len(files) > 0 {
-		c.lastNumber = aside.Number(files[0], filePrefix)
+		c.lastNumber = sidefile.Number(files[0], filePrefix)
 	}
 	return c, c.prune()
 }
@@ -128,7 +130,7 @@
 		return err
 	}
 	c.lastNumber++
-	if err := os.Rename(path, aside.Path(c.opts.Dir, filePrefix, c.lastNumber)); err != nil {
+	if err := os.Rename(path, sidefile.Path(c.opts.Dir, filePrefix, c.lastNumber)); err != nil {
 		_ = os.Remove(path)
 		return err
 	}
--- a/internal/dirtool/dirtool.go
+++ b/internal/dirtool/dirtool.go
@@ -20,9 +20,9 @@
 	"snowjunction/internal/config"
 	"snowjunction/internal/dircache"
 	"snowjunction/internal/groups"
-	"snowjunction/internal/learnt"
-	"snowjunction/internal/memento"
+	"snowjunction/internal/learnedstate"
 	"snowjunction/internal/partition"
+	"snowjunction/internal/snapshot"
 )
 
 // Instance is an entry in the directory's form.
@@ -250,12 +250,12 @@
 // Rows tells of a folder what a start at a time would make of it.
 func Rows(dir string, s *dircache.Snapshot, fresh time.Duration, now time.Time, wrong func(file string, err error)) (rows []Row) {
 	type known struct {
-		m   *memento.Snapshot
+		m   *snapshot.Snapshot
 		age time.Duration
 	}
 	learned := map[uint32]known{}
-	for _, r := range learnt.Load(dir, wrong) {
-		if m, err := memento.Decode(r.Snapshot); err != nil {
+	for _, r := range learnedstate.Load(dir, wrong) {
+		if m, err := snapshot.Decode(r.Snapshot); err != nil {
 			wrong(filepath.Join(dir, "learnt"), err)
 		} else {
 			learned[r.Destination] = known{m, now.Sub(r.At)}
@@ -275,7 +275,7 @@
 		if k, ok := learned[r.Cell]; ok {
 			r.LearntS = k.age.Seconds()
 			for i, n := range k.m.Names {
-				if n != memento.HashName(e.Name) {
+				if n != snapshot.HashName(e.Name) {
 					continue
 				}
 				x := k.m.State.Endpoints[i]
--- a/internal/emulate/capacity_test.go
+++ b/internal/emulate/capacity_test.go
@@ -9,7 +9,7 @@
 
 	"snowjunction"
 	"snowjunction/internal/emulate/policy"
-	"snowjunction/internal/notes"
+	"snowjunction/internal/peermsg"
 )
 
 // tally counts what couriers tell each other.
@@ -40,7 +40,7 @@
 			far[i] = x
 			far[i].Destination += 1_000_000 // as long as most of the fleet to come have
 		}
-		for _, b := range notes.Encode(far) {
+		for _, b := range peermsg.Encode(far) {
 			c.n.datagrams++
 			c.n.bytes += len(b)
 		}
--- a/internal/emulate/courier.go
+++ b/internal/emulate/courier.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"snowjunction"
-	"snowjunction/internal/dormancy"
 	"snowjunction/internal/emulate/policy"
+	"snowjunction/internal/idlestate"
 	"snowjunction/internal/plugin/breaker"
 	"snowjunction/internal/standin/partner"
 )
@@ -28,8 +28,8 @@
 	view    []snowjunction.Phase
 	used    map[int32]time.Duration // endpoints with a warm connection, since when
 
-	book    *dormancy.Tracker // with dormancy
-	awake   map[int32]int     // destinations that the policy knows, and their messages
+	book    *idlestate.Tracker // with dormancy
+	awake   map[int32]int      // destinations that the policy knows, and their messages
 	resting bool
 
 	kept kept // on its disk
@@ -106,9 +106,9 @@
 		}
 	}
 	if w.s.Dormancy {
-		cfg := dormancy.Default(c.s)
+		cfg := idlestate.Default(c.s)
 		cfg.CautiousFirst = true
-		c.book, c.awake, c.resting = dormancy.New(cfg), map[int32]int{}, false
+		c.book, c.awake, c.resting = idlestate.New(cfg), map[int32]int{}, false
 		c.recalled()
 	} else {
 		for _, ev := range c.recalled() {
--- a/internal/emulate/kept.go
+++ b/internal/emulate/kept.go
@@ -6,22 +6,22 @@
 	"time"
 
 	"snowjunction"
-	"snowjunction/internal/belief"
-	"snowjunction/internal/dormancy"
-	"snowjunction/internal/learnt"
-	"snowjunction/internal/memento"
+	"snowjunction/internal/confidence"
+	"snowjunction/internal/idlestate"
+	"snowjunction/internal/learnedstate"
+	"snowjunction/internal/snapshot"
 	"snowjunction/internal/standin/partner"
 )
 
 // kept is what a courier keeps on its disk beside its journal, and what it makes of
 // that: package belief for its list, package learnt for its state.
 type kept struct {
-	disk    map[uint32]learnt.Record // by destination
-	picker  *learnt.Picker
+	disk    map[uint32]learnedstate.Record // by destination
+	picker  *learnedstate.Picker
 	journal uint64 // writes of this life
 	due     bool   // the picker is to be asked
 
-	belief *belief.Tracker
+	belief *confidence.Tracker
 	heard  time.Duration // when the directory was last up for this courier
 	blind  bool          // no list is held, until the directory speaks
 }
@@ -45,9 +45,9 @@
 // what it was, or nothing.
 func (c *courier) recall() {
 	w, k := c.w, &c.kept
-	k.picker, k.due, k.journal = learnt.NewPicker(), false, 0
+	k.picker, k.due, k.journal = learnedstate.NewPicker(), false, 0
 	if k.disk == nil {
-		k.disk = map[uint32]learnt.Record{}
+		k.disk = map[uint32]learnedstate.Record{}
 	}
 	silent, until := w.down()
 	if c.life == 1 || !silent {
@@ -60,16 +60,16 @@
 	if !w.s.Kept.Weigh {
 		return
 	}
-	cfg := belief.Default()
+	cfg := confidence.Default()
 	if f := w.s.Kept.FreshS; f > 0 {
 		cfg.FreshFor = seconds(f)
 	}
-	k.belief = belief.New(cfg)
+	k.belief = confidence.New(cfg)
 	if c.life == 1 || !silent {
-		k.belief.Start(belief.Live, 0, w.now)
+		k.belief.Start(confidence.Live, 0, w.now)
 		k.belief.DirectoryConfirmed(w.now)
 	} else {
-		k.belief.Start(belief.Cached, w.now-k.heard, w.now)
+		k.belief.Start(confidence.Cached, w.now-k.heard, w.now)
 	}
 	c.look()
 }
@@ -94,7 +94,7 @@
 		return
 	}
 	change, again := k.belief.Advance(w.now)
-	if change != belief.Unchanged {
+	if change != confidence.Unchanged {
 		c.represent()
 	}
 	at := until
@@ -144,9 +144,9 @@
 		return e
 	}
 	switch c.kept.belief.Level(endpointName(id)) {
-	case belief.Doubtful:
+	case confidence.Doubtful:
 		e.Doubtful = true
-	case belief.Refuted:
+	case confidence.Refuted:
 		e.Phase = snowjunction.Draining
 	}
 	return e
@@ -160,12 +160,12 @@
 	if k.belief == nil || c.view[ep] != snowjunction.Ready {
 		return
 	}
-	e := belief.EvidenceOf(out)
+	e := confidence.EvidenceOf(out)
 	if elsewhere {
-		e = belief.OtherEndpoint
+		e = confidence.OtherEndpoint
 	}
 	was, is, _ := k.belief.RecordCall(snowjunction.DestinationID(c.w.endpoints[ep].dest), endpointName(ep), e, c.w.now)
-	if is == belief.Refuted && was != is {
+	if is == confidence.Refuted && was != is {
 		c.w.res.Refuted++
 	}
 	if was != is {
@@ -184,12 +184,12 @@
 func (c *courier) learnSoon() {
 	if k := &c.kept; !k.due && k.picker.Waiting() {
 		k.due = true
-		c.w.q.push(event{at: c.w.now + learnt.PickInterval, kind: learnDue, who: c.no, id: int32(c.life)})
+		c.w.q.push(event{at: c.w.now + learnedstate.PickInterval, kind: learnDue, who: c.no, id: int32(c.life)})
 	}
 }
 
-func (k *kept) written() learnt.Journal {
-	return learnt.Journal{Writes: k.journal, Bytes: k.journal * journalOf}
+func (k *kept) written() learnedstate.Journal {
+	return learnedstate.Journal{Writes: k.journal, Bytes: k.journal * journalOf}
 }
 
 func (c *courier) learnNow(life uint32) {
@@ -200,7 +200,7 @@
 	k.due = false
 	for _, d := range k.picker.Pick(k.written()) {
 		if _, awake := c.awake[int32(d)]; c.book != nil && !awake {
-			k.picker.HandleState(d, nil, time.Time{}, nil, learnt.Journal{})
+			k.picker.HandleState(d, nil, time.Time{}, nil, learnedstate.Journal{})
 			continue
 		}
 		c.post(snowjunction.Inspect{Destination: snowjunction.DestinationID(d)})
@@ -210,7 +210,7 @@
 
 // seen takes what the policy knows of a destination.
 func (c *courier) seen(a snowjunction.Inspected) {
-	form := func(s *snowjunction.DestinationSnapshot) []byte { return memento.Encode(nil, mementoOf(s)) }
+	form := func(s *snowjunction.DestinationSnapshot) []byte { return snapshot.Encode(nil, mementoOf(s)) }
 	c.kept.picker.HandleState(uint32(a.Destination), a.Snapshot, epoch.Add(c.w.now), form, c.kept.written())
 }
 
@@ -227,10 +227,10 @@
 // epoch is where a run begins on the wall's clock.
 var epoch = time.UnixMilli(0)
 
-func mementoOf(s *snowjunction.DestinationSnapshot) *memento.Snapshot {
-	m := &memento.Snapshot{State: *s}
+func mementoOf(s *snowjunction.DestinationSnapshot) *snapshot.Snapshot {
+	m := &snapshot.Snapshot{State: *s}
 	for _, e := range s.Endpoints {
-		m.Names = append(m.Names, memento.EndpointHash(e.ID))
+		m.Names = append(m.Names, snapshot.EndpointHash(e.ID))
 	}
 	return m
 }
@@ -245,9 +245,9 @@
 	now := w.now - c.began
 	book := c.book
 	if book == nil {
-		cfg := dormancy.Default(c.s)
+		cfg := idlestate.Default(c.s)
 		cfg.MaxBytes = 1 << 30
-		book = dormancy.New(cfg)
+		book = idlestate.New(cfg)
 	}
 	for _, d := range slices.Sorted(maps.Keys(k.disk)) {
 		r := k.disk[d]
@@ -264,7 +264,7 @@
 }
 
 // woken is the event that brings a destination back to a policy.
-func (c *courier) woken(d int32, got dormancy.Loaded) snowjunction.Load {
+func (c *courier) woken(d int32, got idlestate.Loaded) snowjunction.Load {
 	ev := snowjunction.Load{Destination: snowjunction.DestinationID(d), UnloadedFor: got.UnloadedFor, CautiousStart: got.Caution, Destinations: len(c.w.partners)}
 	for _, id := range c.w.partners[d].eps {
 		if c.view[id] == snowjunction.Ready && !c.kept.blind {
--- a/internal/exclusions/file.go
+++ b/internal/exclusions/file.go
@@ -8,14 +8,14 @@
 	"os"
 	"path/filepath"
 
-	"snowjunction/internal/aside"
+	"snowjunction/internal/sidefile"
 )
 
 // fileName is the name of the file in the state directory.
 const fileName = "excluded"
 
 // DiskSpace returns the disk space in bytes that the file needs, including the copy that replaces it.
-func DiskSpace() int64 { return 2 * (MaxBytes/aside.BlockSize + 1) * aside.BlockSize }
+func DiskSpace() int64 { return 2 * (MaxBytes/sidefile.BlockSize + 1) * sidefile.BlockSize }
 
 // Read adds the exclusions that a previous process run stored in a directory. Damaged records are
 // logged, the others are kept.
@@ -35,7 +35,7 @@
 }
 
 // File writes the set to a directory on its own goroutine.
-type File struct{ writer aside.Writer[pendingWrite] }
+type File struct{ writer sidefile.Writer[pendingWrite] }
 
 // pendingWrite is the latest encoded set, and the callbacks of this and of earlier writes that it
 // replaces.
@@ -47,7 +47,7 @@
 // Open returns the file in a directory.
 func Open(dir string, log *slog.Logger) *File {
 	f := &File{}
-	f.writer = aside.Writer[pendingWrite]{
+	f.writer = sidefile.Writer[pendingWrite]{
 		Log: log, Subject: "exclusions file",
 		Merge: func(waiting, come pendingWrite) pendingWrite {
 			return pendingWrite{come.encoded, append(waiting.done, come.done...)}
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -9,7 +9,7 @@
 
 	"snowjunction"
 	"snowjunction/internal/backoff"
-	"snowjunction/internal/belief"
+	"snowjunction/internal/confidence"
 	"snowjunction/internal/config"
 	"snowjunction/internal/core"
 	"snowjunction/internal/net"
@@ -116,7 +116,7 @@
 // InitialList is the list that the front starts with.
 type InitialList struct {
 	config.List
-	Source    belief.Source
+	Source    confidence.Source
 	Age       time.Duration // since the directory confirmed it; negative if unknown
 	Watchable bool          // changes after its generation may be requested
 	// The partitions for which the list is complete, sorted, and their total number. A total of
--- a/internal/front/races_test.go
+++ b/internal/front/races_test.go
@@ -20,13 +20,13 @@
 	"golang.org/x/sys/unix"
 
 	"snowjunction"
-	"snowjunction/internal/belief"
+	"snowjunction/internal/confidence"
 	"snowjunction/internal/config"
 	"snowjunction/internal/core"
-	"snowjunction/internal/distrust"
 	"snowjunction/internal/front/platform"
 	"snowjunction/internal/net"
 	"snowjunction/internal/partition"
+	"snowjunction/internal/plausibility"
 	"snowjunction/internal/store"
 )
 
@@ -282,7 +282,7 @@
 	var err error
 	s.core, err = core.New(core.Config{
 		Loop: s.loop, Log: log, Journal: journal, Settings: settings, Fronts: []core.Front{s.front},
-		Directories: map[int]core.Directory{0: {Confidence: belief.Default(), Plausibility: distrust.Default()}},
+		Directories: map[int]core.Directory{0: {Confidence: confidence.Default(), Plausibility: plausibility.Default()}},
 	})
 	require.NoError(t, err)
 	return s
--- a/internal/dormancy/dormancy.go
+++ b/internal/idlestate/idlestate.go
@@ -1,4 +1,4 @@
-// Package dormancy decides when an idle destination is unloaded, how much of its state is kept and
+// Package idlestate decides when an idle destination is unloaded, how much of its state is kept and
 // for how long, and how cautiously calls start when it is loaded again. It does no I/O, reads no
 // clock and starts no goroutine: times are passed in, as the time since a moment of the caller's
 // choice.
@@ -9,7 +9,7 @@
 // Snapshots take a bounded amount of memory. A snapshot that a rule still needs (a retry-after
 // delay, a retry budget in use, an outage or a recovery with slow start) is binding and never
 // dropped. Of the others, those unloaded longest ago are dropped first.
-package dormancy
+package idlestate
 
 import (
 	"container/list"
@@ -17,7 +17,7 @@
 	"time"
 
 	"snowjunction"
-	"snowjunction/internal/memento"
+	"snowjunction/internal/snapshot"
 )
 
 // Destination is the number of a destination.
@@ -178,11 +178,11 @@
 
 // Unload stores the snapshot of a destination that is unloaded, and returns the encoded snapshot for
 // callers that store a copy. Snapshots that no longer fit are dropped.
-func (b *Tracker) Unload(d Destination, m *memento.Snapshot, now time.Duration) (encoded []byte) {
+func (b *Tracker) Unload(d Destination, m *snapshot.Snapshot, now time.Duration) (encoded []byte) {
 	b.Busy(d)
 	b.loaded--
 	b.Counts.Unloaded++
-	encoded = memento.Encode(nil, m)
+	encoded = snapshot.Encode(nil, m)
 	b.addEntry(&entry{dest: d, unloadedAt: now, bindingUntil: now + b.bindingFor(&m.State), encoded: encoded})
 	for k := b.oldest; k != nil && b.bytes > b.cfg.MaxBytes; {
 		next := k.next
@@ -248,7 +248,7 @@
 
 // Loaded is the state with which a destination is loaded.
 type Loaded struct {
-	Snapshot    *memento.Snapshot // nil if nothing is known
+	Snapshot    *snapshot.Snapshot // nil if nothing is known
 	UnloadedFor time.Duration
 	Caution     snowjunction.CautiousStart
 }
@@ -261,7 +261,7 @@
 		return b.load(nil, 0)
 	}
 	b.removeEntry(k)
-	m, err := memento.Decode(k.encoded)
+	m, err := snapshot.Decode(k.encoded)
 	if err != nil { // cannot happen: this package encoded the snapshot
 		m = nil
 	}
@@ -284,7 +284,7 @@
 // is unknown, as after a clock was set back. It returns false if the text is not a snapshot or
 // there is no room.
 func (b *Tracker) Restore(d Destination, encoded []byte, age, now time.Duration) bool {
-	m, err := memento.Decode(encoded)
+	m, err := snapshot.Decode(encoded)
 	if err != nil || b.bytes+len(encoded)+entryOverhead > b.cfg.MaxBytes {
 		return false
 	}
@@ -302,7 +302,7 @@
 // process's own state, retry-after delays included. A destination that was loaded is taken over
 // unchanged.
 func (b *Tracker) AddHandedOver(d Destination, encoded []byte, at, now time.Duration, loaded, fromPreviousRun bool) bool {
-	m, err := memento.Decode(encoded)
+	m, err := snapshot.Decode(encoded)
 	if err != nil || b.bytes+len(encoded)+entryOverhead > b.cfg.MaxBytes {
 		return false
 	}
@@ -339,11 +339,11 @@
 }
 
 // LoadSnapshot loads a destination from a snapshot that was stored elsewhere.
-func (b *Tracker) LoadSnapshot(m *memento.Snapshot, unloadedFor time.Duration) Loaded {
+func (b *Tracker) LoadSnapshot(m *snapshot.Snapshot, unloadedFor time.Duration) Loaded {
 	return b.load(m, max(unloadedFor, 0))
 }
 
-func (b *Tracker) load(m *memento.Snapshot, unloadedFor time.Duration) Loaded {
+func (b *Tracker) load(m *snapshot.Snapshot, unloadedFor time.Duration) Loaded {
 	b.loaded++
 	b.Counts.Loaded++
 	if m == nil {
--- a/internal/dormancy/dormancy_test.go
+++ b/internal/idlestate/idlestate_test.go
@@ -1,4 +1,4 @@
-package dormancy
+package idlestate
 
 import (
 	"testing"
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"snowjunction"
-	"snowjunction/internal/memento"
+	"snowjunction/internal/snapshot"
 )
 
 func config() Config {
@@ -21,21 +21,21 @@
 
 // unboundSnapshot returns a snapshot that is not binding; withRetryAfter returns one with a
 // retry-after delay.
-func unboundSnapshot() *memento.Snapshot {
-	return &memento.Snapshot{State: snowjunction.DestinationSnapshot{
+func unboundSnapshot() *snapshot.Snapshot {
+	return &snapshot.Snapshot{State: snowjunction.DestinationSnapshot{
 		Latency: 0.2, BestLatency: 0.1, PeakRate: 3, Window: 6,
 		Routes: []snowjunction.RouteSnapshot{{Limit: 8, LimitLeft: 0.1, PacingRate: 8}},
 	}}
 }
 
-func withRetryAfter(wait time.Duration) *memento.Snapshot {
+func withRetryAfter(wait time.Duration) *snapshot.Snapshot {
 	m := unboundSnapshot()
 	m.State.Routes[0].BlockedFor = wait
 	return m
 }
 
 // unload loads a destination, marks it idle and unloads it at once.
-func unload(b *Tracker, d Destination, now time.Duration, m *memento.Snapshot) {
+func unload(b *Tracker, d Destination, now time.Duration, m *snapshot.Snapshot) {
 	b.Load(d, now)
 	b.Idle(d, now)
 	b.Unload(d, m, now)
@@ -115,7 +115,7 @@
 // If the memory is full, the oldest snapshot that is not binding is dropped first.
 func TestOldestUnboundIsDropped(t *testing.T) {
 	cfg := config()
-	one := len(memento.Encode(nil, unboundSnapshot())) + entryOverhead
+	one := len(snapshot.Encode(nil, unboundSnapshot())) + entryOverhead
 	cfg.MaxBytes = 3*one + 8
 	b := New(cfg)
 	unload(b, 1, 0, withRetryAfter(time.Minute))
@@ -195,12 +195,12 @@
 // state is aged, and endpoints in an outage long ago count as recovering.
 func TestSnapshotOfPreviousRun(t *testing.T) {
 	held := unboundSnapshot()
-	held.Names = []memento.EndpointHash{1}
+	held.Names = []snapshot.EndpointHash{1}
 	held.State.Endpoints = []snowjunction.EndpointSnapshot{{
 		Condition: snowjunction.Down, Failures: 4, SinceCondition: 3 * time.Second, SinceFailure: 4 * time.Second, Backoff: time.Second, UntilTrial: time.Second,
 	}}
 	held.State.Routes[0].BlockedFor, held.State.Routes[0].PacingRate = time.Second, 3
-	encoded := memento.Encode(nil, held)
+	encoded := snapshot.Encode(nil, held)
 	loadAfter := func(age time.Duration) (Loaded, bool) {
 		b := New(config())
 		ok := b.Restore(1, encoded, age, time.Hour)
@@ -235,7 +235,7 @@
 
 	held.Names = append(held.Names, 2, 3)
 	held.State.Endpoints = append(held.State.Endpoints, snowjunction.EndpointSnapshot{Latency: 0.1}, snowjunction.EndpointSnapshot{})
-	encoded = memento.Encode(nil, held)
+	encoded = snapshot.Encode(nil, held)
 	w, _ = loadAfter(time.Second)
 	seen := w.Snapshot.State.Endpoints
 	assert.Equal(t, snowjunction.Serving, seen[1].Condition, "it served while the other one failed")
--- a/internal/learnt/budget.go
+++ b/internal/learnedstate/budget.go
@@ -1,4 +1,4 @@
-package learnt
+package learnedstate
 
 // Budget limits what is written next to the journal to shares of the journal's own writes and
 // bytes. It does no I/O.
--- a/internal/learnt/learnt.go
+++ b/internal/learnedstate/learnedstate.go
@@ -1,11 +1,11 @@
-// Package learnt stores what the decision module has learned about its destinations in the state
+// Package learnedstate stores what the decision module has learned about its destinations in the state
 // directory, for the courier's next process run: limits, pacing rates, outages and recoveries, the
 // retry budget and latencies, as encoded snapshots.
 //
 // Records are appended to a segment as they change; the latest record of a destination counts. A
 // full segment is followed by another that begins with all live records, and is removed once these
 // are written. budget.go limits how much is written.
-package learnt
+package learnedstate
 
 import (
 	"container/list"
@@ -20,8 +20,8 @@
 	"sync"
 	"time"
 
-	"snowjunction/internal/aside"
 	"snowjunction/internal/record"
+	"snowjunction/internal/sidefile"
 )
 
 // Version is the version of the records; the snapshots in them have their own.
@@ -79,7 +79,7 @@
 // Load reads the records in a directory: the latest record of each destination, in the order of
 // writing. onError is called for files and parts of files that cannot be read; these are omitted.
 func Load(dir string, onError func(file string, err error)) []Record {
-	files, err := aside.Files(dir, segmentPrefix)
+	files, err := sidefile.Files(dir, segmentPrefix)
 	if err != nil {
 		onError(dir, err)
 		return nil
@@ -139,7 +139,7 @@
 	byDestination map[uint32]*list.Element // elements of records by destination
 	liveBytes     int                      // bytes on disk of all records
 
-	writer *aside.Writer[[]Record]
+	writer *sidefile.Writer[[]Record]
 
 	mu     sync.Mutex
 	counts Counts
@@ -158,9 +158,9 @@
 // Open starts a segment with the known records and removes the older segments.
 func Open(o Options, known []Record) (*Store, error) {
 	s := &Store{
-		options: o, maxSegment: o.Bytes/2 - aside.BlockSize, records: list.New(), byDestination: map[uint32]*list.Element{},
+		options: o, maxSegment: o.Bytes/2 - sidefile.BlockSize, records: list.New(), byDestination: map[uint32]*list.Element{},
 	}
-	s.writer = &aside.Writer[[]Record]{
+	s.writer = &sidefile.Writer[[]Record]{
 		Merge: func(waiting, come []Record) []Record { return append(waiting, come...) }, Write: s.write, Log: o.Log, Subject: "learned state",
 	}
 	if s.maxSegment < 1024 {
@@ -169,12 +169,12 @@
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("open learned state: %w", err)
 	}
-	old, err := aside.Files(o.Dir, segmentPrefix)
+	old, err := sidefile.Files(o.Dir, segmentPrefix)
 	if err != nil {
 		return nil, fmt.Errorf("open learned state: %w", err)
 	}
 	if len(old) > 0 {
-		s.segmentNumber = aside.Number(old[len(old)-1], segmentPrefix)
+		s.segmentNumber = sidefile.Number(old[len(old)-1], segmentPrefix)
 	}
 	for _, r := range known {
 		s.remember(r)
@@ -186,7 +186,7 @@
 			total += int(i.Size())
 		}
 	}
-	if total > o.Bytes-s.liveBytes-2*aside.BlockSize {
+	if total > o.Bytes-s.liveBytes-2*sidefile.BlockSize {
 		for _, name := range old {
 			if err := os.Remove(name); err != nil {
 				return nil, fmt.Errorf("open learned state: %w", err)
@@ -225,7 +225,7 @@
 	for e := s.records.Front(); e != nil; e = e.Next() {
 		b = AppendRecord(b, e.Value.(Record))
 	}
-	path := aside.Path(s.options.Dir, segmentPrefix, s.segmentNumber+1)
+	path := sidefile.Path(s.options.Dir, segmentPrefix, s.segmentNumber+1)
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return err
@@ -239,9 +239,9 @@
 		s.segment.Close()
 	}
 	s.segment, s.segmentSize, s.segmentNumber = f, len(b), s.segmentNumber+1
-	old, err := aside.Files(s.options.Dir, segmentPrefix)
+	old, err := sidefile.Files(s.options.Dir, segmentPrefix)
 	for _, name := range old {
-		if aside.Number(name, segmentPrefix) < s.segmentNumber {
+		if sidefile.Number(name, segmentPrefix) < s.segmentNumber {
 			err = errors.Join(err, os.Remove(name))
 		}
 	}
--- a/internal/learnt/learnt_test.go
+++ b/internal/learnedstate/learnedstate_test.go
@@ -1,4 +1,4 @@
-package learnt
+package learnedstate
 
 import (
 	"bytes"
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 
 	"snowjunction"
-	"snowjunction/internal/aside"
 	"snowjunction/internal/record"
+	"snowjunction/internal/sidefile"
 )
 
 func open(t require.TestingT, dir string, bytes int, known []Record) *Store {
@@ -38,12 +38,12 @@
 
 // size returns the disk space that the files of a directory take.
 func size(t require.TestingT, dir string) (n int) {
-	names, err := aside.Files(dir, segmentPrefix)
+	names, err := sidefile.Files(dir, segmentPrefix)
 	require.NoError(t, err)
 	for _, name := range names {
 		i, err := os.Stat(name)
 		require.NoError(t, err)
-		n += int(i.Size()+aside.BlockSize-1) / aside.BlockSize * aside.BlockSize
+		n += int(i.Size()+sidefile.BlockSize-1) / sidefile.BlockSize * sidefile.BlockSize
 	}
 	return n
 }
--- a/internal/learnt/picker.go
+++ b/internal/learnedstate/picker.go
@@ -1,4 +1,4 @@
-package learnt
+package learnedstate
 
 import (
 	"slices"
--- a/internal/measure/hollow.go
+++ b/internal/measure/hollow.go
@@ -13,15 +13,15 @@
 	"golang.org/x/sys/unix"
 
 	"snowjunction"
-	"snowjunction/internal/belief"
+	"snowjunction/internal/confidence"
 	"snowjunction/internal/config"
 	"snowjunction/internal/core"
-	"snowjunction/internal/distrust"
 	"snowjunction/internal/front"
 	"snowjunction/internal/front/platform"
 	"snowjunction/internal/net"
-	"snowjunction/internal/notes"
 	"snowjunction/internal/partition"
+	"snowjunction/internal/peermsg"
+	"snowjunction/internal/plausibility"
 	"snowjunction/internal/scale"
 	"snowjunction/internal/standin"
 	"snowjunction/internal/store"
@@ -158,7 +158,7 @@
 func (h *hollow) begin() (err error) {
 	h.life++
 	log := slog.New(slog.DiscardHandler)
-	if h.socket, err = net.ListenDatagrams(h.each[h.number], h.peers, notes.MaxBytes, h.shard.loop.Post, log, h.noted); err != nil {
+	if h.socket, err = net.ListenDatagrams(h.each[h.number], h.peers, peermsg.MaxBytes, h.shard.loop.Post, log, h.noted); err != nil {
 		return err
 	}
 	h.front = platform.New(platform.Config{
@@ -168,7 +168,7 @@
 	h.core, err = core.New(core.Config{
 		Loop: h.shard.loop, Log: log, Journal: &store.Memory{}, Settings: h.settings,
 		Fronts:      []core.Front{hollowFront{h.front, h}},
-		Directories: map[int]core.Directory{0: {Confidence: belief.Default(), Plausibility: distrust.Default()}},
+		Directories: map[int]core.Directory{0: {Confidence: confidence.Default(), Plausibility: plausibility.Default()}},
 		Fleet:       h, OnListChange: func(int) { h.holds() },
 	})
 	if err != nil {
@@ -239,7 +239,7 @@
 // Send sends notes to another courier.
 func (h *hollow) Send(peer int, items []snowjunction.PeerMessage) {
 	granted := granted(items)
-	for _, b := range notes.Encode(items) {
+	for _, b := range peermsg.Encode(items) {
 		if h.cuts(h.number, peer) {
 			h.cut.Add(1)
 			continue
@@ -277,7 +277,7 @@
 		h.cut.Add(1)
 		return
 	}
-	items, err := notes.Decode(b)
+	items, err := peermsg.Decode(b)
 	if err != nil {
 		h.core.Counters.PeerMessagesInvalid++
 		return
--- a/internal/notes/capacity_test.go
+++ b/internal/peermsg/capacity_test.go
@@ -1,4 +1,4 @@
-package notes
+package peermsg
 
 import (
 	"testing"
--- a/internal/notes/notes.go
+++ b/internal/peermsg/peermsg.go
@@ -1,4 +1,4 @@
-// Package notes encodes and decodes the messages that the couriers of a fleet send each other. It
+// Package peermsg encodes and decodes the messages that the couriers of a fleet send each other. It
 // does no I/O. A message is a format byte, followed by an item for each destination:
 //
 //	uvarint  destination
@@ -12,7 +12,7 @@
 //	flag 64  a call was answered again
 //	flag 128 grants are limited to the capacity of a cold destination; with flag 1, the limit is
 //	         not new
-package notes
+package peermsg
 
 import (
 	"encoding/binary"
--- a/internal/distrust/distrust.go
+++ b/internal/plausibility/plausibility.go
@@ -1,4 +1,4 @@
-// Package distrust checks the plausibility of a directory's lists by defined conditions, each with
+// Package plausibility checks the plausibility of a directory's lists by defined conditions, each with
 // an entry and an exit threshold apart from each other (hysteresis). It does no I/O, reads no clock
 // and starts no goroutine: times are passed in, as the time since a moment of the caller's choice.
 //
@@ -12,7 +12,7 @@
 //
 // Endpoints that a list names as draining or gone are always taken as listed: conditions only
 // decide about endpoints that a list omits or adds.
-package distrust
+package plausibility
 
 import (
 	"fmt"
--- a/internal/distrust/distrust_test.go
+++ b/internal/plausibility/plausibility_test.go
@@ -1,4 +1,4 @@
-package distrust
+package plausibility
 
 import (
 	"errors"
--- a/internal/aside/aside.go
+++ b/internal/sidefile/sidefile.go
@@ -1,6 +1,6 @@
-// Package aside writes side files next to the journal: state that is worth keeping but must not
+// Package sidefile writes side files next to the journal: state that is worth keeping but must not
 // delay anything. Writes run on a goroutine of their own, into numbered files in the state folder.
-package aside
+package sidefile
 
 import (
 	"fmt"
--- a/internal/aside/aside_test.go
+++ b/internal/sidefile/sidefile_test.go
@@ -1,4 +1,4 @@
-package aside
+package sidefile
 
 import (
 	"bytes"
--- a/internal/memento/memento.go
+++ b/internal/snapshot/snapshot.go
@@ -1,4 +1,4 @@
-// Package memento encodes the state of an unloaded destination in a compact binary form and decodes
+// Package snapshot encodes the state of an unloaded destination in a compact binary form and decodes
 // it. It does no I/O.
 //
 // The format is versioned: a byte with the version, then the fields in order. Numbers are 32-bit
@@ -6,7 +6,7 @@
 // identified by the 64-bit hash of its name, because endpoint numbers change each time a
 // destination is loaded. Decode rejects unknown versions, truncated data and trailing bytes; it
 // accepts the older version 1, which ends before Served, RepeatGap and Small.
-package memento
+package snapshot
 
 import (
 	"encoding/binary"
--- a/internal/memento/memento_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -1,4 +1,4 @@
-package memento
+package snapshot
 
 import (
 	"math"
