--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -17,19 +17,19 @@
 	plotHeight = 9 * vg.Centimeter
 )
 
-// curve is a line of a plot with its intervals.
+// curve is one line of a plot with its confidence intervals.
 type curve struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// curves are the lines of a plot, in the order of their axis. Of cells that differ
-// in axes that are neither x nor lines, only those with the value that the plot
-// names are drawn: a mean over unlike settings says nothing.
+// curves returns the lines of a plot, in the order of their axis. Only cells with the plot's
+// selected values on all other axes are drawn, since a mean over different settings would be
+// meaningless.
 func (s *Summary) curves(p Plot) (names []string, out []curve) {
-	x, lines := s.File.axis(p.X), -1
+	x, lines := s.File.axisIndex(p.X), -1
 	if p.Lines != "" {
-		lines = s.File.axis(p.Lines)
+		lines = s.File.axisIndex(p.Lines)
 	}
 	n := 1
 	if lines >= 0 {
@@ -47,7 +47,7 @@
 	for _, r := range s.Rows {
 		for a, v := range r.cell {
 			axis := &s.File.Axes[a]
-			if a != x && a != lines && v != max(axis.find(p.Where[axis.Name]), 0) {
+			if a != x && a != lines && v != max(axis.indexOf(p.Where[axis.Name]), 0) {
 				continue cells
 			}
 		}
@@ -61,12 +61,12 @@
 		}
 		e := r.Measures[p.Y]
 		c.XYs = append(c.XYs, plotter.XY{X: at, Y: e.Mean})
-		c.YErrors = append(c.YErrors, struct{ Low, High float64 }{e.Half, e.Half})
+		c.YErrors = append(c.YErrors, struct{ Low, High float64 }{e.HalfWidth, e.HalfWidth})
 	}
 	return names, out
 }
 
-// Draw draws a plot as "svg" or "png".
+// Draw renders a plot in the format "svg" or "png".
 func (s *Summary) Draw(p Plot, format string) ([]byte, error) {
 	g := plot.New()
 	g.Title.Text = p.Title
@@ -74,7 +74,7 @@
 	g.Legend.Top = true
 	g.Legend.Padding = vg.Points(2)
 	names, lines := s.curves(p)
-	if a := s.File.Axes[s.File.axis(p.X)]; !numbers(&a) {
+	if a := s.File.Axes[s.File.axisIndex(p.X)]; !hasNumericLabels(&a) {
 		var ticks []string
 		for i := range a.Len() {
 			ticks = append(ticks, a.Label(i))
@@ -118,7 +118,7 @@
 	return b.Bytes(), nil
 }
 
-func numbers(a *Axis) bool {
+func hasNumericLabels(a *Axis) bool {
 	for i := range a.Len() {
 		if _, err := strconv.ParseFloat(a.Label(i), 64); err != nil {
 			return false
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-var page = template.Must(template.New("").Parse(`<!doctype html>
+var reportTemplate = template.Must(template.New("").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.File.Name}}</title>
 <style>
 body{font:15px/1.45 sans-serif;max-width:75em;margin:2em auto;padding:0 1em}
@@ -33,7 +33,7 @@
 </body></html>
 `))
 
-// Report is one page of HTML that needs no other file: the plots are in it.
+// Report returns a self-contained HTML page with the plots embedded.
 func (s *Summary) Report(svg [][]byte) ([]byte, error) {
 	source, err := json.MarshalIndent(s.File, "", "  ")
 	if err != nil {
@@ -43,21 +43,21 @@
 	var plots []template.HTML
 	for _, b := range svg {
 		if i := bytes.Index(b, []byte("<svg")); i > 0 {
-			b = b[i:] // the XML heading has no place inside a page
+			b = b[i:] // drop the XML prolog, which is invalid inside HTML
 		}
 		plots = append(plots, template.HTML(b)) //nolint:gosec // drawn above, its texts escaped there
 	}
 	var b bytes.Buffer
-	err = page.Execute(&b, map[string]any{
+	err = reportTemplate.Execute(&b, map[string]any{
 		"File": s.File, "Plots": plots, "Head": head, "Rows": rows, "Source": string(source),
 	})
 	return b.Bytes(), err
 }
 
-// Write writes everything that an experiment came to into a folder: runs.csv,
-// summary.csv, summary.json, each plot as SVG and PNG, and report.html.
+// Write writes all results of an experiment into a directory: runs.csv, summary.csv, summary.json,
+// each plot as SVG and PNG, and report.html.
 func Write(p *Plan, results []map[string]float64, dir string) (*Summary, error) {
-	s := Sum(p, results)
+	s := Summarize(p, results)
 	files := map[string][]byte{}
 	var err error
 	if files["runs.csv"], err = RunsCSV(p, results); err != nil {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -10,22 +10,22 @@
 	"snowjunction/internal/emulate"
 )
 
-// Options of a whole experiment.
+// Options are the options for running an experiment.
 type Options struct {
-	Out   string // the folder of the results
-	Build string // what the program is built from
-	Jobs  int    // runs at once
-	Fresh bool   // forget what the folder has
-	// Progress, if it is set, hears of each run that has ended.
+	Out   string // directory of the results
+	Build string // build identifier of the program
+	Jobs  int    // number of concurrent runs
+	Fresh bool   // discard existing results
+	// Progress, if not nil, is called after each finished run.
 	Progress func(done, of int)
 }
 
-// resultsFile has a line for each run, in the order in which they ended.
+// resultsFile has one JSON line for each run, in the order in which the runs finished.
 const resultsFile = "runs.jsonl"
 
-// Play plays what the folder has no result of yet and returns all results in the
-// plan's order. Ended early by the context, it returns its error; what has been
-// played is kept.
+// Play executes the runs that have no result in the output directory yet and returns all results
+// in the plan's order. If the context is canceled, it returns the context's error and keeps the
+// finished results.
 func Play(ctx context.Context, p *Plan, o Options) ([]map[string]float64, error) {
 	if err := os.MkdirAll(o.Out, 0o755); err != nil {
 		return nil, err
@@ -36,7 +36,7 @@
 			return nil, err
 		}
 	}
-	s, err := openStore(path, o.Build)
+	s, err := openResultStore(path, o.Build)
 	if err != nil {
 		return nil, err
 	}
@@ -60,9 +60,9 @@
 	return all, nil
 }
 
-// play hands the runs out to its workers. The results do not depend on how many
-// there are: a run shares nothing with another.
-func (p *Plan) play(ctx context.Context, s *store, todo []Run, o Options) error {
+// play distributes the runs over its workers. The results do not depend on the number of workers
+// because runs share no state.
+func (p *Plan) play(ctx context.Context, s *resultStore, todo []Run, o Options) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var mu sync.Mutex // guards s and done
@@ -77,7 +77,7 @@
 					cancel(fmt.Errorf("%s, seed %d: %w", r.Policy, r.Seed, err))
 					return
 				}
-				l := line{Key: p.Key(r), Build: o.Build, Values: map[string]float64{}}
+				l := result{Key: p.Key(r), Build: o.Build, Values: map[string]float64{}}
 				for _, m := range res.Measures() {
 					l.Values[m.Name] = m.Value
 				}
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -9,40 +9,40 @@
 	"os"
 )
 
-// line is one run's results as the file keeps them.
-type line struct {
+// result is the result of one run as stored in the results file.
+type result struct {
 	Key    string             `json:"key"`
 	Build  string             `json:"build"`
 	Values map[string]float64 `json:"values"`
 }
 
-// store keeps what runs came to, a line of JSON each, appended as they end. What
-// an interruption cut short at its end is dropped when it is opened again.
-type store struct {
+// resultStore appends the results of runs to a file, one JSON line each, as the runs finish. An
+// incomplete last line, left by an interruption, is truncated when the file is opened again.
+type resultStore struct {
 	f    *os.File
 	done map[string]map[string]float64
 }
 
-// openStore opens the results of one build: figures of another would be mixed with
-// its own unnoticed, so that they are an error.
-func openStore(path, build string) (*store, error) {
+// openResultStore opens the results of one build. Results of another build are an error, since mixing
+// them would go unnoticed.
+func openResultStore(path, build string) (*resultStore, error) {
 	text, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
-	s := &store{done: map[string]map[string]float64{}}
+	s := &resultStore{done: map[string]map[string]float64{}}
 	whole := 0
 	for n := 1; ; n++ {
 		i := bytes.IndexByte(text[whole:], '\n')
 		if i < 0 {
 			break
 		}
-		var l line
+		var l result
 		if err := json.Unmarshal(text[whole:whole+i], &l); err != nil {
 			return nil, fmt.Errorf("%s: line %d: %w", path, n, err)
 		}
 		if l.Build != build {
-			return nil, fmt.Errorf("%s: line %d: of another build; take another folder or begin afresh", path, n)
+			return nil, fmt.Errorf("%s: line %d: of another build; use another output directory or discard the results", path, n)
 		}
 		s.done[l.Key] = l.Values
 		whole += i + 1
@@ -61,7 +61,7 @@
 	return s, nil
 }
 
-func (s *store) add(l line) error {
+func (s *resultStore) add(l result) error {
 	b, err := json.Marshal(l)
 	if err != nil {
 		return err
@@ -73,4 +73,4 @@
 	return nil
 }
 
-func (s *store) close() error { return s.f.Close() }
+func (s *resultStore) close() error { return s.f.Close() }
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -12,9 +12,9 @@
 	"snowjunction/internal/emulate"
 )
 
-func number(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
+func formatNumber(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
 
-// RunsCSV is a line for each run with all measures, whichever the file names.
+// RunsCSV returns one CSV line for each run with all measures, not only those that the file names.
 func RunsCSV(p *Plan, results []map[string]float64) ([]byte, error) {
 	var b bytes.Buffer
 	w := csv.NewWriter(&b)
@@ -30,7 +30,7 @@
 		}
 		row = append(row, strconv.FormatUint(r.Seed, 10))
 		for _, m := range emulate.MeasureNames() {
-			row = append(row, number(results[i][m]))
+			row = append(row, formatNumber(results[i][m]))
 		}
 		_ = w.Write(row)
 	}
@@ -38,8 +38,8 @@
 	return b.Bytes(), w.Error()
 }
 
-// CSV is a line for each cell: mean and half interval of each measure, and of its
-// difference to the baseline.
+// CSV returns one CSV line for each cell: the mean and interval half-width of each measure and of
+// its difference to the baseline.
 func (s *Summary) CSV() ([]byte, error) {
 	var b bytes.Buffer
 	w := csv.NewWriter(&b)
@@ -54,12 +54,12 @@
 	for _, r := range s.Rows {
 		row := append([]string{}, r.Labels...)
 		for _, m := range s.File.Measures {
-			row = append(row, number(r.Measures[m].Mean), number(r.Measures[m].Half))
+			row = append(row, formatNumber(r.Measures[m].Mean), formatNumber(r.Measures[m].HalfWidth))
 			if s.File.Baseline == "" {
 				continue
 			}
-			if d, ok := r.Against[m]; ok {
-				row = append(row, number(d.Mean), number(d.Half))
+			if d, ok := r.Differences[m]; ok {
+				row = append(row, formatNumber(d.Mean), formatNumber(d.HalfWidth))
 			} else {
 				row = append(row, "", "")
 			}
@@ -70,8 +70,8 @@
 	return b.Bytes(), w.Error()
 }
 
-// short is an estimate as a person reads it.
-func (e Estimate) short() string {
+// format formats an estimate for display.
+func (e Estimate) format() string {
 	digits := 3
 	if e.Mean >= 100 || e.Mean <= -100 {
 		digits = 0
@@ -79,11 +79,11 @@
 	if e.N < 2 {
 		return strconv.FormatFloat(e.Mean, 'f', digits, 64)
 	}
-	return fmt.Sprintf("%.*f ±%.*f", digits, e.Mean, digits, e.Half)
+	return fmt.Sprintf("%.*f ±%.*f", digits, e.Mean, digits, e.HalfWidth)
 }
 
-// cells is the table's text: a column for each axis and measure, and for each
-// difference to the baseline, marked where its interval does not hold 0.
+// cells returns the text of the table: a column for each axis and measure, and for each difference
+// to the baseline, marked with * if its interval excludes zero.
 func (s *Summary) cells() (head []string, rows [][]string) {
 	head = append(head, s.Axes...)
 	for _, m := range s.File.Measures {
@@ -95,14 +95,14 @@
 	for _, r := range s.Rows {
 		row := append([]string{}, r.Labels...)
 		for _, m := range s.File.Measures {
-			row = append(row, r.Measures[m].short())
+			row = append(row, r.Measures[m].format())
 			if s.File.Baseline == "" {
 				continue
 			}
 			text := ""
-			if d, ok := r.Against[m]; ok {
-				text = d.short()
-				if d.Apart() {
+			if d, ok := r.Differences[m]; ok {
+				text = d.format()
+				if d.ExcludesZero() {
 					text += " *"
 				}
 			}
--- a/internal/measure/scale.go
+++ b/internal/measure/scale.go
@@ -173,7 +173,7 @@
 			return fmt.Errorf("--fit %s, of %g: %w", o.Fit, v, err)
 		}
 	}
-	return p.Fits(m)
+	return p.CheckMachine(m)
 }
 
 // Run measures.
@@ -258,7 +258,7 @@
 	}
 	f = &ScaleFigures{Machine: machine(), Plan: p, StartS: time.Since(begun).Seconds()}
 	f.Start.Bytes = float64(t.directory.Traffic().Out) / float64(p.Couriers)
-	f.Start.Over = f.Start.Bytes / scale.Budget
+	f.Start.Over = f.Start.Bytes / scale.StartBudget
 	t.flow()
 	f.Directory.StartOut = float64(t.directory.Traffic().Out)
 	if !t.sleep(span(p.Settle)) {
@@ -303,10 +303,10 @@
 	}
 	var owned []bool
 	if t.members != nil {
-		owned = p.Owned(t.members)
+		owned = p.OwnedDestinations(t.members)
 	}
 	var listens []bool
-	if listens, t.may = p.Calls(t.machine, owned); t.members != nil && len(t.may) == 0 {
+	if listens, t.may = p.Listeners(t.machine, owned); t.members != nil && len(t.may) == 0 {
 		return fmt.Errorf("no destination can have messages")
 	}
 	specs := standin.Population{Partners: p.Destinations, Endpoints: p.Endpoints, First: 1, Seed: p.Seed}.Specs()
@@ -322,7 +322,7 @@
 	if t.farm, err = standin.NewFarm(specs); err != nil {
 		return err
 	}
-	for _, d := range p.Silent() {
+	for _, d := range p.SilentDestinations() {
 		_ = t.farm.With(uint32(d+1), func(x *partner.Partner) { // it has that number
 			x.Add(partner.Fault{Kind: partner.Silent, Until: 24 * time.Hour})
 		})
--- a/internal/measure/scalefit.go
+++ b/internal/measure/scalefit.go
@@ -161,7 +161,7 @@
 }
 
 // ErrApart tells that hollow couriers do not stand for real ones.
-var ErrApart = fmt.Errorf("at this size the traffic of hollow couriers is over %g%% off that of real ones: they do not stand for them", 100*scale.AgreeWithin)
+var ErrApart = fmt.Errorf("at this size the traffic of hollow couriers is over %g%% off that of real ones: they do not stand for them", 100*scale.AgreementTolerance)
 
 // agree plays the fleet all real, then all hollow, and compares their traffic.
 func (o Scale) agree(out io.Writer) error {
@@ -201,8 +201,8 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "hollow against real\treal\thollow\toff")
 	for _, c := range x.Agreements {
-		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%+.1f%%\n", c.Name, c.Real, c.Hollow, 100*c.Off)
-		x.Holds = x.Holds && c.Holds()
+		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%+.1f%%\n", c.Name, c.Real, c.Simulated, 100*c.Difference)
+		x.Holds = x.Holds && c.WithinTolerance()
 	}
 	w.Flush()
 	if err := save(o.JSON, x); err != nil {
@@ -211,6 +211,6 @@
 	if !x.Holds {
 		return ErrApart
 	}
-	fmt.Fprintf(out, "hollow couriers stand for real ones here: every sum is within %g%%\n", 100*scale.AgreeWithin)
+	fmt.Fprintf(out, "hollow couriers stand for real ones here: every sum is within %g%%\n", 100*scale.AgreementTolerance)
 	return nil
 }
--- a/internal/measure/scaleparts.go
+++ b/internal/measure/scaleparts.go
@@ -156,7 +156,7 @@
 }
 
 func (f *ScaleFigures) printParts(out io.Writer) {
-	fmt.Fprintf(out, "the list, of one: %.0f bytes told at the start, %.3g times the %d that it may be told", f.Start.Bytes, f.Start.Over, scale.Budget)
+	fmt.Fprintf(out, "the list, of one: %.0f bytes told at the start, %.3g times the %d that it may be told", f.Start.Bytes, f.Start.Over, scale.StartBudget)
 	for _, x := range []struct {
 		name string
 		c    *CourierFigures
--- a/internal/measure/scalerun.go
+++ b/internal/measure/scalerun.go
@@ -408,25 +408,25 @@
 	}
 	wrong := make(chan error, t.plan.Restarts)
 	var events sync.WaitGroup
-	at := func(m scale.Moment, do func()) {
+	at := func(m scale.Event, do func()) {
 		events.Go(func() {
 			if t.sleep(time.Until(from.at.Add(m.At))) {
 				do()
 			}
 		})
 	}
-	for _, m := range t.plan.Changed() {
-		at(m, func() { t.change(m.Whom) })
+	for _, m := range t.plan.ChangeEvents() {
+		at(m, func() { t.change(m.Index) })
 	}
-	for _, m := range t.plan.Parted() {
+	for _, m := range t.plan.CutEvents() {
 		at(m, func() {
-			t.parted.Store(int64(m.Whom) + 1)
-			t.sleep(m.For)
+			t.parted.Store(int64(m.Index) + 1)
+			t.sleep(m.Duration)
 			t.parted.Store(0)
 		})
 	}
-	for _, m := range t.plan.Restarted() {
-		at(m, func() { wrong <- t.restart(m.Whom) })
+	for _, m := range t.plan.RestartEvents() {
+		at(m, func() { wrong <- t.restart(m.Index) })
 	}
 	t.sleep(time.Until(from.at.Add(span(t.plan.Seconds))))
 	events.Wait()
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -8,66 +8,67 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Line is a straight line through measured points.
+// Line is a least-squares line through measured points.
 type Line struct {
 	Slope     float64 `json:"slope"`
-	Error     float64 `json:"error"` // half of the slope's 95% interval, by Student's t
+	Error     float64 `json:"error"` // half-width of the slope's 95% confidence interval (Student's t)
 	Intercept float64 `json:"intercept"`
-	Bend      float64 `json:"bend"`   // how far the middle lies off the line, as a share of the rise
-	Power     float64 `json:"power"`  // the exponent of a power law through the points; NaN is 0
-	Linear    bool    `json:"linear"` // no bend is shown
+	Bend      float64 `json:"bend"`   // deviation of the quadratic fit from the line at midrange, as a share of the rise
+	Power     float64 `json:"power"`  // exponent of a power law fitted to the points; zero if a value is not positive
+	Linear    bool    `json:"linear"` // false if the points show curvature
 }
 
 const (
-	// PointsLeast are the sizes over which a sum is fitted.
-	PointsLeast = 5
-	confidence  = 0.95
-	offLeast    = 0.01 // of the mean: what the line leaves, over which another curve is looked at
-	bySquares   = 4    // times less than that, in squares, a power law has to leave
-	powerLeast  = 0.05 // of its exponent, off 1
-	bendMost    = 0.05 // share of the rise that a bend may have and still count as none: a root over fifths bends by 0.09
+	// FitSizes is the number of sizes a fit measures, and the minimum number of points.
+	FitSizes             = 5
+	confidenceLevel      = 0.95
+	minMeanResidual      = 0.01 // mean residual, as a share of the mean of y, above which a power law is considered
+	powerLawGain         = 4    // factor by which a power law has to reduce the sum of squared residuals
+	minExponentDeviation = 0.05 // minimum deviation of the exponent from 1
+	maxBend              = 0.05 // share of the rise that curvature may reach and still count as linear: a square root sampled at fifths bends by 0.09
 )
 
-// Fit fits y against x, of PointsLeast points at least. A sum is not linear if the square
-// that is put beside the line is sure at 95% and bends it by over a twentieth of its rise, or if a power
-// law leaves a quarter of what the line does, in squares.
+// Fit fits y against x by least squares. It needs at least FitSizes points. The result is not
+// linear if a quadratic term is significant at 95% and bends the line by more than a twentieth of
+// its rise, or if a power law leaves less than a quarter of the line's squared residuals.
 func Fit(x, y []float64) Line {
 	n := float64(len(x))
-	l := Line{Linear: true}
-	l.Intercept, l.Slope = stat.LinearRegression(x, y, nil, false)
+	line := Line{Linear: true}
+	line.Intercept, line.Slope = stat.LinearRegression(x, y, nil, false)
 	mean, spread := stat.Mean(x, nil), 0.0
-	rest := 0.0
+	squaredResiduals := 0.0
 	for i := range x {
 		spread += (x[i] - mean) * (x[i] - mean)
-		d := y[i] - l.Intercept - l.Slope*x[i]
-		rest += d * d
+		d := y[i] - line.Intercept - line.Slope*x[i]
+		squaredResiduals += d * d
 	}
-	l.Error = quantile(n-2) * math.Sqrt(rest/(n-2)/spread)
-	curved := 0.0
-	l.Power, curved = power(x, y)
-	off := offLeast * stat.Mean(y, nil)
-	powered := rest > n*off*off && curved < rest/bySquares && math.Abs(l.Power-1) > powerLeast
-	least, most := x[0], x[0]
+	line.Error = studentQuantile(n-2) * math.Sqrt(squaredResiduals/(n-2)/spread)
+	powerResiduals := 0.0
+	line.Power, powerResiduals = powerLaw(x, y)
+	minResidual := minMeanResidual * stat.Mean(y, nil)
+	followsPowerLaw := squaredResiduals > n*minResidual*minResidual && powerResiduals < squaredResiduals/powerLawGain && math.Abs(line.Power-1) > minExponentDeviation
+	smallest, largest := x[0], x[0]
 	for _, v := range x {
-		least, most = math.Min(least, v), math.Max(most, v)
+		smallest, largest = math.Min(smallest, v), math.Max(largest, v)
 	}
-	rise := math.Abs(l.Slope) * (most - least)
-	c, half, ok := square(x, y)
+	rise := math.Abs(line.Slope) * (largest - smallest)
+	curvature, halfWidth, ok := quadraticTerm(x, y)
 	if !ok || rise == 0 {
-		return l
+		return line
 	}
-	l.Bend = c * (most - least) * (most - least) / 4 / rise
-	bent := math.Abs(c) > half && math.Abs(l.Bend) > bendMost
-	l.Linear = !bent && !powered
-	return l
+	line.Bend = curvature * (largest - smallest) * (largest - smallest) / 4 / rise
+	bends := math.Abs(curvature) > halfWidth && math.Abs(line.Bend) > maxBend
+	line.Linear = !bends && !followsPowerLaw
+	return line
 }
 
-func quantile(free float64) float64 {
-	return distuv.StudentsT{Sigma: 1, Nu: free}.Quantile(0.5 + confidence/2)
+func studentQuantile(degreesOfFreedom float64) float64 {
+	return distuv.StudentsT{Sigma: 1, Nu: degreesOfFreedom}.Quantile(0.5 + confidenceLevel/2)
 }
 
-// square is the coefficient of x squared in a least-squares fit, and half of its interval.
-func square(x, y []float64) (c, half float64, ok bool) {
+// quadraticTerm returns the coefficient of x squared in a quadratic least-squares fit and the
+// half-width of its 95% confidence interval. It returns false if the fit is singular.
+func quadraticTerm(x, y []float64) (c, halfWidth float64, ok bool) {
 	scale := 0.0
 	for _, v := range x {
 		scale = math.Max(scale, math.Abs(v))
@@ -77,27 +78,27 @@
 		v /= scale
 		a.SetRow(i, []float64{1, v, v * v})
 	}
-	var at, inverse mat.Dense
-	at.Mul(a.T(), a)
-	if err := inverse.Inverse(&at); err != nil {
+	var normal, inverse mat.Dense
+	normal.Mul(a.T(), a)
+	if err := inverse.Inverse(&normal); err != nil {
 		return 0, 0, false
 	}
-	var by, fit, drawn mat.VecDense
-	by.MulVec(a.T(), mat.NewVecDense(len(y), y))
-	fit.MulVec(&inverse, &by)
-	drawn.MulVec(a, &fit)
-	rest := 0.0
+	var rightSide, coefficients, fitted mat.VecDense
+	rightSide.MulVec(a.T(), mat.NewVecDense(len(y), y))
+	coefficients.MulVec(&inverse, &rightSide)
+	fitted.MulVec(a, &coefficients)
+	squaredResiduals := 0.0
 	for i, v := range y {
-		rest += (v - drawn.AtVec(i)) * (v - drawn.AtVec(i))
+		squaredResiduals += (v - fitted.AtVec(i)) * (v - fitted.AtVec(i))
 	}
-	free := float64(len(x) - 3)
-	half = quantile(free) * math.Sqrt(rest/free*inverse.At(2, 2))
-	return fit.AtVec(2) / scale / scale, half / scale / scale, true
+	degreesOfFreedom := float64(len(x) - 3)
+	halfWidth = studentQuantile(degreesOfFreedom) * math.Sqrt(squaredResiduals/degreesOfFreedom*inverse.At(2, 2))
+	return coefficients.AtVec(2) / scale / scale, halfWidth / scale / scale, true
 }
 
-// power is the exponent of a power law, and the squares that it leaves; 0 where a value is
-// not over 0.
-func power(x, y []float64) (exponent, rest float64) {
+// powerLaw returns the exponent of a fitted power law and the sum of its squared residuals. It
+// returns zero and infinity if a value is not positive.
+func powerLaw(x, y []float64) (exponent, squaredResiduals float64) {
 	lx, ly := make([]float64, len(x)), make([]float64, len(y))
 	for i := range x {
 		if x[i] <= 0 || y[i] <= 0 {
@@ -108,42 +109,41 @@
 	factor, exponent := stat.LinearRegression(lx, ly, nil, false)
 	for i := range x {
 		d := y[i] - math.Exp(factor+exponent*lx[i])
-		rest += d * d
+		squaredResiduals += d * d
 	}
-	return exponent, rest
+	return exponent, squaredResiduals
 }
 
-// Sizes are those that a fit plays, up to the one that is wanted: fifths of it.
-func Sizes(most float64) (out []float64) {
-	for i := range PointsLeast {
-		out = append(out, most*float64(i+1)/PointsLeast)
+// Sizes returns the sizes a fit measures: fifths of the largest size.
+func Sizes(largest float64) (out []float64) {
+	for i := range FitSizes {
+		out = append(out, largest*float64(i+1)/FitSizes)
 	}
 	return out
 }
 
-// Agreement is how far hollow couriers are from real ones in one sum, as a share of what the
-// real ones have.
+// Agreement compares one measured total of simulated couriers with that of real ones.
 type Agreement struct {
-	Name   string  `json:"name"`
-	Real   float64 `json:"real"`
-	Hollow float64 `json:"hollow"`
-	Off    float64 `json:"off"`
+	Name       string  `json:"name"`
+	Real       float64 `json:"real"`
+	Simulated  float64 `json:"hollow"`
+	Difference float64 `json:"off"`
 }
 
-// AgreeWithin is how far they may be apart and still stand for real ones.
-const AgreeWithin = 0.1
+// AgreementTolerance is the relative difference up to which simulated couriers represent real ones.
+const AgreementTolerance = 0.1
 
-// Compare tells how far two figures are apart.
-func Compare(name string, is, hollow float64) Agreement {
-	a := Agreement{Name: name, Real: is, Hollow: hollow}
+// Compare returns the relative difference of a figure of simulated couriers from that of real ones.
+func Compare(name string, real, simulated float64) Agreement {
+	a := Agreement{Name: name, Real: real, Simulated: simulated}
 	switch {
-	case is != 0:
-		a.Off = hollow/is - 1
-	case hollow != 0: // by all there is
-		a.Off = 1
+	case real != 0:
+		a.Difference = simulated/real - 1
+	case simulated != 0: // no base for a ratio: count as 100%
+		a.Difference = 1
 	}
 	return a
 }
 
-// Holds tells that they are near enough.
-func (a Agreement) Holds() bool { return math.Abs(a.Off) <= AgreeWithin }
+// WithinTolerance reports whether the difference is within AgreementTolerance.
+func (a Agreement) WithinTolerance() bool { return math.Abs(a.Difference) <= AgreementTolerance }
--- a/internal/scale/partitions.go
+++ b/internal/scale/partitions.go
@@ -6,41 +6,41 @@
 	"snowjunction/internal/partition"
 )
 
-// What a courier may be told at a start: BudgetRate bytes of control a second for
-// BudgetSeconds.
+// The directory traffic that a courier may receive when it starts: StartBudgetRate bytes of
+// control data a second for StartBudgetSeconds.
 const (
-	BudgetRate    = 13_000
-	BudgetSeconds = 14
-	Budget        = BudgetRate * BudgetSeconds // bytes
+	StartBudgetRate    = 13_000
+	StartBudgetSeconds = 14
+	StartBudget        = StartBudgetRate * StartBudgetSeconds // bytes
 )
 
-// What partitions need besides, reckoned high as the rest is.
+// Additional resources that partitions need, as upper estimates.
 const (
-	bytesClients = 16_000 // of a hollow courier: it listens for clients
-	bytesForward = 24_000 // of a connection of forwarding, both its ends
-	bytesPart    = 120    // of a partition in the router of a courier that owns it
-	bytesTold    = 250    // of an endpoint in each answer that has it
-	bytesMember  = 400    // of a member in a process that knows all
-	bytesOwner   = 4      // of an owner in the table of owners
-	filesClients = 1
-	filesForward = 2 // both ends are one process's
-	keptFor      = 6 // seconds that a connection of forwarding is kept for, at most
+	bytesClients       = 16_000 // client listener of a simulated courier
+	bytesForward       = 24_000 // both ends of a forwarding connection
+	bytesPartition     = 120    // one partition in the router of a courier that owns it
+	bytesAnswerEntry   = 250    // one endpoint in each directory answer that lists it
+	bytesMember        = 400    // one member in a process that knows the whole membership
+	bytesOwner         = 4      // one entry in the table of owners
+	filesClients       = 1
+	filesForward       = 2 // both ends belong to the same process
+	forwardIdleSeconds = 6 // seconds that an idle forwarding connection is kept open, at most
 )
 
-// OwnMost is how many partitions a courier may own on average: the product refuses 1,024, and
-// chance gives some couriers more than others.
-const OwnMost = 800
+// MaxOwned is how many partitions a courier may own on average: the product refuses 1,024 for one
+// courier, and random placement gives some couriers more than others.
+const MaxOwned = 800
 
-// owns is how many partitions a courier of the smallest region owns, on average.
-func (p Plan) owns() float64 {
-	n := p.inRegion(p.Regions - 1)
+// partitionsPerCourier returns how many partitions a courier of the smallest region owns on average.
+func (p Plan) partitionsPerCourier() float64 {
+	n := p.couriersInRegion(p.Regions - 1)
 	return float64(p.Partitions) * float64(min(p.Copies, n)) / float64(n)
 }
 
-// MemberName is a courier's name.
+// MemberName returns the member name of a courier.
 func MemberName(courier int) string { return fmt.Sprintf("n%d", courier) }
 
-// Members are all couriers as members, each at its address.
+// Members returns all couriers as partition members, with their addresses.
 func (p Plan) Members(addrs []string) (out []partition.Member) {
 	for n := range p.Couriers {
 		out = append(out, partition.Member{
@@ -50,8 +50,8 @@
 	return out
 }
 
-// Owned tells of each destination, from 0 on, whether a real courier owns it.
-func (p Plan) Owned(m *partition.Membership) []bool {
+// OwnedDestinations reports for each destination, counted from 0, whether a real courier owns it.
+func (p Plan) OwnedDestinations(m *partition.Membership) []bool {
 	parts := make([]bool, p.Partitions)
 	for n := range p.Couriers {
 		if p.IsReal(n) {
@@ -67,11 +67,11 @@
 	return out
 }
 
-// Calls decides which destinations have endpoints that listen, so many as Listening says, and
-// which may have messages. With partitions, owned are those that a real courier owns: these listen,
-// as far as they may be that many, and those that could not have no messages. Without (nil) the
-// first ones listen, and may says nothing.
-func (p Plan) Calls(m Machine, owned []bool) (listens []bool, may []int32) {
+// Listeners decides which destinations get listening endpoints, up to Listening(m), and which may
+// receive messages. With partitions, owned marks the destinations that real couriers own: these
+// listen as far as the limit allows, and the owned ones that do not listen receive no messages.
+// Without partitions (owned is nil) the first destinations listen and allowed is nil.
+func (p Plan) Listeners(m Machine, owned []bool) (listens []bool, allowed []int32) {
 	listens = make([]bool, p.Destinations)
 	left := p.Listening(m)
 	for d := range listens {
@@ -85,67 +85,67 @@
 	}
 	for d := range owned {
 		if !owned[d] || listens[d] {
-			may = append(may, int32(d))
+			allowed = append(allowed, int32(d))
 		}
 	}
-	return listens, may
+	return listens, allowed
 }
 
-// called is how many destinations real couriers may own, reckoned high.
-func (p Plan) called() int {
+// calledDestinations returns an upper estimate of how many destinations real couriers own.
+func (p Plan) calledDestinations() int {
 	if p.Partitions == 0 {
 		return p.Destinations
 	}
-	own := min(1, float64(p.Real*p.Copies)/float64(p.inRegion(0)))
-	return int(2*own*float64(p.Destinations)) + calledLeast
+	owned := min(1, float64(p.Real*p.Copies)/float64(p.couriersInRegion(0)))
+	return int(2*owned*float64(p.Destinations)) + calledMargin
 }
 
-// calledLeast is room for what few destinations in few partitions are off the mean.
-const calledLeast = 64
+// calledMargin allows for the deviation from the mean when there are few destinations or partitions.
+const calledMargin = 64
 
-// share is the part of the list that a courier has, on average.
-func (p Plan) share() float64 {
+// listShare returns the share of the list that a courier holds on average.
+func (p Plan) listShare() float64 {
 	if p.Partitions == 0 {
 		return 1
 	}
-	return p.held() / float64(p.Couriers)
+	return p.entryCopies() / float64(p.Couriers)
 }
 
-// held is how often an entry of the list is held, over all couriers.
-func (p Plan) held() (n float64) {
+// entryCopies returns how many copies of a list entry exist, over all couriers.
+func (p Plan) entryCopies() (n float64) {
 	for r := range p.Regions {
-		n += float64(min(p.Copies, p.inRegion(r)))
+		n += float64(min(p.Copies, p.couriersInRegion(r)))
 	}
 	return n
 }
 
-// partsMemory is about what partitions take in bytes, all processes together.
-func (p Plan) partsMemory() float64 {
+// partitionMemory estimates the memory that partitions take in all processes together, in bytes.
+func (p Plan) partitionMemory() float64 {
 	if p.Partitions == 0 {
 		return 0
 	}
-	ends, n, parts := float64(p.Destinations)*float64(p.Endpoints), float64(p.Couriers), float64(p.Partitions)
-	known := bytesMember*n + bytesOwner*parts*float64(p.Copies*p.Regions)
-	return n*bytesClients + p.Forwards()*bytesForward + bytesPart*parts*p.held() + bytesTold*ends*p.held() + float64(p.Real+1)*known
+	endpoints, n, parts := float64(p.Destinations)*float64(p.Endpoints), float64(p.Couriers), float64(p.Partitions)
+	membership := bytesMember*n + bytesOwner*parts*float64(p.Copies*p.Regions)
+	return n*bytesClients + p.ForwardConnections()*bytesForward + bytesPartition*parts*p.entryCopies() + bytesAnswerEntry*endpoints*p.entryCopies() + float64(p.Real+1)*membership
 }
 
-// Forwards is about how many connections of forwarding are open at most: one for each message of
-// the time that it is kept for.
-func (p Plan) Forwards() float64 {
+// ForwardConnections estimates the maximum number of open forwarding connections: one for each
+// message within the time that an idle connection is kept.
+func (p Plan) ForwardConnections() float64 {
 	if p.Partitions == 0 {
 		return 0
 	}
-	pairs := 0.0 // of a courier and an owner in its region
+	pairs := 0.0 // of a courier and an owner in the same region
 	for r := range p.Regions {
-		n := float64(p.inRegion(r))
+		n := float64(p.couriersInRegion(r))
 		pairs += n * (n - 1)
 	}
-	return min(pairs, p.Events*keptFor)
+	return min(pairs, p.Events*forwardIdleSeconds)
 }
 
 func (p Plan) forwardFiles() int {
 	if p.Partitions == 0 {
 		return p.Restarts
 	}
-	return p.Couriers*filesClients + int(p.Forwards())*filesForward + p.Restarts
+	return p.Couriers*filesClients + int(p.ForwardConnections())*filesForward + p.Restarts
 }
--- a/internal/scale/partitions_test.go
+++ b/internal/scale/partitions_test.go
@@ -19,13 +19,13 @@
 	return out
 }
 
-// What no run with partitions can have is named with its flag.
+// Check names the flag of each invalid value.
 func TestCheckPartitions(t *testing.T) {
 	require.NoError(t, plan(func(p *Plan) { p.Partitions, p.Copies = 512, 2 }).Check())
 	for flag, change := range map[string]func(p *Plan){
 		"--partitions: -1":    func(p *Plan) { p.Partitions = -1 },
 		"--partitions: 65537": func(p *Plan) { p.Partitions = 65537 },
-		"--partitions: 8192":  func(p *Plan) { p.Partitions, p.Regions = 8192, 10 }, // three in each
+		"--partitions: 8192":  func(p *Plan) { p.Partitions, p.Regions = 8192, 10 }, // three couriers in each region
 		"--copies: 0":         func(p *Plan) { p.Copies = 0 },
 		"--copies: 5":         func(p *Plan) { p.Partitions, p.Copies = 16, 5 },
 		"--copies: 2 ":        func(p *Plan) { p.Copies = 2 },
@@ -37,9 +37,9 @@
 	}
 }
 
-// Whatever a real courier is sent it can deliver: of what real ones own that alone has messages
-// that listens. What they do not own has messages all the same.
-func TestCalls(t *testing.T) {
+// Real couriers can deliver every message they receive: of the destinations that real couriers own,
+// only listening ones get messages. Destinations that they do not own get messages regardless.
+func TestListeners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := plan(func(p *Plan) {
 			p.Regions = rapid.IntRange(1, 4).Draw(t, "regions")
@@ -53,17 +53,17 @@
 		})
 		require.NoError(t, p.Check())
 		if p.Partitions == 0 {
-			listens, may := p.Calls(large, nil)
+			listens, may := p.Listeners(large, nil)
 			assert.Nil(t, may)
 			for d := range listens {
-				assert.Equal(t, d < p.Listening(large), listens[d], "the first ones")
+				assert.Equal(t, d < p.Listening(large), listens[d], "the first destinations listen")
 			}
 			return
 		}
 		m, err := partition.New(p.Partitions, p.Copies, p.Members(addrs(p.Couriers)))
 		require.NoError(t, err)
-		owned := p.Owned(m)
-		listens, may := p.Calls(large, owned)
+		owned := p.OwnedDestinations(m)
+		listens, may := p.Listeners(large, owned)
 		has := map[int32]bool{}
 		for _, d := range may {
 			has[d] = true
@@ -79,7 +79,7 @@
 			assert.Equal(t, real, owned[d])
 			assert.Equal(t, !owned[d] || listens[d], has[int32(d)])
 			if listens[d] {
-				assert.True(t, owned[d], "what no real courier calls need not listen")
+				assert.True(t, owned[d], "only destinations of real couriers listen")
 				n++
 			}
 		}
@@ -97,16 +97,16 @@
 	})
 }
 
-// With partitions each courier holds a part, so that more fits; listeners and connections of
-// forwarding take descriptors.
-func TestFitsPartitions(t *testing.T) {
+// With partitions each courier holds a part of the list, so larger runs fit into memory. Listeners
+// and forwarding connections need file descriptors.
+func TestCheckMachinePartitions(t *testing.T) {
 	big := func(p *Plan) { p.Couriers, p.Destinations, p.Endpoints = 3400, 130_000, 1 }
-	assert.ErrorContains(t, plan(big).Fits(large), "half of this machine's memory")
+	assert.ErrorContains(t, plan(big).CheckMachine(large), "half of this machine's memory")
 	parts := func(p *Plan) {
 		big(p)
 		p.Partitions = 16384
 	}
-	assert.NoError(t, plan(parts).Fits(large))
+	assert.NoError(t, plan(parts).CheckMachine(large))
 	assert.Less(t, plan(parts).Memory(), plan(big).Memory()/10)
 	assert.Less(t, plan(parts).Memory(), plan(func(p *Plan) { parts(p); p.Copies = 2 }).Memory())
 	for words, change := range map[string]func(p *Plan){
@@ -114,15 +114,15 @@
 		"half of this machine's memory": func(p *Plan) { p.Couriers, p.Destinations, p.Partitions = 3400, 10_000_000, 16384 },
 	} {
 		p := plan(change)
-		assert.ErrorContains(t, p.Fits(large), words)
+		assert.ErrorContains(t, p.CheckMachine(large), words)
 		if p.Partitions = 0; words == "descriptors" {
-			assert.NoError(t, p.Fits(large))
+			assert.NoError(t, p.CheckMachine(large))
 		}
 	}
 	assert.NoError(t, plan(func(p *Plan) {
 		p.Couriers, p.Real, p.Destinations, p.Endpoints, p.Partitions, p.Events = 3400, 4, 13_000, 1, 65536, 1
-	}).Fits(large))
-	assert.Zero(t, plan(nil).Forwards())
-	assert.Equal(t, 360.0, plan(func(p *Plan) { p.Couriers, p.Partitions = 300, 512 }).Forwards(), "60 messages a second, kept for 6 s")
-	assert.Equal(t, 6.0, plan(func(p *Plan) { p.Couriers, p.Partitions, p.Regions = 3, 512, 1 }).Forwards(), "each knows two others")
+	}).CheckMachine(large))
+	assert.Zero(t, plan(nil).ForwardConnections())
+	assert.Equal(t, 360.0, plan(func(p *Plan) { p.Couriers, p.Partitions = 300, 512 }).ForwardConnections(), "60 messages a second, each connection kept for 6 s")
+	assert.Equal(t, 6.0, plan(func(p *Plan) { p.Couriers, p.Partitions, p.Regions = 3, 512, 1 }).ForwardConnections(), "each courier has two peers")
 }
--- a/internal/scale/scale.go
+++ b/internal/scale/scale.go
@@ -1,7 +1,6 @@
-// Package scale decides what a scale run does and what its figures say: the bounds within
-// which it may start, the traffic and the changes that it draws, fits with their errors, and
-// whether hollow couriers stand for real ones. It does no I/O, reads no clock and starts no
-// goroutine.
+// Package scale plans a scale run and evaluates its figures: the limits within which a run may
+// start, the random traffic and changes, linear fits with their confidence intervals, and whether
+// simulated couriers represent real ones. It does no I/O, reads no clock and starts no goroutine.
 package scale
 
 import (
@@ -15,28 +14,28 @@
 	"snowjunction/internal/partition"
 )
 
-// Plan is a run.
+// Plan holds the parameters of a scale run.
 type Plan struct {
 	Couriers     int     `default:"30" help:"Couriers of the fleet."`
-	Real         int     `default:"2" help:"Of these, processes of the product; the others are hollow."`
-	Destinations int     `default:"100" help:"Destinations that are listed."`
+	Real         int     `default:"2" help:"Of these, real courier processes; the others are simulated."`
+	Destinations int     `default:"100" help:"Listed destinations."`
 	Endpoints    int     `default:"1" help:"Endpoints of each destination."`
-	Down         float64 `default:"0.01" help:"Share of the destinations that are silent all through the run."`
-	Zones        int     `default:"1" help:"Zones, over which couriers and endpoints are spread."`
-	Regions      int     `default:"1" help:"Regions, over which the couriers are spread; the real ones are all in the first."`
-	Restarts     int     `default:"0" help:"Couriers that are killed and started again, spread over the run."`
-	Cuts         int     `default:"0" help:"Cuts of one region from the others, spread over the run: no note passes."`
-	CutSeconds   float64 `default:"5" help:"How long each lasts."`
-	Changes      float64 `default:"12" help:"Changes of the list a minute."`
+	Down         float64 `default:"0.01" help:"Share of the destinations that never answer."`
+	Zones        int     `default:"1" help:"Zones of the couriers and endpoints."`
+	Regions      int     `default:"1" help:"Regions of the couriers; all real ones are in the first."`
+	Restarts     int     `default:"0" help:"Couriers that are killed and restarted, spread over the run."`
+	Cuts         int     `default:"0" help:"Network partitions that cut one region off from the others, spread over the run; peer messages are dropped."`
+	CutSeconds   float64 `default:"5" help:"Duration of each cut in seconds."`
+	Changes      float64 `default:"12" help:"List changes a minute."`
 	Events       float64 `default:"60" help:"Messages a second, over the whole fleet."`
-	Settle       float64 `default:"10" help:"Seconds of traffic before the measured ones."`
-	Seconds      float64 `default:"20" help:"Seconds that are measured."`
-	Seed         uint64  `default:"1" help:"Decides all that is drawn."`
-	Partitions   int     `default:"0" help:"Partitions of the destinations, which the couriers divide among themselves; 0: each has all."`
+	Settle       float64 `default:"10" help:"Seconds of warm-up traffic before the measurement."`
+	Seconds      float64 `default:"20" help:"Measured seconds."`
+	Seed         uint64  `default:"1" help:"Random seed of the run."`
+	Partitions   int     `default:"0" help:"Partitions of the destinations, divided among the couriers; 0 means that each courier has all destinations."`
 	Copies       int     `default:"1" help:"Owners of each partition in each region."`
 }
 
-// Check names the first value that no run can have.
+// Check returns an error that names the first invalid value.
 func (p Plan) Check() error {
 	over := func(name string, v float64) error {
 		if !(v > 0) || math.IsInf(v, 0) {
@@ -60,13 +59,13 @@
 	case p.Real < 0 || p.Real > p.Couriers:
 		return fmt.Errorf("--real: %d is not between 0 and the %d couriers", p.Real, p.Couriers)
 	case !(p.Down >= 0 && p.Down <= 1):
-		return fmt.Errorf("--down: %g is not a share", p.Down)
+		return fmt.Errorf("--down: %g is not between 0 and 1", p.Down)
 	case p.Restarts < 0:
-		return fmt.Errorf("--restarts: %d is under 0", p.Restarts)
+		return fmt.Errorf("--restarts: %d is negative", p.Restarts)
 	case p.Cuts < 0:
-		return fmt.Errorf("--cuts: %d is under 0", p.Cuts)
+		return fmt.Errorf("--cuts: %d is negative", p.Cuts)
 	case !(p.Changes >= 0) || math.IsInf(p.Changes, 0):
-		return fmt.Errorf("--changes: %g is not a number from 0 on", p.Changes)
+		return fmt.Errorf("--changes: %g is not a finite number of at least 0", p.Changes)
 	case p.Partitions < 0 || p.Partitions > partition.MaxPartitions:
 		return fmt.Errorf("--partitions: %d is not between 0 and %d", p.Partitions, partition.MaxPartitions)
 	case p.Copies < 1 || p.Copies > partition.CopiesMax:
@@ -76,91 +75,91 @@
 	case p.Cuts > 0 && p.Regions < 2:
 		return fmt.Errorf("--cuts: %d need two regions at least", p.Cuts)
 	case p.Regions > p.Couriers:
-		return fmt.Errorf("--regions: %d are more than the %d couriers", p.Regions, p.Couriers)
-	case p.Real > p.inRegion(0):
-		return fmt.Errorf("--real: %d are more than the first region's %d couriers", p.Real, p.inRegion(0))
-	case p.owns() > OwnMost:
-		return fmt.Errorf("--partitions: %d are too many for so few couriers: one would own about %.0f, over %d", p.Partitions, p.owns(), OwnMost)
+		return fmt.Errorf("--regions: %d is more than the %d couriers", p.Regions, p.Couriers)
+	case p.Real > p.couriersInRegion(0):
+		return fmt.Errorf("--real: %d is more than the first region's %d couriers", p.Real, p.couriersInRegion(0))
+	case p.partitionsPerCourier() > MaxOwned:
+		return fmt.Errorf("--partitions: %d are too many for so few couriers: one would own about %.0f, over %d", p.Partitions, p.partitionsPerCourier(), MaxOwned)
 	case float64(p.Cuts)*p.CutSeconds > p.Seconds:
 		return fmt.Errorf("--cuts: %d of %g s do not fit into %g s", p.Cuts, p.CutSeconds, p.Seconds)
 	}
 	return nil
 }
 
-func (p Plan) inRegion(n int) int { return (p.Couriers - n + p.Regions - 1) / p.Regions }
+func (p Plan) couriersInRegion(n int) int { return (p.Couriers - n + p.Regions - 1) / p.Regions }
 
-// Region is a courier's, Zone its zone; a zone may span regions where their numbers do not
-// divide.
+// Region returns the region of a courier. A zone may span regions if neither number divides the
+// other.
 func (p Plan) Region(courier int) int { return courier % p.Regions }
 
-// Zone is the zone of a courier or an endpoint, by its number.
+// Zone returns the zone of a courier or an endpoint by its number.
 func (p Plan) Zone(number int) int { return number % p.Zones }
 
-// IsReal tells whether a courier is a process of its own: the first ones of the first region.
+// IsReal reports whether a courier is a process of its own: the first ones of the first region are.
 func (p Plan) IsReal(courier int) bool {
 	return p.Region(courier) == 0 && courier/p.Regions < p.Real
 }
 
-// Machine is what a run may use.
+// Machine is the machine's resources that a run may use.
 type Machine struct {
-	Memory int64 // bytes, in all
-	Files  int   // descriptors of a process
+	Memory int64 // bytes in total
+	Files  int   // file descriptors of one process
 }
 
-// What a run needs, as measured: reckoned high, as a run that does not fit takes the machine
-// with it.
+// Resources that a run needs, as measured and rounded up: a run that exceeds the machine's memory
+// takes the machine down with it.
 const (
-	ProcessesMost  = 300     // with the one that runs them
-	memoryShare    = 0.5     // of the machine's
-	bytesCourier   = 256_000 // of a hollow one, without its list
-	bytesPeer      = 40      // of it in its table of peers' names
-	bytesEntry     = 110     // of an endpoint in a courier's list
-	bytesListed    = 700     // of an endpoint in the directory, as it is held and as it is told
-	bytesPartner   = 1_500   // of a destination in the stand-in
-	bytesReal      = 24_000_000
-	filesCourier   = 3 // a socket for notes, both ends of a watch
-	filesReal      = 9
-	filesRest      = 256
-	ListeningMost  = 4_000 // endpoints that really listen
-	listenSockets  = 2     // of one that listens: it and a connection
-	shareListening = 0.4   // of the descriptors
+	MaxProcesses        = 300     // including the measuring process
+	memoryShare         = 0.5     // share of the machine's memory
+	bytesSimulated      = 256_000 // a simulated courier without its list
+	bytesPeer           = 40      // one peer in a courier's address table
+	bytesListEntry      = 110     // one endpoint in a courier's list
+	bytesDirectoryEntry = 700     // one endpoint in the directory, as stored and as encoded
+	bytesPartner        = 1_500   // one destination in the stand-in partners
+	bytesRealCourier    = 24_000_000
+	filesCourier        = 3 // a socket for peer messages, both ends of a watch
+	filesRealCourier    = 9
+	filesOther          = 256
+	MaxListening        = 4_000 // endpoints that accept connections
+	filesListening      = 2     // of a listening endpoint: its listener and one connection
+	listeningShare      = 0.4   // share of the file descriptors
 )
 
-// Listening is how many destinations have endpoints that listen, at most: those that real couriers
-// call. Hollow ones call all.
+// Listening returns the maximum number of destinations with listening endpoints. Only real couriers
+// connect to them; simulated couriers send to every destination without a connection.
 func (p Plan) Listening(m Machine) int {
 	if p.Real == 0 {
 		return 0
 	}
-	most := min(ListeningMost, int(shareListening*float64(m.Files))/listenSockets)
-	return max(1, min(p.Destinations, most/p.Endpoints, p.called()))
+	maxEndpoints := min(MaxListening, int(listeningShare*float64(m.Files))/filesListening)
+	return max(1, min(p.Destinations, maxEndpoints/p.Endpoints, p.calledDestinations()))
 }
 
-// Memory is about what a run takes in bytes, all its processes together.
+// Memory estimates the memory that all processes of a run take together, in bytes.
 func (p Plan) Memory() float64 {
-	ends, n := float64(p.Destinations)*float64(p.Endpoints), float64(p.Couriers)
-	hollow := n - float64(p.Real)
-	own, parts := p.share()*ends, p.partsMemory()
-	return hollow*(bytesCourier+bytesEntry*own) + float64(p.Real)*(bytesReal+2*bytesEntry*own+bytesPeer*n) +
-		bytesListed*ends + bytesPartner*float64(p.Destinations) + parts
+	endpoints, n := float64(p.Destinations)*float64(p.Endpoints), float64(p.Couriers)
+	simulated := n - float64(p.Real)
+	ownEntries, parts := p.listShare()*endpoints, p.partitionMemory()
+	return simulated*(bytesSimulated+bytesListEntry*ownEntries) + float64(p.Real)*(bytesRealCourier+2*bytesListEntry*ownEntries+bytesPeer*n) +
+		bytesDirectoryEntry*endpoints + bytesPartner*float64(p.Destinations) + parts
 }
 
-// Fits names the limit of the machine that a run would pass.
-func (p Plan) Fits(m Machine) error {
-	most := memoryShare * float64(m.Memory)
-	files := p.Couriers*filesCourier + p.Real*filesReal + p.Listening(m)*p.Endpoints*listenSockets + filesRest + p.forwardFiles()
+// CheckMachine returns an error that names the machine limit a run would exceed.
+func (p Plan) CheckMachine(m Machine) error {
+	maxMemory := memoryShare * float64(m.Memory)
+	files := p.Couriers*filesCourier + p.Real*filesRealCourier + p.Listening(m)*p.Endpoints*filesListening + filesOther + p.forwardFiles()
 	switch {
-	case p.Real+1 > ProcessesMost:
-		return fmt.Errorf("--real: %d processes are more than %d", p.Real+1, ProcessesMost)
-	case p.Memory() > most:
-		return fmt.Errorf("about %.1f GB are more than half of this machine's memory, %.1f GB", p.Memory()/1e9, most/1e9)
+	case p.Real+1 > MaxProcesses:
+		return fmt.Errorf("--real: %d processes are more than %d", p.Real+1, MaxProcesses)
+	case p.Memory() > maxMemory:
+		return fmt.Errorf("about %.1f GB is more than half of this machine's memory, %.1f GB", p.Memory()/1e9, maxMemory/1e9)
 	case files > m.Files:
-		return fmt.Errorf("about %d descriptors are more than the %d that a process may have", files, m.Files)
+		return fmt.Errorf("about %d file descriptors are more than the process limit of %d", files, m.Files)
 	}
 	return nil
 }
 
-// Meminfo reads the machine's memory in bytes from the text of /proc/meminfo.
+// Meminfo returns the machine's memory in bytes from the text of /proc/meminfo.
 func Meminfo(text string) (int64, error) {
 	for _, line := range strings.Split(text, "\n") {
 		var kb int64
@@ -168,88 +167,88 @@
 			return kb << 10, nil
 		}
 	}
-	return 0, fmt.Errorf("no MemTotal")
+	return 0, fmt.Errorf("meminfo has no MemTotal line")
 }
 
-// Moment is when something happens in a run, counted from the first measured second, and to
-// which courier or region.
-type Moment struct {
-	At, For time.Duration
-	Whom    int
+// Event is a scheduled event of a run: its time counted from the first measured second, its
+// duration, and the number of the courier, region or endpoint that it affects.
+type Event struct {
+	At, Duration time.Duration
+	Index        int
 }
 
-// Restarted are the couriers that are killed, and when: none twice.
-func (p Plan) Restarted() (out []Moment) {
+// RestartEvents returns the couriers that are killed and restarted, each at most once.
+func (p Plan) RestartEvents() (out []Event) {
 	rng := p.rng(1)
-	whom := rng.Perm(p.Couriers)
+	order := rng.Perm(p.Couriers)
 	for i := range min(p.Restarts, p.Couriers) {
-		out = append(out, Moment{At: p.nth(i, p.Restarts), Whom: whom[i]})
+		out = append(out, Event{At: p.eventTime(i, p.Restarts), Index: order[i]})
 	}
 	return out
 }
 
-// Parted are the cuts.
-func (p Plan) Parted() (out []Moment) {
+// CutEvents returns the network partitions of a region.
+func (p Plan) CutEvents() (out []Event) {
 	rng := p.rng(2)
 	for i := range p.Cuts {
-		out = append(out, Moment{At: p.nth(i, p.Cuts), For: span(p.CutSeconds), Whom: rng.IntN(p.Regions)})
+		out = append(out, Event{At: p.eventTime(i, p.Cuts), Duration: seconds(p.CutSeconds), Index: rng.IntN(p.Regions)})
 	}
 	return out
 }
 
-// Changed are the endpoints, by number, that change.
-func (p Plan) Changed() (out []Moment) {
+// ChangeEvents returns the endpoints, by number, whose list entries change.
+func (p Plan) ChangeEvents() (out []Event) {
 	rng := p.rng(3)
 	n := int(math.Round(p.Changes * p.Seconds / 60))
 	for i := range n {
-		out = append(out, Moment{At: p.nth(i, n), Whom: rng.IntN(p.Destinations * p.Endpoints)})
+		out = append(out, Event{At: p.eventTime(i, n), Index: rng.IntN(p.Destinations * p.Endpoints)})
 	}
 	return out
 }
 
-// nth is the beginning of the ith of n equal parts of the run.
-func (p Plan) nth(i, n int) time.Duration { return span(p.Seconds * float64(i) / float64(n)) }
+// eventTime returns the start of the i-th of n equal parts of the run.
+func (p Plan) eventTime(i, n int) time.Duration { return seconds(p.Seconds * float64(i) / float64(n)) }
 
-// Silent are the destinations that are down, from 0 on; where the share is over 0, one at
-// least is.
-func (p Plan) Silent() []int {
+// SilentDestinations returns the destinations that are down, counted from 0: at least one if
+// the share is positive.
+func (p Plan) SilentDestinations() []int {
 	n := int(math.Ceil(p.Down * float64(p.Destinations)))
 	out := p.rng(4).Perm(p.Destinations)[:n]
 	slices.Sort(out)
 	return out
 }
 
-// Arrivals is one courier's traffic: a Poisson process, each message to a destination drawn
-// evenly.
+// Arrivals generates the traffic of one courier: a Poisson process whose messages have uniformly
+// distributed destinations.
 type Arrivals struct {
-	rng  *rand.Rand
-	rate float64
-	most int
-	may  []int32 // the destinations; nil: the first ones, up to most
+	rng          *rand.Rand
+	rate         float64
+	destinations int
+	allowed      []int32 // allowed destinations; nil means the first ones, up to most
 }
 
-// Arrivals returns those of a courier, to the first destinations.
+// Arrivals returns the traffic of a courier to the first destinations.
 func (p Plan) Arrivals(courier, destinations int) *Arrivals {
 	return &Arrivals{p.rng(1000 + uint64(courier)), p.Events / float64(p.Couriers), destinations, nil}
 }
 
-// ArrivalsAt returns those of a courier, to these destinations.
+// ArrivalsAt returns the traffic of a courier to the given destinations.
 func (p Plan) ArrivalsAt(courier int, may []int32) *Arrivals {
 	a := p.Arrivals(courier, len(may))
-	a.may = may
+	a.allowed = may
 	return a
 }
 
-// Next draws after how long the next message comes, for which destination, from 0 on, and
-// whether it is of the class with idempotency keys: one in four is.
+// Next draws the delay until the next message, its destination, counted from 0, and whether it has
+// an idempotency key: one message in four does.
 func (a *Arrivals) Next() (after time.Duration, destination int, keyed bool) {
-	after, destination, keyed = span(a.rng.ExpFloat64()/a.rate), a.rng.IntN(a.most), a.rng.IntN(4) == 0
-	if a.may != nil {
-		destination = int(a.may[destination])
+	after, destination, keyed = seconds(a.rng.ExpFloat64()/a.rate), a.rng.IntN(a.destinations), a.rng.IntN(4) == 0
+	if a.allowed != nil {
+		destination = int(a.allowed[destination])
 	}
 	return after, destination, keyed
 }
 
 func (p Plan) rng(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(p.Seed, stream)) }
 
-func span(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -24,7 +24,7 @@
 
 var large = Machine{Memory: 24 << 30, Files: 20000}
 
-// What no run can have is named with its flag.
+// Check names the flag of each invalid value.
 func TestCheck(t *testing.T) {
 	require.NoError(t, plan(nil).Check())
 	for flag, change := range map[string]func(p *Plan){
@@ -41,7 +41,7 @@
 		"--settle: 0":        func(p *Plan) { p.Settle = 0 },
 		"--real: -1":         func(p *Plan) { p.Real = -1 },
 		"--real: 31":         func(p *Plan) { p.Real = 31 },
-		"--real: 11":         func(p *Plan) { p.Real = 11 }, // ten are in the first region
+		"--real: 11":         func(p *Plan) { p.Real = 11 }, // the first region has ten couriers
 		"--down: 1.5":        func(p *Plan) { p.Down = 1.5 },
 		"--down: NaN":        func(p *Plan) { p.Down = math.NaN() },
 		"--restarts: -1":     func(p *Plan) { p.Restarts = -1 },
@@ -57,24 +57,24 @@
 	}
 }
 
-// A run past the machine is refused, and one within it is not.
-func TestFits(t *testing.T) {
-	require.NoError(t, plan(nil).Fits(large))
+// CheckMachine refuses a run that exceeds the machine's limits and accepts one within them.
+func TestCheckMachine(t *testing.T) {
+	require.NoError(t, plan(nil).CheckMachine(large))
 	for words, change := range map[string]func(p *Plan){
 		"301 processes are more than 300": func(p *Plan) { p.Couriers, p.Real, p.Regions = 400, 300, 1 },
 		"half of this machine's memory":   func(p *Plan) { p.Couriers, p.Destinations = 3400, 1_300_000 },
 		"descriptors":                     func(p *Plan) { p.Couriers, p.Destinations = 7000, 1000 },
 	} {
-		assert.ErrorContains(t, plan(change).Fits(large), words)
+		assert.ErrorContains(t, plan(change).CheckMachine(large), words)
 	}
-	for _, p := range []Plan{ // those that are to be shown
+	for _, p := range []Plan{ // sizes that have to be measurable on this machine
 		plan(func(p *Plan) { p.Couriers, p.Destinations, p.Endpoints = 3400, 13_000, 1 }),
 		plan(func(p *Plan) { p.Couriers, p.Destinations, p.Endpoints = 340, 130_000, 1 }),
 		plan(func(p *Plan) {
 			p.Couriers, p.Real, p.Regions, p.Destinations, p.Endpoints = 1, 1, 1, 1_300_000, 1
 		}),
 	} {
-		assert.NoError(t, p.Fits(large))
+		assert.NoError(t, p.CheckMachine(large))
 	}
 	n, err := Meminfo("MemFree:  7 kB\nMemTotal:       24729600 kB\n")
 	require.NoError(t, err)
@@ -83,8 +83,8 @@
 	assert.Error(t, err)
 }
 
-// What is drawn is the seed's, stays in the run, and is as much as the flags say.
-func TestDraws(t *testing.T) {
+// Random draws depend on the seed alone, stay within the run, and have the number the flags ask for.
+func TestRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := plan(func(p *Plan) {
 			p.Couriers = rapid.IntRange(3, 200).Draw(t, "couriers")
@@ -95,32 +95,32 @@
 			p.Seed = rapid.Uint64().Draw(t, "seed")
 		})
 		require.NoError(t, p.Check())
-		length := span(p.Seconds)
-		whom := map[int]bool{}
-		for _, m := range p.Restarted() {
-			assert.False(t, whom[m.Whom], "one courier twice")
-			whom[m.Whom] = true
+		length := seconds(p.Seconds)
+		restarted := map[int]bool{}
+		for _, m := range p.RestartEvents() {
+			assert.False(t, restarted[m.Index], "a courier restarts twice")
+			restarted[m.Index] = true
 			assert.Less(t, m.At, length)
 		}
-		assert.Len(t, whom, min(p.Restarts, p.Couriers))
+		assert.Len(t, restarted, min(p.Restarts, p.Couriers))
 		end := time.Duration(0)
-		for _, m := range p.Parted() {
-			assert.GreaterOrEqual(t, m.At, end, "one after another")
-			end = m.At + m.For
-			assert.Less(t, m.Whom, p.Regions)
+		for _, m := range p.CutEvents() {
+			assert.GreaterOrEqual(t, m.At, end, "cuts overlap")
+			end = m.At + m.Duration
+			assert.Less(t, m.Index, p.Regions)
 		}
 		assert.LessOrEqual(t, end, length)
-		assert.Len(t, p.Changed(), 10)
-		assert.Len(t, p.Silent(), int(math.Ceil(p.Down*100)))
+		assert.Len(t, p.ChangeEvents(), 10)
+		assert.Len(t, p.SilentDestinations(), int(math.Ceil(p.Down*100)))
 		real := 0
 		for n := range p.Couriers {
 			if p.IsReal(n) {
 				real++
-				assert.Zero(t, p.Region(n), "cuts do not pass between real couriers")
+				assert.Zero(t, p.Region(n), "cuts must not separate real couriers")
 			}
 		}
 		assert.Equal(t, p.Real, real)
-		assert.Equal(t, p.Restarted(), p.Restarted())
+		assert.Equal(t, p.RestartEvents(), p.RestartEvents())
 		a, b := p.Arrivals(1, 5), p.Arrivals(1, 5)
 		for range 20 {
 			after, dest, keyed := a.Next()
@@ -131,10 +131,10 @@
 	})
 }
 
-// A line is found with an error that holds it; what bends is said to.
+// The slope's confidence interval contains the true slope, and curvature is detected.
 func TestFit(t *testing.T) {
 	x := Sizes(100)
-	require.Len(t, x, PointsLeast)
+	require.Len(t, x, FitSizes)
 	of := func(f func(x, noise float64) float64) (y []float64) {
 		for i, v := range x {
 			y = append(y, f(v, []float64{1, -1, 0.5, -1, 0.5}[i]))
@@ -151,7 +151,7 @@
 	assert.InDelta(t, 2, l.Power, 0.05)
 	assert.False(t, Fit(x, of(func(x, noise float64) float64 { return 100*math.Sqrt(x) + noise })).Linear)
 	l = Fit(x, of(func(x, noise float64) float64 { return 100/x + noise/100 }))
-	assert.False(t, l.Linear, "what is shared by all: %+v", l)
+	assert.False(t, l.Linear, "a constant shared by all couriers: %+v", l)
 	assert.InDelta(t, -1, l.Power, 0.05)
 	assert.True(t, Fit(x, of(func(x, noise float64) float64 { return 10 + x/10 + noise })).Linear)
 	flat := Fit(x, of(func(float64, float64) float64 { return 5 }))
@@ -163,10 +163,10 @@
 }
 
 func TestAgreement(t *testing.T) {
-	assert.True(t, Compare("", 100, 109).Holds())
-	assert.True(t, Compare("", 100, 91).Holds())
-	assert.False(t, Compare("", 100, 111).Holds())
-	assert.False(t, Compare("", 100, 89).Holds())
-	assert.False(t, Compare("", 0, 1).Holds(), "the real ones have none")
-	assert.True(t, Compare("", 0, 0).Holds())
+	assert.True(t, Compare("", 100, 109).WithinTolerance())
+	assert.True(t, Compare("", 100, 91).WithinTolerance())
+	assert.False(t, Compare("", 100, 111).WithinTolerance())
+	assert.False(t, Compare("", 100, 89).WithinTolerance())
+	assert.False(t, Compare("", 0, 1).WithinTolerance(), "the real couriers have none")
+	assert.True(t, Compare("", 0, 0).WithinTolerance())
 }
