--- a/internal/measure/directory.go
+++ b/internal/measure/directory.go
@@ -18,65 +18,65 @@
 	"snowjunction/internal/standin/partner"
 )
 
-// Directory are the options of the measurement of starts with the directory down, and
-// of what is learnt across restarts.
+// Directory holds the options for measuring starts while the directory is down, and the effect of
+// learned state across restarts.
 type Directory struct {
 	Starts   int     `default:"10" help:"Starts of each kind."`
-	Partners int     `default:"20" help:"Partners, of two endpoints."`
+	Partners int     `default:"20" help:"Partners, with two endpoints each."`
 	Rate     float64 `default:"120" help:"Messages a second."`
-	Seeds    int     `default:"1000" help:"Seeds in the emulator; ten minutes' silence takes a hundredth of them."`
-	JSON     string  `placeholder:"FILE" help:"Where the figures go, too."`
+	Seeds    int     `default:"1000" help:"Seeds in the emulator; the ten-minute outage runs with a hundredth of them."`
+	JSON     string  `placeholder:"FILE" help:"Also write the figures to this file."`
 	Exe      string  `kong:"-"`
 }
 
-// DirectoryFigures are what it measures.
+// DirectoryFigures holds the measured figures.
 type DirectoryFigures struct {
-	Machine      string             `json:"machine"`
-	FirstMs      map[string]float64 `json:"first_delivery_ms"` // from the start of the process, median
-	FirstMostMs  map[string]float64 `json:"first_delivery_most_ms"`
-	Drained      int                `json:"drained"`             // endpoints that left while the directory was down
-	Forbidden    int                `json:"forbidden"`           // calls to them later than 1 s after takeover
-	Outage       map[string]Outage  `json:"outage"`              // with and without what was learnt
-	FolderBytes  int64              `json:"folder_bytes"`        // list and learnt state, most seen
-	JournalShare float64            `json:"learnt_write_share"`  // of the journal's writes
-	ByteShare    float64            `json:"learnt_byte_share"`   // of the journal's bytes
-	ListWrites   float64            `json:"list_writes"`         // in the run
-	Silence      map[string]float64 `json:"ten_minutes_g"`       // in the emulator, mean
-	Minute       map[string]float64 `json:"a_minute_g"`          // in the emulator, mean
-	Restarts     map[string]float64 `json:"restart_in_outage_g"` // in the emulator, mean
-	Broken       map[string]int     `json:"broken_rules"`        // in the emulator, by scenario
-	Played       map[string]int     `json:"seeds"`
+	Machine            string             `json:"machine"`
+	FirstMs            map[string]float64 `json:"first_delivery_ms"` // from the start of the process, median
+	FirstMaxMs         map[string]float64 `json:"first_delivery_most_ms"`
+	Drained            int                `json:"drained"`             // endpoints that left while the directory was down
+	CallsAfterTakeover int                `json:"forbidden"`           // calls to them later than 1 s after takeover
+	Outage             map[string]Outage  `json:"outage"`              // with and without learned state
+	FolderBytes        int64              `json:"folder_bytes"`        // list and learned state, maximum
+	JournalShare       float64            `json:"learnt_write_share"`  // share of the journal's writes
+	ByteShare          float64            `json:"learnt_byte_share"`   // share of the journal's bytes
+	ListWrites         float64            `json:"list_writes"`         // in the run
+	TenMinutesG        map[string]float64 `json:"ten_minutes_g"`       // in the emulator, mean
+	OneMinuteG         map[string]float64 `json:"a_minute_g"`          // in the emulator, mean
+	RestartInOutageG   map[string]float64 `json:"restart_in_outage_g"` // in the emulator, mean
+	BrokenRules        map[string]int     `json:"broken_rules"`        // in the emulator, by scenario
+	Seeds              map[string]int     `json:"seeds"`
 }
 
-// Outage is how a courier does that is killed in the middle of one.
+// Outage holds the figures of a courier that is killed in the middle of a partner outage.
 type Outage struct {
-	RecoverMs float64 `json:"recover_ms"` // from ready to as many deliveries a second as before, 90%
-	Lost      int     `json:"lost_calls"` // calls into the outage in its 5 s after the restart
-	Delivered int     `json:"delivered"`  // by sound partners in these 5 s
+	RecoverMs float64 `json:"recover_ms"` // from ready to 90% of the earlier delivery rate
+	Lost      int     `json:"lost_calls"` // calls to silent partners in the 5 s after the restart
+	Delivered int     `json:"delivered"`  // by available partners in these 5 s
 }
 
-// Run measures.
+// Run measures all parts.
 func (o Directory) Run(out io.Writer) (*DirectoryFigures, error) {
 	f := &DirectoryFigures{
-		Machine: machine(), FirstMs: map[string]float64{}, FirstMostMs: map[string]float64{}, Outage: map[string]Outage{},
-		Silence: map[string]float64{}, Minute: map[string]float64{}, Restarts: map[string]float64{}, Broken: map[string]int{}, Played: map[string]int{},
+		Machine: describeMachine(), FirstMs: map[string]float64{}, FirstMaxMs: map[string]float64{}, Outage: map[string]Outage{},
+		TenMinutesG: map[string]float64{}, OneMinuteG: map[string]float64{}, RestartInOutageG: map[string]float64{}, BrokenRules: map[string]int{}, Seeds: map[string]int{},
 	}
 	fmt.Fprintln(out, f.Machine)
-	for _, step := range []func(io.Writer, *DirectoryFigures) error{o.starts, o.takeover, o.outages, o.emulated} {
+	for _, step := range []func(io.Writer, *DirectoryFigures) error{o.measureStarts, o.measureTakeover, o.measureOutages, o.runEmulated} {
 		if err := step(out, f); err != nil {
 			return nil, err
 		}
 	}
-	return f, save(o.JSON, f)
+	return f, writeFigures(o.JSON, f)
 }
 
-// town is partners, a directory and the folder of a courier.
-type town struct {
+// directoryTestbed is a set of partners with a directory and a courier's state directory.
+type directoryTestbed struct {
 	*rig.Kitchen
 	dir string
 }
 
-func (o Directory) town() (*town, error) {
+func (o Directory) newTestbed() (*directoryTestbed, error) {
 	dir, err := os.MkdirTemp("", "snowjunction-directory-")
 	if err != nil {
 		return nil, err
@@ -93,15 +93,15 @@
 		os.RemoveAll(dir)
 		return nil, err
 	}
-	return &town{k, dir}, nil
+	return &directoryTestbed{k, dir}, nil
 }
 
-func (t *town) close() {
+func (t *directoryTestbed) close() {
 	t.Close()
 	os.RemoveAll(t.dir)
 }
 
-func (t *town) start(exe string, file map[string]any) (*rig.Courier, *load.Client, error) {
+func (t *directoryTestbed) startCourier(exe string, file map[string]any) (*rig.Courier, *load.Client, error) {
 	c, err := rig.Start(exe, rig.Config{
 		Dir: t.dir, Discovery: t.Directory.Addr(), Settings: rig.Large(48, 1000, 1000), MemoryMB: 64, Sockets: 512, OperatorDirectory: file,
 	})
@@ -111,8 +111,8 @@
 	return c, load.New(c.Addr, ""), nil
 }
 
-// stream hands messages in, spread over the partners, until it is told to end.
-func (o Directory) stream(client *load.Client, name string, done <-chan struct{}) *sync.WaitGroup {
+// sendMessages submits messages, spread over the partners, until done is closed.
+func (o Directory) sendMessages(client *load.Client, name string, done <-chan struct{}) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		t := time.NewTicker(time.Duration(float64(time.Second) / o.Rate))
@@ -130,7 +130,7 @@
 	return &wg
 }
 
-func (t *town) delivered(of func(dest uint32) bool) (n int) {
+func (t *directoryTestbed) delivered(of func(dest uint32) bool) (n int) {
 	t.Farm.Each(func(d uint32, p *partner.Partner) {
 		if of(d) {
 			n += p.Counts.Delivered
@@ -139,24 +139,24 @@
 	return n
 }
 
-func all(uint32) bool { return true }
+func allDestinations(uint32) bool { return true }
 
-// starts measures the time from a process's start to its first delivery.
-func (o Directory) starts(out io.Writer, f *DirectoryFigures) error {
-	t, err := o.town()
+// measureStarts measures the time from the start of a process to its first delivery.
+func (o Directory) measureStarts(out io.Writer, f *DirectoryFigures) error {
+	t, err := o.newTestbed()
 	if err != nil {
 		return err
 	}
 	defer t.close()
-	warm := func() error { // a life that leaves a list
-		c, client, err := t.start(o.Exe, nil)
+	warm := func() error { // a previous run that leaves a list
+		c, client, err := t.startCourier(o.Exe, nil)
 		if err != nil {
 			return err
 		}
 		defer c.Kill()
 		defer client.Close()
 		for d := range o.Partners {
-			if err := t.first(client, fmt.Sprintf("warm%d", d), uint32(d+1)); err != nil {
+			if err := t.awaitFirstDelivery(client, fmt.Sprintf("warm%d", d), uint32(d+1)); err != nil {
 				return err
 			}
 		}
@@ -168,14 +168,14 @@
 	}
 	for _, kind := range []string{"directory up", "directory down, list kept"} {
 		t.Directory.Down(kind != "directory up")
-		h := newTimes()
+		h := newLatencyHistogram()
 		for n := range o.Starts {
 			begun := time.Now()
-			c, client, err := t.start(o.Exe, nil)
+			c, client, err := t.startCourier(o.Exe, nil)
 			if err != nil {
 				return err
 			}
-			err = t.first(client, fmt.Sprintf("%s%d", kind[len(kind)-2:], n), uint32(n%o.Partners+1))
+			err = t.awaitFirstDelivery(client, fmt.Sprintf("%s%d", kind[len(kind)-2:], n), uint32(n%o.Partners+1))
 			h.Add(time.Since(begun))
 			client.Close()
 			c.Kill()
@@ -183,14 +183,14 @@
 				return err
 			}
 		}
-		f.FirstMs[kind], f.FirstMostMs[kind] = h.Ms(50), h.Max()
-		fmt.Fprintf(out, "first delivery after the start of the process, %s: median %.1f ms, most %.1f ms of %d\n", kind, h.Ms(50), h.Max(), o.Starts)
+		f.FirstMs[kind], f.FirstMaxMs[kind] = h.Ms(50), h.Max()
+		fmt.Fprintf(out, "first delivery after the start of the process, %s: median %.1f ms, maximum %.1f ms of %d\n", kind, h.Ms(50), h.Max(), o.Starts)
 	}
 	return nil
 }
 
-// first hands a message in until it is taken, and waits for its delivery.
-func (t *town) first(client *load.Client, id string, dest uint32) error {
+// awaitFirstDelivery submits a message until it is accepted, and waits for its delivery.
+func (t *directoryTestbed) awaitFirstDelivery(client *load.Client, id string, dest uint32) error {
 	seen, taken := false, false
 	for limit := time.Now().Add(20 * time.Second); time.Now().Before(limit); time.Sleep(time.Millisecond) {
 		if !taken {
@@ -203,23 +203,23 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("message %s is not delivered", id)
+	return fmt.Errorf("message %s was not delivered", id)
 }
 
-// takeover has half the endpoints leave while the directory is down over a restart, and
-// counts what they get later than 1 s after it is back.
-func (o Directory) takeover(out io.Writer, f *DirectoryFigures) error {
-	t, err := o.town()
+// measureTakeover removes half the endpoints while the directory is down during a restart, and counts the
+// calls that they get later than 1 s after the directory is back.
+func (o Directory) measureTakeover(out io.Writer, f *DirectoryFigures) error {
+	t, err := o.newTestbed()
 	if err != nil {
 		return err
 	}
 	defer t.close()
-	c, client, err := t.start(o.Exe, nil)
+	c, client, err := t.startCourier(o.Exe, nil)
 	if err != nil {
 		return err
 	}
 	done := make(chan struct{})
-	wg := o.stream(client, "a", done)
+	wg := o.sendMessages(client, "a", done)
 	time.Sleep(5 * time.Second)
 	t.Directory.Down(true)
 	time.Sleep(200 * time.Millisecond)
@@ -227,15 +227,15 @@
 	close(done)
 	wg.Wait()
 	client.Close()
-	if c, client, err = t.start(o.Exe, nil); err != nil {
+	if c, client, err = t.startCourier(o.Exe, nil); err != nil {
 		return err
 	}
 	defer c.Kill()
 	defer client.Close()
 	done = make(chan struct{})
-	wg = o.stream(client, "b", done)
+	wg = o.sendMessages(client, "b", done)
 	time.Sleep(3 * time.Second)
-	// One of each partner's two drains or is gone by now; the directory says so late.
+	// By now one of each partner's two endpoints is draining or gone; the directory reports it late.
 	list := standin.List(t.Farm.Endpoints())
 	var left []standin.Instance
 	for i, x := range list {
@@ -244,7 +244,7 @@
 			x.Lifecycle = "Terminating"
 			left = append(left, x)
 		case 2:
-			continue // gone
+			continue // removed from the list
 		default:
 			left = append(left, x)
 		}
@@ -253,10 +253,10 @@
 	t.Directory.Down(false)
 	for limit := time.Now().Add(10 * time.Second); t.Directory.Heard() < g; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			return fmt.Errorf("the directory is not heard: %s", c.Tail())
+			return fmt.Errorf("the courier did not confirm the new list: %s", c.Tail())
 		}
 	}
-	for i, x := range list { // the stand-in counts from here: its grace is 1 s
+	for i, x := range list { // the stand-in counts calls from here on, after a grace period of 1 s
 		if i%4 == 0 || i%4 == 2 {
 			t.Farm.Drains(x.HostPort)
 			f.Drained++
@@ -265,7 +265,7 @@
 	time.Sleep(5 * time.Second)
 	close(done)
 	wg.Wait()
-	t.Farm.Each(func(_ uint32, p *partner.Partner) { f.Forbidden += p.Counts.Drained })
+	t.Farm.Each(func(_ uint32, p *partner.Partner) { f.CallsAfterTakeover += p.Counts.Drained })
 	line, err := c.Counters(false)
 	if err != nil {
 		return err
@@ -276,13 +276,14 @@
 	if f.FolderBytes, err = folderBytes(filepath.Join(t.dir, "state"), "journal-"); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "takeover: %d endpoints left meanwhile, %d calls to them later than 1 s after the directory was heard\n", f.Drained, f.Forbidden)
-	fmt.Fprintf(out, "learnt state: %.0f writes, %.2f%% of the journal's %.0f, and %.2f%% of its bytes; the list written %.0f times; %d bytes on disk beside the journal\n",
+	fmt.Fprintf(out, "takeover: %d endpoints left, %d calls to them later than 1 s after the courier confirmed the new list\n", f.Drained, f.CallsAfterTakeover)
+	fmt.Fprintf(out, "learned state: %.0f writes, %.2f%% of the journal's %.0f, and %.2f%% of its bytes; the list written %.0f times; %d bytes on disk beside the journal\n",
 		rig.Number(line, "learnt", "writes"), 100*f.JournalShare, rig.Number(line, "learnt", "journal_writes"), 100*f.ByteShare, f.ListWrites, f.FolderBytes)
 	return nil
 }
 
-// folderBytes is what the files of a folder take in blocks, but for those of a prefix.
+// folderBytes returns the disk usage of the files of a directory in blocks of 512 bytes, without
+// the files with a name prefix.
 func folderBytes(dir, but string) (total int64, err error) {
 	err = filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || len(d.Name()) > len(but) && d.Name()[:len(but)] == but {
@@ -297,34 +298,34 @@
 	return total, err
 }
 
-// outages kills a courier in the middle of an outage of a quarter of the partners, and
-// looks at its first five seconds.
-func (o Directory) outages(out io.Writer, f *DirectoryFigures) error {
+// measureOutages kills a courier while a quarter of the partners are down, and measures its first five
+// seconds after the restart.
+func (o Directory) measureOutages(out io.Writer, f *DirectoryFigures) error {
 	for _, kind := range []string{"nothing kept", "learnt state kept"} {
-		x, err := o.outage(kind == "learnt state kept")
+		x, err := o.measureOutage(kind == "learnt state kept")
 		if err != nil {
 			return err
 		}
 		f.Outage[kind] = x
-		fmt.Fprintf(out, "killed in an outage of a quarter of the partners, %s: back to 90%% of the rate after %.0f ms; %d calls lost into it and %d delivered by the others in 5 s\n",
+		fmt.Fprintf(out, "killed during an outage of a quarter of the partners, %s: back to 90%% of the rate after %.0f ms; %d calls lost to silent partners and %d delivered by the others in 5 s\n",
 			kind, x.RecoverMs, x.Lost, x.Delivered)
 	}
 	return nil
 }
 
-func (o Directory) outage(learn bool) (x Outage, err error) {
-	t, err := o.town()
+func (o Directory) measureOutage(learn bool) (x Outage, err error) {
+	t, err := o.newTestbed()
 	if err != nil {
 		return x, err
 	}
 	defer t.close()
 	file := map[string]any{"learn": learn}
-	c, client, err := t.start(o.Exe, file)
+	c, client, err := t.startCourier(o.Exe, file)
 	if err != nil {
 		return x, err
 	}
 	done := make(chan struct{})
-	wg := o.stream(client, "a", done)
+	wg := o.sendMessages(client, "a", done)
 	time.Sleep(4 * time.Second)
 	struck := func(d uint32) bool { return d%4 == 1 }
 	sound := func(d uint32) bool { return !struck(d) }
@@ -350,14 +351,14 @@
 		return n
 	}
 	lost := calls()
-	if c, client, err = t.start(o.Exe, file); err != nil {
+	if c, client, err = t.startCourier(o.Exe, file); err != nil {
 		return x, err
 	}
 	defer c.Kill()
 	defer client.Close()
 	done = make(chan struct{})
 	begun, was := time.Now(), t.delivered(sound)
-	wg = o.stream(client, "b", done)
+	wg = o.sendMessages(client, "b", done)
 	const window = 250 * time.Millisecond
 	for begin, last := time.Now(), was; time.Since(begin) < 5*time.Second; {
 		time.Sleep(window)
@@ -373,27 +374,27 @@
 	return x, nil
 }
 
-// emulated plays the emulator's scenarios with what is kept and without.
-func (o Directory) emulated(out io.Writer, f *DirectoryFigures) error {
+// runEmulated runs the emulator's scenarios with and without kept state.
+func (o Directory) runEmulated(out io.Writer, f *DirectoryFigures) error {
 	for _, x := range []struct {
 		scenario string
 		seeds    int
 		to       map[string]float64
-		ways     []way
+		ways     []variant
 	}{
-		{"restart-in-silence", max(o.Seeds/100, 1), f.Silence, []way{
+		{"restart-in-silence", max(o.Seeds/100, 1), f.TenMinutesG, []variant{
 			{"no list kept", func(s *emulate.Scenario) { s.Kept.List, s.Kept.Weigh, s.Kept.Learnt = false, false, false }},
 			{"list kept", func(s *emulate.Scenario) { s.Kept.Weigh, s.Kept.Learnt = false, false }},
 			{"list kept and weighed", func(s *emulate.Scenario) { s.Kept.Learnt = false }},
 			{"list weighed, learnt state", func(*emulate.Scenario) {}},
 			{"directory up", func(s *emulate.Scenario) { s.Directory.Down = nil }},
 		}},
-		{"restart-in-silence, a minute by an old list", o.Seeds, f.Minute, []way{
-			{"no list kept", minute(func(s *emulate.Scenario) { s.Kept.List, s.Kept.Weigh, s.Kept.Learnt = false, false, false })},
-			{"list kept", minute(func(s *emulate.Scenario) { s.Kept.Weigh, s.Kept.Learnt = false, false })},
-			{"list weighed, learnt state", minute(func(*emulate.Scenario) {})},
+		{"restart-in-silence, a minute by an old list", o.Seeds, f.OneMinuteG, []variant{
+			{"no list kept", shortOutage(func(s *emulate.Scenario) { s.Kept.List, s.Kept.Weigh, s.Kept.Learnt = false, false, false })},
+			{"list kept", shortOutage(func(s *emulate.Scenario) { s.Kept.Weigh, s.Kept.Learnt = false, false })},
+			{"list weighed, learnt state", shortOutage(func(*emulate.Scenario) {})},
 		}},
-		{"restart-in-outage", o.Seeds, f.Restarts, []way{
+		{"restart-in-outage", o.Seeds, f.RestartInOutageG, []variant{
 			{"nothing kept", func(s *emulate.Scenario) { s.Kept.Learnt = false }},
 			{"learnt state", func(*emulate.Scenario) {}},
 			{"no restart", func(s *emulate.Scenario) { s.Crashes = nil }},
@@ -401,21 +402,21 @@
 	} {
 		for _, w := range x.ways {
 			scenario, _, _ := strings.Cut(x.scenario, ",")
-			sum, p99, broken, err := play(scenario, x.seeds, w.change)
+			sum, p99, broken, err := runSeeds(scenario, x.seeds, w.change)
 			if err != nil {
 				return err
 			}
 			name := x.scenario + ", " + w.name
-			x.to[w.name], f.Broken[name], f.Played[name] = sum, broken, x.seeds
+			x.to[w.name], f.BrokenRules[name], f.Seeds[name] = sum, broken, x.seeds
 			fmt.Fprintf(out, "emulated %s: G %.3f, p99 %.0f ms, %d rules broken, %d seeds\n", name, sum, p99, broken, x.seeds)
 		}
 	}
 	return nil
 }
 
-// minute is a short silence in which half the endpoints are replaced and every courier
-// restarts, with a list that counts as old.
-func minute(change func(s *emulate.Scenario)) func(s *emulate.Scenario) {
+// shortOutage returns a scenario change: a short directory outage in which half the endpoints are
+// replaced and every courier restarts, with a list that counts as old.
+func shortOutage(change func(s *emulate.Scenario)) func(s *emulate.Scenario) {
 	return func(s *emulate.Scenario) {
 		s.Seconds, s.Kept.FreshS = 60, 1
 		s.Directory.Down = []emulate.Span{{At: 8, For: 40}}
@@ -425,14 +426,14 @@
 	}
 }
 
-// way is a variant of a scenario.
-type way struct {
+// variant is a variant of a scenario.
+type variant struct {
 	name   string
 	change func(s *emulate.Scenario)
 }
 
-// play plays a scenario with many seeds on all cores.
-func play(scenario string, seeds int, change func(*emulate.Scenario)) (g, p99 float64, broken int, err error) {
+// runSeeds runs a scenario with many seeds on all cores.
+func runSeeds(scenario string, seeds int, change func(*emulate.Scenario)) (g, p99 float64, broken int, err error) {
 	s, err := emulate.Load(scenario)
 	if err != nil {
 		return 0, 0, 0, err
--- a/internal/measure/hollow.go
+++ b/internal/measure/hollow.go
@@ -27,7 +27,7 @@
 	"snowjunction/internal/store"
 )
 
-// shard is hollow couriers that share a loop and an engine, as a process does.
+// shard is a group of simulated couriers that share an event loop and a network engine.
 type shard struct {
 	loop   *core.Loop
 	engine *net.Engine
@@ -42,13 +42,13 @@
 	}
 	go func() {
 		defer close(s.ended)
-		runtime.LockOSThread() // its processor time is asked for
+		runtime.LockOSThread() // cpu reads the time of this thread
 		s.loop.Run()
 	}()
 	return s, nil
 }
 
-// on has f done on the shard's loop and waits for it.
+// on runs f on the shard's loop and waits for it.
 func (s *shard) on(f func()) {
 	done := make(chan struct{})
 	s.loop.Post(func() {
@@ -58,8 +58,8 @@
 	<-done
 }
 
-// cpu is the processor time that the shard's loop has had: decisions, lists and what is
-// sent, but not what the kernel does for those that read.
+// cpu returns the processor time of the shard's loop: decisions, lists and sending, but not the
+// kernel's work for the reading goroutines.
 func (s *shard) cpu() (d time.Duration) {
 	s.on(func() {
 		var u unix.Rusage
@@ -76,100 +76,100 @@
 	s.engine.Stop()
 }
 
-// wires are what all couriers of a run share.
-type wires struct {
-	plan      scale.Plan
-	farm      *standin.Farm
-	discovery string
-	lists     platform.ListLimits
-	names     config.Names
-	columns   []string
-	peers     *net.Peers
-	each      []string
-	members   *partition.Membership // nil: no partitions
-	may       []int32               // with them: the destinations that have messages
-	parted    atomic.Int64          // the number of the region that is cut off, and one; 0: none is
-	cut       atomic.Int64          // datagrams that met a cut
-	told      atomic.Int64          // datagrams that hollow couriers have sent
-	greetings atomic.Int64          // of these, with nothing in them but that their sender is there
-}
-
-// cuts tells whether no note passes between two couriers now.
-func (w *wires) cuts(a, b int) bool {
-	n := int(w.parted.Load()) - 1
+// sharedState holds what all couriers of a run share.
+type sharedState struct {
+	plan          scale.Plan
+	farm          *standin.Farm
+	discovery     string
+	lists         platform.ListLimits
+	names         config.Names
+	columns       []string
+	peers         *net.Peers
+	addrs         []string
+	members       *partition.Membership // nil without partitions
+	allowed       []int32               // with partitions: destinations that receive messages
+	cutRegion     atomic.Int64          // number of the region that is cut off, plus one; zero means no cut
+	cutDatagrams  atomic.Int64          // datagrams dropped by a cut
+	sentDatagrams atomic.Int64          // datagrams sent by simulated couriers
+	announcements atomic.Int64          // of these, announcements without a message
+}
+
+// separated reports whether a cut currently separates two couriers.
+func (w *sharedState) separated(a, b int) bool {
+	n := int(w.cutRegion.Load()) - 1
 	x, y := w.plan.Region(a), w.plan.Region(b)
 	return n >= 0 && x != y && (x == n || y == n)
 }
 
-// part is what went to and fro in one role. Where a datagram has notes of both, each has
-// its part of it.
-type part struct{ Sent, SentBytes, Received, ReceivedBytes float64 }
+// roleTraffic counts the datagrams sent and received in one role. A datagram with messages of both roles
+// counts for each role by its share of the messages.
+type roleTraffic struct{ Sent, SentBytes, Received, ReceivedBytes float64 }
 
-// hollow is a courier without clients and endpoints: the core, with the module in it, and
-// the front's watch are the product's own, and the notes go over a socket of its own. What
-// becomes of calls is drawn by the stand-in partners without a wire between. It belongs to
+// simulatedCourier is a simulated courier without clients and endpoints. The core with its decision module and the
+// front's directory watch are the product's own code, and peer messages go over a socket of its
+// own. Call results are drawn by the stand-in partners without a network connection. It belongs to
 // its shard's loop.
-type hollow struct {
-	*wires
+type simulatedCourier struct {
+	*sharedState
 	shard     *shard
 	number    int
 	discovery string // its own address of the directory
 	settings  snowjunction.Settings
 	arrivals  *scale.Arrivals
-	holds     func() // the list has come
-
-	front  *platform.Front
-	core   *core.Core
-	socket *net.Datagrams
-	past   net.DatagramCounts // of its earlier lives
-	passed map[string]float64 // what its earlier lives have forwarded
-	unread uint64
-	serial int
-	life   int
-	alive  bool
-	flows  bool // messages come, in each life
-	asks   part // as a carrier
-	grants part // as a keeper
-}
-
-func newHollow(w *wires, s *shard, number int, settings map[string]any, holds func()) (*hollow, error) {
+	onList    func() // called when the list has arrived
+
+	front           *platform.Front
+	core            *core.Core
+	socket          *net.Datagrams
+	pastDatagrams   net.DatagramCounts // of its previous runs
+	pastForwarded   map[string]float64 // forwarding counters of its previous runs
+	invalidMessages uint64
+	serial          int
+	runNumber       int
+	running         bool
+	hasTraffic      bool        // messages arrive, also after a restart
+	requestTraffic  roleTraffic // as a courier that requests quota
+	ownerTraffic    roleTraffic // as a lease owner
+}
+
+func newSimulatedCourier(w *sharedState, s *shard, number int, settings map[string]any, onList func()) (*simulatedCourier, error) {
 	text, err := json.Marshal(settings)
 	if err != nil {
 		return nil, err
 	}
-	h := &hollow{
-		wires: w, shard: s, number: number, discovery: w.discovery, holds: holds,
+	h := &simulatedCourier{
+		sharedState: w, shard: s, number: number, discovery: w.discovery, onList: onList,
 		arrivals: w.plan.Arrivals(number, w.plan.Destinations),
 	}
-	if w.may != nil {
-		h.arrivals = w.plan.ArrivalsAt(number, w.may)
+	if w.allowed != nil {
+		h.arrivals = w.plan.ArrivalsAt(number, w.allowed)
 	}
 	h.settings, err = config.ParseSettings(courierSeed(w.plan, number), text)
 	h.settings.PeerMessages = true
 	return h, err
 }
 
-// courierSeed is a courier's own.
+// courierSeed returns the random seed of a courier.
 func courierSeed(p scale.Plan, number int) uint64 {
 	return (p.Seed+1)*0x9e3779b97f4a7c15 ^ uint64(number+1)*0xbf58476d1ce4e5b9
 }
 
-// begin starts a life.
-func (h *hollow) begin() (err error) {
-	h.life++
+// start starts the courier, with no state from its previous run.
+func (h *simulatedCourier) start() (err error) {
+	h.runNumber++
 	log := slog.New(slog.DiscardHandler)
-	if h.socket, err = net.ListenDatagrams(h.each[h.number], h.peers, peermsg.MaxBytes, h.shard.loop.Post, log, h.noted); err != nil {
+	if h.socket, err = net.ListenDatagrams(h.addrs[h.number], h.peers, peermsg.MaxBytes, h.shard.loop.Post, log, h.receive); err != nil {
 		return err
 	}
 	h.front = platform.New(platform.Config{
 		Loop: h.shard.loop, Engine: h.shard.engine, Log: log, Discovery: h.discovery, Names: h.names,
-		ReportColumns: h.columns, Settings: h.settings, Lists: h.lists, Listen: h.clients(h.number), Router: h.router(),
+		ReportColumns: h.columns, Settings: h.settings, Lists: h.lists, Listen: h.clientAddr(h.number), Router: h.newRouter(),
 	})
 	h.core, err = core.New(core.Config{
 		Loop: h.shard.loop, Log: log, Journal: &store.Memory{}, Settings: h.settings,
-		Fronts:      []core.Front{hollowFront{h.front, h}},
+		Fronts:      []core.Front{simulatedFront{h.front, h}},
 		Directories: map[int]core.Directory{0: {Confidence: confidence.Default(), Plausibility: plausibility.Default()}},
-		Fleet:       h, OnListChange: func(int) { h.holds() },
+		Fleet:       h, OnListChange: func(int) { h.onList() },
 	})
 	if err != nil {
 		return err
@@ -177,26 +177,26 @@
 	if err := h.front.Start(h.core, platform.InitialList{}); err != nil {
 		return err
 	}
-	h.alive = true
-	if h.flows {
-		h.next()
+	h.running = true
+	if h.hasTraffic {
+		h.scheduleNext()
 	}
 	return nil
 }
 
-// end is as SIGKILL to it.
-func (h *hollow) end() {
-	h.life, h.alive = h.life+1, false
+// kill stops the courier as SIGKILL would.
+func (h *simulatedCourier) kill() {
+	h.runNumber, h.running = h.runNumber+1, false
 	h.core.Freeze(func() {})
-	h.shard.engine.Unlisten(h.clients(h.number))
+	h.shard.engine.Unlisten(h.clientAddr(h.number))
 	h.front.Close()
 	h.socket.Close()
-	h.passed = sumOf(h.passed, h.forwardedNow())
-	h.past = sum(h.past, h.socket.Counts())
-	h.unread += h.core.Counters.PeerMessagesInvalid
+	h.pastForwarded = addCounters(h.pastForwarded, h.currentForwarded())
+	h.pastDatagrams = addDatagramCounts(h.pastDatagrams, h.socket.Counts())
+	h.invalidMessages += h.core.Counters.PeerMessagesInvalid
 }
 
-func sum(a, b net.DatagramCounts) net.DatagramCounts {
+func addDatagramCounts(a, b net.DatagramCounts) net.DatagramCounts {
 	return net.DatagramCounts{
 		Sent: a.Sent + b.Sent, SentBytes: a.SentBytes + b.SentBytes, Received: a.Received + b.Received,
 		ReceivedBytes: a.ReceivedBytes + b.ReceivedBytes, UnknownSender: a.UnknownSender + b.UnknownSender,
@@ -204,22 +204,22 @@
 	}
 }
 
-// next has the next message of its traffic come, when it is due.
-func (h *hollow) next() {
+// scheduleNext schedules the next message of its traffic.
+func (h *simulatedCourier) scheduleNext() {
 	after, _, _ := h.arrivals.Next()
-	h.arrive(after)
+	h.scheduleAfter(after)
 }
 
-// arrive has messages come from then on.
-func (h *hollow) arrive(after time.Duration) {
-	life := h.life
+// scheduleAfter schedules its traffic from the given delay on.
+func (h *simulatedCourier) scheduleAfter(after time.Duration) {
+	life := h.runNumber
 	h.shard.loop.After(after, func() {
-		if h.life != life {
+		if h.runNumber != life {
 			return
 		}
 		next, dest, keyed := h.arrivals.Next()
 		h.serial++
-		m := message(h.number, h.serial, dest, keyed)
+		m := newMessage(h.number, h.serial, dest, keyed)
 		r := core.Request{
 			ID: m.ID, Class: m.Class, Tenant: m.Tenant, Destination: m.Destination, TimeLeft: m.Left,
 			Body: standin.Body(0, 0, time.Now().Add(m.Left)),
@@ -228,34 +228,34 @@
 			r.IdempotencyKey = m.ID
 		}
 		if h.members != nil {
-			h.handIn(r)
+			h.submit(r)
 		} else if h.front.Ready() {
-			_ = h.core.Submit(r, func(core.Answer, *store.Message) bool { return true }) // it is well-formed
+			_ = h.core.Submit(r, func(core.Answer, *store.Message) bool { return true }) // the request is well-formed
 		}
-		h.arrive(next)
+		h.scheduleAfter(next)
 	})
 }
 
-// Send sends notes to another courier.
-func (h *hollow) Send(peer int, items []snowjunction.PeerMessage) {
-	granted := granted(items)
+// Send sends peer messages to another courier.
+func (h *simulatedCourier) Send(peer int, items []snowjunction.PeerMessage) {
+	granted := grantShare(items)
 	for _, b := range peermsg.Encode(items) {
-		if h.cuts(h.number, peer) {
-			h.cut.Add(1)
+		if h.separated(h.number, peer) {
+			h.cutDatagrams.Add(1)
 			continue
 		}
 		h.socket.Send(peer, b)
-		h.told.Add(1)
+		h.sentDatagrams.Add(1)
 		if len(items) == 0 {
-			h.greetings.Add(1)
+			h.announcements.Add(1)
 		}
-		h.asks.Sent, h.asks.SentBytes = h.asks.Sent+1-granted, h.asks.SentBytes+(1-granted)*float64(len(b))
-		h.grants.Sent, h.grants.SentBytes = h.grants.Sent+granted, h.grants.SentBytes+granted*float64(len(b))
+		h.requestTraffic.Sent, h.requestTraffic.SentBytes = h.requestTraffic.Sent+1-granted, h.requestTraffic.SentBytes+(1-granted)*float64(len(b))
+		h.ownerTraffic.Sent, h.ownerTraffic.SentBytes = h.ownerTraffic.Sent+granted, h.ownerTraffic.SentBytes+granted*float64(len(b))
 	}
 }
 
-// granted is the share of notes that are a keeper's; a greeting has none.
-func granted(items []snowjunction.PeerMessage) float64 {
+// grantShare returns the share of messages sent as a lease owner; an announcement has none.
+func grantShare(items []snowjunction.PeerMessage) float64 {
 	if len(items) == 0 {
 		return 0
 	}
@@ -268,13 +268,13 @@
 	return float64(n) / float64(len(items))
 }
 
-// noted reads what a peer has told. What cannot be read is dropped, and counted.
-func (h *hollow) noted(peer int, b []byte) {
+// receive handles a datagram from a peer. Invalid datagrams are counted and dropped.
+func (h *simulatedCourier) receive(peer int, b []byte) {
 	if peer == h.number {
 		return
 	}
-	if h.cuts(h.number, peer) {
-		h.cut.Add(1)
+	if h.separated(h.number, peer) {
+		h.cutDatagrams.Add(1)
 		return
 	}
 	items, err := peermsg.Decode(b)
@@ -282,33 +282,33 @@
 		h.core.Counters.PeerMessagesInvalid++
 		return
 	}
-	granted := granted(items)
-	h.asks.Received, h.asks.ReceivedBytes = h.asks.Received+granted, h.asks.ReceivedBytes+granted*float64(len(b))
-	h.grants.Received, h.grants.ReceivedBytes = h.grants.Received+1-granted, h.grants.ReceivedBytes+(1-granted)*float64(len(b))
+	granted := grantShare(items)
+	h.requestTraffic.Received, h.requestTraffic.ReceivedBytes = h.requestTraffic.Received+granted, h.requestTraffic.ReceivedBytes+granted*float64(len(b))
+	h.ownerTraffic.Received, h.ownerTraffic.ReceivedBytes = h.ownerTraffic.Received+1-granted, h.ownerTraffic.ReceivedBytes+(1-granted)*float64(len(b))
 	h.core.ReceivePeerMessages(peer, items)
 }
 
-// hollowFront is the platform's front but for its targets.
-type hollowFront struct {
+// simulatedFront is the platform front with simulated targets.
+type simulatedFront struct {
 	*platform.Front
-	h *hollow
+	courier *simulatedCourier
 }
 
-// Target makes a target whose answers are drawn.
-func (f hollowFront) Target(e core.Entry) core.Target {
-	return &drawnTarget{h: f.h, dest: uint32(e.Destination)}
+// Target returns a target whose call results are drawn at random.
+func (f simulatedFront) Target(e core.Entry) core.Target {
+	return &simulatedTarget{courier: f.courier, destination: uint32(e.Destination)}
 }
 
-type drawnTarget struct {
-	h    *hollow
-	dest uint32
-	idle []time.Time // when each connection that it would have was last used
+type simulatedTarget struct {
+	courier     *simulatedCourier
+	destination uint32
+	idle        []time.Time // last use of each connection that a real target would have
 }
 
-// kept takes the connection last used, as a real target would, and tells how long it has
-// been idle; 0: there is none.
-func (t *drawnTarget) kept(now time.Time) time.Duration {
-	most := time.Duration(connUse * float64(t.h.settings.ConnIdle))
+// takeConnection takes the most recently used connection, as a real target would, and returns how long it
+// was idle, or zero if there is no connection.
+func (t *simulatedTarget) takeConnection(now time.Time) time.Duration {
+	most := time.Duration(reusableIdleShare * float64(t.courier.settings.ConnIdle))
 	for len(t.idle) > 0 && now.Sub(t.idle[0]) >= most {
 		t.idle = t.idle[1:]
 	}
@@ -321,118 +321,120 @@
 	return d
 }
 
-// connUse is the share of the time that a connection may be idle for which it is used again.
-const connUse = 0.85
+// reusableIdleShare is the share of the idle timeout for which a connection is reused.
+const reusableIdleShare = 0.85
 
-// CloseIdle ends idle connections.
-func (t *drawnTarget) CloseIdle() { t.idle = nil }
+// CloseIdle closes idle connections.
+func (t *simulatedTarget) CloseIdle() { t.idle = nil }
 
-// Retire ends idle connections.
-func (t *drawnTarget) Retire() { t.idle = nil }
+// Retire closes idle connections.
+func (t *simulatedTarget) Retire() { t.idle = nil }
 
-type drawnCall struct {
-	left bool
-	kept time.Duration
-	done func(core.Result) // nil once it is over
-	end  func(delivered bool)
+type simulatedCall struct {
+	sent       bool
+	idleBefore time.Duration
+	onResult   func(core.Result) // nil after the call has finished
+	onEnd      func(delivered bool)
 }
 
-// Call makes an attempt.
-func (t *drawnTarget) Call(m *store.Message, _ core.Shape, _ time.Duration, may func() bool, done func(core.Result)) core.Call {
-	loop := t.h.shard.loop
-	x := &drawnCall{done: done, kept: t.kept(loop.Now())}
-	if x.kept > 0 {
-		t.leave(x, m)
+// Call starts an attempt.
+func (t *simulatedTarget) Call(m *store.Message, _ core.Shape, _ time.Duration, may func() bool, done func(core.Result)) core.Call {
+	loop := t.courier.shard.loop
+	x := &simulatedCall{onResult: done, idleBefore: t.takeConnection(loop.Now())}
+	if x.idleBefore > 0 {
+		t.send(x, m)
 		return x
 	}
 	loop.After(0, func() {
 		switch {
-		case x.done == nil:
+		case x.onResult == nil:
 		case !may():
 			t.idle = append(t.idle, loop.Now())
 			x.finish(core.Result{Outcome: snowjunction.NotSent})
 		default:
-			t.leave(x, m)
+			t.send(x, m)
 		}
 	})
 	return x
 }
 
-func (t *drawnTarget) leave(x *drawnCall, m *store.Message) {
-	x.left = true
-	a, end, err := t.h.farm.Begin(t.dest, m.ID, m.Body)
-	loop := t.h.shard.loop
+func (t *simulatedTarget) send(x *simulatedCall, m *store.Message) {
+	x.sent = true
+	a, end, err := t.courier.farm.Begin(t.destination, m.ID, m.Body)
+	loop := t.courier.shard.loop
 	if err != nil {
 		loop.After(0, func() { x.finish(core.Result{Outcome: snowjunction.ConnectFailed}) })
 		return
 	}
-	x.end = end
+	x.onEnd = end
 	if a.Status == 0 && !a.Reset {
-		return // silent: the call is given up
+		return // silent partner: the call ends with the caller's timeout
 	}
 	loop.After(a.After, func() {
-		if x.done == nil {
+		if x.onResult == nil {
 			return
 		}
 		if a.Reset {
 			x.finish(core.Result{Outcome: snowjunction.Reset})
 			return
 		}
-		x.end(a.Status == 200)
-		x.end = nil
+		x.onEnd(a.Status == 200)
+		x.onEnd = nil
 		t.idle = append(t.idle, loop.Now())
-		x.finish(front.ResultFromAnswer(a.Status, func(name string) string { return standin.Header(a, name) }, t.h.columns))
+		x.finish(front.ResultFromAnswer(a.Status, func(name string) string { return standin.Header(a, name) }, t.courier.columns))
 	})
 }
 
-// Sent tells whether its last byte would have left.
-func (x *drawnCall) Sent() bool { return x.left }
+// Sent reports whether the last byte of the request would have been sent.
+func (x *simulatedCall) Sent() bool { return x.sent }
 
-// IdleBefore is how long its connection would have been idle.
-func (x *drawnCall) IdleBefore() time.Duration { return x.kept }
+// IdleBefore returns how long the connection would have been idle.
+func (x *simulatedCall) IdleBefore() time.Duration { return x.idleBefore }
 
-// GiveUp stops waiting.
-func (x *drawnCall) GiveUp() {
-	x.done = nil
-	x.over()
+// GiveUp cancels the call.
+func (x *simulatedCall) GiveUp() {
+	x.onResult = nil
+	x.release()
 }
 
-func (x *drawnCall) over() {
-	if x.end != nil {
-		x.end(false)
-		x.end = nil
+func (x *simulatedCall) release() {
+	if x.onEnd != nil {
+		x.onEnd(false)
+		x.onEnd = nil
 	}
 }
 
-func (x *drawnCall) finish(r core.Result) {
-	x.over()
-	done := x.done
-	x.done = nil
+func (x *simulatedCall) finish(r core.Result) {
+	x.release()
+	done := x.onResult
+	x.onResult = nil
 	done(r)
 }
 
-// starts starts couriers one after another, with so many at once that have no list yet.
-type starts struct {
-	room chan struct{}
-	wg   sync.WaitGroup
+// startLimiter limits how many couriers start at the same time without holding a list yet.
+type startLimiter struct {
+	slots chan struct{}
+	wg    sync.WaitGroup
 }
 
-const startsAtOnce = shardsMost // a long list keeps a loop busy, and has to come within its time
+const concurrentStarts = maxShards // a long list keeps a loop busy and has to arrive before its timeout
 
-func newStarts() *starts { return &starts{room: make(chan struct{}, startsAtOnce)} }
+func newStartLimiter() *startLimiter {
+	return &startLimiter{slots: make(chan struct{}, concurrentStarts)}
+}
 
-// one waits for room. The courier calls what it returns once it holds a list.
-func (s *starts) one() (held func()) {
-	s.room <- struct{}{}
+// acquire waits for a free slot. The courier calls the returned function when it holds a list.
+func (s *startLimiter) acquire() (held func()) {
+	s.slots <- struct{}{}
 	s.wg.Add(1)
 	return sync.OnceFunc(func() {
-		<-s.room
+		<-s.slots
 		s.wg.Done()
 	})
 }
 
-// wait waits until all hold one.
-func (s *starts) wait(most time.Duration) error {
+// awaitAll waits until all started couriers hold a list.
+func (s *startLimiter) awaitAll(most time.Duration) error {
 	done := make(chan struct{})
 	go func() {
 		s.wg.Wait()
@@ -442,11 +444,11 @@
 	case <-done:
 		return nil
 	case <-time.After(most):
-		return fmt.Errorf("some of the couriers hold no list after %v", most)
+		return fmt.Errorf("some couriers hold no list after %v", most)
 	}
 }
 
-// listBytes bounds what a list of so many entries may take as it is told.
-func listBytes(entries int) int { return 1<<20 + entries*int(math.Ceil(entryBytes)) }
+// maxListBytes returns an upper bound for the encoded size of a list.
+func maxListBytes(entries int) int { return 1<<20 + entries*int(math.Ceil(maxEntryBytes)) }
 
-const entryBytes = 220.0 // in JSON, at most: names are short
+const maxEntryBytes = 220.0 // in JSON, at most, since names are short
--- a/internal/measure/hostile.go
+++ b/internal/measure/hostile.go
@@ -15,34 +15,34 @@
 	"snowjunction/internal/standin/partner"
 )
 
-// Hostile are the options of the run with hostile plug-ins.
+// Hostile holds the options of the run with misbehaving plug-ins.
 type Hostile struct {
-	Messages int    `default:"10000" help:"How many messages are handed in, over both fronts."`
-	Lanes    int    `default:"24" help:"Clients at once."`
+	Messages int    `default:"10000" help:"Messages submitted, over both fronts."`
+	Lanes    int    `default:"24" help:"Concurrent clients."`
 	Exe      string `kong:"-"`
 }
 
-// hostile are plug-ins that do what one must not, by destination.
-func hostile() []*manifest.Manifest {
+// misbehavingPlugins returns plug-ins that break the rules for plug-ins, each on its own destinations.
+func misbehavingPlugins() []*manifest.Manifest {
 	read, shape := []manifest.Hook{manifest.Read}, []manifest.Hook{manifest.Shape}
 	list := []*manifest.Manifest{
-		starlark("loops", looping, []manifest.Hook{manifest.Admit, manifest.Shape, manifest.Read, manifest.Ended}, 1),
-		starlark("grows", "def shape(call):\n    return {'headers': {'X-A': ('y' * (1 << 29))[:3]}}\n", shape, 2),
-		starlark("breaks", "def read(call):\n    return 1 // 0\n", read, 3),
-		starlark("lies", `
+		starlarkPlugin("loops", loopingScript, []manifest.Hook{manifest.Admit, manifest.Shape, manifest.Read, manifest.Ended}, 1),
+		starlarkPlugin("grows", "def shape(call):\n    return {'headers': {'X-A': ('y' * (1 << 29))[:3]}}\n", shape, 2),
+		starlarkPlugin("breaks", "def read(call):\n    return 1 // 0\n", read, 3),
+		starlarkPlugin("lies", `
 WAITS = [-1, 0, 315360000000, 'nan', None, [], 10]
 def read(call):
     said = 'full' if call.status in (200, 500) else 'ok'
     return {'outcome': said, 'wait_ms': WAITS[len(call.id) % len(WAITS)]}
 `, read, 4, 5),
-		starlark("floods", `
+		starlarkPlugin("floods", `
 HEADERS = {'X-%d' % i: 'v' for i in range(10000)}
 def shape(call):
     h = {'X-Request-ID': 'other', 'Content-Length': '0', 'X-A': 'b\r\nX-Request-ID: other', ':path': '/'}
     h.update(HEADERS)
     return {'headers': h, 'path_suffix': '../../other', 'query': 'a b', 'body': '%'}
 `, shape, 6),
-		starlark("huge", "def read(call):\n    return {'outcome': 'x' * 1000000}\ndef ended(call):\n    return {'x': 'y' * 10000000}\n",
+		starlarkPlugin("huge", "def read(call):\n    return {'outcome': 'x' * 1000000}\ndef ended(call):\n    return {'x': 'y' * 10000000}\n",
 			[]manifest.Hook{manifest.Read, manifest.Ended}, 7),
 	}
 	loops, grows, floods := &list[0].Budget, &list[1].Budget, &list[4].Budget
@@ -50,18 +50,18 @@
 	return list
 }
 
-// HostilePlugins writes them into a folder.
+// HostilePlugins writes the misbehaving plug-ins into a directory.
 func HostilePlugins(folder string) error {
-	for _, m := range hostile() {
-		if err := write(folder, m); err != nil {
+	for _, m := range misbehavingPlugins() {
+		if err := writePlugin(folder, m); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Run plays it and returns an error if a message has not its one end or a rule
-// was broken.
+// Run runs the plug-ins under load. It returns an error if a message has not exactly one final
+// result or if a rule was broken.
 func (o Hostile) Run(out io.Writer) error {
 	dir, err := os.MkdirTemp("", "snowjunction-hostile-")
 	if err != nil {
@@ -103,7 +103,7 @@
 	client := load.New(c.Addr, c.Push)
 	defer client.Close()
 	var wg sync.WaitGroup
-	handed := make(chan struct{})
+	submitted := make(chan struct{})
 	for lane := range o.Lanes {
 		wg.Go(func() {
 			for n := range o.Messages / o.Lanes {
@@ -122,23 +122,23 @@
 	}
 	drain := time.AfterFunc(time.Second, func() { kitchen.Drain("p9-0") })
 	defer drain.Stop()
-	// The push front forgets ends after a while: they are asked for as they come.
-	looking := make(chan struct{})
+	// The push front discards final results after some time, so they are fetched during the run.
+	polling := make(chan struct{})
 	go func() {
-		defer close(looking)
+		defer close(polling)
 		for t := time.NewTicker(500 * time.Millisecond); ; {
 			select {
 			case <-t.C:
 				kitchen.Settle(client, 0)
-			case <-handed:
+			case <-submitted:
 				t.Stop()
 				return
 			}
 		}
 	}()
 	wg.Wait()
-	close(handed)
-	<-looking
+	close(submitted)
+	<-polling
 	e := kitchen.Settle(client, 10*time.Second)
 	for d := uint32(1); d <= 9; d++ {
 		x := client.Account(kitchen.Delivered, directory.Notices(), func(m load.Message) bool { return m.Destination == d })
@@ -147,16 +147,16 @@
 	n := kitchen.Counts()
 	resident, err := c.Resident()
 	if err != nil {
-		return fmt.Errorf("the courier is not up: %w", err)
+		return fmt.Errorf("read the courier's resident memory: %w", err)
 	}
 	counters, err := c.Counters(false)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%+v\ncalls %d, copies %d, out of order %d, in a wait %d, after a drain %d; the courier holds %.1f MB\nplug-ins %v\n%v turns %v longest %v us\n",
+	fmt.Fprintf(out, "%+v\ncalls %d, copies %d, out of order %d, during a retry-after delay %d, after a drain %d; the courier uses %.1f MB\nplug-ins %v\n%v turns %v longest %v us\n",
 		e, n.Calls, n.Copies, n.OutOfOrder, n.InWait, n.Drained, float64(resident)/1e6, counters["plugins"], counters["n"], counters["turns"], counters["longest_turn_us"])
 	if broken := e.Open + e.Doubled + e.Unheard + n.Broken(); broken > 0 {
-		return fmt.Errorf("%d times a rule was broken", broken)
+		return fmt.Errorf("%d rule violations", broken)
 	}
 	return nil
 }
--- a/internal/measure/idle.go
+++ b/internal/measure/idle.go
@@ -18,37 +18,37 @@
 	"snowjunction/internal/standin/partner"
 )
 
-// Idle are the options of the measurement of idle destinations.
+// Idle holds the options for measuring idle destinations.
 type Idle struct {
-	Partners  int    `default:"10000" help:"How many are listed."`
+	Partners  int    `default:"10000" help:"Listed partners."`
 	Endpoints int    `default:"2" help:"Endpoints of each."`
-	Active    int    `default:"10" help:"How many get traffic all the time."`
-	Listening int    `default:"9000" help:"How many really listen, at most; the others are listed only and never called."`
-	Clump     int    `default:"200" help:"How many sleeping partners a clump wakes at the same moment."`
-	Seed      uint64 `default:"1" help:"Decides limits, paces and latencies."`
-	JSON      string `placeholder:"FILE" help:"Where the figures go."`
+	Active    int    `default:"10" help:"Partners with constant traffic."`
+	Listening int    `default:"9000" help:"Maximum number of partners that accept connections; the others are only listed and never called."`
+	Clump     int    `default:"200" help:"Idle partners that a burst of messages reaches at the same moment."`
+	Seed      uint64 `default:"1" help:"Random seed of limits, pacing rates and latencies."`
+	JSON      string `placeholder:"FILE" help:"Write the figures to this file."`
 	Exe       string `kong:"-"`
 }
 
-// IdleFigures are what the measurement shows.
+// IdleFigures holds the measured figures.
 type IdleFigures struct {
 	Partners, Endpoints, Active, Listening, Called, Clump int
 	Machine                                               string
 
-	HeapActive, HeapListed, HeapCalled             int64 // bytes, live after collection
+	HeapActive, HeapListed, HeapCalled             int64 // bytes, live after garbage collection
 	ResidentActive, ResidentListed, ResidentCalled int64
 
-	BytesPerIdle  Bytes   `json:"bytes_per_idle_partner"` // never called
-	BytesPerOnce  Bytes   `json:"bytes_per_once_called"`  // asleep again, what its listing costs included
-	LongestTurnMs float64 `json:"longest_turn_ms"`
-	FullListMs    float64 `json:"full_list_ms"` // from its change to the next watch
-	Delta         Delta   `json:"delta_us"`
-	IdleCPUActive float64 `json:"idle_cpu_active"` // seconds of CPU a second
-	IdleCPUListed float64 `json:"idle_cpu_listed"`
-	IdleCPURatio  float64 `json:"idle_cpu_ratio"`
+	BytesPerIdle  MemoryCost `json:"bytes_per_idle_partner"` // never called
+	BytesPerOnce  MemoryCost `json:"bytes_per_once_called"`  // unloaded again, including the cost of its list entry
+	LongestTurnMs float64    `json:"longest_turn_ms"`
+	FullListMs    float64    `json:"full_list_ms"` // from the change to the next watch request
+	Delta         ChangeCost `json:"delta_us"`
+	IdleCPUActive float64    `json:"idle_cpu_active"` // CPU seconds per second
+	IdleCPUListed float64    `json:"idle_cpu_listed"`
+	IdleCPURatio  float64    `json:"idle_cpu_ratio"`
 
-	Cut  Waking `json:"cut_to_a_third"` // one partner, its limit cut to a third while it slept
-	Many Waking `json:"many_at_once"`
+	Cut  BurstResult `json:"cut_to_a_third"` // one partner, its limit cut to a third while it was unloaded
+	Many BurstResult `json:"many_at_once"`
 
 	PeakOverLimit float64 `json:"peak_over_limit"`
 	Fell          int     `json:"fell"`
@@ -58,26 +58,26 @@
 	OutOfOrder    int     `json:"out_of_order"`
 }
 
-// Bytes are a difference in memory: of the live heap and of what is resident.
-type Bytes struct {
+// MemoryCost is a difference in memory: of the live heap and of the resident set.
+type MemoryCost struct {
 	Heap     float64 `json:"heap"`
 	Resident float64 `json:"resident"`
 }
 
-// Delta is what a change of one entry takes on the loop, in microseconds, with
-// only the active partners listed and with all.
-type Delta struct {
+// ChangeCost is the loop time for a change of one list entry, in microseconds, with only the active
+// partners listed and with all partners listed.
+type ChangeCost struct {
 	Active   float64 `json:"at_active"`
 	Partners float64 `json:"at_partners"`
 }
 
-// Waking is what became of a clump that woke partners.
-type Waking struct {
+// BurstResult holds the result of a burst of messages that loads unloaded partners.
+type BurstResult struct {
 	Partners      int     `json:"partners"`
 	Messages      int     `json:"messages"`
 	Taken         int     `json:"taken"`
 	Refused       int     `json:"refused"`
-	Unheard       int     `json:"unheard"` // no answer, or one that is neither
+	Unheard       int     `json:"unheard"` // no answer, or an unexpected one
 	Delivered     int     `json:"delivered"`
 	Late          int     `json:"late"`
 	Open          int     `json:"open"`
@@ -85,26 +85,26 @@
 	Calls         int     `json:"calls"`
 	TurnedAway    int     `json:"turned_away"`
 	OverLimit     int     `json:"over_limit"`
-	PeakOverLimit float64 `json:"peak_over_limit"` // worst partner
+	PeakOverLimit float64 `json:"peak_over_limit"` // of the worst partner
 	Fell          int     `json:"fell"`
 	Duplicates    int     `json:"duplicates"`
 	OutOfOrder    int     `json:"out_of_order"`
 	InWait        int     `json:"in_wait"`
-	Seconds       float64 `json:"seconds"` // until all had their end
+	Seconds       float64 `json:"seconds"` // until all messages had their final result
 }
 
-// farm is a stand-in process.
-type farm struct {
+// standinProcess is a process of stand-in partners.
+type standinProcess struct {
 	first, last uint32
 	cmd         *exec.Cmd
 	in          io.WriteCloser
 	out         *bufio.Scanner
 }
 
-// perFarm bounds the sockets of one process.
-const perFarm = 7000
+// endpointsPerProcess limits the sockets of one process.
+const endpointsPerProcess = 7000
 
-func startFarm(exe string, p standin.Population) (*farm, error) {
+func startStandins(exe string, p standin.Population) (*standinProcess, error) {
 	cmd := exec.Command(exe, "standin", "--no-directory", fmt.Sprintf("--partners=%d", p.Partners),
 		fmt.Sprintf("--endpoints=%d", p.Endpoints), fmt.Sprintf("--first=%d", p.First), fmt.Sprintf("--seed=%d", p.Seed))
 	in, err := cmd.StdinPipe()
@@ -119,7 +119,7 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	f := &farm{first: p.First, last: p.First + uint32(p.Partners) - 1, cmd: cmd, in: in, out: bufio.NewScanner(out)}
+	f := &standinProcess{first: p.First, last: p.First + uint32(p.Partners) - 1, cmd: cmd, in: in, out: bufio.NewScanner(out)}
 	f.out.Buffer(nil, 64<<20)
 	if _, err := f.reply(); err != nil {
 		f.close()
@@ -128,9 +128,9 @@
 	return f, nil
 }
 
-func (f *farm) reply() (r standin.Reply, err error) {
+func (f *standinProcess) reply() (r standin.Reply, err error) {
 	if !f.out.Scan() {
-		return r, fmt.Errorf("stand-ins have ended: %v", f.out.Err())
+		return r, fmt.Errorf("the stand-in process has ended: %v", f.out.Err())
 	}
 	if err := json.Unmarshal(f.out.Bytes(), &r); err != nil {
 		return r, err
@@ -141,7 +141,7 @@
 	return r, nil
 }
 
-func (f *farm) order(o standin.Order) (standin.Reply, error) {
+func (f *standinProcess) order(o standin.Order) (standin.Reply, error) {
 	b, err := json.Marshal(o)
 	if err == nil {
 		_, err = f.in.Write(append(b, '\n'))
@@ -152,15 +152,15 @@
 	return f.reply()
 }
 
-func (f *farm) close() {
+func (f *standinProcess) close() {
 	_ = f.in.Close()
 	_ = f.cmd.Wait()
 }
 
-// bench is everything that a measurement has started.
-type bench struct {
-	o         Idle
-	farms     []*farm
+// idleTestbed holds everything that a measurement has started.
+type idleTestbed struct {
+	options   Idle
+	standins  []*standinProcess
 	directory *standin.Directory
 	courier   *rig.Courier
 	client    *load.Client
@@ -169,7 +169,7 @@
 	listening int
 }
 
-func (b *bench) close() {
+func (b *idleTestbed) close() {
 	if b.client != nil {
 		b.client.Close()
 	}
@@ -179,13 +179,13 @@
 	if b.directory != nil {
 		b.directory.Close()
 	}
-	for _, f := range b.farms {
+	for _, f := range b.standins {
 		f.close()
 	}
 }
 
-func (b *bench) orders(from, to uint32, o standin.Order) error {
-	for _, f := range b.farms {
+func (b *idleTestbed) orderAll(from, to uint32, o standin.Order) error {
+	for _, f := range b.standins {
 		x := o
 		x.From, x.To = max(from, f.first), min(to, f.last)
 		if x.From > x.To {
@@ -198,10 +198,10 @@
 	return nil
 }
 
-func (b *bench) counts() (map[uint32]partner.Counts, error) {
+func (b *idleTestbed) counts() (map[uint32]partner.Counts, error) {
 	out := map[uint32]partner.Counts{}
 	b.limits = map[uint32]float64{}
-	for _, f := range b.farms {
+	for _, f := range b.standins {
 		r, err := f.order(standin.Order{Do: "stats"})
 		if err != nil {
 			return nil, err
@@ -213,9 +213,9 @@
 }
 
 // seen asks the stand-ins which of the messages they have delivered.
-func (b *bench) seen(sent []load.Message) (map[string]bool, error) {
+func (b *idleTestbed) seen(sent []load.Message) (map[string]bool, error) {
 	out := map[string]bool{}
-	for _, f := range b.farms {
+	for _, f := range b.standins {
 		var ids []standin.Ask
 		for _, m := range sent {
 			if m.Destination >= f.first && m.Destination <= f.last {
@@ -235,18 +235,18 @@
 	return out, nil
 }
 
-func (b *bench) start(dir string) error {
-	o := b.o
+func (b *idleTestbed) startAll(dir string) error {
+	o := b.options
 	b.listening = min(o.Partners, o.Listening)
-	each := max(perFarm/o.Endpoints, 1)
+	each := max(endpointsPerProcess/o.Endpoints, 1)
 	for first := 0; first < b.listening; first += each {
-		f, err := startFarm(o.Exe, standin.Population{
+		f, err := startStandins(o.Exe, standin.Population{
 			Partners: min(each, b.listening-first), Endpoints: o.Endpoints, First: uint32(first + 1), Seed: o.Seed,
 		})
 		if err != nil {
 			return err
 		}
-		b.farms = append(b.farms, f)
+		b.standins = append(b.standins, f)
 		r, err := f.order(standin.Order{Do: "list"})
 		if err != nil {
 			return err
@@ -278,53 +278,53 @@
 		return err
 	}
 	b.client = load.New(b.courier.Addr, "")
-	return b.heard(b.directory.Replace(b.list[:o.Active*o.Endpoints]))
+	return b.awaitConfirmed(b.directory.Replace(b.list[:o.Active*o.Endpoints]))
 }
 
-// heard waits until the courier holds a generation.
-func (b *bench) heard(generation uint64) error {
+// awaitConfirmed waits until the courier confirms a generation of the list.
+func (b *idleTestbed) awaitConfirmed(generation uint64) error {
 	for limit := time.Now().Add(time.Minute); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
 		if b.directory.Heard() >= generation {
 			return nil
 		}
 	}
-	return fmt.Errorf("the courier does not take list %d\n%s", generation, b.courier.Tail())
+	return fmt.Errorf("the courier did not confirm list generation %d\n%s", generation, b.courier.Tail())
 }
 
-// traffic sends light traffic to the active partners for a while.
-func (b *bench) traffic(name string, d time.Duration) {
+// sendTraffic sends light traffic to the active partners for a duration.
+func (b *idleTestbed) sendTraffic(name string, d time.Duration) {
 	n := 0
 	for end := time.Now().Add(d); time.Now().Before(end); n++ {
 		_, _, _ = b.client.Add(load.Message{
 			ID: fmt.Sprintf("%s-%d", name, n), Class: "status", Tenant: "town", Left: 8 * time.Second,
-			Destination: uint32(n%b.o.Active + 1),
+			Destination: uint32(n%b.options.Active + 1),
 		})
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// cpu is the CPU seconds a second under light traffic.
-func (b *bench) cpu(name string, d time.Duration) (float64, error) {
+// measureCPU returns the CPU seconds per second under light traffic.
+func (b *idleTestbed) measureCPU(name string, d time.Duration) (float64, error) {
 	before, err := b.courier.CPU()
 	if err != nil {
 		return 0, err
 	}
 	begun := time.Now()
-	b.traffic(name, d)
+	b.sendTraffic(name, d)
 	after, err := b.courier.CPU()
 	return (after - before).Seconds() / time.Since(begun).Seconds(), err
 }
 
-// deltas has the directory tell n changes of single entries, one after another,
-// and returns how long the courier's loop took for one.
-func (b *bench) deltas(n int) (float64, error) {
-	if _, err := b.courier.Counters(false); err != nil { // the mean begins anew
+// measureChanges makes the directory send n changes of single entries in sequence, and returns the mean time
+// that the courier's loop took for one, in microseconds.
+func (b *idleTestbed) measureChanges(n int) (float64, error) {
+	if _, err := b.courier.Counters(false); err != nil { // resets the mean
 		return 0, err
 	}
 	for i := range n {
-		x := b.list[i%(b.o.Active*b.o.Endpoints)]
+		x := b.list[i%(b.options.Active*b.options.Endpoints)]
 		x.Weight = float64(2 + i%7)
-		if err := b.heard(b.directory.Change(x)); err != nil {
+		if err := b.awaitConfirmed(b.directory.Change(x)); err != nil {
 			return 0, err
 		}
 	}
@@ -332,8 +332,8 @@
 	return rig.Number(line, "idle", "change_ns") / 1000, err
 }
 
-// memory returns the live heap and the resident memory after collection.
-func (b *bench) memory() (heap, resident int64, line map[string]any, err error) {
+// memory returns the live heap and the resident memory after garbage collection, in bytes.
+func (b *idleTestbed) memory() (heap, resident int64, line map[string]any, err error) {
 	if line, err = b.courier.Counters(true); err != nil {
 		return
 	}
@@ -342,18 +342,18 @@
 	return
 }
 
-// asleep waits until no more than the active are awake.
-func (b *bench) asleep() error {
+// awaitUnloaded waits until only the active destinations are loaded.
+func (b *idleTestbed) awaitUnloaded() error {
 	for limit := time.Now().Add(2 * time.Minute); time.Now().Before(limit); time.Sleep(300 * time.Millisecond) {
 		line, err := b.courier.Counters(false)
 		if err != nil {
 			return err
 		}
-		if rig.Number(line, "idle", "awake") <= float64(b.o.Active) && rig.Number(line, "held") == 0 {
+		if rig.Number(line, "idle", "awake") <= float64(b.options.Active) && rig.Number(line, "held") == 0 {
 			return nil
 		}
 	}
-	return fmt.Errorf("destinations do not go to sleep\n%s", b.courier.Tail())
+	return fmt.Errorf("idle destinations are not unloaded\n%s", b.courier.Tail())
 }
 
 const (
@@ -365,49 +365,49 @@
 // Run measures and returns the figures.
 func (o Idle) Run(out io.Writer) (f IdleFigures, err error) {
 	if o.Partners < o.Active+1 || o.Active < 1 || o.Endpoints < 1 || o.Listening <= o.Active {
-		return f, fmt.Errorf("more partners than active ones are needed, and one endpoint each at least")
+		return f, fmt.Errorf("--partners and --listening have to exceed --active, and --active and --endpoints have to be at least 1")
 	}
 	dir, err := os.MkdirTemp("", "snowjunction-measure-")
 	if err != nil {
 		return f, err
 	}
 	defer os.RemoveAll(dir)
-	b := &bench{o: o}
+	b := &idleTestbed{options: o}
 	defer b.close()
 	say := func(format string, args ...any) { fmt.Fprintf(out, format+"\n", args...) }
-	if err := b.start(dir); err != nil {
+	if err := b.startAll(dir); err != nil {
 		return f, err
 	}
 	f = IdleFigures{
 		Partners: o.Partners, Endpoints: o.Endpoints, Active: o.Active, Listening: b.listening,
-		Machine: machine(),
+		Machine: describeMachine(),
 	}
 	few, all := b.list[:o.Active*o.Endpoints], b.list
 
-	b.traffic("warm", 3*time.Second)
+	b.sendTraffic("warm", 3*time.Second)
 	if f.HeapActive, f.ResidentActive, _, err = b.memory(); err != nil {
 		return f, err
 	}
 	say("%d active partners listed: heap %d, resident %d bytes", o.Active, f.HeapActive, f.ResidentActive)
-	if f.Delta.Active, err = b.deltas(deltaCount); err != nil {
+	if f.Delta.Active, err = b.measureChanges(deltaCount); err != nil {
 		return f, err
 	}
 	for round := range cpuRounds {
 		if round > 0 {
-			if err := b.heard(b.directory.Replace(few)); err != nil {
+			if err := b.awaitConfirmed(b.directory.Replace(few)); err != nil {
 				return f, err
 			}
 		}
-		x, err := b.cpu(fmt.Sprintf("few%d", round), cpuFor)
+		x, err := b.measureCPU(fmt.Sprintf("few%d", round), cpuFor)
 		if err != nil {
 			return f, err
 		}
 		f.IdleCPUActive += x / cpuRounds
-		if _, err := b.courier.Counters(false); err != nil { // the longest turn begins anew
+		if _, err := b.courier.Counters(false); err != nil { // resets the longest turn
 			return f, err
 		}
 		begun := time.Now()
-		if err := b.heard(b.directory.Replace(all)); err != nil {
+		if err := b.awaitConfirmed(b.directory.Replace(all)); err != nil {
 			return f, err
 		}
 		f.FullListMs = max(f.FullListMs, float64(time.Since(begun).Microseconds())/1000)
@@ -416,7 +416,7 @@
 			return f, err
 		}
 		f.LongestTurnMs = max(f.LongestTurnMs, rig.Number(line, "longest_turn_us")/1000)
-		if x, err = b.cpu(fmt.Sprintf("all%d", round), cpuFor); err != nil {
+		if x, err = b.measureCPU(fmt.Sprintf("all%d", round), cpuFor); err != nil {
 			return f, err
 		}
 		f.IdleCPUListed += x / cpuRounds
@@ -429,13 +429,13 @@
 	f.BytesPerIdle.Heap = float64(f.HeapListed-f.HeapActive) / idle
 	f.BytesPerIdle.Resident = float64(f.ResidentListed-f.ResidentActive) / idle
 	say("%d partners listed: heap %d, resident %d bytes, longest turn %.2f ms", o.Partners, f.HeapListed, f.ResidentListed, f.LongestTurnMs)
-	if f.Delta.Partners, err = b.deltas(deltaCount); err != nil {
+	if f.Delta.Partners, err = b.measureChanges(deltaCount); err != nil {
 		return f, err
 	}
 	say("a change takes %.1f us with %d listed, %.1f us with %d; idle CPU %.5f and %.5f",
 		f.Delta.Active, o.Active, f.Delta.Partners, o.Partners, f.IdleCPUActive, f.IdleCPUListed)
 
-	if f.Called, err = b.once(); err != nil {
+	if f.Called, err = b.callAllOnce(); err != nil {
 		return f, err
 	}
 	if f.HeapCalled, f.ResidentCalled, _, err = b.memory(); err != nil {
@@ -443,21 +443,21 @@
 	}
 	f.BytesPerOnce.Heap = f.BytesPerIdle.Heap + float64(f.HeapCalled-f.HeapListed)/float64(f.Called)
 	f.BytesPerOnce.Resident = f.BytesPerIdle.Resident + float64(f.ResidentCalled-f.ResidentListed)/float64(f.Called)
-	say("%d called once and asleep: heap %d, resident %d bytes", f.Called, f.HeapCalled, f.ResidentCalled)
+	say("%d called once and unloaded: heap %d, resident %d bytes", f.Called, f.HeapCalled, f.ResidentCalled)
 
 	first := uint32(o.Active + 1)
-	if f.Cut, err = b.wake("cut", first, first, 1.0/3); err != nil {
+	if f.Cut, err = b.sendBurst("cut", first, first, 1.0/3); err != nil {
 		return f, err
 	}
-	say("one woken, its limit cut to a third: %+v", f.Cut)
+	say("one loaded, its limit cut to a third: %+v", f.Cut)
 	f.Clump = min(o.Clump, b.listening-o.Active-1)
 	if f.Clump > 0 {
-		if f.Many, err = b.wake("many", first+1, first+uint32(f.Clump), 1); err != nil {
+		if f.Many, err = b.sendBurst("many", first+1, first+uint32(f.Clump), 1); err != nil {
 			return f, err
 		}
-		say("%d woken at once: %+v", f.Clump, f.Many)
+		say("%d loaded at once: %+v", f.Clump, f.Many)
 	}
-	for _, w := range []Waking{f.Cut, f.Many} {
+	for _, w := range []BurstResult{f.Cut, f.Many} {
 		f.PeakOverLimit = max(f.PeakOverLimit, w.PeakOverLimit)
 		f.Fell += w.Fell
 		f.Delivered += w.Delivered
@@ -465,12 +465,11 @@
 		f.Duplicates += w.Duplicates
 		f.OutOfOrder += w.OutOfOrder
 	}
-	return f, save(o.JSON, f)
+	return f, writeFigures(o.JSON, f)
 }
 
-// once calls every listening partner that is not active once, and waits for
-// them to sleep.
-func (b *bench) once() (called int, err error) {
+// callAllOnce calls every listening partner that is not active once, and waits until they are unloaded.
+func (b *idleTestbed) callAllOnce() (called int, err error) {
 	var wg sync.WaitGroup
 	work := make(chan int)
 	for range 8 {
@@ -490,21 +489,21 @@
 			}
 		})
 	}
-	for d := b.o.Active + 1; d <= b.listening; d++ {
+	for d := b.options.Active + 1; d <= b.listening; d++ {
 		work <- d
 		called++
 		time.Sleep(2500 * time.Microsecond)
 	}
 	close(work)
 	wg.Wait()
-	return called, b.asleep()
+	return called, b.awaitUnloaded()
 }
 
-// wake has a clump of three seconds of its limit come for each of some sleeping
-// partners at the same moment, after their limits have changed, and their being
-// cold. It waits for every message's end.
-func (b *bench) wake(name string, from, to uint32, factor float64) (w Waking, err error) {
-	if err := b.asleep(); err != nil {
+// sendBurst sends a burst worth three seconds of its limit to each of a range of unloaded partners at the
+// same moment, after changing their limits and making them cold. It waits for the final result of
+// every message.
+func (b *idleTestbed) sendBurst(name string, from, to uint32, factor float64) (w BurstResult, err error) {
+	if err := b.awaitUnloaded(); err != nil {
 		return w, err
 	}
 	if _, err := b.counts(); err != nil {
@@ -512,7 +511,7 @@
 	}
 	limits := b.limits
 	for _, o := range []standin.Order{{Do: "limit", Factor: factor}, {Do: "chill"}, {Do: "reset"}} {
-		if err := b.orders(from, to, o); err != nil {
+		if err := b.orderAll(from, to, o); err != nil {
 			return w, err
 		}
 	}
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,6 +1,6 @@
-// Package measure runs the courier in a process of its own against stand-in
-// partners in others and reports what it costs. Its runs take minutes and are no
-// tests.
+// Package measure runs the courier in its own process against stand-in partners in other
+// processes and reports its costs: memory, CPU, latency and traffic. The runs take minutes and are
+// not tests.
 package measure
 
 import (
@@ -13,13 +13,13 @@
 	"snowjunction/internal/latency"
 )
 
-// machine tells where the figures come from.
-func machine() string {
+// describeMachine describes the machine on which the figures were measured.
+func describeMachine() string {
 	return fmt.Sprintf("%s/%s, %d cores, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version())
 }
 
-// save writes figures as JSON; path "": nowhere.
-func save(path string, figures any) error {
+// writeFigures writes figures to a file as JSON. An empty path means no file.
+func writeFigures(path string, figures any) error {
 	if path == "" {
 		return nil
 	}
@@ -30,5 +30,5 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// newTimes are durations up to a minute, to three digits.
-func newTimes() *latency.Histogram { return latency.New(time.Minute, 3) }
+// newLatencyHistogram returns a histogram of durations up to a minute, with three significant digits.
+func newLatencyHistogram() *latency.Histogram { return latency.New(time.Minute, 3) }
--- a/internal/measure/module/main.go
+++ b/internal/measure/module/main.go
@@ -1,6 +1,7 @@
 //go:build wasip1
 
-// A plug-in that serves every hook with little work, to see what a call costs.
+// Command module is a WebAssembly plug-in that serves every hook with little work, to measure the
+// cost of a call.
 package main
 
 import (
--- a/internal/measure/plugins.go
+++ b/internal/measure/plugins.go
@@ -18,18 +18,18 @@
 	"snowjunction/internal/standin/partner"
 )
 
-// Plugins are the options of the measurement of plug-ins.
+// Plugins holds the options for measuring plug-ins.
 type Plugins struct {
 	Calls  int           `default:"2000" help:"Calls to each hook of each engine."`
-	For    time.Duration `default:"6s" help:"How long load lasts for each set of plug-ins."`
-	Lanes  int           `default:"20" help:"Clients at once."`
-	Wasm   string        `placeholder:"FILE" help:"A module by the plug-in protocol that serves every hook; not given, one is built with go."`
-	Source string        `default:"internal/measure/module" help:"Folder that it is built from."`
-	JSON   string        `placeholder:"FILE" help:"Where the figures go."`
+	For    time.Duration `default:"6s" help:"Duration of the load for each set of plug-ins."`
+	Lanes  int           `default:"20" help:"Concurrent clients."`
+	Wasm   string        `placeholder:"FILE" help:"A WebAssembly plug-in that serves every hook; built with go if not given."`
+	Source string        `default:"internal/measure/module" help:"Source directory from which it is built."`
+	JSON   string        `placeholder:"FILE" help:"Write the figures to this file."`
 	Exe    string        `kong:"-"`
 }
 
-// PluginFigures are what the measurement shows.
+// PluginFigures holds the measured figures.
 type PluginFigures struct {
 	Machine string              `json:"machine"`
 	Calls   map[string]CallCost `json:"calls"`         // by engine and hook
@@ -37,31 +37,31 @@
 	Courier map[string]int64    `json:"courier_resident"`
 	Loads   map[string]LoadCost `json:"loads"`
 
-	LoopingThroughputRatio float64 `json:"looping_throughput_ratio"` // of flows that it does not see, against none
+	LoopingThroughputRatio float64 `json:"looping_throughput_ratio"` // throughput of flows without the looping plug-in, relative to a run without plug-ins
 	ReloadMs               float64 `json:"reload_ms"`
-	Lost                   int     `json:"lost"` // flows without their one end over the reload
+	Lost                   int     `json:"lost"` // messages without exactly one final result over the reload
 }
 
-// CallCost is what one call takes from the courier's side of the pipe.
+// CallCost is the duration of one call as seen by the courier.
 type CallCost struct {
 	MedianUs float64 `json:"median_us"`
 	P99Us    float64 `json:"p99_us"`
 }
 
-// LoadCost is what clients see.
+// LoadCost holds the figures that clients see.
 type LoadCost struct {
 	PerSecond float64 `json:"per_second"`
-	OthersPS  float64 `json:"others_per_second"` // of flows that the looping one does not see
-	P99Ms     float64 `json:"p99_ms"`            // of the answer to a message handed in
+	OthersPS  float64 `json:"others_per_second"` // of destinations without the looping plug-in
+	P99Ms     float64 `json:"p99_ms"`            // of the answer to a submitted message
 	OthersP99 float64 `json:"others_p99_ms"`
 	Open      int     `json:"open"`
 	Doubled   int     `json:"doubled"`
 	Unheard   int     `json:"unheard"`
 }
 
-var every = []manifest.Hook{manifest.Admit, manifest.Shape, manifest.Read, manifest.Ended}
+var allHooks = []manifest.Hook{manifest.Admit, manifest.Shape, manifest.Read, manifest.Ended}
 
-const everyHook = `
+const allHooksScript = `
 def admit(call):
     return None
 def shape(call):
@@ -73,7 +73,7 @@
     return None
 `
 
-const looping = `
+const loopingScript = `
 def forever(call):
     for i in range(1000000000):
         pass
@@ -83,7 +83,7 @@
 ended = forever
 `
 
-func starlark(name, code string, hooks []manifest.Hook, destinations ...uint32) *manifest.Manifest {
+func starlarkPlugin(name, code string, hooks []manifest.Hook, destinations ...uint32) *manifest.Manifest {
 	m := &manifest.Manifest{
 		Name: name, Version: "1", Protocol: 1, Engine: "starlark", Code: "p.star", Hooks: hooks, Text: []byte(code),
 		Sees: manifest.Sees{Destinations: destinations}, Budget: manifest.Budget{TimeMs: 10, Steps: 100_000_000, MemoryMB: 16, BodyBytes: 4096},
@@ -92,8 +92,8 @@
 	return m
 }
 
-// write puts a plug-in into a folder.
-func write(folder string, m *manifest.Manifest) error {
+// writePlugin writes a plug-in into a directory.
+func writePlugin(folder string, m *manifest.Manifest) error {
 	dir := filepath.Join(folder, m.Name)
 	b, err := json.Marshal(m)
 	if err == nil {
@@ -124,14 +124,14 @@
 		return nil, err
 	}
 	m := &manifest.Manifest{
-		Name: "wasm", Version: "1", Protocol: 1, Engine: "wasm", Code: "p.wasm", Hooks: every, Text: b,
+		Name: "wasm", Version: "1", Protocol: 1, Engine: "wasm", Code: "p.wasm", Hooks: allHooks, Text: b,
 		Budget: manifest.Budget{TimeMs: 20, Steps: 1000, MemoryMB: 32, BodyBytes: 4096},
 	}
 	m.Touches.Headers = true
 	return m, nil
 }
 
-// calls times calls to a host process, and tells its resident memory.
+// calls measures calls to a host process and returns its resident memory in bytes.
 func (o Plugins) calls(m *manifest.Manifest, costs map[string]CallCost) (resident int64, err error) {
 	cmd := exec.Command(o.Exe, "plugin-host")
 	in, err := cmd.StdinPipe()
@@ -158,7 +158,7 @@
 	}
 	text := json.RawMessage(`{"id":"m1","class_name":"status","tenant":"town","destination":7,"status":503,"headers":{"retry-later":"2"},"answer":"eyJidXN5Ijp0cnVlLCJmcmVlX2luIjoiMTUwMG1zIn0="}`)
 	for _, h := range m.Hooks {
-		took := newTimes()
+		took := newLatencyHistogram()
 		for i := range o.Calls {
 			begun := time.Now()
 			if err := host.Write(in, host.Call{ID: uint64(i + 1), Hook: h, Call: text, Within: m.Budget.Time()}); err != nil {
@@ -175,10 +175,9 @@
 	return rig.Resident(cmd.Process.Pid)
 }
 
-const others = 9 // of ten destinations
+const otherDestinations = 9 // of ten destinations
 
-// load plays clients against a courier with these plug-ins. during runs in the
-// middle.
+// load runs clients against a courier with the given plug-ins. during runs halfway through.
 func (o Plugins) load(list []*manifest.Manifest, during func(c *rig.Courier, folder string) error) (l LoadCost, resident int64, err error) {
 	dir, err := os.MkdirTemp("", "snowjunction-measure-")
 	if err != nil {
@@ -190,12 +189,12 @@
 		return l, 0, err
 	}
 	for _, m := range list {
-		if err := write(folder, m); err != nil {
+		if err := writePlugin(folder, m); err != nil {
 			return l, 0, err
 		}
 	}
 	var specs []standin.Spec
-	for d := range uint32(others + 1) {
+	for d := range uint32(otherDestinations + 1) {
 		specs = append(specs, standin.Spec{Destination: d + 1, Endpoints: 2, Profile: partner.Profile{Latency: 20 * time.Millisecond}})
 	}
 	kitchen, err := rig.NewKitchen(dir, specs)
@@ -214,13 +213,13 @@
 	client := load.New(c.Addr, "")
 	defer client.Close()
 	var mu sync.Mutex
-	all, rest := newTimes(), newTimes()
+	all, rest := newLatencyHistogram(), newLatencyHistogram()
 	var wg sync.WaitGroup
 	begun := time.Now()
 	for lane := range o.Lanes {
 		wg.Go(func() {
 			for n := 0; time.Since(begun) < o.For; n++ {
-				d := uint32(lane%(others+1) + 1)
+				d := uint32(lane%(otherDestinations+1) + 1)
 				at := time.Now()
 				v, after, _ := client.Add(load.Message{
 					ID: fmt.Sprintf("l%d-%d", lane, n), Class: "status", Tenant: "town", Left: 8 * time.Second, Destination: d,
@@ -232,7 +231,7 @@
 				}
 				mu.Lock()
 				all.Add(took)
-				if d <= others {
+				if d <= otherDestinations {
 					rest.Add(took)
 				}
 				mu.Unlock()
@@ -258,7 +257,7 @@
 // Run measures and returns the figures.
 func (o Plugins) Run(out io.Writer) (f PluginFigures, err error) {
 	f = PluginFigures{
-		Machine: machine(),
+		Machine: describeMachine(),
 		Calls:   map[string]CallCost{}, Host: map[string]int64{}, Courier: map[string]int64{}, Loads: map[string]LoadCost{},
 	}
 	dir, err := os.MkdirTemp("", "snowjunction-measure-")
@@ -266,7 +265,7 @@
 		return f, err
 	}
 	defer os.RemoveAll(dir)
-	script := starlark("script", everyHook, every)
+	script := starlarkPlugin("script", allHooksScript, allHooks)
 	module, err := o.module(dir)
 	if err != nil {
 		return f, err
@@ -277,7 +276,7 @@
 		}
 	}
 	fmt.Fprintf(out, "calls %+v, hosts %+v\n", f.Calls, f.Host)
-	loops := starlark("loops", looping, []manifest.Hook{manifest.Admit, manifest.Shape, manifest.Read}, others+1)
+	loops := starlarkPlugin("loops", loopingScript, []manifest.Hook{manifest.Admit, manifest.Shape, manifest.Read}, otherDestinations+1)
 	for _, x := range []struct {
 		name string
 		list []*manifest.Manifest
@@ -292,7 +291,7 @@
 	reload, _, err = o.load([]*manifest.Manifest{script}, func(c *rig.Courier, folder string) error {
 		next := *script
 		next.Version = "2"
-		if err := write(folder, &next); err != nil {
+		if err := writePlugin(folder, &next); err != nil {
 			return err
 		}
 		begun := time.Now()
@@ -308,5 +307,5 @@
 	f.Loads["reload"] = reload
 	f.Lost = reload.Open + reload.Doubled + reload.Unheard
 	fmt.Fprintf(out, "reload in %.1f ms: %+v; looping ratio %.3f\n", f.ReloadMs, reload, f.LoopingThroughputRatio)
-	return f, save(o.JSON, f)
+	return f, writeFigures(o.JSON, f)
 }
--- a/internal/measure/scalefit.go
+++ b/internal/measure/scalefit.go
@@ -9,43 +9,43 @@
 	"snowjunction/internal/scale"
 )
 
-// sums are what is fitted: of one courier, but for the directory's.
-var sums = []struct {
+// fittedTotals are the fitted totals: those of one courier, or of the directory.
+var fittedTotals = []struct {
 	name string
 	of   func(f *ScaleFigures) (float64, bool)
 }{
 	{"carrier: state, B", func(f *ScaleFigures) (float64, bool) {
-		return role(f.Carrier, func(r *RoleFigures) float64 { return r.StateBytes })
+		return roleFigure(f.Carrier, func(r *RoleFigures) float64 { return r.StateBytes })
 	}},
 	{"carrier: datagrams out /s", func(f *ScaleFigures) (float64, bool) {
-		return role(f.Carrier, func(r *RoleFigures) float64 { return r.Sent })
+		return roleFigure(f.Carrier, func(r *RoleFigures) float64 { return r.Sent })
 	}},
 	{"carrier: B out /s", func(f *ScaleFigures) (float64, bool) {
-		return role(f.Carrier, func(r *RoleFigures) float64 { return r.SentBytes })
+		return roleFigure(f.Carrier, func(r *RoleFigures) float64 { return r.SentBytes })
 	}},
 	{"carrier: B in /s", func(f *ScaleFigures) (float64, bool) {
-		return role(f.Carrier, func(r *RoleFigures) float64 { return r.ReceivedBytes })
+		return roleFigure(f.Carrier, func(r *RoleFigures) float64 { return r.ReceivedBytes })
 	}},
 	{"keeper: state, B", func(f *ScaleFigures) (float64, bool) {
-		return role(f.Keeper, func(r *RoleFigures) float64 { return r.StateBytes })
+		return roleFigure(f.Keeper, func(r *RoleFigures) float64 { return r.StateBytes })
 	}},
 	{"keeper: datagrams out /s", func(f *ScaleFigures) (float64, bool) {
-		return role(f.Keeper, func(r *RoleFigures) float64 { return r.Sent })
+		return roleFigure(f.Keeper, func(r *RoleFigures) float64 { return r.Sent })
 	}},
 	{"keeper: B out /s", func(f *ScaleFigures) (float64, bool) {
-		return role(f.Keeper, func(r *RoleFigures) float64 { return r.SentBytes })
+		return roleFigure(f.Keeper, func(r *RoleFigures) float64 { return r.SentBytes })
 	}},
 	{"keeper: B in /s", func(f *ScaleFigures) (float64, bool) {
-		return role(f.Keeper, func(r *RoleFigures) float64 { return r.ReceivedBytes })
+		return roleFigure(f.Keeper, func(r *RoleFigures) float64 { return r.ReceivedBytes })
 	}},
 	{"hollow courier: core", func(f *ScaleFigures) (float64, bool) {
-		return one(f.Hollow, func(c *CourierFigures) float64 { return c.CPU })
+		return courierFigure(f.Hollow, func(c *CourierFigures) float64 { return c.CPU })
 	}},
 	{"real courier: core", func(f *ScaleFigures) (float64, bool) {
-		return one(f.Real, func(c *CourierFigures) float64 { return c.CPU })
+		return courierFigure(f.Real, func(c *CourierFigures) float64 { return c.CPU })
 	}},
 	{"real courier: heap, B", func(f *ScaleFigures) (float64, bool) {
-		return one(f.Real, func(c *CourierFigures) float64 { return c.HeapBytes })
+		return courierFigure(f.Real, func(c *CourierFigures) float64 { return c.HeapBytes })
 	}},
 	{"directory: state, B", func(f *ScaleFigures) (float64, bool) { return f.Directory.StateBytes, true }},
 	{"directory: calls /s", func(f *ScaleFigures) (float64, bool) { return f.Directory.Calls, true }},
@@ -53,7 +53,7 @@
 	{"directory: B out at the start", func(f *ScaleFigures) (float64, bool) { return f.Directory.StartOut, true }},
 	{"courier: list told at the start, B", func(f *ScaleFigures) (float64, bool) { return f.Start.Bytes, true }},
 	{"hollow courier: list held, B", func(f *ScaleFigures) (float64, bool) {
-		return one(f.Hollow, func(c *CourierFigures) float64 { return c.ListBytes })
+		return courierFigure(f.Hollow, func(c *CourierFigures) float64 { return c.ListBytes })
 	}},
 	{"hollow courier: forwarded, B /s", func(f *ScaleFigures) (float64, bool) {
 		if f.Hollow == nil || f.Hollow.Forwarding == nil {
@@ -64,21 +64,21 @@
 	{"last change in force, ms", func(f *ScaleFigures) (float64, bool) { return f.Force.LastMs, f.Force.Heard > 0 }},
 }
 
-func role(r *RoleFigures, of func(*RoleFigures) float64) (float64, bool) {
+func roleFigure(r *RoleFigures, of func(*RoleFigures) float64) (float64, bool) {
 	if r == nil {
 		return 0, false
 	}
 	return of(r), true
 }
 
-func one(c *CourierFigures, of func(*CourierFigures) float64) (float64, bool) {
+func courierFigure(c *CourierFigures, of func(*CourierFigures) float64) (float64, bool) {
 	if c == nil {
 		return 0, false
 	}
 	return of(c), true
 }
 
-// Fitted are the runs of a fit and what came of it.
+// Fitted holds the runs of a fit and the fitted lines.
 type Fitted struct {
 	Against string                `json:"against"`
 	Sizes   []float64             `json:"sizes"`
@@ -86,7 +86,7 @@
 	Runs    []*ScaleFigures       `json:"runs"`
 }
 
-// sizes are those that a fit plays; none without one.
+// sizes returns the sizes that a fit measures, or nil without a fit.
 func (o Scale) sizes() []float64 {
 	most, fits := map[string]float64{"couriers": float64(o.Couriers), "destinations": float64(o.Destinations), "events": o.Events}[o.Fit]
 	if !fits {
@@ -95,8 +95,8 @@
 	return scale.Sizes(most)
 }
 
-// sized is a plan at another size of what a fit goes against.
-func (o Scale) sized(v float64) scale.Plan {
+// planOfSize returns the plan with another value of the parameter that is varied.
+func (o Scale) planOfSize(v float64) scale.Plan {
 	p := o.Plan
 	switch o.Fit {
 	case "couriers":
@@ -110,11 +110,11 @@
 	return p
 }
 
-// fit plays five sizes and prints a line for each sum.
+// fit measures five sizes and prints a fitted line for each total.
 func (o Scale) fit(out io.Writer) error {
 	f := Fitted{Against: o.Fit, Lines: map[string]scale.Line{}}
 	for _, v := range o.sizes() {
-		x, err := o.play(o.sized(v))
+		x, err := o.runPlan(o.planOfSize(v))
 		if err != nil {
 			return err
 		}
@@ -123,15 +123,15 @@
 		x.print(out)
 	}
 	f.print(out)
-	return save(o.JSON, f)
+	return writeFigures(o.JSON, f)
 }
 
-// print writes the lines. A sum that none of the runs has is left out.
+// print writes the fitted lines. A total that a run does not have is left out.
 func (f *Fitted) print(out io.Writer) {
 	fmt.Fprintf(out, "-- against %s, %d sizes up to %g\n", f.Against, len(f.Sizes), f.Sizes[len(f.Sizes)-1])
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "sum\tslope\t± (95%)\tat 0\t")
-	for _, s := range sums {
+	fmt.Fprintln(w, "total\tslope\t± (95%)\tat 0\t")
+	for _, s := range fittedTotals {
 		var y []float64
 		for _, x := range f.Runs {
 			if v, ok := s.of(x); ok {
@@ -152,26 +152,26 @@
 	w.Flush()
 }
 
-// Agreed is what all couriers real and all hollow came to.
-type Agreed struct {
+// AgreementFigures holds the figures of the fleet with only real and with only simulated couriers.
+type AgreementFigures struct {
 	Real       *ScaleFigures     `json:"real"`
 	Hollow     *ScaleFigures     `json:"hollow"`
 	Agreements []scale.Agreement `json:"agreements"`
 	Holds      bool              `json:"holds"`
 }
 
-// ErrApart tells that hollow couriers do not stand for real ones.
-var ErrApart = fmt.Errorf("at this size the traffic of hollow couriers is over %g%% off that of real ones: they do not stand for them", 100*scale.AgreementTolerance)
+// ErrTrafficDiffers is returned if simulated couriers do not represent real ones.
+var ErrTrafficDiffers = fmt.Errorf("at this size the traffic of simulated couriers differs by more than %g%% from that of real ones", 100*scale.AgreementTolerance)
 
-// agree plays the fleet all real, then all hollow, and compares their traffic.
-func (o Scale) agree(out io.Writer) error {
-	x := Agreed{Holds: true}
+// compareFleets runs the fleet with only real, then with only simulated couriers, and compares the traffic.
+func (o Scale) compareFleets(out io.Writer) error {
+	x := AgreementFigures{Holds: true}
 	for _, all := range []bool{true, false} {
 		p := o.Plan
 		if p.Real = 0; all {
 			p.Real = p.Couriers
 		}
-		f, err := o.play(p)
+		f, err := o.runPlan(p)
 		if err != nil {
 			return err
 		}
@@ -199,18 +199,18 @@
 			scale.Compare("list held, B", a.Real.ListBytes, b.Hollow.ListBytes))
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "hollow against real\treal\thollow\toff")
+	fmt.Fprintln(w, "simulated against real\treal\tsimulated\tdifference")
 	for _, c := range x.Agreements {
 		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%+.1f%%\n", c.Name, c.Real, c.Simulated, 100*c.Difference)
 		x.Holds = x.Holds && c.WithinTolerance()
 	}
 	w.Flush()
-	if err := save(o.JSON, x); err != nil {
+	if err := writeFigures(o.JSON, x); err != nil {
 		return err
 	}
 	if !x.Holds {
-		return ErrApart
+		return ErrTrafficDiffers
 	}
-	fmt.Fprintf(out, "hollow couriers stand for real ones here: every sum is within %g%%\n", 100*scale.AgreementTolerance)
+	fmt.Fprintf(out, "simulated couriers represent real ones at this size: every total is within %g%%\n", 100*scale.AgreementTolerance)
 	return nil
 }
--- a/internal/measure/scaleparts.go
+++ b/internal/measure/scaleparts.go
@@ -14,28 +14,28 @@
 	"snowjunction/internal/scale"
 )
 
-// linger is for how long a courier serves on what it no longer owns; in a run it is the same
-// members all the while.
+// linger is how long a courier serves destinations that it no longer owns. The membership does
+// not change during a run.
 const linger = 30 * time.Second
 
-// members is who owns what in a run; nil: each courier has all.
-func members(p scale.Plan, addrs []string) (*partition.Membership, error) {
+// newMembership returns the partition membership of a run, or nil without partitions.
+func newMembership(p scale.Plan, addrs []string) (*partition.Membership, error) {
 	if p.Partitions == 0 {
 		return nil, nil
 	}
 	return partition.New(p.Partitions, p.Copies, p.Members(addrs))
 }
 
-// clients is where a courier listens for clients and for those that forward; "": where it likes,
-// or not at all.
-func (w *wires) clients(n int) string {
+// clientAddr returns the address on which a courier listens for clients and forwarding couriers. Empty
+// means any address for a real courier and no listener for a simulated one.
+func (w *sharedState) clientAddr(n int) string {
 	if w.members == nil {
 		return ""
 	}
-	return w.each[n]
+	return w.addrs[n]
 }
 
-// partitions is the operator file of real couriers; nil: off.
+// partitions returns the partition settings of real couriers, or nil without partitions.
 func (t *fleet) partitions() map[string]any {
 	if t.members == nil {
 		return nil
@@ -47,28 +47,28 @@
 	return map[string]any{"enabled": true, "partitions": t.plan.Partitions, "copies": t.plan.Copies, "members": all, "linger_s": linger.Seconds()}
 }
 
-// router is a new life's: it holds no list yet.
-func (h *hollow) router() *partition.Router {
+// newRouter returns the router of a newly started courier, which holds no list yet.
+func (h *simulatedCourier) newRouter() *partition.Router {
 	if h.members == nil {
 		return nil
 	}
 	return partition.NewRouter(platform.RouterOptions(h.settings, scale.MemberName(h.number), "", linger), h.members, 0)
 }
 
-// handIn hands a message in as a client would, but for the connection.
-func (h *hollow) handIn(r core.Request) {
-	_ = h.front.Submit(r, func([]byte) {}) // it is well-formed
+// submit submits a message as a client would, but without a connection.
+func (h *simulatedCourier) submit(r core.Request) {
+	_ = h.front.Submit(r, func([]byte) {}) // the request is well-formed
 }
 
-// forwarded is what it has forwarded in all its lives.
-func (h *hollow) forwarded() map[string]float64 {
-	if !h.alive {
-		return h.passed
+// totalForwarded returns the forwarding counters over all process runs of the courier.
+func (h *simulatedCourier) totalForwarded() map[string]float64 {
+	if !h.running {
+		return h.pastForwarded
 	}
-	return sumOf(h.passed, h.forwardedNow())
+	return addCounters(h.pastForwarded, h.currentForwarded())
 }
 
-func sumOf(a, b map[string]float64) map[string]float64 {
+func addCounters(a, b map[string]float64) map[string]float64 {
 	out := maps.Clone(a)
 	if out == nil {
 		out = map[string]float64{}
@@ -79,19 +79,19 @@
 	return out
 }
 
-// door is the address at which a courier reaches the directory: a real one's is its own all the
-// while, as a list that another address has told would not be kept, a hollow one's once it has been
-// restarted.
-func (t *fleet) door(n int) (string, error) {
+// directoryAddress returns the address at which a courier reaches the directory. A real courier has an address
+// of its own throughout the run, because it would not keep a list from another address; a simulated
+// one has its own address once it has been restarted.
+func (t *fleet) directoryAddress(n int) (string, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	d := t.doors[n]
-	if d == nil && (t.again[n] || t.plan.IsReal(n)) {
+	d := t.directoryAddrs[n]
+	if d == nil && (t.restartedCouriers[n] || t.plan.IsReal(n)) {
 		var err error
 		if d, err = t.directory.Door(); err != nil {
 			return "", err
 		}
-		t.doors[n] = d
+		t.directoryAddrs[n] = d
 	}
 	if d == nil {
 		return t.discovery, nil
@@ -99,22 +99,22 @@
 	return d.Addr, nil
 }
 
-// starts notes that a courier, which has been killed, will start again.
-func (t *fleet) starts(n int) {
+// markRestarted records that a killed courier will be restarted.
+func (t *fleet) markRestarted(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.again[n] = true; t.doors[n] != nil {
-		t.doors[n].Again()
+	if t.restartedCouriers[n] = true; t.directoryAddrs[n] != nil {
+		t.directoryAddrs[n].Again()
 	}
 }
 
-// restarted fills in what restarted couriers have been told.
-func (t *fleet) restarted(f *ToldFigures) {
+// fillRestarted fills in how many bytes the directory sent to restarted couriers.
+func (t *fleet) fillRestarted(f *StartTraffic) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	hollow, real := 0.0, 0.0
-	for n := range t.again {
-		d := t.doors[n]
+	for n := range t.restartedCouriers {
+		d := t.directoryAddrs[n]
 		if d == nil {
 			continue
 		}
@@ -129,9 +129,9 @@
 	f.Restarted, f.Real = hollow/float64(max(1, f.Again)), real/float64(max(1, f.AgainReal))
 }
 
-// concerned is how many couriers the changes concern, taken together.
-func (t *fleet) concerned() (n int) {
-	for _, c := range t.force.changes {
+// affectedPairs returns the number of pairs of a list change and a courier that it affects.
+func (t *fleet) affectedPairs() (n int) {
+	for _, c := range t.propagation.changes {
 		if t.members == nil {
 			n += t.plan.Couriers
 		} else {
@@ -141,13 +141,13 @@
 	return n
 }
 
-func (t *fleet) forwarding(n int, each func(name string) float64, open float64) *ForwardFigures {
+func (t *fleet) forwardFigures(n int, each func(name string) float64, open float64) *ForwardFigures {
 	if t.members == nil {
 		return nil
 	}
 	f := &ForwardFigures{
 		Handed: each("handed"), Forwarded: each("forwarded"), Bytes: each("forward_bytes"), Moved: each("moved"),
-		NoOwner: each("no_owner"), Lost: each("lost"), Open: open / float64(n),
+		NoOwner: each("no_owner"), Unanswered: each("lost"), Open: open / float64(n),
 	}
 	if f.Handed > 0 {
 		f.Share = f.Forwarded / f.Handed
@@ -156,18 +156,18 @@
 }
 
 func (f *ScaleFigures) printParts(out io.Writer) {
-	fmt.Fprintf(out, "the list, of one: %.0f bytes told at the start, %.3g times the %d that it may be told", f.Start.Bytes, f.Start.Over, scale.StartBudget)
+	fmt.Fprintf(out, "the list of one courier: %.0f bytes received at the start, %.3g times the budget of %d", f.Start.Bytes, f.Start.Over, scale.StartBudget)
 	for _, x := range []struct {
 		name string
 		c    *CourierFigures
-	}{{"real", f.Real}, {"hollow", f.Hollow}} {
+	}{{"real", f.Real}, {"simulated", f.Hollow}} {
 		if x.c != nil {
 			fmt.Fprintf(out, "; %s: %.0f entries held in %.0f bytes", x.name, x.c.ListEntries, x.c.ListBytes)
 		}
 	}
 	fmt.Fprintln(out)
 	if f.Start.Again+f.Start.AgainReal > 0 {
-		fmt.Fprintf(out, "told to a restarted courier: %.0f bytes (%d hollow ones, with nothing kept), %.0f bytes (%d real ones, with their folder)\n",
+		fmt.Fprintf(out, "received by a restarted courier: %.0f bytes (%d simulated ones, without stored state), %.0f bytes (%d real ones, with stored state)\n",
 			f.Start.Restarted, f.Start.Again, f.Start.Real, f.Start.AgainReal)
 	}
 	if f.Plan.Partitions == 0 {
@@ -175,35 +175,35 @@
 	}
 	fmt.Fprintf(out, "%d partitions, %d copies in each region\n", f.Plan.Partitions, f.Plan.Copies)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "of one, a second\thanded in\tforwarded\tshare\tB forwarded\tMOVED\tBUSY, no owner\tno answer\tconnections")
+	fmt.Fprintln(w, "per courier and second\tsubmitted\tforwarded\tshare\tB forwarded\tMOVED\tBUSY, no owner\tno answer\tconnections")
 	for _, x := range []struct {
 		name string
 		c    *CourierFigures
-	}{{"courier, real", f.Real}, {"courier, hollow", f.Hollow}} {
+	}{{"courier, real", f.Real}, {"courier, simulated", f.Hollow}} {
 		if x.c != nil && x.c.Forwarding != nil {
 			n := x.c.Forwarding
-			fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.3f\t%.1f\t%.3f\t%.3f\t%.3f\t%.2f\n", x.name, n.Handed, n.Forwarded, n.Share, n.Bytes, n.Moved, n.NoOwner, n.Lost, n.Open)
+			fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.3f\t%.1f\t%.3f\t%.3f\t%.3f\t%.2f\n", x.name, n.Handed, n.Forwarded, n.Share, n.Bytes, n.Moved, n.NoOwner, n.Unanswered, n.Open)
 		}
 	}
 	w.Flush()
 }
 
-// forwardNames are the counters of forwarding, as the line of counters names them.
-var forwardNames = map[string]string{
+// forwardCounterNames maps the figures of forwarding to their names in the counters line.
+var forwardCounterNames = map[string]string{
 	"forwarded": "forwarded", "forward_bytes": "forwarded_bytes", "moved": "moved", "no_owner": "unrouted", "lost": "unknown",
 }
 
-// forwardedBy is what a line of counters says of forwarding.
-func forwardedBy(line map[string]any) map[string]float64 {
+// forwardCounters returns the forwarding figures of a counters line.
+func forwardCounters(line map[string]any) map[string]float64 {
 	out := map[string]float64{}
-	for name, key := range forwardNames {
+	for name, key := range forwardCounterNames {
 		out[name] = rig.Number(line, "n", key)
 	}
 	return out
 }
 
-// forwardedNow is what its present life has forwarded.
-func (h *hollow) forwardedNow() map[string]float64 {
+// currentForwarded returns the forwarding counters of the current process run.
+func (h *simulatedCourier) currentForwarded() map[string]float64 {
 	n := h.core.Counters
 	return map[string]float64{
 		"forwarded": float64(n.Forwarded), "forward_bytes": float64(n.ForwardedBytes), "moved": float64(n.Moved),
--- a/internal/measure/scalerun.go
+++ b/internal/measure/scalerun.go
@@ -18,62 +18,62 @@
 )
 
 const (
-	shardsMost   = 8 // loops that hollow couriers share
-	holdWithin   = 15 * time.Minute
-	realsAtOnce  = 8
-	tellEvery    = 10 * time.Second
-	greetWithin  = 2 * time.Minute
-	lookAgain    = 200 * time.Millisecond
-	tellNotes    = 500_000
-	downFor      = time.Second // a courier that is restarted, at least
-	realSockets  = 1024
-	realMemoryMB = 128 // as the fleet to come allows
+	maxShards            = 8 // event loops that simulated couriers share
+	startTimeout         = 15 * time.Minute
+	concurrentRealStarts = 8
+	progressInterval     = 10 * time.Second
+	announceTimeout      = 2 * time.Minute
+	announcePollInterval = 200 * time.Millisecond
+	progressDatagrams    = 500_000
+	restartDowntime      = time.Second // minimum downtime of a restarted courier
+	realMaxSockets       = 1024
+	realMemoryMB         = 128 // the memory limit of the planned fleet's couriers
 )
 
-// force follows how changes of the list come into force.
-type force struct {
-	mu      sync.Mutex
-	changes []told
-	held    map[string]uint64 // generation, by a watcher's address
-	hist    *latency.Histogram
-	heard   int64
+// propagation measures how long list changes take to reach the couriers.
+type propagation struct {
+	mu            sync.Mutex
+	changes       []listChange
+	confirmed     map[string]uint64 // generation confirmed, by the watcher's address
+	delays        *latency.Histogram
+	confirmations int64
 }
 
-type told struct {
+type listChange struct {
 	generation  uint64
 	at          time.Time
 	destination uint32
 }
 
-// watched takes a watch, which says what is held of the destinations that it concerns.
-func (f *force) watched(from string, generation uint64, concerns func(destination uint32) bool) {
+// onWatch handles a watch request, which confirms the generation held for the watched destinations.
+func (f *propagation) onWatch(from string, generation uint64, concerns func(destination uint32) bool) {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	was, ok := f.held[from]
-	f.held[from] = generation
+	was, ok := f.confirmed[from]
+	f.confirmed[from] = generation
 	if !ok || generation <= was {
 		return
 	}
 	for _, c := range f.changes {
 		if c.generation > was && c.generation <= generation && concerns(c.destination) {
-			f.hist.Add(now.Sub(c.at))
-			f.heard++
+			f.delays.Add(now.Sub(c.at))
+			f.confirmations++
 		}
 	}
 }
 
-// change tells a change.
-func (t *fleet) change(n int) {
-	t.force.mu.Lock()
-	defer t.force.mu.Unlock()
+// changeEndpoint changes the weight of a listed endpoint and records the change.
+func (t *fleet) changeEndpoint(n int) {
+	t.propagation.mu.Lock()
+	defer t.propagation.mu.Unlock()
 	x := &t.list[n]
 	x.Weight++
 	at := time.Now()
-	t.force.changes = append(t.force.changes, told{t.directory.Change(*x), at, x.Cell})
+	t.propagation.changes = append(t.propagation.changes, listChange{t.directory.Change(*x), at, x.Cell})
 }
 
-func (t *fleet) member(n int) map[string]any {
+func (t *fleet) memberSettings(n int) map[string]any {
 	return rig.Member(t.settings, n, t.plan.Couriers, t.plan.Zone(n), t.zones)
 }
 
@@ -81,20 +81,20 @@
 func (t *fleet) start() error {
 	p := t.plan
 	if hollow := p.Couriers - p.Real; hollow > 0 {
-		n := min(shardsMost, runtime.GOMAXPROCS(0), hollow)
+		n := min(maxShards, runtime.GOMAXPROCS(0), hollow)
 		for range n {
-			s, err := newShard(t.machine.Files) // its table goes by descriptors, of which the process has others, too
+			s, err := newShard(t.machine.Files) // the connection table is indexed by descriptor, and the process has other descriptors, too
 			if err != nil {
 				return err
 			}
 			t.shards = append(t.shards, s)
 		}
 	}
-	all, failed := newStarts(), make(chan error, p.Couriers)
+	all, failed := newStartLimiter(), make(chan error, p.Couriers)
 	ended := make(chan struct{})
 	defer close(ended)
-	t.work.Go(func() { t.follow(ended) })
-	reals := make(chan struct{}, realsAtOnce)
+	t.tasks.Go(func() { t.reportProgress(ended) })
+	reals := make(chan struct{}, concurrentRealStarts)
 	var wg sync.WaitGroup
 	for n := range p.Couriers {
 		if p.IsReal(n) {
@@ -105,14 +105,14 @@
 			})
 			continue
 		}
-		t.calm()
-		s, held := t.shards[n%len(t.shards)], all.one()
-		h, err := newHollow(&t.wires, s, n, t.member(n), held)
+		t.drainLoops()
+		s, held := t.shards[n%len(t.shards)], all.acquire()
+		h, err := newSimulatedCourier(&t.sharedState, s, n, t.memberSettings(n), held)
 		if err != nil {
 			return err
 		}
-		t.hollow[n] = h
-		s.on(func() { err = h.begin() })
+		t.simulated[n] = h
+		s.on(func() { err = h.start() })
 		if err != nil {
 			return err
 		}
@@ -123,50 +123,50 @@
 			return err
 		}
 	}
-	if err := all.wait(holdWithin); err != nil {
+	if err := all.awaitAll(startTimeout); err != nil {
 		return err
 	}
-	for limit := time.Now().Add(holdWithin); t.watchers() < p.Couriers; time.Sleep(10 * time.Millisecond) {
+	for limit := time.Now().Add(startTimeout); t.watchers() < p.Couriers; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(limit) {
-			return fmt.Errorf("%d of %d couriers watch the list after %v", t.watchers(), p.Couriers, holdWithin)
+			return fmt.Errorf("only %d of %d couriers watch the list after %v", t.watchers(), p.Couriers, startTimeout)
 		}
 	}
 	return nil
 }
 
-// greeted waits until hardly a datagram goes any more.
-func (t *fleet) greeted() {
+// awaitAnnouncements waits until the announcements have ended and few datagrams are sent.
+func (t *fleet) awaitAnnouncements() {
 	begun := time.Now()
-	for last := int64(-1); time.Since(begun) < greetWithin; {
-		t.sleep(lookAgain)
-		t.calm()
-		told := t.told.Load()
+	for last := int64(-1); time.Since(begun) < announceTimeout; {
+		t.sleep(announcePollInterval)
+		t.drainLoops()
+		told := t.sentDatagrams.Load()
 		if last >= 0 && told-last <= int64(t.plan.Couriers)/10 {
 			return
 		}
-		if last/tellNotes != told/tellNotes {
-			fmt.Fprintf(os.Stderr, "%.0f s: %d datagrams, %d of them greetings\n", time.Since(begun).Seconds(), told, t.greetings.Load())
+		if last/progressDatagrams != told/progressDatagrams {
+			fmt.Fprintf(os.Stderr, "%.0f s: %d datagrams, %d of them announcements\n", time.Since(begun).Seconds(), told, t.announcements.Load())
 		}
 		last = told
 	}
 }
 
-// calm waits until what couriers have brought up to now has been looked at.
-func (t *fleet) calm() {
+// drainLoops waits until every loop has processed the events queued so far.
+func (t *fleet) drainLoops() {
 	for _, s := range t.shards {
 		s.on(func() {})
 	}
 }
 
-// follow tells now and then how many couriers hold the list.
-func (t *fleet) follow(ended chan struct{}) {
-	clock := time.NewTicker(tellEvery)
+// reportProgress prints regularly how many couriers hold the list.
+func (t *fleet) reportProgress(ended chan struct{}) {
+	clock := time.NewTicker(progressInterval)
 	defer clock.Stop()
 	for begun := time.Now(); ; {
 		select {
 		case <-ended:
 			return
-		case <-t.ending:
+		case <-t.stopping:
 			return
 		case <-clock.C:
 			fmt.Fprintf(os.Stderr, "%.0f s: %d of %d couriers hold the list\n", time.Since(begun).Seconds(), t.watchers(), t.plan.Couriers)
@@ -174,76 +174,76 @@
 	}
 }
 
-// watchers is how many connections have watched the list.
+// watchers returns the number of addresses that have watched the list.
 func (t *fleet) watchers() int {
-	t.force.mu.Lock()
-	defer t.force.mu.Unlock()
-	return len(t.force.held)
+	t.propagation.mu.Lock()
+	defer t.propagation.mu.Unlock()
+	return len(t.propagation.confirmed)
 }
 
-// startReal starts a process, again if it has been there.
+// startReal starts the process of a real courier, or restarts it.
 func (t *fleet) startReal(n int) error {
 	t.mu.Lock()
 	m := t.real[n]
 	t.mu.Unlock()
 	if m == nil {
-		m = &member{number: n, dir: filepath.Join(t.dir, fmt.Sprint(n)), past: map[string]float64{}}
+		m = &realCourier{number: n, dir: filepath.Join(t.dir, fmt.Sprint(n)), pastCounters: map[string]float64{}}
 	}
 	if err := os.MkdirAll(m.dir, 0o700); err != nil {
 		return err
 	}
-	discovery, err := t.door(n)
+	discovery, err := t.directoryAddress(n)
 	if err != nil {
 		return err
 	}
 	c, err := rig.Start(t.exe, rig.Config{
-		Dir: m.dir, Discovery: discovery, Listen: t.clients(n), Partitions: t.partitions(), Settings: t.member(n), MemoryMB: realMemoryMB, Sockets: realSockets,
-		Peers: t.each, Number: n, Seed: courierSeed(t.plan, n),
+		Dir: m.dir, Discovery: discovery, Listen: t.clientAddr(n), Partitions: t.partitions(), Settings: t.memberSettings(n), MemoryMB: realMemoryMB, Sockets: realMaxSockets,
+		Peers: t.addrs, Number: n, Seed: courierSeed(t.plan, n),
 		Idle: map[string]any{"list_mb": t.lists.Bytes>>20 + 1, "list_entries": t.lists.Entries},
 	})
 	if err != nil {
 		return err
 	}
 	t.mu.Lock()
-	m.c, m.client = c, load.New(c.Addr, "")
+	m.courier, m.client = c, load.New(c.Addr, "")
 	t.real[n] = m
 	t.mu.Unlock()
 	return nil
 }
 
-// flow has messages come to all couriers. The first has all greet up to 1,024 others each:
-// that is over before the rest come, or what it takes of the loops' time would have couriers
-// hear late, and greet again.
-func (t *fleet) flow() {
+// startTraffic starts the traffic of all couriers. The first courier makes all others announce themselves
+// to up to 1,024 peers each. flow waits for that before it starts the rest: otherwise the load on
+// the loops would make couriers receive messages late and announce themselves again.
+func (t *fleet) startTraffic() {
 	first := true
 	for n := range t.plan.Couriers {
-		h := t.hollow[n]
+		h := t.simulated[n]
 		if h == nil {
 			continue
 		}
 		h.shard.on(func() {
-			h.flows = true
+			h.hasTraffic = true
 			if first {
-				h.arrive(0)
+				h.scheduleAfter(0)
 			} else {
-				h.next()
+				h.scheduleNext()
 			}
 		})
 		if first {
-			t.greeted()
+			t.awaitAnnouncements()
 		}
 		first = false
 	}
 	for _, m := range t.real {
-		t.work.Go(func() { t.traffic(m) })
+		t.tasks.Go(func() { t.submitMessages(m) })
 	}
 }
 
-// traffic hands a real courier its messages.
-func (t *fleet) traffic(m *member) {
+// submitMessages submits messages to a real courier.
+func (t *fleet) submitMessages(m *realCourier) {
 	a := t.plan.Arrivals(m.number, t.plan.Listening(t.machine))
-	if t.may != nil {
-		a = t.plan.ArrivalsAt(m.number, t.may)
+	if t.allowed != nil {
+		a = t.plan.ArrivalsAt(m.number, t.allowed)
 	}
 	at := time.Now()
 	for serial := 1; ; serial++ {
@@ -254,134 +254,134 @@
 		t.mu.Lock()
 		client := m.client
 		t.mu.Unlock()
-		x := message(m.number, serial, dest, keyed)
-		t.work.Go(func() {
+		x := newMessage(m.number, serial, dest, keyed)
+		t.tasks.Go(func() {
 			if v, _, _ := client.Add(x); v != load.Unheard {
-				t.handed.Add(1)
+				t.submitted.Add(1)
 			}
 		})
 	}
 }
 
-// restart kills a courier and starts it again. A hollow one has kept nothing.
+// restart kills a courier and starts it again. A simulated one loses all state.
 func (t *fleet) restart(n int) error {
-	if h := t.hollow[n]; h != nil {
-		h.shard.on(h.end)
-		t.starts(n)
-		if !t.sleep(downFor) {
+	if h := t.simulated[n]; h != nil {
+		h.shard.on(h.kill)
+		t.markRestarted(n)
+		if !t.sleep(restartDowntime) {
 			return nil
 		}
 		var err error
 		h.shard.on(func() {
-			if h.discovery, err = t.door(n); err == nil {
-				err = h.begin()
+			if h.discovery, err = t.directoryAddress(n); err == nil {
+				err = h.start()
 			}
 		})
 		return err
 	}
 	m := t.real[n]
-	line, err := m.c.Counters(false)
+	line, err := m.courier.Counters(false)
 	if err != nil {
 		return err
 	}
-	for _, name := range datagramNames {
-		m.past[name] += rig.Number(line, "datagrams", name)
+	for _, name := range datagramCounterNames {
+		m.pastCounters[name] += rig.Number(line, "datagrams", name)
 	}
-	for name, v := range forwardedBy(line) {
-		m.past[name] += v
+	for name, v := range forwardCounters(line) {
+		m.pastCounters[name] += v
 	}
-	if d, err := m.c.CPU(); err == nil {
-		m.past["cpu"] += d.Seconds()
+	if d, err := m.courier.CPU(); err == nil {
+		m.pastCounters["cpu"] += d.Seconds()
 	}
-	m.c.Kill()
-	t.starts(n)
-	if !t.sleep(downFor) {
+	m.courier.Kill()
+	t.markRestarted(n)
+	if !t.sleep(restartDowntime) {
 		return nil
 	}
 	return t.startReal(n)
 }
 
-var datagramNames = []string{"sent", "sent_bytes", "received", "received_bytes", "strange", "oversize", "crowded"}
+var datagramCounterNames = []string{"sent", "sent_bytes", "received", "received_bytes", "strange", "oversize", "crowded"}
 
-// reading is what all couriers have counted up to a moment.
+// reading is a snapshot of the counters of all couriers.
 type reading struct {
-	at                  time.Time
-	hollow, real        map[string]float64
-	asks, grants        part
-	state, accounts     float64 // of hollow couriers, at that moment
-	accountBytes        float64
-	realState           float64
-	realHeap, realRSS   float64
-	handed, unread, cut float64
-	greetings           float64
-	dir                 standin.Traffic
-	partners            partner.Counts
+	at                           time.Time
+	hollow, real                 map[string]float64
+	requestTraffic, ownerTraffic roleTraffic
+	state, accounts              float64 // of simulated couriers, at that moment
+	accountBytes                 float64
+	realState                    float64
+	realHeap, realRSS            float64
+	submitted, invalid, cut      float64
+	announcements                float64
+	directory                    standin.Traffic
+	partners                     partner.Counts
 }
 
-func (t *fleet) read(collect bool) (r reading, err error) {
+func (t *fleet) readCounters(collect bool) (r reading, err error) {
 	r = reading{hollow: map[string]float64{}, real: map[string]float64{}, at: time.Now()}
 	for _, s := range t.shards {
 		r.hollow["cpu"] += s.cpu().Seconds()
 		s.on(func() {
 			r.hollow["open"] += float64(s.engine.OpenByKind()[platform.ForwardKind])
-			for _, h := range t.hollow {
+			for _, h := range t.simulated {
 				if h.shard == s {
-					r.add(h, collect)
+					r.addSimulated(h, collect)
 				}
 			}
 		})
 	}
 	for _, m := range t.real {
-		line, err := m.c.Counters(collect)
+		line, err := m.courier.Counters(collect)
 		if err != nil {
 			return r, err
 		}
-		for _, name := range datagramNames {
-			r.real[name] += m.past[name] + rig.Number(line, "datagrams", name)
+		for _, name := range datagramCounterNames {
+			r.real[name] += m.pastCounters[name] + rig.Number(line, "datagrams", name)
 		}
-		cpu, err := m.c.CPU()
+		cpu, err := m.courier.CPU()
 		if err != nil {
 			return r, err
 		}
-		r.real["cpu"] += m.past["cpu"] + cpu.Seconds()
-		for name, v := range forwardedBy(line) {
-			r.real[name] += m.past[name] + v
+		r.real["cpu"] += m.pastCounters["cpu"] + cpu.Seconds()
+		for name, v := range forwardCounters(line) {
+			r.real[name] += m.pastCounters[name] + v
 		}
 		r.real["open"] += rig.Number(line, "kinds", platform.ForwardKind)
 		r.real["entries"] += rig.Number(line, "idle", "listed")
 		r.real["list"] += rig.Number(line, "idle", "table_bytes")
-		r.unread += rig.Number(line, "n", "unread")
+		r.invalid += rig.Number(line, "n", "unread")
 		r.realState += rig.Number(line, "state", "carried_bytes") + rig.Number(line, "state", "account_bytes")
 		r.realHeap += rig.Number(line, "heap")
-		if rss, err := m.c.Resident(); err == nil {
+		if rss, err := m.courier.Resident(); err == nil {
 			r.realRSS += float64(rss)
 		}
 	}
-	r.real["handed"] = float64(t.handed.Load())
-	r.handed += r.real["handed"]
-	r.cut, r.greetings, r.dir = float64(t.cut.Load()), float64(t.greetings.Load()), t.directory.Traffic()
+	r.real["handed"] = float64(t.submitted.Load())
+	r.submitted += r.real["handed"]
+	r.cut, r.announcements, r.directory = float64(t.cutDatagrams.Load()), float64(t.announcements.Load()), t.directory.Traffic()
 	t.farm.Each(func(_ uint32, p *partner.Partner) { r.partners.Add(p.Counts) })
 	return r, nil
 }
 
-// add adds what a hollow courier has counted; it is called on its loop.
-func (r *reading) add(h *hollow, footprint bool) {
-	n := h.past
-	if h.alive {
-		n = sum(n, h.socket.Counts())
-		r.unread += float64(h.core.Counters.PeerMessagesInvalid)
-	}
-	r.unread += float64(h.unread)
+// addSimulated adds the counters of a simulated courier. It has to run on the courier's loop.
+func (r *reading) addSimulated(h *simulatedCourier, footprint bool) {
+	n := h.pastDatagrams
+	if h.running {
+		n = addDatagramCounts(n, h.socket.Counts())
+		r.invalid += float64(h.core.Counters.PeerMessagesInvalid)
+	}
+	r.invalid += float64(h.invalidMessages)
 	for name, v := range map[string]uint64{
 		"sent": n.Sent, "sent_bytes": n.SentBytes, "received": n.Received, "received_bytes": n.ReceivedBytes,
 		"strange": n.UnknownSender, "oversize": n.Oversize, "crowded": n.Overflow,
 	} {
 		r.hollow[name] += float64(v)
 	}
-	r.asks, r.grants = r.asks.plus(h.asks, 1), r.grants.plus(h.grants, 1)
-	r.handed += float64(h.serial)
+	r.requestTraffic, r.ownerTraffic = r.requestTraffic.plus(h.requestTraffic, 1), r.ownerTraffic.plus(h.ownerTraffic, 1)
+	r.submitted += float64(h.serial)
 	r.hollow["handed"] += float64(h.serial)
-	for name, v := range h.forwarded() {
+	for name, v := range h.totalForwarded() {
 		r.hollow[name] += v
 	}
 	if footprint {
@@ -394,15 +394,15 @@
 	}
 }
 
-func (p part) plus(x part, times float64) part {
-	return part{
+func (p roleTraffic) plus(x roleTraffic, times float64) roleTraffic {
+	return roleTraffic{
 		p.Sent + times*x.Sent, p.SentBytes + times*x.SentBytes, p.Received + times*x.Received, p.ReceivedBytes + times*x.ReceivedBytes,
 	}
 }
 
-// measure has the run's events happen and fills in what they came to.
+// measure runs the planned events and fills in the figures.
 func (t *fleet) measure(f *ScaleFigures, heapBefore float64) error {
-	from, err := t.read(false)
+	from, err := t.readCounters(false)
 	if err != nil {
 		return err
 	}
@@ -416,19 +416,19 @@
 		})
 	}
 	for _, m := range t.plan.ChangeEvents() {
-		at(m, func() { t.change(m.Index) })
+		at(m, func() { t.changeEndpoint(m.Index) })
 	}
 	for _, m := range t.plan.CutEvents() {
 		at(m, func() {
-			t.parted.Store(int64(m.Index) + 1)
+			t.cutRegion.Store(int64(m.Index) + 1)
 			t.sleep(m.Duration)
-			t.parted.Store(0)
+			t.cutRegion.Store(0)
 		})
 	}
 	for _, m := range t.plan.RestartEvents() {
 		at(m, func() { wrong <- t.restart(m.Index) })
 	}
-	t.sleep(time.Until(from.at.Add(span(t.plan.Seconds))))
+	t.sleep(time.Until(from.at.Add(seconds(t.plan.Seconds))))
 	events.Wait()
 	close(wrong)
 	for err := range wrong {
@@ -436,13 +436,13 @@
 			return err
 		}
 	}
-	to, err := t.read(true)
+	to, err := t.readCounters(true)
 	if err != nil {
 		return err
 	}
 	t.fill(f, from, to)
 	if n := t.plan.Couriers - t.plan.Real; n > 0 {
-		f.HeapBytes = (heapNow() - heapBefore) / float64(n)
+		f.HeapBytes = (liveHeap() - heapBefore) / float64(n)
 	}
 	return nil
 }
@@ -453,7 +453,7 @@
 	figures := func(n int, a, b map[string]float64) *CourierFigures {
 		each := func(name string) float64 { return rate(a[name], b[name]) / float64(n) }
 		return &CourierFigures{
-			ListBytes: b["list"] / float64(n), ListEntries: b["entries"] / float64(n), Forwarding: t.forwarding(n, each, b["open"]),
+			ListBytes: b["list"] / float64(n), ListEntries: b["entries"] / float64(n), Forwarding: t.forwardFigures(n, each, b["open"]),
 			Couriers: n, Sent: each("sent"), SentBytes: each("sent_bytes"), Received: each("received"),
 			ReceivedBytes: each("received_bytes"), CPU: each("cpu"),
 		}
@@ -465,18 +465,18 @@
 	if n := float64(t.plan.Couriers - t.plan.Real); n > 0 {
 		f.Hollow = figures(int(n), from.hollow, to.hollow)
 		f.Hollow.StateBytes = (to.state + to.accountBytes) / n
-		role := func(a, b part) *RoleFigures {
+		role := func(a, b roleTraffic) *RoleFigures {
 			d := b.plus(a, -1)
 			k := n * f.Seconds
 			return &RoleFigures{Sent: d.Sent / k, SentBytes: d.SentBytes / k, Received: d.Received / k, ReceivedBytes: d.ReceivedBytes / k}
 		}
-		f.Carrier, f.Keeper = role(from.asks, to.asks), role(from.grants, to.grants)
+		f.Carrier, f.Keeper = role(from.requestTraffic, to.requestTraffic), role(from.ownerTraffic, to.ownerTraffic)
 		f.Carrier.StateBytes, f.Keeper.StateBytes, f.Keeper.Accounts = to.state/n, to.accountBytes/n, to.accounts/n
 	}
 	f.Directory = DirectoryTraffic{
-		StateBytes: float64(to.dir.Bytes), Calls: rate(float64(from.dir.Calls), float64(to.dir.Calls)),
-		In: rate(float64(from.dir.In), float64(to.dir.In)), Out: rate(float64(from.dir.Out), float64(to.dir.Out)),
-		Answering: rate(from.dir.Answering.Seconds(), to.dir.Answering.Seconds()), StartOut: f.Directory.StartOut,
+		StateBytes: float64(to.directory.Bytes), Calls: rate(float64(from.directory.Calls), float64(to.directory.Calls)),
+		In: rate(float64(from.directory.In), float64(to.directory.In)), Out: rate(float64(from.directory.Out), float64(to.directory.Out)),
+		Answering: rate(from.directory.Answering.Seconds(), to.directory.Answering.Seconds()), StartOut: f.Directory.StartOut,
 	}
 	both := func(r reading, name string) float64 { return r.hollow[name] + r.real[name] }
 	gone := both(to, "sent") - both(from, "sent")
@@ -486,42 +486,42 @@
 	}
 	f.Cut = rate(from.cut, to.cut)
 	if f.Hollow != nil {
-		f.Hollow.Greetings = rate(from.greetings, to.greetings) / float64(f.Hollow.Couriers)
-		f.StartGreetings = from.greetings
+		f.Hollow.Announcements = rate(from.announcements, to.announcements) / float64(f.Hollow.Couriers)
+		f.StartAnnouncements = from.announcements
 	}
-	f.Crowded = both(to, "crowded")
-	f.Dropped = both(to, "strange") + both(to, "oversize") + to.unread
-	f.Messages = rate(from.handed, to.handed)
+	f.Overflowed = both(to, "crowded")
+	f.Dropped = both(to, "strange") + both(to, "oversize") + to.invalid
+	f.Messages = rate(from.submitted, to.submitted)
 	if f.Messages > 0 {
-		hello := to.greetings - from.greetings // each is a byte
-		f.Notes = (gone - hello) / f.Seconds / f.Messages
-		f.NoteBytes = (both(to, "sent_bytes") - both(from, "sent_bytes") - hello) / f.Seconds / f.Messages
+		hello := to.announcements - from.announcements // an announcement is one byte
+		f.DatagramsPerMessage = (gone - hello) / f.Seconds / f.Messages
+		f.BytesPerMessage = (both(to, "sent_bytes") - both(from, "sent_bytes") - hello) / f.Seconds / f.Messages
 	}
 	f.Delivered = rate(float64(from.partners.Delivered), float64(to.partners.Delivered))
-	f.Refused = rate(float64(from.partners.Refused), float64(to.partners.Refused))
-	t.restarted(&f.Start)
-	t.force.mu.Lock()
-	defer t.force.mu.Unlock()
-	h := t.force.hist
-	f.Force = ForceFigures{Changes: len(t.force.changes), Expect: t.concerned(), Heard: t.force.heard}
-	if t.force.heard > 0 {
+	f.Rejected = rate(float64(from.partners.Refused), float64(to.partners.Refused))
+	t.fillRestarted(&f.Start)
+	t.propagation.mu.Lock()
+	defer t.propagation.mu.Unlock()
+	h := t.propagation.delays
+	f.Force = PropagationFigures{Changes: len(t.propagation.changes), Expect: t.affectedPairs(), Heard: t.propagation.confirmations}
+	if t.propagation.confirmations > 0 {
 		f.Force.MeanMs, f.Force.P90Ms, f.Force.P99Ms, f.Force.LastMs = h.Mean(), h.Ms(90), h.Ms(99), h.Max()
 	}
 }
 
 func (t *fleet) close() {
-	close(t.ending)
+	close(t.stopping)
 	for _, m := range t.real {
-		m.c.Kill()
+		m.courier.Kill()
 	}
-	t.work.Wait()
+	t.tasks.Wait()
 	for _, m := range t.real {
 		m.client.Close()
 	}
-	for _, h := range t.hollow {
+	for _, h := range t.simulated {
 		h.shard.on(func() {
-			if h.alive {
-				h.end()
+			if h.running {
+				h.kill()
 			}
 		})
 	}
@@ -534,8 +534,8 @@
 	if t.farm != nil {
 		t.farm.Close()
 	}
-	if t.place != nil {
-		t.place.Close()
+	if t.portHolder != nil {
+		t.portHolder.Close()
 	}
 	os.RemoveAll(t.dir)
 }
--- a/internal/measure/start.go
+++ b/internal/measure/start.go
@@ -24,20 +24,20 @@
 	"snowjunction/internal/store"
 )
 
-// Start are the options of the measurement of starts, step by step, with as much in the folder
-// that lasts as fits.
+// Start holds the options for measuring process starts step by step, with a state directory as
+// full as it may be.
 type Start struct {
-	Starts   int     `default:"10" help:"Starts of each kind, one after the other."`
-	AtOnce   int     `default:"10" help:"Starts at once, all on one core; 0: none."`
+	Starts   int     `default:"10" help:"Starts of each kind, in sequence."`
+	AtOnce   int     `default:"10" help:"Concurrent starts, all on one core; 0 means none."`
 	Entries  int     `default:"65536" help:"Endpoints listed, in the configuration and, as far as it fits, on disk."`
-	DiskMB   float64 `default:"3" help:"What the folder that lasts may hold."`
-	Journal  bool    `help:"The journal gets the folder: of the list on disk only what the defaults allow."`
+	DiskMB   float64 `default:"3" help:"Size limit of the state directory in MB."`
+	Journal  bool    `help:"Give the space to the journal; the list on disk gets its default size."`
 	MemoryMB int     `default:"192" help:"A courier's memory limit."`
-	JSON     string  `placeholder:"FILE" help:"Where the figures go, too."`
+	JSON     string  `placeholder:"FILE" help:"Also write the figures to this file."`
 	Exe      string  `kong:"-"`
 }
 
-// Validate tells what of the options is out of range.
+// Validate returns an error that names the first option out of range.
 func (o Start) Validate() error {
 	switch {
 	case o.Starts < 1 || o.Starts > 1000:
@@ -54,47 +54,47 @@
 	return nil
 }
 
-// Beside the courier's own steps: from the start of its process to the first of these, and from
-// there to the first +PONG that a client reads.
+// Steps in addition to the courier's own: from the start of the process to its first step, and from
+// the end of its last step to the first +PONG that a client reads.
 const (
 	execStep = "exec"
 	pongStep = "pong"
 )
 
-// StartFigures are what it measures.
+// StartFigures holds the measured figures.
 type StartFigures struct {
-	Machine   string                       `json:"machine"`
-	Restored  int                          `json:"restored"` // messages in the journal
-	Journal   int64                        `json:"journal_bytes"`
-	OnDisk    int                          `json:"endpoints_on_disk"`
-	Listed    int                          `json:"endpoints_listed"`
-	Steps     []string                     `json:"steps"` // in their order; then the whole
-	Ms        map[string]map[string]Spread `json:"ms"`    // by kind and step
-	Late      int                          `json:"over_10_s"`
-	Processes int                          `json:"processes"`
+	Machine   string                          `json:"machine"`
+	Restored  int                             `json:"restored"` // messages in the journal
+	Journal   int64                           `json:"journal_bytes"`
+	OnDisk    int                             `json:"endpoints_on_disk"`
+	Listed    int                             `json:"endpoints_listed"`
+	Steps     []string                        `json:"steps"` // in order, followed by the whole start
+	Ms        map[string]map[string]Quantiles `json:"ms"`    // by kind of start and step
+	Late      int                             `json:"over_10_s"`
+	Processes int                             `json:"processes"`
 }
 
-// Spread is how long something took, in milliseconds.
-type Spread struct {
+// Quantiles holds quantiles of a duration, in milliseconds.
+type Quantiles struct {
 	Median float64 `json:"median"`
 	P90    float64 `json:"p90"`
 	Worst  float64 `json:"worst"`
 }
 
-const whole = "whole"
+const wholeStep = "whole"
 
-// directories are what a start may meet, by name, each with how to open one.
-var directories = []struct {
+// directoryStates are the states of the directory during a start, by name, with a function to open each.
+var directoryStates = []struct {
 	name string
 	open func(list []standin.Instance) (addr string, closer func(), err error)
 }{
-	{"directory up", func(list []standin.Instance) (string, func(), error) { return directory(list, false) }},
-	{"directory refuses", refusing},
-	{"directory silent", func(list []standin.Instance) (string, func(), error) { return directory(list, true) }},
-	{"directory drips", dripping},
+	{"directory up", func(list []standin.Instance) (string, func(), error) { return openDirectory(list, false) }},
+	{"directory refuses", openRefusing},
+	{"directory silent", func(list []standin.Instance) (string, func(), error) { return openDirectory(list, true) }},
+	{"directory drips", openDripping},
 }
 
-func directory(list []standin.Instance, down bool) (string, func(), error) {
+func openDirectory(list []standin.Instance, down bool) (string, func(), error) {
 	d, err := standin.NewDirectory(list)
 	if err != nil {
 		return "", nil, err
@@ -103,7 +103,7 @@
 	return d.Addr(), d.Close, nil
 }
 
-func refusing([]standin.Instance) (string, func(), error) {
+func openRefusing([]standin.Instance) (string, func(), error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
@@ -111,8 +111,8 @@
 	return l.Addr().String(), func() {}, l.Close()
 }
 
-// dripping answers with a list of which a byte comes every 100 ms.
-func dripping([]standin.Instance) (string, func(), error) {
+// openDripping opens a directory that sends one byte of its answer every 100 ms.
+func openDripping([]standin.Instance) (string, func(), error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
@@ -135,11 +135,11 @@
 	return l.Addr().String(), func() { l.Close() }, nil
 }
 
-// Run measures.
+// Run measures the starts with each state of the directory.
 func (o Start) Run(out io.Writer) (*StartFigures, error) {
 	f := &StartFigures{
-		Machine: machine(), Listed: o.Entries, Ms: map[string]map[string]Spread{},
-		Steps: slices.Concat([]string{execStep}, daemon.StartSteps, []string{pongStep, whole}),
+		Machine: describeMachine(), Listed: o.Entries, Ms: map[string]map[string]Quantiles{},
+		Steps: slices.Concat([]string{execStep}, daemon.StartSteps, []string{pongStep, wholeStep}),
 	}
 	fmt.Fprintln(out, f.Machine)
 	dir, err := os.MkdirTemp("", "snowjunction-start-")
@@ -148,16 +148,16 @@
 	}
 	defer os.RemoveAll(dir)
 	var list []standin.Instance
-	for i := range o.Entries { // nobody is there: what is taken up is tried, and refused
+	for i := range o.Entries { // no endpoint listens: calls to the restored messages' endpoints are refused
 		list = append(list, standin.Instance{
 			InstanceID: fmt.Sprintf("s-%08d", i), HostPort: fmt.Sprintf("127.0.%d.%d:9", i>>8, i&255), Zone: "a", MachineType: "k",
 			Cell: uint32(i/2 + 1), Lifecycle: "Ready", Weight: 1,
 		})
 	}
-	for _, kind := range directories {
+	for _, kind := range directoryStates {
 		addr, closer, err := kind.open(list)
 		if err == nil {
-			err = o.kind(out, f, dir, kind.name, addr, list)
+			err = o.measureState(out, f, dir, kind.name, addr, list)
 			closer()
 		}
 		if err != nil {
@@ -166,23 +166,23 @@
 	}
 	fmt.Fprintf(out, "%d processes, %d not ready within 10 s; journal %d bytes with %d messages, %d of %d endpoints on disk\n",
 		f.Processes, f.Late, f.Journal, f.Restored, f.OnDisk, f.Listed)
-	return f, save(o.JSON, f)
+	return f, writeFigures(o.JSON, f)
 }
 
-// kind measures starts one by one and at once, with one kind of directory.
-func (o Start) kind(out io.Writer, f *StartFigures, dir, name, addr string, list []standin.Instance) error {
+// measureState measures starts in sequence and concurrent starts, with one state of the directory.
+func (o Start) measureState(out io.Writer, f *StartFigures, dir, name, addr string, list []standin.Instance) error {
 	one := map[string][]float64{}
 	for n := range o.Starts {
 		place := filepath.Join(dir, fmt.Sprintf("%s-%d", name, n))
-		if err := o.fill(place, addr, list, f); err != nil {
+		if err := o.fillState(place, addr, list, f); err != nil {
 			return err
 		}
-		if err := o.once(place, addr, list, one, f); err != nil {
+		if err := o.measureOnce(place, addr, list, one, f); err != nil {
 			return err
 		}
 		os.RemoveAll(place)
 	}
-	o.tell(out, f, name+", one", one)
+	o.report(out, f, name+", one", one)
 	if o.AtOnce == 0 {
 		return nil
 	}
@@ -190,7 +190,7 @@
 	var places []string
 	for n := range o.AtOnce {
 		place := filepath.Join(dir, fmt.Sprintf("%s-at-once-%d", name, n))
-		if err := o.fill(place, addr, list, f); err != nil {
+		if err := o.fillState(place, addr, list, f); err != nil {
 			return err
 		}
 		places = append(places, place)
@@ -200,12 +200,12 @@
 	var failed error
 	for _, place := range places {
 		wg.Go(func() {
-			runtime.LockOSThread() // and never unlocked: the thread ends with this
-			err := oneCore()       // which the process inherits
+			runtime.LockOSThread() // never unlocked: the thread ends with the goroutine
+			err := oneCore()       // inherited by the process
 			took := map[string][]float64{}
 			if err == nil {
 				var mine StartFigures
-				err = o.once(place, addr, list, took, &mine)
+				err = o.measureOnce(place, addr, list, took, &mine)
 				mu.Lock()
 				f.Late, f.Processes = f.Late+mine.Late, f.Processes+mine.Processes
 				mu.Unlock()
@@ -222,11 +222,11 @@
 	if failed != nil {
 		return failed
 	}
-	o.tell(out, f, fmt.Sprintf("%s, %d at once on one core", name, o.AtOnce), many)
+	o.report(out, f, fmt.Sprintf("%s, %d at once on one core", name, o.AtOnce), many)
 	return nil
 }
 
-// oneCore has this thread run on the first of the cores that it may use.
+// oneCore restricts this thread to the first core that it may use.
 func oneCore() error {
 	var may, one unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &may); err != nil {
@@ -241,23 +241,23 @@
 	return unix.SchedSetaffinity(0, &one)
 }
 
-func (o Start) operator() map[string]any {
+func (o Start) directorySettings() map[string]any {
 	return map[string]any{"cache": true, "cache_kb": o.cacheKB(), "generations": 1}
 }
 
-// cacheKB is for the whole list, or as much as half of the folder can bear: a snapshot, the one
-// that is being written, and what is learnt.
+// cacheKB returns the size limit of a list snapshot: room for the whole list, but at most what half
+// of the directory allows for one snapshot, the next one being written, and the learned state.
 func (o Start) cacheKB() int {
-	const entry, learnt, least = 44, 48, 48 // bytes of an entry at the most, and the default
+	const entry, learnt, least = 44, 48, 48 // maximum bytes of an entry; KB of the learned state; default limit in KB
 	if o.Journal {
 		return least
 	}
 	return max(least, min(o.Entries*entry>>10+1, (int(o.DiskMB*1e6/2)>>10-learnt)/2-2))
 }
 
-// fill makes a folder with as much as fits: a journal of live messages and of those that are over,
-// and a list.
-func (o Start) fill(place, agent string, list []standin.Instance, f *StartFigures) error {
+// fillState creates a state directory that is as full as it may be: a journal with pending and finished
+// messages, and a list.
+func (o Start) fillState(place, agent string, list []standin.Instance, f *StartFigures) error {
 	state := filepath.Join(place, "state")
 	cache, err := dircache.Open(dircache.Options{Dir: state, Bytes: o.cacheKB() << 10, Generations: 1, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
@@ -285,7 +285,7 @@
 			Class: "order", Tenant: "town", Deadline: now.Add(10 * time.Minute), Body: []byte("a small body, as many messages as fit"),
 		}
 	}
-	// Those that are over make it as long as it may be: a message's records are read all the same.
+	// Finished messages fill the journal as well, because their records have to be read at the start.
 	past := 0
 	for ; j.Size() < int64(0.6*float64(room)); past++ {
 		m := message(past)
@@ -306,21 +306,21 @@
 	return nil
 }
 
-// once starts a process and adds what each step took.
-func (o Start) once(place, agent string, list []standin.Instance, took map[string][]float64, f *StartFigures) error {
+// measureOnce starts a process and adds the duration of each step.
+func (o Start) measureOnce(place, agent string, list []standin.Instance, took map[string][]float64, f *StartFigures) error {
 	c, err := rig.Start(o.Exe, rig.Config{
 		Dir: place, Discovery: agent, Settings: rig.Large(48, 100000, 1000), MemoryMB: o.MemoryMB, Sockets: 256, DiskMB: o.DiskMB,
-		Known: list, OperatorDirectory: o.operator(),
+		Known: list, OperatorDirectory: o.directorySettings(),
 	})
 	if err != nil {
 		return err
 	}
 	defer c.Kill()
 	begun := c.Begun
-	if text, err := once(c.Addr, "*1\r\n$4\r\nPING\r\n"); err != nil || text != "+PONG\r\n" {
+	if text, err := requestLine(c.Addr, "*1\r\n$4\r\nPING\r\n"); err != nil || text != "+PONG\r\n" {
 		return fmt.Errorf("the courier answers %q, %v", text, err)
 	}
-	all := ms(time.Since(begun))
+	all := milliseconds(time.Since(begun))
 	line, err := c.Ready()
 	if err != nil {
 		return err
@@ -334,24 +334,24 @@
 	for _, step := range daemon.StartSteps {
 		add(step, rig.Number(line, "steps_ms", step))
 	}
-	add(execStep, ms(at.Sub(begun))-own)
-	add(pongStep, all-ms(at.Sub(begun)))
-	add(whole, all)
+	add(execStep, milliseconds(at.Sub(begun))-own)
+	add(pongStep, all-milliseconds(at.Sub(begun)))
+	add(wholeStep, all)
 	if f.Processes++; all > 10000 {
 		f.Late++
 	}
 	return nil
 }
 
-func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-func (o Start) tell(out io.Writer, f *StartFigures, name string, took map[string][]float64) {
-	f.Ms[name] = map[string]Spread{}
-	fmt.Fprintf(out, "%s: step, median, 0.9, worst of %d, ms\n", name, len(took[whole]))
+func (o Start) report(out io.Writer, f *StartFigures, name string, took map[string][]float64) {
+	f.Ms[name] = map[string]Quantiles{}
+	fmt.Fprintf(out, "%s: step, median, 0.9, worst of %d, ms\n", name, len(took[wholeStep]))
 	for _, step := range f.Steps {
 		x := took[step]
 		slices.Sort(x)
-		s := Spread{x[len(x)/2], x[(len(x)*9+9)/10-1], x[len(x)-1]}
+		s := Quantiles{x[len(x)/2], x[(len(x)*9+9)/10-1], x[len(x)-1]}
 		f.Ms[name][step] = s
 		fmt.Fprintf(out, "  %-10s %9.1f %9.1f %9.1f\n", step, s.Median, s.P90, s.Worst)
 	}
--- a/internal/measure/upgrade.go
+++ b/internal/measure/upgrade.go
@@ -17,24 +17,24 @@
 	"snowjunction/internal/standin/partner"
 )
 
-// Upgrade are the options of the measurement of upgrades.
+// Upgrade holds the options for measuring upgrades.
 type Upgrade struct {
-	Upgrades int           `default:"20" help:"How many processes follow the first."`
+	Upgrades int           `default:"20" help:"Number of upgrades."`
 	Every    time.Duration `default:"500ms" help:"Time between two upgrades."`
-	Lanes    int           `default:"24" help:"Clients at once, each with one message after the other."`
+	Lanes    int           `default:"24" help:"Concurrent clients, each with one message at a time."`
 	MemoryMB int           `default:"64" help:"The courier's memory limit."`
-	Sockets  int           `default:"384" help:"Its limit on descriptors."`
+	Sockets  int           `default:"384" help:"The courier's limit on file descriptors."`
 	Exe      string        `kong:"-"`
 }
 
-// probe asks one thing again and again on connections of its own.
+// probe repeats one request, each time on a new connection, and records failures and delays.
 type probe struct {
-	longest atomic.Int64 // between two answers, or from a call to its answer
-	failed  atomic.Int64
-	asked   atomic.Int64
+	longest  atomic.Int64 // nanoseconds between two answers, or from a request to its answer
+	failed   atomic.Int64
+	requests atomic.Int64
 }
 
-func (p *probe) took(d time.Duration) {
+func (p *probe) record(d time.Duration) {
 	for {
 		was := p.longest.Load()
 		if int64(d) <= was || p.longest.CompareAndSwap(was, int64(d)) {
@@ -43,32 +43,32 @@
 	}
 }
 
-// once sends a line to an address on a new connection and reads a line.
-func once(addr, call string) (string, error) {
+// requestLine sends a line to an address on a new connection and reads one line.
+func requestLine(addr, request string) (string, error) {
 	c, err := net.DialTimeout("tcp", addr, 2*time.Second)
 	if err != nil {
 		return "", err
 	}
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(2 * time.Second))
-	if _, err := c.Write([]byte(call)); err != nil {
+	if _, err := c.Write([]byte(request)); err != nil {
 		return "", err
 	}
 	return bufio.NewReader(c).ReadString('\n')
 }
 
-// ready returns once a courier says yes.
-func ready(c *rig.Courier) {
+// awaitReady waits until a courier answers its readiness check positively.
+func awaitReady(c *rig.Courier) {
 	for {
-		if text, err := once(c.Console, "readyz\n"); err == nil && text == "done\n" {
+		if text, err := requestLine(c.Console, "readyz\n"); err == nil && text == "done\n" {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Run has processes follow one another under load. An error tells that a message has not its
-// one end, a client was not answered, or a rule was broken.
+// Run upgrades the courier repeatedly under load. It returns an error if a message has not exactly
+// one final result, a client got no answer, or a rule was broken.
 func (o Upgrade) Run(out io.Writer) error {
 	dir, err := os.MkdirTemp("", "snowjunction-upgrade-")
 	if err != nil {
@@ -92,18 +92,18 @@
 	if err != nil {
 		return err
 	}
-	var now atomic.Pointer[rig.Courier]
-	now.Store(c)
-	defer func() { now.Load().Kill() }()
-	ready(c)
+	var current atomic.Pointer[rig.Courier]
+	current.Store(c)
+	defer func() { current.Load().Kill() }()
+	awaitReady(c)
 	client := load.New(c.Addr, "")
 	defer client.Close()
 
 	var wg sync.WaitGroup
-	ended := make(chan struct{})
-	going := func() bool {
+	stopped := make(chan struct{})
+	running := func() bool {
 		select {
-		case <-ended:
+		case <-stopped:
 			return false
 		default:
 			return true
@@ -111,7 +111,7 @@
 	}
 	for lane := range o.Lanes {
 		wg.Go(func() {
-			for n := 0; going(); n++ {
+			for n := 0; running(); n++ {
 				m := load.Message{ID: fmt.Sprintf("u%d-%d", lane, n), Class: "status", Tenant: "town", Destination: uint32(lane%6 + 1), Left: 8 * time.Second}
 				if lane%2 == 0 {
 					m.Class, m.Keyed, m.Key, m.Seq, m.Left = "order", true, uint64(lane+1), uint64(n+1), 20*time.Second
@@ -122,35 +122,35 @@
 			}
 		})
 	}
-	var doors, figures probe
-	wg.Go(func() { // the longest time in which no client was answered
-		for last := time.Now(); going(); {
-			doors.asked.Add(1)
-			if text, err := once(c.Addr, "*1\r\n$4\r\nPING\r\n"); err != nil || text != "+PONG\r\n" {
-				doors.failed.Add(1)
+	var pings, telemetry probe
+	wg.Go(func() { // longest time in which no client got an answer
+		for last := time.Now(); running(); {
+			pings.requests.Add(1)
+			if text, err := requestLine(c.Addr, "*1\r\n$4\r\nPING\r\n"); err != nil || text != "+PONG\r\n" {
+				pings.failed.Add(1)
 				continue
 			}
-			doors.took(time.Since(last))
+			pings.record(time.Since(last))
 			last = time.Now()
 		}
 	})
-	wg.Go(func() { // the longest answer of a second address, of whichever process is asked
-		for ; going(); time.Sleep(2 * time.Millisecond) {
-			figures.asked.Add(1)
-			at := now.Load()
+	wg.Go(func() { // longest response time of the console, whichever process answers
+		for ; running(); time.Sleep(2 * time.Millisecond) {
+			telemetry.requests.Add(1)
+			at := current.Load()
 			begun := time.Now()
-			if _, err := once(at.Console, "telemetry\n"); err != nil && at == now.Load() {
-				figures.failed.Add(1)
+			if _, err := requestLine(at.Console, "telemetry\n"); err != nil && at == current.Load() {
+				telemetry.failed.Add(1)
 			}
-			figures.took(time.Since(begun))
+			telemetry.record(time.Since(begun))
 		}
 	})
-	var yes []time.Duration
+	var readyTimes []time.Duration
 	var memory int64
 	descriptors := 0
 	for range o.Upgrades {
 		time.Sleep(o.Every)
-		old := now.Load()
+		old := current.Load()
 		sampled := make(chan struct{})
 		var next atomic.Pointer[rig.Courier]
 		go func() {
@@ -171,28 +171,28 @@
 			return err
 		}
 		next.Store(x)
-		ready(x)
-		yes = append(yes, time.Since(begun))
-		now.Store(x)
+		awaitReady(x)
+		readyTimes = append(readyTimes, time.Since(begun))
+		current.Store(x)
 		if err := old.Stop(); err != nil {
-			return fmt.Errorf("the old process: %w", err)
+			return fmt.Errorf("stop the old process: %w", err)
 		}
 		<-sampled
 	}
-	close(ended)
+	close(stopped)
 	wg.Wait()
 	e := kitchen.Settle(client, 20*time.Second)
 	n := kitchen.Counts()
-	slices.Sort(yes)
-	fmt.Fprintf(out, "%d upgrades, %+v\ncalls %d, copies %d, out of order %d, in a wait %d\n", o.Upgrades, e, n.Calls, n.Copies, n.OutOfOrder, n.InWait)
-	fmt.Fprintf(out, "from start to yes: median %v, longest %v\n", yes[len(yes)/2].Round(time.Millisecond), yes[len(yes)-1].Round(time.Millisecond))
-	fmt.Fprintf(out, "longest time without an answer at the clients' address: %v; %d of %d calls ended at the door\n",
-		time.Duration(doors.longest.Load()).Round(time.Millisecond), doors.failed.Load(), doors.asked.Load())
-	fmt.Fprintf(out, "longest answer of the second address: %v; %d of %d calls unanswered\n",
-		time.Duration(figures.longest.Load()).Round(time.Millisecond), figures.failed.Load(), figures.asked.Load())
-	fmt.Fprintf(out, "both processes together: %.1f MB and %d descriptors at the most, sampled\n", float64(memory)/1e6, descriptors)
-	if broken := e.Open + e.Doubled + e.Unheard + n.Broken() + int(doors.failed.Load()+figures.failed.Load()); broken > 0 {
-		return fmt.Errorf("%d times a rule was broken or a call ended at the door", broken)
+	slices.Sort(readyTimes)
+	fmt.Fprintf(out, "%d upgrades, %+v\ncalls %d, copies %d, out of order %d, during a retry-after delay %d\n", o.Upgrades, e, n.Calls, n.Copies, n.OutOfOrder, n.InWait)
+	fmt.Fprintf(out, "from start to ready: median %v, longest %v\n", readyTimes[len(readyTimes)/2].Round(time.Millisecond), readyTimes[len(readyTimes)-1].Round(time.Millisecond))
+	fmt.Fprintf(out, "longest time without an answer at the clients' address: %v; %d of %d calls failed\n",
+		time.Duration(pings.longest.Load()).Round(time.Millisecond), pings.failed.Load(), pings.requests.Load())
+	fmt.Fprintf(out, "longest answer of the console: %v; %d of %d calls unanswered\n",
+		time.Duration(telemetry.longest.Load()).Round(time.Millisecond), telemetry.failed.Load(), telemetry.requests.Load())
+	fmt.Fprintf(out, "both processes together: %.1f MB and %d file descriptors at most, sampled\n", float64(memory)/1e6, descriptors)
+	if broken := e.Open + e.Doubled + e.Unheard + n.Broken() + int(pings.failed.Load()+telemetry.failed.Load()); broken > 0 {
+		return fmt.Errorf("%d rule violations or failed calls", broken)
 	}
 	return nil
 }
