--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -35,7 +35,8 @@
 	return p
 }
 
-// outputFiles returns all output files of an experiment, which do not depend on the order of its runs.
+// outputFiles returns all output files of an experiment, which do not depend on the order of its
+// runs.
 func outputFiles(t *testing.T, p *Plan, results []map[string]float64) map[string]string {
 	dir := t.TempDir()
 	_, err := Write(p, results, dir)
@@ -55,9 +56,9 @@
 // with one worker and with four.
 func TestResumeAfterInterruption(t *testing.T) {
 	p := newTestPlan(t, smallExperiment)
-	whole, err := Play(context.Background(), p, Options{Out: t.TempDir(), Build: "b", Jobs: 1})
+	uninterrupted, err := Play(context.Background(), p, Options{Out: t.TempDir(), Build: "b", Jobs: 1})
 	require.NoError(t, err)
-	want := outputFiles(t, p, whole)
+	want := outputFiles(t, p, uninterrupted)
 	assert.Len(t, want, 8, "two tables, one summary, two plots in two formats, one report")
 	for _, stop := range []int{1, 5, len(p.Runs) - 1} {
 		out := t.TempDir()
@@ -80,10 +81,10 @@
 		require.NoError(t, f.Close())
 
 		o.Progress = func(int, int) { played++ }
-		again, err := Play(context.Background(), p, o)
+		resumed, err := Play(context.Background(), p, o)
 		require.NoError(t, err)
 		assert.Equal(t, len(p.Runs), played, "stopped after %d", stop)
-		assert.Equal(t, want, outputFiles(t, p, again))
+		assert.Equal(t, want, outputFiles(t, p, resumed))
 	}
 }
 
@@ -131,11 +132,11 @@
 	assert.False(t, estimate([]float64{-1, 1}).ExcludesZero())
 	rapid.Check(t, func(t *rapid.T) {
 		values := rapid.SliceOfN(rapid.Float64Range(-1e6, 1e6), 2, 30).Draw(t, "values")
-		moved := make([]float64, len(values))
+		shifted := make([]float64, len(values))
 		for i, v := range values {
-			moved[i] = v + 5
+			shifted[i] = v + 5
 		}
-		a, b := estimate(values), estimate(moved)
+		a, b := estimate(values), estimate(shifted)
 		assert.InDelta(t, a.Mean+5, b.Mean, 1e-6)
 		assert.InDelta(t, a.HalfWidth, b.HalfWidth, 1e-5)
 	})
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -274,11 +274,11 @@
 	if err != nil {
 		return err
 	}
-	var sorted any // normalizes the order of members, which a patch does not keep
-	if err := json.Unmarshal(text, &sorted); err != nil {
+	var normalized any // normalizes the order of members, which a patch does not keep
+	if err := json.Unmarshal(text, &normalized); err != nil {
 		return err
 	}
-	if text, err = json.Marshal(sorted); err != nil {
+	if text, err = json.Marshal(normalized); err != nil {
 		return err
 	}
 	cellIndex := len(p.Cells)
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -59,9 +59,9 @@
 		if lines >= 0 {
 			c = &out[r.cell[lines]]
 		}
-		e := r.Measures[p.Y]
-		c.XYs = append(c.XYs, plotter.XY{X: at, Y: e.Mean})
-		c.YErrors = append(c.YErrors, struct{ Low, High float64 }{e.HalfWidth, e.HalfWidth})
+		estimate := r.Measures[p.Y]
+		c.XYs = append(c.XYs, plotter.XY{X: at, Y: estimate.Mean})
+		c.YErrors = append(c.YErrors, struct{ Low, High float64 }{estimate.HalfWidth, estimate.HalfWidth})
 	}
 	return names, out
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -77,12 +77,12 @@
 					cancel(fmt.Errorf("%s, seed %d: %w", r.Policy, r.Seed, err))
 					return
 				}
-				l := result{Key: p.Key(r), Build: o.Build, Values: map[string]float64{}}
+				result := result{Key: p.Key(r), Build: o.Build, Values: map[string]float64{}}
 				for _, m := range res.Measures() {
-					l.Values[m.Name] = m.Value
+					result.Values[m.Name] = m.Value
 				}
 				mu.Lock()
-				if err = s.add(l); err == nil {
+				if err = s.add(result); err == nil {
 					done++
 					if o.Progress != nil {
 						o.Progress(done, len(p.Runs))
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -9,7 +9,7 @@
 	"os"
 )
 
-// result is the result of one run as stored in the results file.
+// result holds the measures of one run as stored in the results file.
 type result struct {
 	Key    string             `json:"key"`
 	Build  string             `json:"build"`
@@ -23,38 +23,38 @@
 	done map[string]map[string]float64
 }
 
-// openResultStore opens the results of one build. Results of another build are an error, since mixing
-// them would go unnoticed.
+// openResultStore opens the results of one build. Results of another build are an error, since
+// mixing them would go unnoticed.
 func openResultStore(path, build string) (*resultStore, error) {
 	text, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
 	s := &resultStore{done: map[string]map[string]float64{}}
-	whole := 0
+	complete := 0
 	for n := 1; ; n++ {
-		i := bytes.IndexByte(text[whole:], '\n')
+		i := bytes.IndexByte(text[complete:], '\n')
 		if i < 0 {
 			break
 		}
 		var l result
-		if err := json.Unmarshal(text[whole:whole+i], &l); err != nil {
+		if err := json.Unmarshal(text[complete:complete+i], &l); err != nil {
 			return nil, fmt.Errorf("%s: line %d: %w", path, n, err)
 		}
 		if l.Build != build {
 			return nil, fmt.Errorf("%s: line %d: of another build; use another output directory or discard the results", path, n)
 		}
 		s.done[l.Key] = l.Values
-		whole += i + 1
+		complete += i + 1
 	}
 	if s.f, err = os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644); err != nil {
 		return nil, err
 	}
-	if err := s.f.Truncate(int64(whole)); err != nil {
+	if err := s.f.Truncate(int64(complete)); err != nil {
 		s.f.Close()
 		return nil, err
 	}
-	if _, err := s.f.Seek(int64(whole), 0); err != nil {
+	if _, err := s.f.Seek(int64(complete), 0); err != nil {
 		s.f.Close()
 		return nil, err
 	}
--- a/internal/measure/directory.go
+++ b/internal/measure/directory.go
@@ -130,9 +130,9 @@
 	return &wg
 }
 
-func (t *directoryTestbed) delivered(of func(dest uint32) bool) (n int) {
+func (t *directoryTestbed) delivered(match func(dest uint32) bool) (n int) {
 	t.Farm.Each(func(d uint32, p *partner.Partner) {
-		if of(d) {
+		if match(d) {
 			n += p.Counts.Delivered
 		}
 	})
@@ -148,7 +148,7 @@
 		return err
 	}
 	defer t.close()
-	warm := func() error { // a previous run that leaves a list
+	warmUp := func() error { // a previous run that leaves a list
 		c, client, err := t.startCourier(o.Exe, nil)
 		if err != nil {
 			return err
@@ -163,51 +163,51 @@
 		time.Sleep(500 * time.Millisecond)
 		return nil
 	}
-	if err := warm(); err != nil {
+	if err := warmUp(); err != nil {
 		return err
 	}
 	for _, kind := range []string{"directory up", "directory down, list kept"} {
 		t.Directory.Down(kind != "directory up")
-		h := newLatencyHistogram()
+		histogram := newLatencyHistogram()
 		for n := range o.Starts {
-			begun := time.Now()
+			startedAt := time.Now()
 			c, client, err := t.startCourier(o.Exe, nil)
 			if err != nil {
 				return err
 			}
 			err = t.awaitFirstDelivery(client, fmt.Sprintf("%s%d", kind[len(kind)-2:], n), uint32(n%o.Partners+1))
-			h.Add(time.Since(begun))
+			histogram.Add(time.Since(startedAt))
 			client.Close()
 			c.Kill()
 			if err != nil {
 				return err
 			}
 		}
-		f.FirstMs[kind], f.FirstMaxMs[kind] = h.Ms(50), h.Max()
-		fmt.Fprintf(out, "first delivery after the start of the process, %s: median %.1f ms, maximum %.1f ms of %d\n", kind, h.Ms(50), h.Max(), o.Starts)
+		f.FirstMs[kind], f.FirstMaxMs[kind] = histogram.Ms(50), histogram.Max()
+		fmt.Fprintf(out, "first delivery after the start of the process, %s: median %.1f ms, maximum %.1f ms of %d\n", kind, histogram.Ms(50), histogram.Max(), o.Starts)
 	}
 	return nil
 }
 
 // awaitFirstDelivery submits a message until it is accepted, and waits for its delivery.
-func (t *directoryTestbed) awaitFirstDelivery(client *load.Client, id string, dest uint32) error {
-	seen, taken := false, false
-	for limit := time.Now().Add(20 * time.Second); time.Now().Before(limit); time.Sleep(time.Millisecond) {
-		if !taken {
-			v, _, _ := client.Add(load.Message{ID: id, Class: "status", Tenant: "town", Destination: dest, Left: 8 * time.Second})
-			if taken = v == load.Taken; !taken {
+func (t *directoryTestbed) awaitFirstDelivery(client *load.Client, id string, destination uint32) error {
+	delivered, accepted := false, false
+	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		if !accepted {
+			v, _, _ := client.Add(load.Message{ID: id, Class: "status", Tenant: "town", Destination: destination, Left: 8 * time.Second})
+			if accepted = v == load.Taken; !accepted {
 				continue
 			}
 		}
-		if _ = t.Farm.With(dest, func(p *partner.Partner) { seen = p.Seen(id) }); seen {
+		if _ = t.Farm.With(destination, func(p *partner.Partner) { delivered = p.Seen(id) }); delivered {
 			return nil
 		}
 	}
 	return fmt.Errorf("message %s was not delivered", id)
 }
 
-// measureTakeover removes half the endpoints while the directory is down during a restart, and counts the
-// calls that they get later than 1 s after the directory is back.
+// measureTakeover removes half the endpoints while the directory is down during a restart, and
+// counts the calls that they get later than 1 s after the directory is back.
 func (o Directory) measureTakeover(out io.Writer, f *DirectoryFigures) error {
 	t, err := o.newTestbed()
 	if err != nil {
@@ -235,24 +235,25 @@
 	done = make(chan struct{})
 	wg = o.sendMessages(client, "b", done)
 	time.Sleep(3 * time.Second)
-	// By now one of each partner's two endpoints is draining or gone; the directory reports it late.
+	// By now one of each partner's two endpoints is draining or gone; the directory reports it
+	// late.
 	list := standin.List(t.Farm.Endpoints())
-	var left []standin.Instance
+	var remaining []standin.Instance
 	for i, x := range list {
 		switch i % 4 {
 		case 0:
 			x.Lifecycle = "Terminating"
-			left = append(left, x)
+			remaining = append(remaining, x)
 		case 2:
 			continue // removed from the list
 		default:
-			left = append(left, x)
+			remaining = append(remaining, x)
 		}
 	}
-	g := t.Directory.Replace(left)
+	generation := t.Directory.Replace(remaining)
 	t.Directory.Down(false)
-	for limit := time.Now().Add(10 * time.Second); t.Directory.Heard() < g; time.Sleep(time.Millisecond) {
-		if time.Now().After(limit) {
+	for deadline := time.Now().Add(10 * time.Second); t.Directory.Heard() < generation; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			return fmt.Errorf("the courier did not confirm the new list: %s", c.Tail())
 		}
 	}
@@ -284,9 +285,9 @@
 
 // folderBytes returns the disk usage of the files of a directory in blocks of 512 bytes, without
 // the files with a name prefix.
-func folderBytes(dir, but string) (total int64, err error) {
+func folderBytes(dir, excludedPrefix string) (total int64, err error) {
 	err = filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
-		if err != nil || d.IsDir() || len(d.Name()) > len(but) && d.Name()[:len(but)] == but {
+		if err != nil || d.IsDir() || len(d.Name()) > len(excludedPrefix) && d.Name()[:len(excludedPrefix)] == excludedPrefix {
 			return err
 		}
 		i, err := d.Info()
@@ -298,8 +299,8 @@
 	return total, err
 }
 
-// measureOutages kills a courier while a quarter of the partners are down, and measures its first five
-// seconds after the restart.
+// measureOutages kills a courier while a quarter of the partners are down, and measures its first
+// five seconds after the restart.
 func (o Directory) measureOutages(out io.Writer, f *DirectoryFigures) error {
 	for _, kind := range []string{"nothing kept", "learnt state kept"} {
 		x, err := o.measureOutage(kind == "learnt state kept")
@@ -313,13 +314,13 @@
 	return nil
 }
 
-func (o Directory) measureOutage(learn bool) (x Outage, err error) {
+func (o Directory) measureOutage(keepLearned bool) (x Outage, err error) {
 	t, err := o.newTestbed()
 	if err != nil {
 		return x, err
 	}
 	defer t.close()
-	file := map[string]any{"learn": learn}
+	file := map[string]any{"learn": keepLearned}
 	c, client, err := t.startCourier(o.Exe, file)
 	if err != nil {
 		return x, err
@@ -327,50 +328,50 @@
 	done := make(chan struct{})
 	wg := o.sendMessages(client, "a", done)
 	time.Sleep(4 * time.Second)
-	struck := func(d uint32) bool { return d%4 == 1 }
-	sound := func(d uint32) bool { return !struck(d) }
+	silent := func(d uint32) bool { return d%4 == 1 }
+	available := func(d uint32) bool { return !silent(d) }
 	t.Farm.Each(func(d uint32, p *partner.Partner) {
-		if struck(d) {
+		if silent(d) {
 			p.Add(partner.Fault{Kind: partner.Silent, From: t.Farm.Now(), Until: t.Farm.Now() + time.Hour})
 		}
 	})
 	time.Sleep(4 * time.Second)
-	was := t.delivered(sound)
+	deliveredBefore := t.delivered(available)
 	time.Sleep(2 * time.Second)
-	rate := float64(t.delivered(sound)-was) / 2
+	rate := float64(t.delivered(available)-deliveredBefore) / 2
 	c.Kill()
 	close(done)
 	wg.Wait()
 	client.Close()
 	calls := func() (n int) {
 		for _, e := range t.Farm.Endpoints() {
-			if struck(e.Destination) {
+			if silent(e.Destination) {
 				n += t.Farm.Calls(e.Name)
 			}
 		}
 		return n
 	}
-	lost := calls()
+	callsBefore := calls()
 	if c, client, err = t.startCourier(o.Exe, file); err != nil {
 		return x, err
 	}
 	defer c.Kill()
 	defer client.Close()
 	done = make(chan struct{})
-	begun, was := time.Now(), t.delivered(sound)
+	restartedAt, deliveredBefore := time.Now(), t.delivered(available)
 	wg = o.sendMessages(client, "b", done)
 	const window = 250 * time.Millisecond
-	for begin, last := time.Now(), was; time.Since(begin) < 5*time.Second; {
+	for windowStart, last := time.Now(), deliveredBefore; time.Since(windowStart) < 5*time.Second; {
 		time.Sleep(window)
-		now := t.delivered(sound)
+		now := t.delivered(available)
 		if x.RecoverMs == 0 && float64(now-last) >= 0.9*rate*window.Seconds() {
-			x.RecoverMs = float64(time.Since(begun).Milliseconds())
+			x.RecoverMs = float64(time.Since(restartedAt).Milliseconds())
 		}
 		last = now
 	}
 	close(done)
 	wg.Wait()
-	x.Lost, x.Delivered = calls()-lost, t.delivered(sound)-was
+	x.Lost, x.Delivered = calls()-callsBefore, t.delivered(available)-deliveredBefore
 	return x, nil
 }
 
@@ -400,15 +401,15 @@
 			{"no restart", func(s *emulate.Scenario) { s.Crashes = nil }},
 		}},
 	} {
-		for _, w := range x.ways {
+		for _, variant := range x.ways {
 			scenario, _, _ := strings.Cut(x.scenario, ",")
-			sum, p99, broken, err := runSeeds(scenario, x.seeds, w.change)
+			meanG, p99, broken, err := runSeeds(scenario, x.seeds, variant.change)
 			if err != nil {
 				return err
 			}
-			name := x.scenario + ", " + w.name
-			x.to[w.name], f.BrokenRules[name], f.Seeds[name] = sum, broken, x.seeds
-			fmt.Fprintf(out, "emulated %s: G %.3f, p99 %.0f ms, %d rules broken, %d seeds\n", name, sum, p99, broken, x.seeds)
+			name := x.scenario + ", " + variant.name
+			x.to[variant.name], f.BrokenRules[name], f.Seeds[name] = meanG, broken, x.seeds
+			fmt.Fprintf(out, "emulated %s: G %.3f, p99 %.0f ms, %d rules broken, %d seeds\n", name, meanG, p99, broken, x.seeds)
 		}
 	}
 	return nil
@@ -426,7 +427,7 @@
 	}
 }
 
-// variant is a variant of a scenario.
+// variant is a named change to a scenario.
 type variant struct {
 	name   string
 	change func(s *emulate.Scenario)
--- a/internal/measure/emulator.go
+++ b/internal/measure/emulator.go
@@ -75,10 +75,10 @@
 	if err != nil {
 		return out, err
 	}
-	took := time.Since(startedAt).Seconds()
+	elapsed := time.Since(startedAt).Seconds()
 	out = EmulatorSize{
-		Destinations: size, Dormancy: dormancy, Events: r.Events, Seconds: took, Rate: float64(r.Events) / took,
-		MicrosPerEvent: took / float64(r.Events) * 1e6, Heap: max(peak-before, 0) / (1 << 20), G: r.G,
+		Destinations: size, Dormancy: dormancy, Events: r.Events, Seconds: elapsed, Rate: float64(r.Events) / elapsed,
+		MicrosPerEvent: elapsed / float64(r.Events) * 1e6, Heap: max(peak-before, 0) / (1 << 20), G: r.G,
 	}
 	out.BytesPerDestination = out.Heap * (1 << 20) / float64(size)
 	return out, nil
--- a/internal/measure/hollow.go
+++ b/internal/measure/hollow.go
@@ -34,10 +34,10 @@
 	ended  chan struct{}
 }
 
-func newShard(conns int) (*shard, error) {
+func newShard(maxConns int) (*shard, error) {
 	s := &shard{loop: core.NewLoop(time.Now), ended: make(chan struct{})}
 	var err error
-	if s.engine, err = net.New(net.Config{Post: s.loop.Post, Log: slog.New(slog.DiscardHandler), MaxConns: conns}); err != nil {
+	if s.engine, err = net.New(net.Config{Post: s.loop.Post, Log: slog.New(slog.DiscardHandler), MaxConns: maxConns}); err != nil {
 		return nil, err
 	}
 	go func() {
@@ -96,19 +96,19 @@
 
 // separated reports whether a cut currently separates two couriers.
 func (w *sharedState) separated(a, b int) bool {
-	n := int(w.cutRegion.Load()) - 1
-	x, y := w.plan.Region(a), w.plan.Region(b)
-	return n >= 0 && x != y && (x == n || y == n)
+	cutOff := int(w.cutRegion.Load()) - 1
+	regionA, regionB := w.plan.Region(a), w.plan.Region(b)
+	return cutOff >= 0 && regionA != regionB && (regionA == cutOff || regionB == cutOff)
 }
 
-// roleTraffic counts the datagrams sent and received in one role. A datagram with messages of both roles
-// counts for each role by its share of the messages.
+// roleTraffic counts the datagrams sent and received in one role. A datagram with messages of both
+// roles counts for each role by its share of the messages.
 type roleTraffic struct{ Sent, SentBytes, Received, ReceivedBytes float64 }
 
-// simulatedCourier is a simulated courier without clients and endpoints. The core with its decision module and the
-// front's directory watch are the product's own code, and peer messages go over a socket of its
-// own. Call results are drawn by the stand-in partners without a network connection. It belongs to
-// its shard's loop.
+// simulatedCourier is a simulated courier without clients and endpoints. The core with its decision
+// module and the front's directory watch are the product's own code, and peer messages go over a
+// socket of its own. Call results are drawn by the stand-in partners without a network connection.
+// It belongs to its shard's loop.
 type simulatedCourier struct {
 	*sharedState
 	shard     *shard
@@ -137,16 +137,16 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &simulatedCourier{
+	c := &simulatedCourier{
 		sharedState: w, shard: s, number: number, discovery: w.discovery, onList: onList,
 		arrivals: w.plan.Arrivals(number, w.plan.Destinations),
 	}
 	if w.allowed != nil {
-		h.arrivals = w.plan.ArrivalsAt(number, w.allowed)
+		c.arrivals = w.plan.ArrivalsAt(number, w.allowed)
 	}
-	h.settings, err = config.ParseSettings(courierSeed(w.plan, number), text)
-	h.settings.PeerMessages = true
-	return h, err
+	c.settings, err = config.ParseSettings(courierSeed(w.plan, number), text)
+	c.settings.PeerMessages = true
+	return c, err
 }
 
 // courierSeed returns the random seed of a courier.
@@ -155,45 +155,45 @@
 }
 
 // start starts the courier, with no state from its previous run.
-func (h *simulatedCourier) start() (err error) {
-	h.runNumber++
+func (c *simulatedCourier) start() (err error) {
+	c.runNumber++
 	log := slog.New(slog.DiscardHandler)
-	if h.socket, err = net.ListenDatagrams(h.addrs[h.number], h.peers, peermsg.MaxBytes, h.shard.loop.Post, log, h.receive); err != nil {
+	if c.socket, err = net.ListenDatagrams(c.addrs[c.number], c.peers, peermsg.MaxBytes, c.shard.loop.Post, log, c.receive); err != nil {
 		return err
 	}
-	h.front = platform.New(platform.Config{
-		Loop: h.shard.loop, Engine: h.shard.engine, Log: log, Discovery: h.discovery, Names: h.names,
-		ReportColumns: h.columns, Settings: h.settings, Lists: h.lists, Listen: h.clientAddr(h.number), Router: h.newRouter(),
+	c.front = platform.New(platform.Config{
+		Loop: c.shard.loop, Engine: c.shard.engine, Log: log, Discovery: c.discovery, Names: c.names,
+		ReportColumns: c.columns, Settings: c.settings, Lists: c.lists, Listen: c.clientAddr(c.number), Router: c.newRouter(),
 	})
-	h.core, err = core.New(core.Config{
-		Loop: h.shard.loop, Log: log, Journal: &store.Memory{}, Settings: h.settings,
-		Fronts:      []core.Front{simulatedFront{h.front, h}},
+	c.core, err = core.New(core.Config{
+		Loop: c.shard.loop, Log: log, Journal: &store.Memory{}, Settings: c.settings,
+		Fronts:      []core.Front{simulatedFront{c.front, c}},
 		Directories: map[int]core.Directory{0: {Confidence: confidence.Default(), Plausibility: plausibility.Default()}},
-		Fleet:       h, OnListChange: func(int) { h.onList() },
+		Fleet:       c, OnListChange: func(int) { c.onList() },
 	})
 	if err != nil {
 		return err
 	}
-	if err := h.front.Start(h.core, platform.InitialList{}); err != nil {
+	if err := c.front.Start(c.core, platform.InitialList{}); err != nil {
 		return err
 	}
-	h.running = true
-	if h.hasTraffic {
-		h.scheduleNext()
+	c.running = true
+	if c.hasTraffic {
+		c.scheduleNext()
 	}
 	return nil
 }
 
 // kill stops the courier as SIGKILL would.
-func (h *simulatedCourier) kill() {
-	h.runNumber, h.running = h.runNumber+1, false
-	h.core.Freeze(func() {})
-	h.shard.engine.Unlisten(h.clientAddr(h.number))
-	h.front.Close()
-	h.socket.Close()
-	h.pastForwarded = addCounters(h.pastForwarded, h.currentForwarded())
-	h.pastDatagrams = addDatagramCounts(h.pastDatagrams, h.socket.Counts())
-	h.invalidMessages += h.core.Counters.PeerMessagesInvalid
+func (c *simulatedCourier) kill() {
+	c.runNumber, c.running = c.runNumber+1, false
+	c.core.Freeze(func() {})
+	c.shard.engine.Unlisten(c.clientAddr(c.number))
+	c.front.Close()
+	c.socket.Close()
+	c.pastForwarded = addCounters(c.pastForwarded, c.currentForwarded())
+	c.pastDatagrams = addDatagramCounts(c.pastDatagrams, c.socket.Counts())
+	c.invalidMessages += c.core.Counters.PeerMessagesInvalid
 }
 
 func addDatagramCounts(a, b net.DatagramCounts) net.DatagramCounts {
@@ -205,21 +205,21 @@
 }
 
 // scheduleNext schedules the next message of its traffic.
-func (h *simulatedCourier) scheduleNext() {
-	after, _, _ := h.arrivals.Next()
-	h.scheduleAfter(after)
+func (c *simulatedCourier) scheduleNext() {
+	after, _, _ := c.arrivals.Next()
+	c.scheduleAfter(after)
 }
 
 // scheduleAfter schedules its traffic from the given delay on.
-func (h *simulatedCourier) scheduleAfter(after time.Duration) {
-	life := h.runNumber
-	h.shard.loop.After(after, func() {
-		if h.runNumber != life {
+func (c *simulatedCourier) scheduleAfter(after time.Duration) {
+	run := c.runNumber
+	c.shard.loop.After(after, func() {
+		if c.runNumber != run {
 			return
 		}
-		next, dest, keyed := h.arrivals.Next()
-		h.serial++
-		m := newMessage(h.number, h.serial, dest, keyed)
+		next, destination, keyed := c.arrivals.Next()
+		c.serial++
+		m := newMessage(c.number, c.serial, destination, keyed)
 		r := core.Request{
 			ID: m.ID, Class: m.Class, Tenant: m.Tenant, Destination: m.Destination, TimeLeft: m.Left,
 			Body: standin.Body(0, 0, time.Now().Add(m.Left)),
@@ -227,30 +227,30 @@
 		if m.Keyed {
 			r.IdempotencyKey = m.ID
 		}
-		if h.members != nil {
-			h.submit(r)
-		} else if h.front.Ready() {
-			_ = h.core.Submit(r, func(core.Answer, *store.Message) bool { return true }) // the request is well-formed
+		if c.members != nil {
+			c.submit(r)
+		} else if c.front.Ready() {
+			_ = c.core.Submit(r, func(core.Answer, *store.Message) bool { return true }) // the request is well-formed
 		}
-		h.scheduleAfter(next)
+		c.scheduleAfter(next)
 	})
 }
 
 // Send sends peer messages to another courier.
-func (h *simulatedCourier) Send(peer int, items []snowjunction.PeerMessage) {
-	granted := grantShare(items)
+func (c *simulatedCourier) Send(peer int, items []snowjunction.PeerMessage) {
+	grantShare := grantShare(items)
 	for _, b := range peermsg.Encode(items) {
-		if h.separated(h.number, peer) {
-			h.cutDatagrams.Add(1)
+		if c.separated(c.number, peer) {
+			c.cutDatagrams.Add(1)
 			continue
 		}
-		h.socket.Send(peer, b)
-		h.sentDatagrams.Add(1)
+		c.socket.Send(peer, b)
+		c.sentDatagrams.Add(1)
 		if len(items) == 0 {
-			h.announcements.Add(1)
+			c.announcements.Add(1)
 		}
-		h.requestTraffic.Sent, h.requestTraffic.SentBytes = h.requestTraffic.Sent+1-granted, h.requestTraffic.SentBytes+(1-granted)*float64(len(b))
-		h.ownerTraffic.Sent, h.ownerTraffic.SentBytes = h.ownerTraffic.Sent+granted, h.ownerTraffic.SentBytes+granted*float64(len(b))
+		c.requestTraffic.Sent, c.requestTraffic.SentBytes = c.requestTraffic.Sent+1-grantShare, c.requestTraffic.SentBytes+(1-grantShare)*float64(len(b))
+		c.ownerTraffic.Sent, c.ownerTraffic.SentBytes = c.ownerTraffic.Sent+grantShare, c.ownerTraffic.SentBytes+grantShare*float64(len(b))
 	}
 }
 
@@ -269,23 +269,23 @@
 }
 
 // receive handles a datagram from a peer. Invalid datagrams are counted and dropped.
-func (h *simulatedCourier) receive(peer int, b []byte) {
-	if peer == h.number {
+func (c *simulatedCourier) receive(peer int, b []byte) {
+	if peer == c.number {
 		return
 	}
-	if h.separated(h.number, peer) {
-		h.cutDatagrams.Add(1)
+	if c.separated(c.number, peer) {
+		c.cutDatagrams.Add(1)
 		return
 	}
 	items, err := peermsg.Decode(b)
 	if err != nil {
-		h.core.Counters.PeerMessagesInvalid++
+		c.core.Counters.PeerMessagesInvalid++
 		return
 	}
-	granted := grantShare(items)
-	h.requestTraffic.Received, h.requestTraffic.ReceivedBytes = h.requestTraffic.Received+granted, h.requestTraffic.ReceivedBytes+granted*float64(len(b))
-	h.ownerTraffic.Received, h.ownerTraffic.ReceivedBytes = h.ownerTraffic.Received+1-granted, h.ownerTraffic.ReceivedBytes+(1-granted)*float64(len(b))
-	h.core.ReceivePeerMessages(peer, items)
+	grantShare := grantShare(items)
+	c.requestTraffic.Received, c.requestTraffic.ReceivedBytes = c.requestTraffic.Received+grantShare, c.requestTraffic.ReceivedBytes+grantShare*float64(len(b))
+	c.ownerTraffic.Received, c.ownerTraffic.ReceivedBytes = c.ownerTraffic.Received+1-grantShare, c.ownerTraffic.ReceivedBytes+(1-grantShare)*float64(len(b))
+	c.core.ReceivePeerMessages(peer, items)
 }
 
 // simulatedFront is the platform front with simulated targets.
@@ -305,20 +305,20 @@
 	idle        []time.Time // last use of each connection that a real target would have
 }
 
-// takeConnection takes the most recently used connection, as a real target would, and returns how long it
-// was idle, or zero if there is no connection.
+// takeConnection takes the most recently used connection, as a real target would, and returns how
+// long it was idle, or zero if there is no connection.
 func (t *simulatedTarget) takeConnection(now time.Time) time.Duration {
-	most := time.Duration(reusableIdleShare * float64(t.courier.settings.ConnIdle))
-	for len(t.idle) > 0 && now.Sub(t.idle[0]) >= most {
+	maxIdle := time.Duration(reusableIdleShare * float64(t.courier.settings.ConnIdle))
+	for len(t.idle) > 0 && now.Sub(t.idle[0]) >= maxIdle {
 		t.idle = t.idle[1:]
 	}
 	n := len(t.idle)
 	if n == 0 {
 		return 0
 	}
-	d := max(now.Sub(t.idle[n-1]), 1)
+	idle := max(now.Sub(t.idle[n-1]), 1)
 	t.idle = t.idle[:n-1]
-	return d
+	return idle
 }
 
 // reusableIdleShare is the share of the idle timeout for which a connection is reused.
@@ -338,76 +338,76 @@
 }
 
 // Call starts an attempt.
-func (t *simulatedTarget) Call(m *store.Message, _ core.Shape, _ time.Duration, may func() bool, done func(core.Result)) core.Call {
+func (t *simulatedTarget) Call(m *store.Message, _ core.Shape, _ time.Duration, allowed func() bool, done func(core.Result)) core.Call {
 	loop := t.courier.shard.loop
-	x := &simulatedCall{onResult: done, idleBefore: t.takeConnection(loop.Now())}
-	if x.idleBefore > 0 {
-		t.send(x, m)
-		return x
+	call := &simulatedCall{onResult: done, idleBefore: t.takeConnection(loop.Now())}
+	if call.idleBefore > 0 {
+		t.send(call, m)
+		return call
 	}
 	loop.After(0, func() {
 		switch {
-		case x.onResult == nil:
-		case !may():
+		case call.onResult == nil:
+		case !allowed():
 			t.idle = append(t.idle, loop.Now())
-			x.finish(core.Result{Outcome: snowjunction.NotSent})
+			call.finish(core.Result{Outcome: snowjunction.NotSent})
 		default:
-			t.send(x, m)
+			t.send(call, m)
 		}
 	})
-	return x
+	return call
 }
 
-func (t *simulatedTarget) send(x *simulatedCall, m *store.Message) {
-	x.sent = true
-	a, end, err := t.courier.farm.Begin(t.destination, m.ID, m.Body)
+func (t *simulatedTarget) send(call *simulatedCall, m *store.Message) {
+	call.sent = true
+	answer, end, err := t.courier.farm.Begin(t.destination, m.ID, m.Body)
 	loop := t.courier.shard.loop
 	if err != nil {
-		loop.After(0, func() { x.finish(core.Result{Outcome: snowjunction.ConnectFailed}) })
+		loop.After(0, func() { call.finish(core.Result{Outcome: snowjunction.ConnectFailed}) })
 		return
 	}
-	x.onEnd = end
-	if a.Status == 0 && !a.Reset {
+	call.onEnd = end
+	if answer.Status == 0 && !answer.Reset {
 		return // silent partner: the call ends with the caller's timeout
 	}
-	loop.After(a.After, func() {
-		if x.onResult == nil {
+	loop.After(answer.After, func() {
+		if call.onResult == nil {
 			return
 		}
-		if a.Reset {
-			x.finish(core.Result{Outcome: snowjunction.Reset})
+		if answer.Reset {
+			call.finish(core.Result{Outcome: snowjunction.Reset})
 			return
 		}
-		x.onEnd(a.Status == 200)
-		x.onEnd = nil
+		call.onEnd(answer.Status == 200)
+		call.onEnd = nil
 		t.idle = append(t.idle, loop.Now())
-		x.finish(front.ResultFromAnswer(a.Status, func(name string) string { return standin.Header(a, name) }, t.courier.columns))
+		call.finish(front.ResultFromAnswer(answer.Status, func(name string) string { return standin.Header(answer, name) }, t.courier.columns))
 	})
 }
 
 // Sent reports whether the last byte of the request would have been sent.
-func (x *simulatedCall) Sent() bool { return x.sent }
+func (c *simulatedCall) Sent() bool { return c.sent }
 
 // IdleBefore returns how long the connection would have been idle.
-func (x *simulatedCall) IdleBefore() time.Duration { return x.idleBefore }
+func (c *simulatedCall) IdleBefore() time.Duration { return c.idleBefore }
 
 // GiveUp cancels the call.
-func (x *simulatedCall) GiveUp() {
-	x.onResult = nil
-	x.release()
+func (c *simulatedCall) GiveUp() {
+	c.onResult = nil
+	c.release()
 }
 
-func (x *simulatedCall) release() {
-	if x.onEnd != nil {
-		x.onEnd(false)
-		x.onEnd = nil
+func (c *simulatedCall) release() {
+	if c.onEnd != nil {
+		c.onEnd(false)
+		c.onEnd = nil
 	}
 }
 
-func (x *simulatedCall) finish(r core.Result) {
-	x.release()
-	done := x.onResult
-	x.onResult = nil
+func (c *simulatedCall) finish(r core.Result) {
+	c.release()
+	done := c.onResult
+	c.onResult = nil
 	done(r)
 }
 
@@ -424,7 +424,7 @@
 }
 
 // acquire waits for a free slot. The courier calls the returned function when it holds a list.
-func (s *startLimiter) acquire() (held func()) {
+func (s *startLimiter) acquire() (release func()) {
 	s.slots <- struct{}{}
 	s.wg.Add(1)
 	return sync.OnceFunc(func() {
@@ -434,7 +434,7 @@
 }
 
 // awaitAll waits until all started couriers hold a list.
-func (s *startLimiter) awaitAll(most time.Duration) error {
+func (s *startLimiter) awaitAll(timeout time.Duration) error {
 	done := make(chan struct{})
 	go func() {
 		s.wg.Wait()
@@ -443,8 +443,8 @@
 	select {
 	case <-done:
 		return nil
-	case <-time.After(most):
-		return fmt.Errorf("some couriers hold no list after %v", most)
+	case <-time.After(timeout):
+		return fmt.Errorf("some couriers hold no list after %v", timeout)
 	}
 }
 
--- a/internal/measure/hostile.go
+++ b/internal/measure/hostile.go
@@ -22,7 +22,8 @@
 	Exe      string `kong:"-"`
 }
 
-// misbehavingPlugins returns plug-ins that break the rules for plug-ins, each on its own destinations.
+// misbehavingPlugins returns plug-ins that break the rules for plug-ins, each on its own
+// destinations.
 func misbehavingPlugins() []*manifest.Manifest {
 	read, shape := []manifest.Hook{manifest.Read}, []manifest.Hook{manifest.Shape}
 	list := []*manifest.Manifest{
@@ -139,7 +140,7 @@
 	wg.Wait()
 	close(submitted)
 	<-polling
-	e := kitchen.Settle(client, 10*time.Second)
+	account := kitchen.Settle(client, 10*time.Second)
 	for d := uint32(1); d <= 9; d++ {
 		x := client.Account(kitchen.Delivered, directory.Notices(), func(m load.Message) bool { return m.Destination == d })
 		fmt.Fprintf(out, "destination %d: %+v\n", d, x)
@@ -154,9 +155,9 @@
 		return err
 	}
 	fmt.Fprintf(out, "%+v\ncalls %d, copies %d, out of order %d, during a retry-after delay %d, after a drain %d; the courier uses %.1f MB\nplug-ins %v\n%v turns %v longest %v us\n",
-		e, n.Calls, n.Copies, n.OutOfOrder, n.InWait, n.Drained, float64(resident)/1e6, counters["plugins"], counters["n"], counters["turns"], counters["longest_turn_us"])
-	if broken := e.Open + e.Doubled + e.Unheard + n.Broken(); broken > 0 {
-		return fmt.Errorf("%d rule violations", broken)
+		account, n.Calls, n.Copies, n.OutOfOrder, n.InWait, n.Drained, float64(resident)/1e6, counters["plugins"], counters["n"], counters["turns"], counters["longest_turn_us"])
+	if violations := account.Open + account.Doubled + account.Unheard + n.Broken(); violations > 0 {
+		return fmt.Errorf("%d rule violations", violations)
 	}
 	return nil
 }
--- a/internal/measure/idle.go
+++ b/internal/measure/idle.go
@@ -128,11 +128,11 @@
 	return f, nil
 }
 
-func (f *standinProcess) reply() (r standin.Reply, err error) {
-	if !f.out.Scan() {
-		return r, fmt.Errorf("the stand-in process has ended: %v", f.out.Err())
+func (p *standinProcess) reply() (r standin.Reply, err error) {
+	if !p.out.Scan() {
+		return r, fmt.Errorf("the stand-in process has ended: %v", p.out.Err())
 	}
-	if err := json.Unmarshal(f.out.Bytes(), &r); err != nil {
+	if err := json.Unmarshal(p.out.Bytes(), &r); err != nil {
 		return r, err
 	}
 	if r.Error != "" {
@@ -141,20 +141,20 @@
 	return r, nil
 }
 
-func (f *standinProcess) order(o standin.Order) (standin.Reply, error) {
+func (p *standinProcess) order(o standin.Order) (standin.Reply, error) {
 	b, err := json.Marshal(o)
 	if err == nil {
-		_, err = f.in.Write(append(b, '\n'))
+		_, err = p.in.Write(append(b, '\n'))
 	}
 	if err != nil {
 		return standin.Reply{}, err
 	}
-	return f.reply()
+	return p.reply()
 }
 
-func (f *standinProcess) close() {
-	_ = f.in.Close()
-	_ = f.cmd.Wait()
+func (p *standinProcess) close() {
+	_ = p.in.Close()
+	_ = p.cmd.Wait()
 }
 
 // idleTestbed holds everything that a measurement has started.
@@ -238,10 +238,10 @@
 func (b *idleTestbed) startAll(dir string) error {
 	o := b.options
 	b.listening = min(o.Partners, o.Listening)
-	each := max(endpointsPerProcess/o.Endpoints, 1)
-	for first := 0; first < b.listening; first += each {
+	perProcess := max(endpointsPerProcess/o.Endpoints, 1)
+	for first := 0; first < b.listening; first += perProcess {
 		f, err := startStandins(o.Exe, standin.Population{
-			Partners: min(each, b.listening-first), Endpoints: o.Endpoints, First: uint32(first + 1), Seed: o.Seed,
+			Partners: min(perProcess, b.listening-first), Endpoints: o.Endpoints, First: uint32(first + 1), Seed: o.Seed,
 		})
 		if err != nil {
 			return err
@@ -253,17 +253,17 @@
 		}
 		b.list = append(b.list, standin.List(r.Endpoints)...)
 	}
-	var rest []standin.Endpoint
+	var listedOnly []standin.Endpoint
 	for d := b.listening + 1; d <= o.Partners; d++ {
 		for i := range o.Endpoints {
 			n := (d*o.Endpoints + i)
-			rest = append(rest, standin.Endpoint{
+			listedOnly = append(listedOnly, standin.Endpoint{
 				Name: fmt.Sprintf("p%d-%d", d, i), Destination: uint32(d),
 				Addr: fmt.Sprintf("127.%d.%d.%d:%d", 1+n>>16&0x7f, n>>8&0xff, n&0xff, 9),
 			})
 		}
 	}
-	b.list = append(b.list, standin.List(rest)...)
+	b.list = append(b.list, standin.List(listedOnly)...)
 	var err error
 	if b.directory, err = standin.NewDirectory(b.list[:o.Active*o.Endpoints]); err != nil {
 		return err
@@ -283,7 +283,7 @@
 
 // awaitConfirmed waits until the courier confirms a generation of the list.
 func (b *idleTestbed) awaitConfirmed(generation uint64) error {
-	for limit := time.Now().Add(time.Minute); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(time.Minute); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if b.directory.Heard() >= generation {
 			return nil
 		}
@@ -309,14 +309,14 @@
 	if err != nil {
 		return 0, err
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	b.sendTraffic(name, d)
 	after, err := b.courier.CPU()
-	return (after - before).Seconds() / time.Since(begun).Seconds(), err
+	return (after - before).Seconds() / time.Since(startedAt).Seconds(), err
 }
 
-// measureChanges makes the directory send n changes of single entries in sequence, and returns the mean time
-// that the courier's loop took for one, in microseconds.
+// measureChanges makes the directory send n changes of single entries in sequence, and returns the
+// mean time that the courier's loop took for one, in microseconds.
 func (b *idleTestbed) measureChanges(n int) (float64, error) {
 	if _, err := b.courier.Counters(false); err != nil { // resets the mean
 		return 0, err
@@ -344,7 +344,7 @@
 
 // awaitUnloaded waits until only the active destinations are loaded.
 func (b *idleTestbed) awaitUnloaded() error {
-	for limit := time.Now().Add(2 * time.Minute); time.Now().Before(limit); time.Sleep(300 * time.Millisecond) {
+	for deadline := time.Now().Add(2 * time.Minute); time.Now().Before(deadline); time.Sleep(300 * time.Millisecond) {
 		line, err := b.courier.Counters(false)
 		if err != nil {
 			return err
@@ -374,7 +374,7 @@
 	defer os.RemoveAll(dir)
 	b := &idleTestbed{options: o}
 	defer b.close()
-	say := func(format string, args ...any) { fmt.Fprintf(out, format+"\n", args...) }
+	printf := func(format string, args ...any) { fmt.Fprintf(out, format+"\n", args...) }
 	if err := b.startAll(dir); err != nil {
 		return f, err
 	}
@@ -382,19 +382,19 @@
 		Partners: o.Partners, Endpoints: o.Endpoints, Active: o.Active, Listening: b.listening,
 		Machine: describeMachine(),
 	}
-	few, all := b.list[:o.Active*o.Endpoints], b.list
+	activeList, fullList := b.list[:o.Active*o.Endpoints], b.list
 
 	b.sendTraffic("warm", 3*time.Second)
 	if f.HeapActive, f.ResidentActive, _, err = b.memory(); err != nil {
 		return f, err
 	}
-	say("%d active partners listed: heap %d, resident %d bytes", o.Active, f.HeapActive, f.ResidentActive)
+	printf("%d active partners listed: heap %d, resident %d bytes", o.Active, f.HeapActive, f.ResidentActive)
 	if f.Delta.Active, err = b.measureChanges(deltaCount); err != nil {
 		return f, err
 	}
 	for round := range cpuRounds {
 		if round > 0 {
-			if err := b.awaitConfirmed(b.directory.Replace(few)); err != nil {
+			if err := b.awaitConfirmed(b.directory.Replace(activeList)); err != nil {
 				return f, err
 			}
 		}
@@ -406,11 +406,11 @@
 		if _, err := b.courier.Counters(false); err != nil { // resets the longest turn
 			return f, err
 		}
-		begun := time.Now()
-		if err := b.awaitConfirmed(b.directory.Replace(all)); err != nil {
+		startedAt := time.Now()
+		if err := b.awaitConfirmed(b.directory.Replace(fullList)); err != nil {
 			return f, err
 		}
-		f.FullListMs = max(f.FullListMs, float64(time.Since(begun).Microseconds())/1000)
+		f.FullListMs = max(f.FullListMs, float64(time.Since(startedAt).Microseconds())/1000)
 		line, err := b.courier.Counters(false)
 		if err != nil {
 			return f, err
@@ -428,11 +428,11 @@
 	idle := float64(o.Partners - o.Active)
 	f.BytesPerIdle.Heap = float64(f.HeapListed-f.HeapActive) / idle
 	f.BytesPerIdle.Resident = float64(f.ResidentListed-f.ResidentActive) / idle
-	say("%d partners listed: heap %d, resident %d bytes, longest turn %.2f ms", o.Partners, f.HeapListed, f.ResidentListed, f.LongestTurnMs)
+	printf("%d partners listed: heap %d, resident %d bytes, longest turn %.2f ms", o.Partners, f.HeapListed, f.ResidentListed, f.LongestTurnMs)
 	if f.Delta.Partners, err = b.measureChanges(deltaCount); err != nil {
 		return f, err
 	}
-	say("a change takes %.1f us with %d listed, %.1f us with %d; idle CPU %.5f and %.5f",
+	printf("a change takes %.1f us with %d listed, %.1f us with %d; idle CPU %.5f and %.5f",
 		f.Delta.Active, o.Active, f.Delta.Partners, o.Partners, f.IdleCPUActive, f.IdleCPUListed)
 
 	if f.Called, err = b.callAllOnce(); err != nil {
@@ -443,19 +443,19 @@
 	}
 	f.BytesPerOnce.Heap = f.BytesPerIdle.Heap + float64(f.HeapCalled-f.HeapListed)/float64(f.Called)
 	f.BytesPerOnce.Resident = f.BytesPerIdle.Resident + float64(f.ResidentCalled-f.ResidentListed)/float64(f.Called)
-	say("%d called once and unloaded: heap %d, resident %d bytes", f.Called, f.HeapCalled, f.ResidentCalled)
+	printf("%d called once and unloaded: heap %d, resident %d bytes", f.Called, f.HeapCalled, f.ResidentCalled)
 
 	first := uint32(o.Active + 1)
 	if f.Cut, err = b.sendBurst("cut", first, first, 1.0/3); err != nil {
 		return f, err
 	}
-	say("one loaded, its limit cut to a third: %+v", f.Cut)
+	printf("one loaded, its limit cut to a third: %+v", f.Cut)
 	f.Clump = min(o.Clump, b.listening-o.Active-1)
 	if f.Clump > 0 {
 		if f.Many, err = b.sendBurst("many", first+1, first+uint32(f.Clump), 1); err != nil {
 			return f, err
 		}
-		say("%d loaded at once: %+v", f.Clump, f.Many)
+		printf("%d loaded at once: %+v", f.Clump, f.Many)
 	}
 	for _, w := range []BurstResult{f.Cut, f.Many} {
 		f.PeakOverLimit = max(f.PeakOverLimit, w.PeakOverLimit)
@@ -468,7 +468,8 @@
 	return f, writeFigures(o.JSON, f)
 }
 
-// callAllOnce calls every listening partner that is not active once, and waits until they are unloaded.
+// callAllOnce calls every listening partner that is not active once, and waits until they are
+// unloaded.
 func (b *idleTestbed) callAllOnce() (called int, err error) {
 	var wg sync.WaitGroup
 	work := make(chan int)
@@ -478,7 +479,7 @@
 				m := load.Message{
 					ID: fmt.Sprintf("once-%d", d), Class: "status", Tenant: "town", Left: 8 * time.Second, Destination: uint32(d),
 				}
-				for try := 0; try < 20; try++ {
+				for attempt := 0; attempt < 20; attempt++ {
 					if v, after, _ := b.client.Add(m); v != load.Refused {
 						break
 					} else {
@@ -499,9 +500,9 @@
 	return called, b.awaitUnloaded()
 }
 
-// sendBurst sends a burst worth three seconds of its limit to each of a range of unloaded partners at the
-// same moment, after changing their limits and making them cold. It waits for the final result of
-// every message.
+// sendBurst sends a burst worth three seconds of its limit to each of a range of unloaded partners
+// at the same moment, after changing their limits and making them cold. It waits for the final
+// result of every message.
 func (b *idleTestbed) sendBurst(name string, from, to uint32, factor float64) (w BurstResult, err error) {
 	if err := b.awaitUnloaded(); err != nil {
 		return w, err
@@ -515,7 +516,7 @@
 			return w, err
 		}
 	}
-	var clump []load.Message
+	var burst []load.Message
 	for d := from; d <= to; d++ {
 		for n := range max(int(3*limits[d]), 1) {
 			m := load.Message{
@@ -525,16 +526,16 @@
 			if n%4 == 3 {
 				m.Class, m.Left, m.Keyed, m.Key = "status", 8*time.Second, false, 0
 			}
-			clump = append(clump, m)
+			burst = append(burst, m)
 		}
 	}
-	w.Partners, w.Messages = int(to-from)+1, len(clump)
-	begun := time.Now()
+	w.Partners, w.Messages = int(to-from)+1, len(burst)
+	startedAt := time.Now()
 	var wg sync.WaitGroup
 	lanes := min(w.Partners, 16)
 	for lane := range lanes {
 		wg.Go(func() {
-			for _, m := range clump {
+			for _, m := range burst {
 				if int(m.Destination-from)%lanes == lane {
 					_, _, _ = b.client.Add(m)
 				}
@@ -543,18 +544,18 @@
 	}
 	wg.Wait()
 	ours := map[string]bool{}
-	for _, m := range clump {
+	for _, m := range burst {
 		ours[m.ID] = true
 	}
-	for limit := begun.Add(25 * time.Second); ; time.Sleep(300 * time.Millisecond) {
-		seen, err := b.seen(clump)
+	for deadline := startedAt.Add(25 * time.Second); ; time.Sleep(300 * time.Millisecond) {
+		seen, err := b.seen(burst)
 		if err != nil {
 			return w, err
 		}
-		e := b.client.Account(func(_ uint32, id string) bool { return seen[id] }, b.directory.Notices(),
+		account := b.client.Account(func(_ uint32, id string) bool { return seen[id] }, b.directory.Notices(),
 			func(m load.Message) bool { return ours[m.ID] })
-		w.Taken, w.Refused, w.Unheard, w.Delivered, w.Open, w.Doubled = e.Taken, e.Refused, e.Unheard+e.Failed, e.Delivered, e.Open, e.Doubled
-		if w.Seconds = time.Since(begun).Seconds(); e.Open == 0 || time.Now().After(limit) {
+		w.Taken, w.Refused, w.Unheard, w.Delivered, w.Open, w.Doubled = account.Taken, account.Refused, account.Unheard+account.Failed, account.Delivered, account.Open, account.Doubled
+		if w.Seconds = time.Since(startedAt).Seconds(); account.Open == 0 || time.Now().After(deadline) {
 			break
 		}
 	}
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -30,5 +30,6 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// newLatencyHistogram returns a histogram of durations up to a minute, with three significant digits.
+// newLatencyHistogram returns a histogram of durations up to a minute, with three significant
+// digits.
 func newLatencyHistogram() *latency.Histogram { return latency.New(time.Minute, 3) }
--- a/internal/measure/plugins.go
+++ b/internal/measure/plugins.go
@@ -158,9 +158,9 @@
 	}
 	text := json.RawMessage(`{"id":"m1","class_name":"status","tenant":"town","destination":7,"status":503,"headers":{"retry-later":"2"},"answer":"eyJidXN5Ijp0cnVlLCJmcmVlX2luIjoiMTUwMG1zIn0="}`)
 	for _, h := range m.Hooks {
-		took := newLatencyHistogram()
+		durations := newLatencyHistogram()
 		for i := range o.Calls {
-			begun := time.Now()
+			startedAt := time.Now()
 			if err := host.Write(in, host.Call{ID: uint64(i + 1), Hook: h, Call: text, Within: m.Budget.Time()}); err != nil {
 				return 0, err
 			}
@@ -168,14 +168,14 @@
 			if err := host.Read(out, 1<<20, &a); err != nil || a.Error != "" {
 				return 0, fmt.Errorf("%s %s: %v %s", m.Name, h, err, a.Error)
 			}
-			took.Add(time.Since(begun))
+			durations.Add(time.Since(startedAt))
 		}
-		costs[m.Engine+" "+string(h)] = CallCost{1000 * took.Ms(50), 1000 * took.Ms(99)}
+		costs[m.Engine+" "+string(h)] = CallCost{1000 * durations.Ms(50), 1000 * durations.Ms(99)}
 	}
 	return rig.Resident(cmd.Process.Pid)
 }
 
-const otherDestinations = 9 // of ten destinations
+const otherDestinations = 9 // destinations without the looping plug-in, of ten
 
 // load runs clients against a courier with the given plug-ins. during runs halfway through.
 func (o Plugins) load(list []*manifest.Manifest, during func(c *rig.Courier, folder string) error) (l LoadCost, resident int64, err error) {
@@ -213,26 +213,26 @@
 	client := load.New(c.Addr, "")
 	defer client.Close()
 	var mu sync.Mutex
-	all, rest := newLatencyHistogram(), newLatencyHistogram()
+	all, others := newLatencyHistogram(), newLatencyHistogram()
 	var wg sync.WaitGroup
-	begun := time.Now()
+	startedAt := time.Now()
 	for lane := range o.Lanes {
 		wg.Go(func() {
-			for n := 0; time.Since(begun) < o.For; n++ {
+			for n := 0; time.Since(startedAt) < o.For; n++ {
 				d := uint32(lane%(otherDestinations+1) + 1)
-				at := time.Now()
+				sentAt := time.Now()
 				v, after, _ := client.Add(load.Message{
 					ID: fmt.Sprintf("l%d-%d", lane, n), Class: "status", Tenant: "town", Left: 8 * time.Second, Destination: d,
 				})
-				took := time.Since(at)
+				elapsed := time.Since(sentAt)
 				if v == load.Refused {
 					time.Sleep(max(after, 10*time.Millisecond))
 					continue
 				}
 				mu.Lock()
-				all.Add(took)
+				all.Add(elapsed)
 				if d <= otherDestinations {
-					rest.Add(took)
+					others.Add(elapsed)
 				}
 				mu.Unlock()
 				time.Sleep(10 * time.Millisecond)
@@ -246,10 +246,10 @@
 		}
 	}
 	wg.Wait()
-	l.PerSecond, l.OthersPS = float64(all.N())/o.For.Seconds(), float64(rest.N())/o.For.Seconds()
-	l.P99Ms, l.OthersP99 = all.Ms(99), rest.Ms(99)
-	e := kitchen.Settle(client, 10*time.Second)
-	l.Open, l.Doubled, l.Unheard = e.Open, e.Doubled, e.Unheard
+	l.PerSecond, l.OthersPS = float64(all.N())/o.For.Seconds(), float64(others.N())/o.For.Seconds()
+	l.P99Ms, l.OthersP99 = all.Ms(99), others.Ms(99)
+	account := kitchen.Settle(client, 10*time.Second)
+	l.Open, l.Doubled, l.Unheard = account.Open, account.Doubled, account.Unheard
 	resident, err = c.Resident()
 	return l, resident, err
 }
@@ -294,11 +294,11 @@
 		if err := writePlugin(folder, &next); err != nil {
 			return err
 		}
-		begun := time.Now()
+		startedAt := time.Now()
 		if err := c.Reload(); err != nil {
 			return err
 		}
-		f.ReloadMs = float64(time.Since(begun).Microseconds()) / 1000
+		f.ReloadMs = float64(time.Since(startedAt).Microseconds()) / 1000
 		return nil
 	})
 	if err != nil {
--- a/internal/measure/scale.go
+++ b/internal/measure/scale.go
@@ -63,7 +63,8 @@
 	HeapBytes           float64 `json:"hollow_heap"`     // of this process per simulated courier, including the stand-ins
 }
 
-// CourierFigures holds the figures of one courier in both roles: rates per second, sizes at the end.
+// CourierFigures holds the figures of one courier in both roles: rates per second, sizes at the
+// end.
 type CourierFigures struct {
 	Couriers      int     `json:"couriers"`
 	StateBytes    float64 `json:"state_bytes"` // computed from sizes and counts
@@ -220,7 +221,7 @@
 	mu                sync.Mutex
 	real              map[int]*realCourier
 	directoryAddrs    map[int]*standin.Door // of real couriers and of restarted ones
-	restartedCouriers map[int]bool          // restarted couriers
+	restartedCouriers map[int]bool
 	propagation       propagation
 	submitted         atomic.Int64 // messages submitted to real couriers
 	stopping          chan struct{}
@@ -228,7 +229,7 @@
 	portHolder        stdnet.PacketConn // reserves the port that all couriers use, each at its own address
 }
 
-// realCourier is a real courier.
+// realCourier is a courier process of the product.
 type realCourier struct {
 	number       int
 	dir          string
@@ -237,6 +238,7 @@
 	pastCounters map[string]float64 // counters of its previous process runs
 }
 
+// runPlan executes one scale run.
 func (o Scale) runPlan(p scale.Plan) (f *ScaleFigures, err error) {
 	m, err := machineLimits()
 	if err != nil {
@@ -248,15 +250,15 @@
 	if t.dir, err = os.MkdirTemp("", "snowjunction-scale-"); err != nil {
 		return nil, err
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	if err := t.open(); err != nil {
 		return nil, err
 	}
-	before := liveHeap()
+	heapBefore := liveHeap()
 	if err := t.start(); err != nil {
 		return nil, err
 	}
-	f = &ScaleFigures{Machine: describeMachine(), Plan: p, StartS: time.Since(begun).Seconds()}
+	f = &ScaleFigures{Machine: describeMachine(), Plan: p, StartS: time.Since(startedAt).Seconds()}
 	f.Start.Bytes = float64(t.directory.Traffic().Out) / float64(p.Couriers)
 	f.Start.Over = f.Start.Bytes / scale.StartBudget
 	t.startTraffic()
@@ -264,14 +266,15 @@
 	if !t.sleep(seconds(p.Settle)) {
 		return nil, fmt.Errorf("the run was stopped")
 	}
-	return f, t.measure(f, before)
+	return f, t.measure(f, heapBefore)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
+// liveHeap returns the bytes of the heap in use after garbage collection.
 func liveHeap() float64 {
 	runtime.GC()
-	runtime.GC() // the second run frees what the first one only finalized
+	runtime.GC() // the second collection frees what the first one only found unused
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
@@ -279,10 +282,10 @@
 
 // sleep returns false if the run ends first.
 func (t *fleet) sleep(d time.Duration) bool {
-	clock := time.NewTimer(d)
-	defer clock.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-clock.C:
+	case <-timer.C:
 		return true
 	case <-t.stopping:
 		return false
@@ -311,10 +314,10 @@
 	}
 	specs := standin.Population{Partners: p.Destinations, Endpoints: p.Endpoints, First: 1, Seed: p.Seed}.Specs()
 	// Limits scale with the traffic: a limit of 2 to 5 calls a second sustains up to 1.3.
-	more := max(1, p.Events/float64(p.Destinations)/1.3)
+	limitFactor := max(1, p.Events/float64(p.Destinations)/1.3)
 	for i := range specs {
-		specs[i].Profile.Limit *= more
-		specs[i].Profile.Capacity *= more
+		specs[i].Profile.Limit *= limitFactor
+		specs[i].Profile.Capacity *= limitFactor
 		if !listens[i] {
 			specs[i].Endpoints = 0
 		}
@@ -327,20 +330,20 @@
 			x.Add(partner.Fault{Kind: partner.Silent, Until: 24 * time.Hour})
 		})
 	}
-	ends := t.farm.Endpoints()
+	endpoints := t.farm.Endpoints()
 	for d := range p.Destinations {
 		if listens[d] {
 			continue
 		}
 		for i := range p.Endpoints {
 			n := d*p.Endpoints + i
-			ends = append(ends, standin.Endpoint{
+			endpoints = append(endpoints, standin.Endpoint{
 				Name: fmt.Sprintf("p%d-%d", d+1, i), Destination: uint32(d + 1),
 				Addr: fmt.Sprintf("127.%d.%d.%d:9", 128+n>>16&0x7f, n>>8&0xff, n&0xff),
 			})
 		}
 	}
-	t.list = standin.List(ends)
+	t.list = standin.List(endpoints)
 	for i := range t.list {
 		t.list[i].Zone = t.zones[p.Zone(i)]
 	}
@@ -394,7 +397,7 @@
 	for _, x := range []struct {
 		name string
 		r    *RoleFigures
-	}{{"  as carrier", f.Carrier}, {"  as lease owner", f.Keeper}} {
+	}{{"  as quota requester", f.Carrier}, {"  as lease owner", f.Keeper}} {
 		if x.r != nil {
 			fmt.Fprintf(w, "%s\t%.0f\t\t%.2f\t%.0f\t%.2f\t%.0f\t\n", x.name, x.r.StateBytes, x.r.Sent, x.r.SentBytes, x.r.Received, x.r.ReceivedBytes)
 		}
@@ -405,7 +408,7 @@
 	fmt.Fprintf(out, "a change is in force after (ms): mean %.1f, 0.9 %.1f, 0.99 %.1f, last %.1f; %d of %d confirmed\n",
 		f.Force.MeanMs, f.Force.P90Ms, f.Force.P99Ms, f.Force.LastMs, f.Force.Heard, f.Force.Expect)
 	fmt.Fprintf(out, "datagrams per message: %.2f with %.1f bytes in all, without the announcements of simulated couriers\n", f.DatagramsPerMessage, f.BytesPerMessage)
-	fmt.Fprintf(out, "delivered %.4g, refused %.4g a second; datagrams: %.4f lost, %.4g a second dropped by a cut, %.0f dropped as unknown or invalid, %.0f by queue overflow\n",
+	fmt.Fprintf(out, "delivered %.4g, rejected %.4g a second; datagrams: %.4f lost, %.4g a second dropped by a cut, %.0f dropped as unknown or invalid, %.0f by queue overflow\n",
 		f.Delivered, f.Rejected, f.Lost, f.Cut, f.Dropped, f.Overflowed)
 	if f.Hollow != nil {
 		fmt.Fprintf(out, "announcements of simulated couriers: %.2f per courier and second; %.0f in all before the measurement\n", f.Hollow.Announcements, f.StartAnnouncements)
--- a/internal/measure/scalefit.go
+++ b/internal/measure/scalefit.go
@@ -9,7 +9,7 @@
 	"snowjunction/internal/scale"
 )
 
-// fittedTotals are the fitted totals: those of one courier, or of the directory.
+// fittedTotals lists the totals that a fit covers, per courier or for the directory.
 var fittedTotals = []struct {
 	name string
 	of   func(f *ScaleFigures) (float64, bool)
@@ -88,11 +88,11 @@
 
 // sizes returns the sizes that a fit measures, or nil without a fit.
 func (o Scale) sizes() []float64 {
-	most, fits := map[string]float64{"couriers": float64(o.Couriers), "destinations": float64(o.Destinations), "events": o.Events}[o.Fit]
-	if !fits {
+	largest, ok := map[string]float64{"couriers": float64(o.Couriers), "destinations": float64(o.Destinations), "events": o.Events}[o.Fit]
+	if !ok {
 		return nil
 	}
-	return scale.Sizes(most)
+	return scale.Sizes(largest)
 }
 
 // planOfSize returns the plan with another value of the parameter that is varied.
@@ -112,18 +112,18 @@
 
 // fit measures five sizes and prints a fitted line for each total.
 func (o Scale) fit(out io.Writer) error {
-	f := Fitted{Against: o.Fit, Lines: map[string]scale.Line{}}
+	fitted := Fitted{Against: o.Fit, Lines: map[string]scale.Line{}}
 	for _, v := range o.sizes() {
 		x, err := o.runPlan(o.planOfSize(v))
 		if err != nil {
 			return err
 		}
-		f.Sizes, f.Runs = append(f.Sizes, v), append(f.Runs, x)
+		fitted.Sizes, fitted.Runs = append(fitted.Sizes, v), append(fitted.Runs, x)
 		fmt.Fprintf(out, "-- %s %g\n", o.Fit, v)
 		x.print(out)
 	}
-	f.print(out)
-	return writeFigures(o.JSON, f)
+	fitted.print(out)
+	return writeFigures(o.JSON, fitted)
 }
 
 // print writes the fitted lines. A total that a run does not have is left out.
@@ -163,25 +163,26 @@
 // ErrTrafficDiffers is returned if simulated couriers do not represent real ones.
 var ErrTrafficDiffers = fmt.Errorf("at this size the traffic of simulated couriers differs by more than %g%% from that of real ones", 100*scale.AgreementTolerance)
 
-// compareFleets runs the fleet with only real, then with only simulated couriers, and compares the traffic.
+// compareFleets runs the fleet with only real, then with only simulated couriers, and compares the
+// traffic.
 func (o Scale) compareFleets(out io.Writer) error {
-	x := AgreementFigures{Holds: true}
-	for _, all := range []bool{true, false} {
+	agreed := AgreementFigures{Holds: true}
+	for _, allReal := range []bool{true, false} {
 		p := o.Plan
-		if p.Real = 0; all {
+		if p.Real = 0; allReal {
 			p.Real = p.Couriers
 		}
 		f, err := o.runPlan(p)
 		if err != nil {
 			return err
 		}
-		if x.Hollow = f; all {
-			x.Real = f
+		if agreed.Hollow = f; allReal {
+			agreed.Real = f
 		}
 		f.print(out)
 	}
-	a, b := x.Real, x.Hollow
-	x.Agreements = []scale.Agreement{
+	a, b := agreed.Real, agreed.Hollow
+	agreed.Agreements = []scale.Agreement{
 		scale.Compare("messages /s", a.Messages, b.Messages),
 		scale.Compare("delivered /s", a.Delivered, b.Delivered),
 		scale.Compare("datagrams out /s", a.Real.Sent, b.Hollow.Sent),
@@ -192,7 +193,7 @@
 		scale.Compare("directory: B in /s", a.Directory.In, b.Directory.In),
 	}
 	if o.Partitions > 0 {
-		x.Agreements = append(x.Agreements,
+		agreed.Agreements = append(agreed.Agreements,
 			scale.Compare("forwarded /s", a.Real.Forwarding.Forwarded, b.Hollow.Forwarding.Forwarded),
 			scale.Compare("B forwarded /s", a.Real.Forwarding.Bytes, b.Hollow.Forwarding.Bytes),
 			scale.Compare("list told at the start, B", a.Start.Bytes, b.Start.Bytes),
@@ -200,15 +201,15 @@
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "simulated against real\treal\tsimulated\tdifference")
-	for _, c := range x.Agreements {
+	for _, c := range agreed.Agreements {
 		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%+.1f%%\n", c.Name, c.Real, c.Simulated, 100*c.Difference)
-		x.Holds = x.Holds && c.WithinTolerance()
+		agreed.Holds = agreed.Holds && c.WithinTolerance()
 	}
 	w.Flush()
-	if err := writeFigures(o.JSON, x); err != nil {
+	if err := writeFigures(o.JSON, agreed); err != nil {
 		return err
 	}
-	if !x.Holds {
+	if !agreed.Holds {
 		return ErrTrafficDiffers
 	}
 	fmt.Fprintf(out, "simulated couriers represent real ones at this size: every total is within %g%%\n", 100*scale.AgreementTolerance)
--- a/internal/measure/scaleparts.go
+++ b/internal/measure/scaleparts.go
@@ -26,8 +26,8 @@
 	return partition.New(p.Partitions, p.Copies, p.Members(addrs))
 }
 
-// clientAddr returns the address on which a courier listens for clients and forwarding couriers. Empty
-// means any address for a real courier and no listener for a simulated one.
+// clientAddr returns the address on which a courier listens for clients and forwarding couriers.
+// Empty means any address for a real courier and no listener for a simulated one.
 func (w *sharedState) clientAddr(n int) string {
 	if w.members == nil {
 		return ""
@@ -48,24 +48,24 @@
 }
 
 // newRouter returns the router of a newly started courier, which holds no list yet.
-func (h *simulatedCourier) newRouter() *partition.Router {
-	if h.members == nil {
+func (c *simulatedCourier) newRouter() *partition.Router {
+	if c.members == nil {
 		return nil
 	}
-	return partition.NewRouter(platform.RouterOptions(h.settings, scale.MemberName(h.number), "", linger), h.members, 0)
+	return partition.NewRouter(platform.RouterOptions(c.settings, scale.MemberName(c.number), "", linger), c.members, 0)
 }
 
 // submit submits a message as a client would, but without a connection.
-func (h *simulatedCourier) submit(r core.Request) {
-	_ = h.front.Submit(r, func([]byte) {}) // the request is well-formed
+func (c *simulatedCourier) submit(r core.Request) {
+	_ = c.front.Submit(r, func([]byte) {}) // the request is well-formed
 }
 
 // totalForwarded returns the forwarding counters over all process runs of the courier.
-func (h *simulatedCourier) totalForwarded() map[string]float64 {
-	if !h.running {
-		return h.pastForwarded
+func (c *simulatedCourier) totalForwarded() map[string]float64 {
+	if !c.running {
+		return c.pastForwarded
 	}
-	return addCounters(h.pastForwarded, h.currentForwarded())
+	return addCounters(c.pastForwarded, c.currentForwarded())
 }
 
 func addCounters(a, b map[string]float64) map[string]float64 {
@@ -79,9 +79,9 @@
 	return out
 }
 
-// directoryAddress returns the address at which a courier reaches the directory. A real courier has an address
-// of its own throughout the run, because it would not keep a list from another address; a simulated
-// one has its own address once it has been restarted.
+// directoryAddress returns the address at which a courier reaches the directory. A real courier has
+// an address of its own throughout the run, because it would not keep a list from another address;
+// a simulated one has its own address once it has been restarted.
 func (t *fleet) directoryAddress(n int) (string, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -112,7 +112,7 @@
 func (t *fleet) fillRestarted(f *StartTraffic) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	hollow, real := 0.0, 0.0
+	simulated, real := 0.0, 0.0
 	for n := range t.restartedCouriers {
 		d := t.directoryAddrs[n]
 		if d == nil {
@@ -122,11 +122,11 @@
 			real += float64(d.Started())
 			f.AgainReal++
 		} else {
-			hollow += float64(d.Started())
+			simulated += float64(d.Started())
 			f.Again++
 		}
 	}
-	f.Restarted, f.Real = hollow/float64(max(1, f.Again)), real/float64(max(1, f.AgainReal))
+	f.Restarted, f.Real = simulated/float64(max(1, f.Again)), real/float64(max(1, f.AgainReal))
 }
 
 // affectedPairs returns the number of pairs of a list change and a courier that it affects.
@@ -203,8 +203,8 @@
 }
 
 // currentForwarded returns the forwarding counters of the current process run.
-func (h *simulatedCourier) currentForwarded() map[string]float64 {
-	n := h.core.Counters
+func (c *simulatedCourier) currentForwarded() map[string]float64 {
+	n := c.core.Counters
 	return map[string]float64{
 		"forwarded": float64(n.Forwarded), "forward_bytes": float64(n.ForwardedBytes), "moved": float64(n.Moved),
 		"no_owner": float64(n.Unrouted), "lost": float64(n.ForwardUnknown),
--- a/internal/measure/scalerun.go
+++ b/internal/measure/scalerun.go
@@ -27,7 +27,7 @@
 	progressDatagrams    = 500_000
 	restartDowntime      = time.Second // minimum downtime of a restarted courier
 	realMaxSockets       = 1024
-	realMemoryMB         = 128 // the memory limit of the planned fleet's couriers
+	realMemoryMB         = 128 // memory limit planned for the couriers of the fleet
 )
 
 // propagation measures how long list changes take to reach the couriers.
@@ -39,6 +39,7 @@
 	confirmations int64
 }
 
+// listChange is a change of the directory's list, with the generation that contains it.
 type listChange struct {
 	generation  uint64
 	at          time.Time
@@ -46,19 +47,19 @@
 }
 
 // onWatch handles a watch request, which confirms the generation held for the watched destinations.
-func (f *propagation) onWatch(from string, generation uint64, concerns func(destination uint32) bool) {
+func (p *propagation) onWatch(from string, generation uint64, watches func(destination uint32) bool) {
 	now := time.Now()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	was, ok := f.confirmed[from]
-	f.confirmed[from] = generation
-	if !ok || generation <= was {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	previous, ok := p.confirmed[from]
+	p.confirmed[from] = generation
+	if !ok || generation <= previous {
 		return
 	}
-	for _, c := range f.changes {
-		if c.generation > was && c.generation <= generation && concerns(c.destination) {
-			f.delays.Add(now.Sub(c.at))
-			f.confirmations++
+	for _, c := range p.changes {
+		if c.generation > previous && c.generation <= generation && watches(c.destination) {
+			p.delays.Add(now.Sub(c.at))
+			p.confirmations++
 		}
 	}
 }
@@ -73,6 +74,7 @@
 	t.propagation.changes = append(t.propagation.changes, listChange{t.directory.Change(*x), at, x.Cell})
 }
 
+// memberSettings returns the settings of a courier.
 func (t *fleet) memberSettings(n int) map[string]any {
 	return rig.Member(t.settings, n, t.plan.Couriers, t.plan.Zone(n), t.zones)
 }
@@ -80,8 +82,8 @@
 // start starts all couriers and waits until each holds the list.
 func (t *fleet) start() error {
 	p := t.plan
-	if hollow := p.Couriers - p.Real; hollow > 0 {
-		n := min(maxShards, runtime.GOMAXPROCS(0), hollow)
+	if simulated := p.Couriers - p.Real; simulated > 0 {
+		n := min(maxShards, runtime.GOMAXPROCS(0), simulated)
 		for range n {
 			s, err := newShard(t.machine.Files) // the connection table is indexed by descriptor, and the process has other descriptors, too
 			if err != nil {
@@ -90,44 +92,44 @@
 			t.shards = append(t.shards, s)
 		}
 	}
-	all, failed := newStartLimiter(), make(chan error, p.Couriers)
+	limiter, results := newStartLimiter(), make(chan error, p.Couriers)
 	ended := make(chan struct{})
 	defer close(ended)
 	t.tasks.Go(func() { t.reportProgress(ended) })
-	reals := make(chan struct{}, concurrentRealStarts)
+	realSlots := make(chan struct{}, concurrentRealStarts)
 	var wg sync.WaitGroup
 	for n := range p.Couriers {
 		if p.IsReal(n) {
 			wg.Go(func() {
-				reals <- struct{}{}
-				defer func() { <-reals }()
-				failed <- t.startReal(n)
+				realSlots <- struct{}{}
+				defer func() { <-realSlots }()
+				results <- t.startReal(n)
 			})
 			continue
 		}
 		t.drainLoops()
-		s, held := t.shards[n%len(t.shards)], all.acquire()
-		h, err := newSimulatedCourier(&t.sharedState, s, n, t.memberSettings(n), held)
+		s, held := t.shards[n%len(t.shards)], limiter.acquire()
+		courier, err := newSimulatedCourier(&t.sharedState, s, n, t.memberSettings(n), held)
 		if err != nil {
 			return err
 		}
-		t.simulated[n] = h
-		s.on(func() { err = h.start() })
+		t.simulated[n] = courier
+		s.on(func() { err = courier.start() })
 		if err != nil {
 			return err
 		}
 	}
 	wg.Wait()
 	for range p.Real {
-		if err := <-failed; err != nil {
+		if err := <-results; err != nil {
 			return err
 		}
 	}
-	if err := all.awaitAll(startTimeout); err != nil {
+	if err := limiter.awaitAll(startTimeout); err != nil {
 		return err
 	}
-	for limit := time.Now().Add(startTimeout); t.watchers() < p.Couriers; time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(limit) {
+	for deadline := time.Now().Add(startTimeout); t.watchers() < p.Couriers; time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			return fmt.Errorf("only %d of %d couriers watch the list after %v", t.watchers(), p.Couriers, startTimeout)
 		}
 	}
@@ -136,18 +138,18 @@
 
 // awaitAnnouncements waits until the announcements have ended and few datagrams are sent.
 func (t *fleet) awaitAnnouncements() {
-	begun := time.Now()
-	for last := int64(-1); time.Since(begun) < announceTimeout; {
+	startedAt := time.Now()
+	for last := int64(-1); time.Since(startedAt) < announceTimeout; {
 		t.sleep(announcePollInterval)
 		t.drainLoops()
-		told := t.sentDatagrams.Load()
-		if last >= 0 && told-last <= int64(t.plan.Couriers)/10 {
+		sent := t.sentDatagrams.Load()
+		if last >= 0 && sent-last <= int64(t.plan.Couriers)/10 {
 			return
 		}
-		if last/progressDatagrams != told/progressDatagrams {
-			fmt.Fprintf(os.Stderr, "%.0f s: %d datagrams, %d of them announcements\n", time.Since(begun).Seconds(), told, t.announcements.Load())
+		if last/progressDatagrams != sent/progressDatagrams {
+			fmt.Fprintf(os.Stderr, "%.0f s: %d datagrams, %d of them announcements\n", time.Since(startedAt).Seconds(), sent, t.announcements.Load())
 		}
-		last = told
+		last = sent
 	}
 }
 
@@ -160,16 +162,16 @@
 
 // reportProgress prints regularly how many couriers hold the list.
 func (t *fleet) reportProgress(ended chan struct{}) {
-	clock := time.NewTicker(progressInterval)
-	defer clock.Stop()
-	for begun := time.Now(); ; {
+	ticker := time.NewTicker(progressInterval)
+	defer ticker.Stop()
+	for startedAt := time.Now(); ; {
 		select {
 		case <-ended:
 			return
 		case <-t.stopping:
 			return
-		case <-clock.C:
-			fmt.Fprintf(os.Stderr, "%.0f s: %d of %d couriers hold the list\n", time.Since(begun).Seconds(), t.watchers(), t.plan.Couriers)
+		case <-ticker.C:
+			fmt.Fprintf(os.Stderr, "%.0f s: %d of %d couriers hold the list\n", time.Since(startedAt).Seconds(), t.watchers(), t.plan.Couriers)
 		}
 	}
 }
@@ -211,22 +213,23 @@
 	return nil
 }
 
-// startTraffic starts the traffic of all couriers. The first courier makes all others announce themselves
-// to up to 1,024 peers each. flow waits for that before it starts the rest: otherwise the load on
-// the loops would make couriers receive messages late and announce themselves again.
+// startTraffic starts the traffic of all couriers. The first courier makes all others announce
+// themselves to up to 1,024 peers each. startTraffic waits for that before it starts the rest:
+// otherwise the load on the loops would make couriers receive messages late and announce themselves
+// again.
 func (t *fleet) startTraffic() {
 	first := true
 	for n := range t.plan.Couriers {
-		h := t.simulated[n]
-		if h == nil {
+		courier := t.simulated[n]
+		if courier == nil {
 			continue
 		}
-		h.shard.on(func() {
-			h.hasTraffic = true
+		courier.shard.on(func() {
+			courier.hasTraffic = true
 			if first {
-				h.scheduleAfter(0)
+				courier.scheduleAfter(0)
 			} else {
-				h.scheduleNext()
+				courier.scheduleNext()
 			}
 		})
 		if first {
@@ -241,20 +244,20 @@
 
 // submitMessages submits messages to a real courier.
 func (t *fleet) submitMessages(m *realCourier) {
-	a := t.plan.Arrivals(m.number, t.plan.Listening(t.machine))
+	arrivals := t.plan.Arrivals(m.number, t.plan.Listening(t.machine))
 	if t.allowed != nil {
-		a = t.plan.ArrivalsAt(m.number, t.allowed)
+		arrivals = t.plan.ArrivalsAt(m.number, t.allowed)
 	}
 	at := time.Now()
 	for serial := 1; ; serial++ {
-		after, dest, keyed := a.Next()
+		after, destination, keyed := arrivals.Next()
 		if at = at.Add(after); !t.sleep(time.Until(at)) {
 			return
 		}
 		t.mu.Lock()
 		client := m.client
 		t.mu.Unlock()
-		x := newMessage(m.number, serial, dest, keyed)
+		x := newMessage(m.number, serial, destination, keyed)
 		t.tasks.Go(func() {
 			if v, _, _ := client.Add(x); v != load.Unheard {
 				t.submitted.Add(1)
@@ -265,16 +268,16 @@
 
 // restart kills a courier and starts it again. A simulated one loses all state.
 func (t *fleet) restart(n int) error {
-	if h := t.simulated[n]; h != nil {
-		h.shard.on(h.kill)
+	if courier := t.simulated[n]; courier != nil {
+		courier.shard.on(courier.kill)
 		t.markRestarted(n)
 		if !t.sleep(restartDowntime) {
 			return nil
 		}
 		var err error
-		h.shard.on(func() {
-			if h.discovery, err = t.directoryAddress(n); err == nil {
-				err = h.start()
+		courier.shard.on(func() {
+			if courier.discovery, err = t.directoryAddress(n); err == nil {
+				err = courier.start()
 			}
 		})
 		return err
@@ -301,12 +304,13 @@
 	return t.startReal(n)
 }
 
+// datagramCounterNames are the datagram counters in a counters line.
 var datagramCounterNames = []string{"sent", "sent_bytes", "received", "received_bytes", "strange", "oversize", "crowded"}
 
 // reading is a snapshot of the counters of all couriers.
 type reading struct {
 	at                           time.Time
-	hollow, real                 map[string]float64
+	simulated, real              map[string]float64
 	requestTraffic, ownerTraffic roleTraffic
 	state, accounts              float64 // of simulated couriers, at that moment
 	accountBytes                 float64
@@ -318,15 +322,17 @@
 	partners                     partner.Counts
 }
 
+// readCounters reads the counters of all couriers, partners and the directory. collect also runs a
+// garbage collection in real couriers and reads the size of the state.
 func (t *fleet) readCounters(collect bool) (r reading, err error) {
-	r = reading{hollow: map[string]float64{}, real: map[string]float64{}, at: time.Now()}
+	r = reading{simulated: map[string]float64{}, real: map[string]float64{}, at: time.Now()}
 	for _, s := range t.shards {
-		r.hollow["cpu"] += s.cpu().Seconds()
+		r.simulated["cpu"] += s.cpu().Seconds()
 		s.on(func() {
-			r.hollow["open"] += float64(s.engine.OpenByKind()[platform.ForwardKind])
-			for _, h := range t.simulated {
-				if h.shard == s {
-					r.addSimulated(h, collect)
+			r.simulated["open"] += float64(s.engine.OpenByKind()[platform.ForwardKind])
+			for _, courier := range t.simulated {
+				if courier.shard == s {
+					r.addSimulated(courier, collect)
 				}
 			}
 		})
@@ -365,38 +371,39 @@
 }
 
 // addSimulated adds the counters of a simulated courier. It has to run on the courier's loop.
-func (r *reading) addSimulated(h *simulatedCourier, footprint bool) {
-	n := h.pastDatagrams
-	if h.running {
-		n = addDatagramCounts(n, h.socket.Counts())
-		r.invalid += float64(h.core.Counters.PeerMessagesInvalid)
+func (r *reading) addSimulated(c *simulatedCourier, footprint bool) {
+	n := c.pastDatagrams
+	if c.running {
+		n = addDatagramCounts(n, c.socket.Counts())
+		r.invalid += float64(c.core.Counters.PeerMessagesInvalid)
 	}
-	r.invalid += float64(h.invalidMessages)
+	r.invalid += float64(c.invalidMessages)
 	for name, v := range map[string]uint64{
 		"sent": n.Sent, "sent_bytes": n.SentBytes, "received": n.Received, "received_bytes": n.ReceivedBytes,
 		"strange": n.UnknownSender, "oversize": n.Oversize, "crowded": n.Overflow,
 	} {
-		r.hollow[name] += float64(v)
+		r.simulated[name] += float64(v)
 	}
-	r.requestTraffic, r.ownerTraffic = r.requestTraffic.plus(h.requestTraffic, 1), r.ownerTraffic.plus(h.ownerTraffic, 1)
-	r.submitted += float64(h.serial)
-	r.hollow["handed"] += float64(h.serial)
-	for name, v := range h.totalForwarded() {
-		r.hollow[name] += v
+	r.requestTraffic, r.ownerTraffic = r.requestTraffic.plus(c.requestTraffic, 1), r.ownerTraffic.plus(c.ownerTraffic, 1)
+	r.submitted += float64(c.serial)
+	r.simulated["handed"] += float64(c.serial)
+	for name, v := range c.totalForwarded() {
+		r.simulated[name] += v
 	}
 	if footprint {
-		f := h.core.Footprint()
-		r.hollow["list"] += float64(f.ListBytes)
-		r.hollow["entries"] += float64(f.ListEntries)
+		f := c.core.Footprint()
+		r.simulated["list"] += float64(f.ListBytes)
+		r.simulated["entries"] += float64(f.ListEntries)
 		r.state += float64(f.Carried())
 		r.accounts += float64(f.QuotaLedgers)
 		r.accountBytes += float64(f.QuotaLedgerBytes)
 	}
 }
 
-func (p roleTraffic) plus(x roleTraffic, times float64) roleTraffic {
+// plus returns the sum of the traffic and a multiple of x.
+func (t roleTraffic) plus(x roleTraffic, factor float64) roleTraffic {
 	return roleTraffic{
-		p.Sent + times*x.Sent, p.SentBytes + times*x.SentBytes, p.Received + times*x.Received, p.ReceivedBytes + times*x.ReceivedBytes,
+		t.Sent + factor*x.Sent, t.SentBytes + factor*x.SentBytes, t.Received + factor*x.Received, t.ReceivedBytes + factor*x.ReceivedBytes,
 	}
 }
 
@@ -406,9 +413,9 @@
 	if err != nil {
 		return err
 	}
-	wrong := make(chan error, t.plan.Restarts)
+	errs := make(chan error, t.plan.Restarts)
 	var events sync.WaitGroup
-	at := func(m scale.Event, do func()) {
+	schedule := func(m scale.Event, do func()) {
 		events.Go(func() {
 			if t.sleep(time.Until(from.at.Add(m.At))) {
 				do()
@@ -416,22 +423,22 @@
 		})
 	}
 	for _, m := range t.plan.ChangeEvents() {
-		at(m, func() { t.changeEndpoint(m.Index) })
+		schedule(m, func() { t.changeEndpoint(m.Index) })
 	}
 	for _, m := range t.plan.CutEvents() {
-		at(m, func() {
+		schedule(m, func() {
 			t.cutRegion.Store(int64(m.Index) + 1)
 			t.sleep(m.Duration)
 			t.cutRegion.Store(0)
 		})
 	}
 	for _, m := range t.plan.RestartEvents() {
-		at(m, func() { wrong <- t.restart(m.Index) })
+		schedule(m, func() { errs <- t.restart(m.Index) })
 	}
 	t.sleep(time.Until(from.at.Add(seconds(t.plan.Seconds))))
 	events.Wait()
-	close(wrong)
-	for err := range wrong {
+	close(errs)
+	for err := range errs {
 		if err != nil {
 			return err
 		}
@@ -447,6 +454,7 @@
 	return nil
 }
 
+// fill computes the figures of the measured seconds from the counters at their start and end.
 func (t *fleet) fill(f *ScaleFigures, from, to reading) {
 	f.Seconds = to.at.Sub(from.at).Seconds()
 	rate := func(a, b float64) float64 { return (b - a) / f.Seconds }
@@ -463,7 +471,7 @@
 		f.Real.StateBytes, f.Real.HeapBytes, f.Real.ResidentBytes = to.realState/float64(n), to.realHeap/float64(n), to.realRSS/float64(n)
 	}
 	if n := float64(t.plan.Couriers - t.plan.Real); n > 0 {
-		f.Hollow = figures(int(n), from.hollow, to.hollow)
+		f.Hollow = figures(int(n), from.simulated, to.simulated)
 		f.Hollow.StateBytes = (to.state + to.accountBytes) / n
 		role := func(a, b roleTraffic) *RoleFigures {
 			d := b.plus(a, -1)
@@ -478,11 +486,11 @@
 		In: rate(float64(from.directory.In), float64(to.directory.In)), Out: rate(float64(from.directory.Out), float64(to.directory.Out)),
 		Answering: rate(from.directory.Answering.Seconds(), to.directory.Answering.Seconds()), StartOut: f.Directory.StartOut,
 	}
-	both := func(r reading, name string) float64 { return r.hollow[name] + r.real[name] }
-	gone := both(to, "sent") - both(from, "sent")
-	come := both(to, "received") - both(from, "received")
-	if gone > 0 {
-		f.Lost = max(0, 1-come/gone)
+	both := func(r reading, name string) float64 { return r.simulated[name] + r.real[name] }
+	sent := both(to, "sent") - both(from, "sent")
+	received := both(to, "received") - both(from, "received")
+	if sent > 0 {
+		f.Lost = max(0, 1-received/sent)
 	}
 	f.Cut = rate(from.cut, to.cut)
 	if f.Hollow != nil {
@@ -493,9 +501,9 @@
 	f.Dropped = both(to, "strange") + both(to, "oversize") + to.invalid
 	f.Messages = rate(from.submitted, to.submitted)
 	if f.Messages > 0 {
-		hello := to.announcements - from.announcements // an announcement is one byte
-		f.DatagramsPerMessage = (gone - hello) / f.Seconds / f.Messages
-		f.BytesPerMessage = (both(to, "sent_bytes") - both(from, "sent_bytes") - hello) / f.Seconds / f.Messages
+		announcements := to.announcements - from.announcements // an announcement is one byte
+		f.DatagramsPerMessage = (sent - announcements) / f.Seconds / f.Messages
+		f.BytesPerMessage = (both(to, "sent_bytes") - both(from, "sent_bytes") - announcements) / f.Seconds / f.Messages
 	}
 	f.Delivered = rate(float64(from.partners.Delivered), float64(to.partners.Delivered))
 	f.Rejected = rate(float64(from.partners.Refused), float64(to.partners.Refused))
@@ -518,10 +526,10 @@
 	for _, m := range t.real {
 		m.client.Close()
 	}
-	for _, h := range t.simulated {
-		h.shard.on(func() {
-			if h.running {
-				h.kill()
+	for _, courier := range t.simulated {
+		courier.shard.on(func() {
+			if courier.running {
+				courier.kill()
 			}
 		})
 	}
--- a/internal/measure/start.go
+++ b/internal/measure/start.go
@@ -83,7 +83,8 @@
 
 const wholeStep = "whole"
 
-// directoryStates are the states of the directory during a start, by name, with a function to open each.
+// directoryStates are the states of the directory during a start, by name, with a function to open
+// each.
 var directoryStates = []struct {
 	name string
 	open func(list []standin.Instance) (addr string, closer func(), err error)
@@ -171,74 +172,74 @@
 
 // measureState measures starts in sequence and concurrent starts, with one state of the directory.
 func (o Start) measureState(out io.Writer, f *StartFigures, dir, name, addr string, list []standin.Instance) error {
-	one := map[string][]float64{}
+	sequential := map[string][]float64{}
 	for n := range o.Starts {
-		place := filepath.Join(dir, fmt.Sprintf("%s-%d", name, n))
-		if err := o.fillState(place, addr, list, f); err != nil {
+		courierDir := filepath.Join(dir, fmt.Sprintf("%s-%d", name, n))
+		if err := o.fillState(courierDir, addr, list, f); err != nil {
 			return err
 		}
-		if err := o.measureOnce(place, addr, list, one, f); err != nil {
+		if err := o.measureOnce(courierDir, addr, list, sequential, f); err != nil {
 			return err
 		}
-		os.RemoveAll(place)
+		os.RemoveAll(courierDir)
 	}
-	o.report(out, f, name+", one", one)
+	o.report(out, f, name+", one", sequential)
 	if o.AtOnce == 0 {
 		return nil
 	}
-	many := map[string][]float64{}
-	var places []string
+	concurrent := map[string][]float64{}
+	var courierDirs []string
 	for n := range o.AtOnce {
-		place := filepath.Join(dir, fmt.Sprintf("%s-at-once-%d", name, n))
-		if err := o.fillState(place, addr, list, f); err != nil {
+		courierDir := filepath.Join(dir, fmt.Sprintf("%s-at-once-%d", name, n))
+		if err := o.fillState(courierDir, addr, list, f); err != nil {
 			return err
 		}
-		places = append(places, place)
+		courierDirs = append(courierDirs, courierDir)
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	var failed error
-	for _, place := range places {
+	var errs error
+	for _, courierDir := range courierDirs {
 		wg.Go(func() {
 			runtime.LockOSThread() // never unlocked: the thread ends with the goroutine
 			err := oneCore()       // inherited by the process
-			took := map[string][]float64{}
+			durations := map[string][]float64{}
 			if err == nil {
-				var mine StartFigures
-				err = o.measureOnce(place, addr, list, took, &mine)
+				var processFigures StartFigures
+				err = o.measureOnce(courierDir, addr, list, durations, &processFigures)
 				mu.Lock()
-				f.Late, f.Processes = f.Late+mine.Late, f.Processes+mine.Processes
+				f.Late, f.Processes = f.Late+processFigures.Late, f.Processes+processFigures.Processes
 				mu.Unlock()
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			failed = errors.Join(failed, err)
-			for step, ms := range took {
-				many[step] = append(many[step], ms...)
+			errs = errors.Join(errs, err)
+			for step, ms := range durations {
+				concurrent[step] = append(concurrent[step], ms...)
 			}
 		})
 	}
 	wg.Wait()
-	if failed != nil {
-		return failed
+	if errs != nil {
+		return errs
 	}
-	o.report(out, f, fmt.Sprintf("%s, %d at once on one core", name, o.AtOnce), many)
+	o.report(out, f, fmt.Sprintf("%s, %d at once on one core", name, o.AtOnce), concurrent)
 	return nil
 }
 
 // oneCore restricts this thread to the first core that it may use.
 func oneCore() error {
-	var may, one unix.CPUSet
-	if err := unix.SchedGetaffinity(0, &may); err != nil {
+	var allowed, first unix.CPUSet
+	if err := unix.SchedGetaffinity(0, &allowed); err != nil {
 		return err
 	}
-	for n := range len(may) * 64 {
-		if may.IsSet(n) {
-			one.Set(n)
+	for n := range len(allowed) * 64 {
+		if allowed.IsSet(n) {
+			first.Set(n)
 			break
 		}
 	}
-	return unix.SchedSetaffinity(0, &one)
+	return unix.SchedSetaffinity(0, &first)
 }
 
 func (o Start) directorySettings() map[string]any {
@@ -248,22 +249,22 @@
 // cacheKB returns the size limit of a list snapshot: room for the whole list, but at most what half
 // of the directory allows for one snapshot, the next one being written, and the learned state.
 func (o Start) cacheKB() int {
-	const entry, learnt, least = 44, 48, 48 // maximum bytes of an entry; KB of the learned state; default limit in KB
+	const entry, learned, minimum = 44, 48, 48 // maximum bytes of an entry; KB of the learned state; default limit in KB
 	if o.Journal {
-		return least
+		return minimum
 	}
-	return max(least, min(o.Entries*entry>>10+1, (int(o.DiskMB*1e6/2)>>10-learnt)/2-2))
+	return max(minimum, min(o.Entries*entry>>10+1, (int(o.DiskMB*1e6/2)>>10-learned)/2-2))
 }
 
-// fillState creates a state directory that is as full as it may be: a journal with pending and finished
-// messages, and a list.
-func (o Start) fillState(place, agent string, list []standin.Instance, f *StartFigures) error {
-	state := filepath.Join(place, "state")
+// fillState creates a state directory that is as full as it may be: a journal with pending and
+// finished messages, and a list.
+func (o Start) fillState(dir, directoryAddr string, list []standin.Instance, f *StartFigures) error {
+	state := filepath.Join(dir, "state")
 	cache, err := dircache.Open(dircache.Options{Dir: state, Bytes: o.cacheKB() << 10, Generations: 1, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		return err
 	}
-	w := dircache.NewWriter(dircache.Head{ConfirmedAt: time.Now(), Generation: 2, Agent: agent, Zones: []string{"a"}, Kinds: []string{"k"}}, o.cacheKB()<<10)
+	w := dircache.NewWriter(dircache.Head{ConfirmedAt: time.Now(), Generation: 2, Agent: directoryAddr, Zones: []string{"a"}, Kinds: []string{"k"}}, o.cacheKB()<<10)
 	f.OnDisk = 0
 	for _, x := range list {
 		if w.Add(groups.Entry{Name: x.InstanceID, Addr: x.HostPort, Destination: snowjunction.DestinationID(x.Cell), Weight: 1, Phase: snowjunction.Ready}) {
@@ -272,12 +273,12 @@
 	}
 	cache.Put(w.Bytes())
 	cache.Close()
-	room := int64(o.DiskMB*1e6) - int64(2*(o.cacheKB()<<10+512)) - 2*48<<10
-	j, _, err := store.Load(store.Options{Dir: state, Bytes: room, Log: slog.New(slog.DiscardHandler)})
+	journalBytes := int64(o.DiskMB*1e6) - int64(2*(o.cacheKB()<<10+512)) - 2*48<<10
+	journal, _, err := store.Load(store.Options{Dir: state, Bytes: journalBytes, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		return err
 	}
-	defer j.Close()
+	defer journal.Close()
 	now := time.Now()
 	message := func(n int) *store.Message {
 		return &store.Message{
@@ -285,59 +286,60 @@
 			Class: "order", Tenant: "town", Deadline: now.Add(10 * time.Minute), Body: []byte("a small body, as many messages as fit"),
 		}
 	}
-	// Finished messages fill the journal as well, because their records have to be read at the start.
-	past := 0
-	for ; j.Size() < int64(0.6*float64(room)); past++ {
-		m := message(past)
-		err := errors.Join(j.Accept(m), j.RecordAttempt(m, now), j.RecordOutcome(m, true, now), j.RecordFinalState(m, store.Delivered, 0, now), j.Settle(m))
+	// Finished messages fill the journal as well, because their records have to be read at the
+	// start.
+	finished := 0
+	for ; journal.Size() < int64(0.6*float64(journalBytes)); finished++ {
+		m := message(finished)
+		err := errors.Join(journal.Accept(m), journal.RecordAttempt(m, now), journal.RecordOutcome(m, true, now), journal.RecordFinalState(m, store.Delivered, 0, now), journal.Settle(m))
 		if err != nil {
 			return err
 		}
 	}
-	live := 0
-	for ; ; live++ {
-		if err := j.Accept(message(past + live)); errors.Is(err, store.ErrFull) {
+	pending := 0
+	for ; ; pending++ {
+		if err := journal.Accept(message(finished + pending)); errors.Is(err, store.ErrFull) {
 			break
 		} else if err != nil {
 			return err
 		}
 	}
-	f.Restored, f.Journal = live, j.Size()
+	f.Restored, f.Journal = pending, journal.Size()
 	return nil
 }
 
 // measureOnce starts a process and adds the duration of each step.
-func (o Start) measureOnce(place, agent string, list []standin.Instance, took map[string][]float64, f *StartFigures) error {
+func (o Start) measureOnce(dir, directoryAddr string, list []standin.Instance, durations map[string][]float64, f *StartFigures) error {
 	c, err := rig.Start(o.Exe, rig.Config{
-		Dir: place, Discovery: agent, Settings: rig.Large(48, 100000, 1000), MemoryMB: o.MemoryMB, Sockets: 256, DiskMB: o.DiskMB,
+		Dir: dir, Discovery: directoryAddr, Settings: rig.Large(48, 100000, 1000), MemoryMB: o.MemoryMB, Sockets: 256, DiskMB: o.DiskMB,
 		Known: list, OperatorDirectory: o.directorySettings(),
 	})
 	if err != nil {
 		return err
 	}
 	defer c.Kill()
-	begun := c.Begun
+	startedAt := c.Begun
 	if text, err := requestLine(c.Addr, "*1\r\n$4\r\nPING\r\n"); err != nil || text != "+PONG\r\n" {
 		return fmt.Errorf("the courier answers %q, %v", text, err)
 	}
-	all := milliseconds(time.Since(begun))
+	total := milliseconds(time.Since(startedAt))
 	line, err := c.Ready()
 	if err != nil {
 		return err
 	}
-	at, err := time.Parse(time.RFC3339Nano, fmt.Sprint(line["time"]))
+	readyAt, err := time.Parse(time.RFC3339Nano, fmt.Sprint(line["time"]))
 	if err != nil {
 		return err
 	}
-	own := rig.Number(line, "ms")
-	add := func(step string, ms float64) { took[step] = append(took[step], ms) }
+	courierMs := rig.Number(line, "ms")
+	add := func(step string, ms float64) { durations[step] = append(durations[step], ms) }
 	for _, step := range daemon.StartSteps {
 		add(step, rig.Number(line, "steps_ms", step))
 	}
-	add(execStep, milliseconds(at.Sub(begun))-own)
-	add(pongStep, all-milliseconds(at.Sub(begun)))
-	add(wholeStep, all)
-	if f.Processes++; all > 10000 {
+	add(execStep, milliseconds(readyAt.Sub(startedAt))-courierMs)
+	add(pongStep, total-milliseconds(readyAt.Sub(startedAt)))
+	add(wholeStep, total)
+	if f.Processes++; total > 10000 {
 		f.Late++
 	}
 	return nil
@@ -345,13 +347,13 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-func (o Start) report(out io.Writer, f *StartFigures, name string, took map[string][]float64) {
+func (o Start) report(out io.Writer, f *StartFigures, name string, durations map[string][]float64) {
 	f.Ms[name] = map[string]Quantiles{}
-	fmt.Fprintf(out, "%s: step, median, 0.9, worst of %d, ms\n", name, len(took[wholeStep]))
+	fmt.Fprintf(out, "%s: step, median, 0.9, worst of %d, ms\n", name, len(durations[wholeStep]))
 	for _, step := range f.Steps {
-		x := took[step]
-		slices.Sort(x)
-		s := Quantiles{x[len(x)/2], x[(len(x)*9+9)/10-1], x[len(x)-1]}
+		values := durations[step]
+		slices.Sort(values)
+		s := Quantiles{values[len(values)/2], values[(len(values)*9+9)/10-1], values[len(values)-1]}
 		f.Ms[name][step] = s
 		fmt.Fprintf(out, "  %-10s %9.1f %9.1f %9.1f\n", step, s.Median, s.P90, s.Worst)
 	}
--- a/internal/measure/upgrade.go
+++ b/internal/measure/upgrade.go
@@ -34,10 +34,11 @@
 	requests atomic.Int64
 }
 
+// record keeps the longest delay.
 func (p *probe) record(d time.Duration) {
 	for {
-		was := p.longest.Load()
-		if int64(d) <= was || p.longest.CompareAndSwap(was, int64(d)) {
+		longest := p.longest.Load()
+		if int64(d) <= longest || p.longest.CompareAndSwap(longest, int64(d)) {
 			return
 		}
 	}
@@ -60,7 +61,7 @@
 // awaitReady waits until a courier answers its readiness check positively.
 func awaitReady(c *rig.Courier) {
 	for {
-		if text, err := requestLine(c.Console, "readyz\n"); err == nil && text == "done\n" {
+		if answer, err := requestLine(c.Console, "readyz\n"); err == nil && answer == "done\n" {
 			return
 		}
 		time.Sleep(time.Millisecond)
@@ -137,12 +138,12 @@
 	wg.Go(func() { // longest response time of the console, whichever process answers
 		for ; running(); time.Sleep(2 * time.Millisecond) {
 			telemetry.requests.Add(1)
-			at := current.Load()
-			begun := time.Now()
-			if _, err := requestLine(at.Console, "telemetry\n"); err != nil && at == current.Load() {
+			courier := current.Load()
+			startedAt := time.Now()
+			if _, err := requestLine(courier.Console, "telemetry\n"); err != nil && courier == current.Load() {
 				telemetry.failed.Add(1)
 			}
-			telemetry.record(time.Since(begun))
+			telemetry.record(time.Since(startedAt))
 		}
 	})
 	var readyTimes []time.Duration
@@ -155,7 +156,7 @@
 		var next atomic.Pointer[rig.Courier]
 		go func() {
 			defer close(sampled)
-			for at := time.Now(); time.Since(at) < o.Every/2; time.Sleep(time.Millisecond) {
+			for courier := time.Now(); time.Since(courier) < o.Every/2; time.Sleep(time.Millisecond) {
 				bytes, _ := old.Resident()
 				n := old.Descriptors()
 				if x := next.Load(); x != nil {
@@ -165,14 +166,14 @@
 				memory, descriptors = max(memory, bytes), max(descriptors, n)
 			}
 		}()
-		begun := time.Now()
+		startedAt := time.Now()
 		x, err := old.Beside()
 		if err != nil {
 			return err
 		}
 		next.Store(x)
 		awaitReady(x)
-		readyTimes = append(readyTimes, time.Since(begun))
+		readyTimes = append(readyTimes, time.Since(startedAt))
 		current.Store(x)
 		if err := old.Stop(); err != nil {
 			return fmt.Errorf("stop the old process: %w", err)
@@ -181,18 +182,18 @@
 	}
 	close(stopped)
 	wg.Wait()
-	e := kitchen.Settle(client, 20*time.Second)
+	account := kitchen.Settle(client, 20*time.Second)
 	n := kitchen.Counts()
 	slices.Sort(readyTimes)
-	fmt.Fprintf(out, "%d upgrades, %+v\ncalls %d, copies %d, out of order %d, during a retry-after delay %d\n", o.Upgrades, e, n.Calls, n.Copies, n.OutOfOrder, n.InWait)
+	fmt.Fprintf(out, "%d upgrades, %+v\ncalls %d, copies %d, out of order %d, during a retry-after delay %d\n", o.Upgrades, account, n.Calls, n.Copies, n.OutOfOrder, n.InWait)
 	fmt.Fprintf(out, "from start to ready: median %v, longest %v\n", readyTimes[len(readyTimes)/2].Round(time.Millisecond), readyTimes[len(readyTimes)-1].Round(time.Millisecond))
 	fmt.Fprintf(out, "longest time without an answer at the clients' address: %v; %d of %d calls failed\n",
 		time.Duration(pings.longest.Load()).Round(time.Millisecond), pings.failed.Load(), pings.requests.Load())
 	fmt.Fprintf(out, "longest answer of the console: %v; %d of %d calls unanswered\n",
 		time.Duration(telemetry.longest.Load()).Round(time.Millisecond), telemetry.failed.Load(), telemetry.requests.Load())
 	fmt.Fprintf(out, "both processes together: %.1f MB and %d file descriptors at most, sampled\n", float64(memory)/1e6, descriptors)
-	if broken := e.Open + e.Doubled + e.Unheard + n.Broken() + int(pings.failed.Load()+telemetry.failed.Load()); broken > 0 {
-		return fmt.Errorf("%d rule violations or failed calls", broken)
+	if violations := account.Open + account.Doubled + account.Unheard + n.Broken() + int(pings.failed.Load()+telemetry.failed.Load()); violations > 0 {
+		return fmt.Errorf("%d rule violations or failed calls", violations)
 	}
 	return nil
 }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -13,7 +13,7 @@
 	Slope     float64 `json:"slope"`
 	Error     float64 `json:"error"` // half-width of the slope's 95% confidence interval (Student's t)
 	Intercept float64 `json:"intercept"`
-	Bend      float64 `json:"bend"`   // deviation of the quadratic fit from the line at midrange, as a share of the rise
+	Bend      float64 `json:"bend"`   // deviation of a quadratic fit from a straight line at midrange, as a share of the rise
 	Power     float64 `json:"power"`  // exponent of a power law fitted to the points; zero if a value is not positive
 	Linear    bool    `json:"linear"` // false if the points show curvature
 }
--- a/internal/scale/partitions.go
+++ b/internal/scale/partitions.go
@@ -31,7 +31,8 @@
 // courier, and random placement gives some couriers more than others.
 const MaxOwned = 800
 
-// partitionsPerCourier returns how many partitions a courier of the smallest region owns on average.
+// partitionsPerCourier returns how many partitions a courier of the smallest region owns on
+// average.
 func (p Plan) partitionsPerCourier() float64 {
 	n := p.couriersInRegion(p.Regions - 1)
 	return float64(p.Partitions) * float64(min(p.Copies, n)) / float64(n)
@@ -73,11 +74,11 @@
 // Without partitions (owned is nil) the first destinations listen and allowed is nil.
 func (p Plan) Listeners(m Machine, owned []bool) (listens []bool, allowed []int32) {
 	listens = make([]bool, p.Destinations)
-	left := p.Listening(m)
+	remaining := p.Listening(m)
 	for d := range listens {
-		if left > 0 && (owned == nil || owned[d]) {
+		if remaining > 0 && (owned == nil || owned[d]) {
 			listens[d] = true
-			left--
+			remaining--
 		}
 	}
 	if owned == nil {
@@ -100,7 +101,8 @@
 	return int(2*owned*float64(p.Destinations)) + calledMargin
 }
 
-// calledMargin allows for the deviation from the mean when there are few destinations or partitions.
+// calledMargin allows for the deviation from the mean when there are few destinations or
+// partitions.
 const calledMargin = 64
 
 // listShare returns the share of the list that a courier holds on average.
--- a/internal/scale/partitions_test.go
+++ b/internal/scale/partitions_test.go
@@ -53,8 +53,8 @@
 		})
 		require.NoError(t, p.Check())
 		if p.Partitions == 0 {
-			listens, may := p.Listeners(large, nil)
-			assert.Nil(t, may)
+			listens, allowed := p.Listeners(large, nil)
+			assert.Nil(t, allowed)
 			for d := range listens {
 				assert.Equal(t, d < p.Listening(large), listens[d], "the first destinations listen")
 			}
@@ -63,10 +63,10 @@
 		m, err := partition.New(p.Partitions, p.Copies, p.Members(addrs(p.Couriers)))
 		require.NoError(t, err)
 		owned := p.OwnedDestinations(m)
-		listens, may := p.Listeners(large, owned)
-		has := map[int32]bool{}
-		for _, d := range may {
-			has[d] = true
+		listens, allowed := p.Listeners(large, owned)
+		mayReceive := map[int32]bool{}
+		for _, d := range allowed {
+			mayReceive[d] = true
 		}
 		n := 0
 		for d := range p.Destinations {
@@ -77,22 +77,22 @@
 				real = real || p.IsReal(number)
 			}
 			assert.Equal(t, real, owned[d])
-			assert.Equal(t, !owned[d] || listens[d], has[int32(d)])
+			assert.Equal(t, !owned[d] || listens[d], mayReceive[int32(d)])
 			if listens[d] {
 				assert.True(t, owned[d], "only destinations of real couriers listen")
 				n++
 			}
 		}
 		assert.LessOrEqual(t, n, p.Listening(large))
-		if len(may) == 0 {
+		if len(allowed) == 0 {
 			return
 		}
-		a, b := p.ArrivalsAt(1, may), p.ArrivalsAt(1, may)
+		a, b := p.ArrivalsAt(1, allowed), p.ArrivalsAt(1, allowed)
 		for range 20 {
 			after, dest, keyed := a.Next()
 			after2, dest2, keyed2 := b.Next()
 			assert.Equal(t, []any{after, dest, keyed}, []any{after2, dest2, keyed2})
-			assert.True(t, has[int32(dest)])
+			assert.True(t, mayReceive[int32(dest)])
 		}
 	})
 }
--- a/internal/scale/scale.go
+++ b/internal/scale/scale.go
@@ -37,7 +37,7 @@
 
 // Check returns an error that names the first invalid value.
 func (p Plan) Check() error {
-	over := func(name string, v float64) error {
+	positive := func(name string, v float64) error {
 		if !(v > 0) || math.IsInf(v, 0) {
 			return fmt.Errorf("--%s: %g is not over 0", name, v)
 		}
@@ -51,7 +51,7 @@
 		{"zones", float64(p.Zones)}, {"regions", float64(p.Regions)}, {"events", p.Events}, {"seconds", p.Seconds},
 		{"cut-seconds", p.CutSeconds}, {"settle", p.Settle},
 	} {
-		if err := over(x.name, x.v); err != nil {
+		if err := positive(x.name, x.v); err != nil {
 			return err
 		}
 	}
@@ -88,8 +88,8 @@
 
 func (p Plan) couriersInRegion(n int) int { return (p.Couriers - n + p.Regions - 1) / p.Regions }
 
-// Region returns the region of a courier. A zone may span regions if neither number divides the
-// other.
+// Region returns the region of a courier. A zone may span regions unless the number of regions
+// divides the number of zones.
 func (p Plan) Region(courier int) int { return courier % p.Regions }
 
 // Zone returns the zone of a courier or an endpoint by its number.
@@ -106,7 +106,7 @@
 	Files  int   // file descriptors of one process
 }
 
-// Resources that a run needs, as measured and rounded up: a run that exceeds the machine's memory
+// Resources that a run needs, as upper estimates: a run that exceeds the machine's memory
 // takes the machine down with it.
 const (
 	MaxProcesses        = 300     // including the measuring process
@@ -224,7 +224,7 @@
 	rng          *rand.Rand
 	rate         float64
 	destinations int
-	allowed      []int32 // allowed destinations; nil means the first ones, up to most
+	allowed      []int32 // destinations that may be drawn; nil means the first ones
 }
 
 // Arrivals returns the traffic of a courier to the first destinations.
@@ -233,9 +233,9 @@
 }
 
 // ArrivalsAt returns the traffic of a courier to the given destinations.
-func (p Plan) ArrivalsAt(courier int, may []int32) *Arrivals {
-	a := p.Arrivals(courier, len(may))
-	a.allowed = may
+func (p Plan) ArrivalsAt(courier int, allowed []int32) *Arrivals {
+	a := p.Arrivals(courier, len(allowed))
+	a.allowed = allowed
 	return a
 }
 
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -83,7 +83,8 @@
 	assert.Error(t, err)
 }
 
-// Random draws depend on the seed alone, stay within the run, and have the number the flags ask for.
+// Random draws depend on the seed alone, stay within the run, and have the number the flags ask
+// for.
 func TestRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := plan(func(p *Plan) {
