--- a/internal/measure/idle.go
+++ b/internal/measure/idle.go
@@ -169,23 +169,23 @@
 	listening int
 }
 
-func (b *idleTestbed) close() {
-	if b.client != nil {
-		b.client.Close()
+func (t *idleTestbed) close() {
+	if t.client != nil {
+		t.client.Close()
 	}
-	if b.courier != nil {
-		b.courier.Kill()
+	if t.courier != nil {
+		t.courier.Kill()
 	}
-	if b.directory != nil {
-		b.directory.Close()
+	if t.directory != nil {
+		t.directory.Close()
 	}
-	for _, f := range b.standins {
+	for _, f := range t.standins {
 		f.close()
 	}
 }
 
-func (b *idleTestbed) orderAll(from, to uint32, o standin.Order) error {
-	for _, f := range b.standins {
+func (t *idleTestbed) orderAll(from, to uint32, o standin.Order) error {
+	for _, f := range t.standins {
 		x := o
 		x.From, x.To = max(from, f.first), min(to, f.last)
 		if x.From > x.To {
@@ -198,24 +198,24 @@
 	return nil
 }
 
-func (b *idleTestbed) counts() (map[uint32]partner.Counts, error) {
+func (t *idleTestbed) counts() (map[uint32]partner.Counts, error) {
 	out := map[uint32]partner.Counts{}
-	b.limits = map[uint32]float64{}
-	for _, f := range b.standins {
+	t.limits = map[uint32]float64{}
+	for _, f := range t.standins {
 		r, err := f.order(standin.Order{Do: "stats"})
 		if err != nil {
 			return nil, err
 		}
 		maps.Copy(out, r.Counts)
-		maps.Copy(b.limits, r.Limits)
+		maps.Copy(t.limits, r.Limits)
 	}
 	return out, nil
 }
 
 // seen asks the stand-ins which of the messages they have delivered.
-func (b *idleTestbed) seen(sent []load.Message) (map[string]bool, error) {
+func (t *idleTestbed) seen(sent []load.Message) (map[string]bool, error) {
 	out := map[string]bool{}
-	for _, f := range b.standins {
+	for _, f := range t.standins {
 		var ids []standin.Ask
 		for _, m := range sent {
 			if m.Destination >= f.first && m.Destination <= f.last {
@@ -235,26 +235,26 @@
 	return out, nil
 }
 
-func (b *idleTestbed) startAll(dir string) error {
-	o := b.options
-	b.listening = min(o.Partners, o.Listening)
+func (t *idleTestbed) startAll(dir string) error {
+	o := t.options
+	t.listening = min(o.Partners, o.Listening)
 	perProcess := max(endpointsPerProcess/o.Endpoints, 1)
-	for first := 0; first < b.listening; first += perProcess {
+	for first := 0; first < t.listening; first += perProcess {
 		f, err := startStandins(o.Exe, standin.Population{
-			Partners: min(perProcess, b.listening-first), Endpoints: o.Endpoints, First: uint32(first + 1), Seed: o.Seed,
+			Partners: min(perProcess, t.listening-first), Endpoints: o.Endpoints, First: uint32(first + 1), Seed: o.Seed,
 		})
 		if err != nil {
 			return err
 		}
-		b.standins = append(b.standins, f)
+		t.standins = append(t.standins, f)
 		r, err := f.order(standin.Order{Do: "list"})
 		if err != nil {
 			return err
 		}
-		b.list = append(b.list, standin.List(r.Endpoints)...)
+		t.list = append(t.list, standin.List(r.Endpoints)...)
 	}
 	var listedOnly []standin.Endpoint
-	for d := b.listening + 1; d <= o.Partners; d++ {
+	for d := t.listening + 1; d <= o.Partners; d++ {
 		for i := range o.Endpoints {
 			n := (d*o.Endpoints + i)
 			listedOnly = append(listedOnly, standin.Endpoint{
@@ -263,13 +263,13 @@
 			})
 		}
 	}
-	b.list = append(b.list, standin.List(listedOnly)...)
+	t.list = append(t.list, standin.List(listedOnly)...)
 	var err error
-	if b.directory, err = standin.NewDirectory(b.list[:o.Active*o.Endpoints]); err != nil {
+	if t.directory, err = standin.NewDirectory(t.list[:o.Active*o.Endpoints]); err != nil {
 		return err
 	}
-	b.courier, err = rig.Start(o.Exe, rig.Config{
-		Dir: dir, Discovery: b.directory.Addr(), Settings: rig.Large(96, 8000, 2000), MemoryMB: 192, Sockets: 1024,
+	t.courier, err = rig.Start(o.Exe, rig.Config{
+		Dir: dir, Discovery: t.directory.Addr(), Settings: rig.Large(96, 8000, 2000), MemoryMB: 192, Sockets: 1024,
 		Idle: map[string]any{
 			"sleep_after_s": 1, "careful_first": true, "memory_kb": 65536, "list_mb": 256, "list_entries": 1000000,
 		},
@@ -277,83 +277,83 @@
 	if err != nil {
 		return err
 	}
-	b.client = load.New(b.courier.Addr, "")
-	return b.awaitConfirmed(b.directory.Replace(b.list[:o.Active*o.Endpoints]))
+	t.client = load.New(t.courier.Addr, "")
+	return t.awaitConfirmed(t.directory.Replace(t.list[:o.Active*o.Endpoints]))
 }
 
 // awaitConfirmed waits until the courier confirms a generation of the list.
-func (b *idleTestbed) awaitConfirmed(generation uint64) error {
+func (t *idleTestbed) awaitConfirmed(generation uint64) error {
 	for deadline := time.Now().Add(time.Minute); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-		if b.directory.Heard() >= generation {
+		if t.directory.Heard() >= generation {
 			return nil
 		}
 	}
-	return fmt.Errorf("the courier did not confirm list generation %d\n%s", generation, b.courier.Tail())
+	return fmt.Errorf("the courier did not confirm list generation %d\n%s", generation, t.courier.Tail())
 }
 
 // sendTraffic sends light traffic to the active partners for a duration.
-func (b *idleTestbed) sendTraffic(name string, d time.Duration) {
+func (t *idleTestbed) sendTraffic(name string, d time.Duration) {
 	n := 0
 	for end := time.Now().Add(d); time.Now().Before(end); n++ {
-		_, _, _ = b.client.Add(load.Message{
+		_, _, _ = t.client.Add(load.Message{
 			ID: fmt.Sprintf("%s-%d", name, n), Class: "status", Tenant: "town", Left: 8 * time.Second,
-			Destination: uint32(n%b.options.Active + 1),
+			Destination: uint32(n%t.options.Active + 1),
 		})
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
 // measureCPU returns the CPU seconds per second under light traffic.
-func (b *idleTestbed) measureCPU(name string, d time.Duration) (float64, error) {
-	before, err := b.courier.CPU()
+func (t *idleTestbed) measureCPU(name string, d time.Duration) (float64, error) {
+	before, err := t.courier.CPU()
 	if err != nil {
 		return 0, err
 	}
 	startedAt := time.Now()
-	b.sendTraffic(name, d)
-	after, err := b.courier.CPU()
+	t.sendTraffic(name, d)
+	after, err := t.courier.CPU()
 	return (after - before).Seconds() / time.Since(startedAt).Seconds(), err
 }
 
 // measureChanges makes the directory send n changes of single entries in sequence, and returns the
 // mean time that the courier's loop took for one, in microseconds.
-func (b *idleTestbed) measureChanges(n int) (float64, error) {
-	if _, err := b.courier.Counters(false); err != nil { // resets the mean
+func (t *idleTestbed) measureChanges(n int) (float64, error) {
+	if _, err := t.courier.Counters(false); err != nil { // resets the mean
 		return 0, err
 	}
 	for i := range n {
-		x := b.list[i%(b.options.Active*b.options.Endpoints)]
+		x := t.list[i%(t.options.Active*t.options.Endpoints)]
 		x.Weight = float64(2 + i%7)
-		if err := b.awaitConfirmed(b.directory.Change(x)); err != nil {
+		if err := t.awaitConfirmed(t.directory.Change(x)); err != nil {
 			return 0, err
 		}
 	}
-	line, err := b.courier.Counters(false)
+	line, err := t.courier.Counters(false)
 	return rig.Number(line, "idle", "change_ns") / 1000, err
 }
 
 // memory returns the live heap and the resident memory after garbage collection, in bytes.
-func (b *idleTestbed) memory() (heap, resident int64, line map[string]any, err error) {
-	if line, err = b.courier.Counters(true); err != nil {
+func (t *idleTestbed) memory() (heap, resident int64, line map[string]any, err error) {
+	if line, err = t.courier.Counters(true); err != nil {
 		return
 	}
 	heap = int64(rig.Number(line, "heap"))
-	resident, err = b.courier.Resident()
+	resident, err = t.courier.Resident()
 	return
 }
 
 // awaitUnloaded waits until only the active destinations are loaded.
-func (b *idleTestbed) awaitUnloaded() error {
+func (t *idleTestbed) awaitUnloaded() error {
 	for deadline := time.Now().Add(2 * time.Minute); time.Now().Before(deadline); time.Sleep(300 * time.Millisecond) {
-		line, err := b.courier.Counters(false)
+		line, err := t.courier.Counters(false)
 		if err != nil {
 			return err
 		}
-		if rig.Number(line, "idle", "awake") <= float64(b.options.Active) && rig.Number(line, "held") == 0 {
+		if rig.Number(line, "idle", "awake") <= float64(t.options.Active) && rig.Number(line, "held") == 0 {
 			return nil
 		}
 	}
-	return fmt.Errorf("idle destinations are not unloaded\n%s", b.courier.Tail())
+	return fmt.Errorf("idle destinations are not unloaded\n%s", t.courier.Tail())
 }
 
 const (
@@ -372,73 +372,73 @@
 		return f, err
 	}
 	defer os.RemoveAll(dir)
-	b := &idleTestbed{options: o}
-	defer b.close()
+	testbed := &idleTestbed{options: o}
+	defer testbed.close()
 	printf := func(format string, args ...any) { fmt.Fprintf(out, format+"\n", args...) }
-	if err := b.startAll(dir); err != nil {
+	if err := testbed.startAll(dir); err != nil {
 		return f, err
 	}
 	f = IdleFigures{
-		Partners: o.Partners, Endpoints: o.Endpoints, Active: o.Active, Listening: b.listening,
+		Partners: o.Partners, Endpoints: o.Endpoints, Active: o.Active, Listening: testbed.listening,
 		Machine: describeMachine(),
 	}
-	activeList, fullList := b.list[:o.Active*o.Endpoints], b.list
+	activeList, fullList := testbed.list[:o.Active*o.Endpoints], testbed.list
 
-	b.sendTraffic("warm", 3*time.Second)
-	if f.HeapActive, f.ResidentActive, _, err = b.memory(); err != nil {
+	testbed.sendTraffic("warm", 3*time.Second)
+	if f.HeapActive, f.ResidentActive, _, err = testbed.memory(); err != nil {
 		return f, err
 	}
 	printf("%d active partners listed: heap %d, resident %d bytes", o.Active, f.HeapActive, f.ResidentActive)
-	if f.Delta.Active, err = b.measureChanges(deltaCount); err != nil {
+	if f.Delta.Active, err = testbed.measureChanges(deltaCount); err != nil {
 		return f, err
 	}
 	for round := range cpuRounds {
 		if round > 0 {
-			if err := b.awaitConfirmed(b.directory.Replace(activeList)); err != nil {
+			if err := testbed.awaitConfirmed(testbed.directory.Replace(activeList)); err != nil {
 				return f, err
 			}
 		}
-		x, err := b.measureCPU(fmt.Sprintf("few%d", round), cpuFor)
+		x, err := testbed.measureCPU(fmt.Sprintf("few%d", round), cpuFor)
 		if err != nil {
 			return f, err
 		}
 		f.IdleCPUActive += x / cpuRounds
-		if _, err := b.courier.Counters(false); err != nil { // resets the longest turn
+		if _, err := testbed.courier.Counters(false); err != nil { // resets the longest turn
 			return f, err
 		}
 		startedAt := time.Now()
-		if err := b.awaitConfirmed(b.directory.Replace(fullList)); err != nil {
+		if err := testbed.awaitConfirmed(testbed.directory.Replace(fullList)); err != nil {
 			return f, err
 		}
 		f.FullListMs = max(f.FullListMs, float64(time.Since(startedAt).Microseconds())/1000)
-		line, err := b.courier.Counters(false)
+		line, err := testbed.courier.Counters(false)
 		if err != nil {
 			return f, err
 		}
 		f.LongestTurnMs = max(f.LongestTurnMs, rig.Number(line, "longest_turn_us")/1000)
-		if x, err = b.measureCPU(fmt.Sprintf("all%d", round), cpuFor); err != nil {
+		if x, err = testbed.measureCPU(fmt.Sprintf("all%d", round), cpuFor); err != nil {
 			return f, err
 		}
 		f.IdleCPUListed += x / cpuRounds
 	}
 	f.IdleCPURatio = f.IdleCPUListed / f.IdleCPUActive
-	if f.HeapListed, f.ResidentListed, _, err = b.memory(); err != nil {
+	if f.HeapListed, f.ResidentListed, _, err = testbed.memory(); err != nil {
 		return f, err
 	}
 	idle := float64(o.Partners - o.Active)
 	f.BytesPerIdle.Heap = float64(f.HeapListed-f.HeapActive) / idle
 	f.BytesPerIdle.Resident = float64(f.ResidentListed-f.ResidentActive) / idle
 	printf("%d partners listed: heap %d, resident %d bytes, longest turn %.2f ms", o.Partners, f.HeapListed, f.ResidentListed, f.LongestTurnMs)
-	if f.Delta.Partners, err = b.measureChanges(deltaCount); err != nil {
+	if f.Delta.Partners, err = testbed.measureChanges(deltaCount); err != nil {
 		return f, err
 	}
 	printf("a change takes %.1f us with %d listed, %.1f us with %d; idle CPU %.5f and %.5f",
 		f.Delta.Active, o.Active, f.Delta.Partners, o.Partners, f.IdleCPUActive, f.IdleCPUListed)
 
-	if f.Called, err = b.callAllOnce(); err != nil {
+	if f.Called, err = testbed.callAllOnce(); err != nil {
 		return f, err
 	}
-	if f.HeapCalled, f.ResidentCalled, _, err = b.memory(); err != nil {
+	if f.HeapCalled, f.ResidentCalled, _, err = testbed.memory(); err != nil {
 		return f, err
 	}
 	f.BytesPerOnce.Heap = f.BytesPerIdle.Heap + float64(f.HeapCalled-f.HeapListed)/float64(f.Called)
@@ -446,13 +446,13 @@
 	printf("%d called once and unloaded: heap %d, resident %d bytes", f.Called, f.HeapCalled, f.ResidentCalled)
 
 	first := uint32(o.Active + 1)
-	if f.Cut, err = b.sendBurst("cut", first, first, 1.0/3); err != nil {
+	if f.Cut, err = testbed.sendBurst("cut", first, first, 1.0/3); err != nil {
 		return f, err
 	}
 	printf("one loaded, its limit cut to a third: %+v", f.Cut)
-	f.Clump = min(o.Clump, b.listening-o.Active-1)
+	f.Clump = min(o.Clump, testbed.listening-o.Active-1)
 	if f.Clump > 0 {
-		if f.Many, err = b.sendBurst("many", first+1, first+uint32(f.Clump), 1); err != nil {
+		if f.Many, err = testbed.sendBurst("many", first+1, first+uint32(f.Clump), 1); err != nil {
 			return f, err
 		}
 		printf("%d loaded at once: %+v", f.Clump, f.Many)
@@ -470,7 +470,7 @@
 
 // callAllOnce calls every listening partner that is not active once, and waits until they are
 // unloaded.
-func (b *idleTestbed) callAllOnce() (called int, err error) {
+func (t *idleTestbed) callAllOnce() (called int, err error) {
 	var wg sync.WaitGroup
 	work := make(chan int)
 	for range 8 {
@@ -480,7 +480,7 @@
 					ID: fmt.Sprintf("once-%d", d), Class: "status", Tenant: "town", Left: 8 * time.Second, Destination: uint32(d),
 				}
 				for attempt := 0; attempt < 20; attempt++ {
-					if v, after, _ := b.client.Add(m); v != load.Refused {
+					if v, after, _ := t.client.Add(m); v != load.Refused {
 						break
 					} else {
 						time.Sleep(max(after, 20*time.Millisecond))
@@ -490,30 +490,30 @@
 			}
 		})
 	}
-	for d := b.options.Active + 1; d <= b.listening; d++ {
+	for d := t.options.Active + 1; d <= t.listening; d++ {
 		work <- d
 		called++
 		time.Sleep(2500 * time.Microsecond)
 	}
 	close(work)
 	wg.Wait()
-	return called, b.awaitUnloaded()
+	return called, t.awaitUnloaded()
 }
 
 // sendBurst sends a burst worth three seconds of its limit to each of a range of unloaded partners
 // at the same moment, after changing their limits and making them cold. It waits for the final
 // result of every message.
-func (b *idleTestbed) sendBurst(name string, from, to uint32, factor float64) (w BurstResult, err error) {
-	if err := b.awaitUnloaded(); err != nil {
-		return w, err
+func (t *idleTestbed) sendBurst(name string, from, to uint32, factor float64) (result BurstResult, err error) {
+	if err := t.awaitUnloaded(); err != nil {
+		return result, err
 	}
-	if _, err := b.counts(); err != nil {
-		return w, err
+	if _, err := t.counts(); err != nil {
+		return result, err
 	}
-	limits := b.limits
+	limits := t.limits
 	for _, o := range []standin.Order{{Do: "limit", Factor: factor}, {Do: "chill"}, {Do: "reset"}} {
-		if err := b.orderAll(from, to, o); err != nil {
-			return w, err
+		if err := t.orderAll(from, to, o); err != nil {
+			return result, err
 		}
 	}
 	var burst []load.Message
@@ -529,15 +529,15 @@
 			burst = append(burst, m)
 		}
 	}
-	w.Partners, w.Messages = int(to-from)+1, len(burst)
+	result.Partners, result.Messages = int(to-from)+1, len(burst)
 	startedAt := time.Now()
 	var wg sync.WaitGroup
-	lanes := min(w.Partners, 16)
+	lanes := min(result.Partners, 16)
 	for lane := range lanes {
 		wg.Go(func() {
 			for _, m := range burst {
 				if int(m.Destination-from)%lanes == lane {
-					_, _, _ = b.client.Add(m)
+					_, _, _ = t.client.Add(m)
 				}
 			}
 		})
@@ -548,26 +548,26 @@
 		ours[m.ID] = true
 	}
 	for deadline := startedAt.Add(25 * time.Second); ; time.Sleep(300 * time.Millisecond) {
-		seen, err := b.seen(burst)
+		seen, err := t.seen(burst)
 		if err != nil {
-			return w, err
+			return result, err
 		}
-		account := b.client.Account(func(_ uint32, id string) bool { return seen[id] }, b.directory.Notices(),
+		account := t.client.Account(func(_ uint32, id string) bool { return seen[id] }, t.directory.Notices(),
 			func(m load.Message) bool { return ours[m.ID] })
-		w.Taken, w.Refused, w.Unheard, w.Delivered, w.Open, w.Doubled = account.Taken, account.Refused, account.Unheard+account.Failed, account.Delivered, account.Open, account.Doubled
-		if w.Seconds = time.Since(startedAt).Seconds(); account.Open == 0 || time.Now().After(deadline) {
+		result.Taken, result.Refused, result.Unheard, result.Delivered, result.Open, result.Doubled = account.Taken, account.Refused, account.Unheard+account.Failed, account.Delivered, account.Open, account.Doubled
+		if result.Seconds = time.Since(startedAt).Seconds(); account.Open == 0 || time.Now().After(deadline) {
 			break
 		}
 	}
-	counts, err := b.counts()
+	counts, err := t.counts()
 	if err != nil {
-		return w, err
+		return result, err
 	}
 	for d := from; d <= to; d++ {
 		n := counts[d]
-		w.Calls, w.TurnedAway, w.OverLimit, w.Late = w.Calls+n.Calls, w.TurnedAway+n.Refused, w.OverLimit+n.Over, w.Late+n.Late
-		w.Fell, w.Duplicates, w.OutOfOrder, w.InWait = w.Fell+n.Fell, w.Duplicates+n.Copies, w.OutOfOrder+n.OutOfOrder, w.InWait+n.InWait
-		w.PeakOverLimit = max(w.PeakOverLimit, n.Peak)
+		result.Calls, result.TurnedAway, result.OverLimit, result.Late = result.Calls+n.Calls, result.TurnedAway+n.Refused, result.OverLimit+n.Over, result.Late+n.Late
+		result.Fell, result.Duplicates, result.OutOfOrder, result.InWait = result.Fell+n.Fell, result.Duplicates+n.Copies, result.OutOfOrder+n.OutOfOrder, result.InWait+n.InWait
+		result.PeakOverLimit = max(result.PeakOverLimit, n.Peak)
 	}
-	return w, nil
+	return result, nil
 }
