--- a/internal/measure/hollow.go
+++ b/internal/measure/hollow.go
@@ -27,28 +27,28 @@
 	"snowjunction/internal/store"
 )
 
-// shard is hollow couriers that share a loop and an engine, as a process does.
+// shard is a group of simulated couriers that share an event loop and a network engine.
 type shard struct {
 	loop   *core.Loop
 	engine *net.Engine
 	ended  chan struct{}
 }
 
-func newShard(conns int) (*shard, error) {
+func newShard(maxConns int) (*shard, error) {
 	s := &shard{loop: core.NewLoop(time.Now), ended: make(chan struct{})}
 	var err error
-	if s.engine, err = net.New(net.Config{Post: s.loop.Post, Log: slog.New(slog.DiscardHandler), MaxConns: conns}); err != nil {
+	if s.engine, err = net.New(net.Config{Post: s.loop.Post, Log: slog.New(slog.DiscardHandler), MaxConns: maxConns}); err != nil {
 		return nil, err
 	}
 	go func() {
 		defer close(s.ended)
-		runtime.LockOSThread() // its processor time is asked for
+		runtime.LockOSThread() // cpu reads the time of this thread
 		s.loop.Run()
 	}()
 	return s, nil
 }
 
-// on has f done on the shard's loop and waits for it.
+// on runs f on the shard's loop and waits for it.
 func (s *shard) on(f func()) {
 	done := make(chan struct{})
 	s.loop.Post(func() {
@@ -58,8 +58,8 @@
 	<-done
 }
 
-// cpu is the processor time that the shard's loop has had: decisions, lists and what is
-// sent, but not what the kernel does for those that read.
+// cpu returns the processor time of the shard's loop: decisions, lists and sending, but not the
+// kernel's work for the reading goroutines.
 func (s *shard) cpu() (d time.Duration) {
 	s.on(func() {
 		var u unix.Rusage
@@ -76,127 +76,127 @@
 	s.engine.Stop()
 }
 
-// wires are what all couriers of a run share.
-type wires struct {
-	plan      scale.Plan
-	farm      *standin.Farm
-	discovery string
-	lists     platform.ListLimits
-	names     config.Names
-	columns   []string
-	peers     *net.Peers
-	each      []string
-	members   *partition.Membership // nil: no partitions
-	may       []int32               // with them: the destinations that have messages
-	parted    atomic.Int64          // the number of the region that is cut off, and one; 0: none is
-	cut       atomic.Int64          // datagrams that met a cut
-	told      atomic.Int64          // datagrams that hollow couriers have sent
-	greetings atomic.Int64          // of these, with nothing in them but that their sender is there
-}
-
-// cuts tells whether no note passes between two couriers now.
-func (w *wires) cuts(a, b int) bool {
-	n := int(w.parted.Load()) - 1
-	x, y := w.plan.Region(a), w.plan.Region(b)
-	return n >= 0 && x != y && (x == n || y == n)
-}
-
-// part is what went to and fro in one role. Where a datagram has notes of both, each has
-// its part of it.
-type part struct{ Sent, SentBytes, Received, ReceivedBytes float64 }
-
-// hollow is a courier without clients and endpoints: the core, with the module in it, and
-// the front's watch are the product's own, and the notes go over a socket of its own. What
-// becomes of calls is drawn by the stand-in partners without a wire between. It belongs to
-// its shard's loop.
-type hollow struct {
-	*wires
+// sharedState holds what all couriers of a run share.
+type sharedState struct {
+	plan          scale.Plan
+	farm          *standin.Farm
+	discovery     string
+	lists         platform.ListLimits
+	names         config.Names
+	columns       []string
+	peers         *net.Peers
+	addrs         []string
+	members       *partition.Membership // nil without partitions
+	allowed       []int32               // with partitions: destinations that receive messages
+	cutRegion     atomic.Int64          // number of the region that is cut off, plus one; zero means no cut
+	cutDatagrams  atomic.Int64          // datagrams dropped by a cut
+	sentDatagrams atomic.Int64          // datagrams sent by simulated couriers
+	announcements atomic.Int64          // of these, announcements without a message
+}
+
+// separated reports whether a cut currently separates two couriers.
+func (w *sharedState) separated(a, b int) bool {
+	cutOff := int(w.cutRegion.Load()) - 1
+	regionA, regionB := w.plan.Region(a), w.plan.Region(b)
+	return cutOff >= 0 && regionA != regionB && (regionA == cutOff || regionB == cutOff)
+}
+
+// roleTraffic counts the datagrams sent and received in one role. A datagram with messages of both
+// roles counts for each role by its share of the messages.
+type roleTraffic struct{ Sent, SentBytes, Received, ReceivedBytes float64 }
+
+// simulatedCourier is a simulated courier without clients and endpoints. The core with its decision
+// module and the front's directory watch are the product's own code, and peer messages go over a
+// socket of its own. Call results are drawn by the stand-in partners without a network connection.
+// It belongs to its shard's loop.
+type simulatedCourier struct {
+	*sharedState
 	shard     *shard
 	number    int
 	discovery string // its own address of the directory
 	settings  snowjunction.Settings
 	arrivals  *scale.Arrivals
-	holds     func() // the list has come
-
-	front  *platform.Front
-	core   *core.Core
-	socket *net.Datagrams
-	past   net.DatagramCounts // of its earlier lives
-	passed map[string]float64 // what its earlier lives have forwarded
-	unread uint64
-	serial int
-	life   int
-	alive  bool
-	flows  bool // messages come, in each life
-	asks   part // as a carrier
-	grants part // as a keeper
-}
-
-func newHollow(w *wires, s *shard, number int, settings map[string]any, holds func()) (*hollow, error) {
+	onList    func() // called when the list has arrived
+
+	front           *platform.Front
+	core            *core.Core
+	socket          *net.Datagrams
+	pastDatagrams   net.DatagramCounts // of its previous runs
+	pastForwarded   map[string]float64 // forwarding counters of its previous runs
+	invalidMessages uint64
+	serial          int
+	runNumber       int
+	running         bool
+	hasTraffic      bool        // messages arrive, also after a restart
+	requestTraffic  roleTraffic // as a courier that requests quota
+	ownerTraffic    roleTraffic // as a lease owner
+}
+
+func newSimulatedCourier(w *sharedState, s *shard, number int, settings map[string]any, onList func()) (*simulatedCourier, error) {
 	text, err := json.Marshal(settings)
 	if err != nil {
 		return nil, err
 	}
-	h := &hollow{
-		wires: w, shard: s, number: number, discovery: w.discovery, holds: holds,
+	c := &simulatedCourier{
+		sharedState: w, shard: s, number: number, discovery: w.discovery, onList: onList,
 		arrivals: w.plan.Arrivals(number, w.plan.Destinations),
 	}
-	if w.may != nil {
-		h.arrivals = w.plan.ArrivalsAt(number, w.may)
+	if w.allowed != nil {
+		c.arrivals = w.plan.ArrivalsAt(number, w.allowed)
 	}
-	h.settings, err = config.ParseSettings(courierSeed(w.plan, number), text)
-	h.settings.PeerMessages = true
-	return h, err
+	c.settings, err = config.ParseSettings(courierSeed(w.plan, number), text)
+	c.settings.PeerMessages = true
+	return c, err
 }
 
-// courierSeed is a courier's own.
+// courierSeed returns the random seed of a courier.
 func courierSeed(p scale.Plan, number int) uint64 {
 	return (p.Seed+1)*0x9e3779b97f4a7c15 ^ uint64(number+1)*0xbf58476d1ce4e5b9
 }
 
-// begin starts a life.
-func (h *hollow) begin() (err error) {
-	h.life++
+// start starts the courier, with no state from its previous run.
+func (c *simulatedCourier) start() (err error) {
+	c.runNumber++
 	log := slog.New(slog.DiscardHandler)
-	if h.socket, err = net.ListenDatagrams(h.each[h.number], h.peers, peermsg.MaxBytes, h.shard.loop.Post, log, h.noted); err != nil {
+	if c.socket, err = net.ListenDatagrams(c.addrs[c.number], c.peers, peermsg.MaxBytes, c.shard.loop.Post, log, c.receive); err != nil {
 		return err
 	}
-	h.front = platform.New(platform.Config{
-		Loop: h.shard.loop, Engine: h.shard.engine, Log: log, Discovery: h.discovery, Names: h.names,
-		ReportColumns: h.columns, Settings: h.settings, Lists: h.lists, Listen: h.clients(h.number), Router: h.router(),
+	c.front = platform.New(platform.Config{
+		Loop: c.shard.loop, Engine: c.shard.engine, Log: log, Discovery: c.discovery, Names: c.names,
+		ReportColumns: c.columns, Settings: c.settings, Lists: c.lists, Listen: c.clientAddr(c.number), Router: c.newRouter(),
 	})
-	h.core, err = core.New(core.Config{
-		Loop: h.shard.loop, Log: log, Journal: &store.Memory{}, Settings: h.settings,
-		Fronts:      []core.Front{hollowFront{h.front, h}},
+	c.core, err = core.New(core.Config{
+		Loop: c.shard.loop, Log: log, Journal: &store.Memory{}, Settings: c.settings,
+		Fronts:      []core.Front{simulatedFront{c.front, c}},
 		Directories: map[int]core.Directory{0: {Confidence: confidence.Default(), Plausibility: plausibility.Default()}},
-		Fleet:       h, OnListChange: func(int) { h.holds() },
+		Fleet:       c, OnListChange: func(int) { c.onList() },
 	})
 	if err != nil {
 		return err
 	}
-	if err := h.front.Start(h.core, platform.InitialList{}); err != nil {
+	if err := c.front.Start(c.core, platform.InitialList{}); err != nil {
 		return err
 	}
-	h.alive = true
-	if h.flows {
-		h.next()
+	c.running = true
+	if c.hasTraffic {
+		c.scheduleNext()
 	}
 	return nil
 }
 
-// end is as SIGKILL to it.
-func (h *hollow) end() {
-	h.life, h.alive = h.life+1, false
-	h.core.Freeze(func() {})
-	h.shard.engine.Unlisten(h.clients(h.number))
-	h.front.Close()
-	h.socket.Close()
-	h.passed = sumOf(h.passed, h.forwardedNow())
-	h.past = sum(h.past, h.socket.Counts())
-	h.unread += h.core.Counters.PeerMessagesInvalid
+// kill stops the courier as SIGKILL would.
+func (c *simulatedCourier) kill() {
+	c.runNumber, c.running = c.runNumber+1, false
+	c.core.Freeze(func() {})
+	c.shard.engine.Unlisten(c.clientAddr(c.number))
+	c.front.Close()
+	c.socket.Close()
+	c.pastForwarded = addCounters(c.pastForwarded, c.currentForwarded())
+	c.pastDatagrams = addDatagramCounts(c.pastDatagrams, c.socket.Counts())
+	c.invalidMessages += c.core.Counters.PeerMessagesInvalid
 }
 
-func sum(a, b net.DatagramCounts) net.DatagramCounts {
+func addDatagramCounts(a, b net.DatagramCounts) net.DatagramCounts {
 	return net.DatagramCounts{
 		Sent: a.Sent + b.Sent, SentBytes: a.SentBytes + b.SentBytes, Received: a.Received + b.Received,
 		ReceivedBytes: a.ReceivedBytes + b.ReceivedBytes, UnknownSender: a.UnknownSender + b.UnknownSender,
@@ -204,22 +204,22 @@
 	}
 }
 
-// next has the next message of its traffic come, when it is due.
-func (h *hollow) next() {
-	after, _, _ := h.arrivals.Next()
-	h.arrive(after)
+// scheduleNext schedules the next message of its traffic.
+func (c *simulatedCourier) scheduleNext() {
+	after, _, _ := c.arrivals.Next()
+	c.scheduleAfter(after)
 }
 
-// arrive has messages come from then on.
-func (h *hollow) arrive(after time.Duration) {
-	life := h.life
-	h.shard.loop.After(after, func() {
-		if h.life != life {
+// scheduleAfter schedules its traffic from the given delay on.
+func (c *simulatedCourier) scheduleAfter(after time.Duration) {
+	run := c.runNumber
+	c.shard.loop.After(after, func() {
+		if c.runNumber != run {
 			return
 		}
-		next, dest, keyed := h.arrivals.Next()
-		h.serial++
-		m := message(h.number, h.serial, dest, keyed)
+		next, destination, keyed := c.arrivals.Next()
+		c.serial++
+		m := newMessage(c.number, c.serial, destination, keyed)
 		r := core.Request{
 			ID: m.ID, Class: m.Class, Tenant: m.Tenant, Destination: m.Destination, TimeLeft: m.Left,
 			Body: standin.Body(0, 0, time.Now().Add(m.Left)),
@@ -227,35 +227,35 @@
 		if m.Keyed {
 			r.IdempotencyKey = m.ID
 		}
-		if h.members != nil {
-			h.handIn(r)
-		} else if h.front.Ready() {
-			_ = h.core.Submit(r, func(core.Answer, *store.Message) bool { return true }) // it is well-formed
+		if c.members != nil {
+			c.submit(r)
+		} else if c.front.Ready() {
+			_ = c.core.Submit(r, func(core.Answer, *store.Message) bool { return true }) // the request is well-formed
 		}
-		h.arrive(next)
+		c.scheduleAfter(next)
 	})
 }
 
-// Send sends notes to another courier.
-func (h *hollow) Send(peer int, items []snowjunction.PeerMessage) {
-	granted := granted(items)
+// Send sends peer messages to another courier.
+func (c *simulatedCourier) Send(peer int, items []snowjunction.PeerMessage) {
+	grantShare := grantShare(items)
 	for _, b := range peermsg.Encode(items) {
-		if h.cuts(h.number, peer) {
-			h.cut.Add(1)
+		if c.separated(c.number, peer) {
+			c.cutDatagrams.Add(1)
 			continue
 		}
-		h.socket.Send(peer, b)
-		h.told.Add(1)
+		c.socket.Send(peer, b)
+		c.sentDatagrams.Add(1)
 		if len(items) == 0 {
-			h.greetings.Add(1)
+			c.announcements.Add(1)
 		}
-		h.asks.Sent, h.asks.SentBytes = h.asks.Sent+1-granted, h.asks.SentBytes+(1-granted)*float64(len(b))
-		h.grants.Sent, h.grants.SentBytes = h.grants.Sent+granted, h.grants.SentBytes+granted*float64(len(b))
+		c.requestTraffic.Sent, c.requestTraffic.SentBytes = c.requestTraffic.Sent+1-grantShare, c.requestTraffic.SentBytes+(1-grantShare)*float64(len(b))
+		c.ownerTraffic.Sent, c.ownerTraffic.SentBytes = c.ownerTraffic.Sent+grantShare, c.ownerTraffic.SentBytes+grantShare*float64(len(b))
 	}
 }
 
-// granted is the share of notes that are a keeper's; a greeting has none.
-func granted(items []snowjunction.PeerMessage) float64 {
+// grantShare returns the share of messages sent as a lease owner; an announcement has none.
+func grantShare(items []snowjunction.PeerMessage) float64 {
 	if len(items) == 0 {
 		return 0
 	}
@@ -268,171 +268,173 @@
 	return float64(n) / float64(len(items))
 }
 
-// noted reads what a peer has told. What cannot be read is dropped, and counted.
-func (h *hollow) noted(peer int, b []byte) {
-	if peer == h.number {
+// receive handles a datagram from a peer. Invalid datagrams are counted and dropped.
+func (c *simulatedCourier) receive(peer int, b []byte) {
+	if peer == c.number {
 		return
 	}
-	if h.cuts(h.number, peer) {
-		h.cut.Add(1)
+	if c.separated(c.number, peer) {
+		c.cutDatagrams.Add(1)
 		return
 	}
 	items, err := peermsg.Decode(b)
 	if err != nil {
-		h.core.Counters.PeerMessagesInvalid++
+		c.core.Counters.PeerMessagesInvalid++
 		return
 	}
-	granted := granted(items)
-	h.asks.Received, h.asks.ReceivedBytes = h.asks.Received+granted, h.asks.ReceivedBytes+granted*float64(len(b))
-	h.grants.Received, h.grants.ReceivedBytes = h.grants.Received+1-granted, h.grants.ReceivedBytes+(1-granted)*float64(len(b))
-	h.core.ReceivePeerMessages(peer, items)
+	grantShare := grantShare(items)
+	c.requestTraffic.Received, c.requestTraffic.ReceivedBytes = c.requestTraffic.Received+grantShare, c.requestTraffic.ReceivedBytes+grantShare*float64(len(b))
+	c.ownerTraffic.Received, c.ownerTraffic.ReceivedBytes = c.ownerTraffic.Received+1-grantShare, c.ownerTraffic.ReceivedBytes+(1-grantShare)*float64(len(b))
+	c.core.ReceivePeerMessages(peer, items)
 }
 
-// hollowFront is the platform's front but for its targets.
-type hollowFront struct {
+// simulatedFront is the platform front with simulated targets.
+type simulatedFront struct {
 	*platform.Front
-	h *hollow
+	courier *simulatedCourier
 }
 
-// Target makes a target whose answers are drawn.
-func (f hollowFront) Target(e core.Entry) core.Target {
-	return &drawnTarget{h: f.h, dest: uint32(e.Destination)}
+// Target returns a target whose call results are drawn at random.
+func (f simulatedFront) Target(e core.Entry) core.Target {
+	return &simulatedTarget{courier: f.courier, destination: uint32(e.Destination)}
 }
 
-type drawnTarget struct {
-	h    *hollow
-	dest uint32
-	idle []time.Time // when each connection that it would have was last used
+type simulatedTarget struct {
+	courier     *simulatedCourier
+	destination uint32
+	idle        []time.Time // last use of each connection that a real target would have
 }
 
-// kept takes the connection last used, as a real target would, and tells how long it has
-// been idle; 0: there is none.
-func (t *drawnTarget) kept(now time.Time) time.Duration {
-	most := time.Duration(connUse * float64(t.h.settings.ConnIdle))
-	for len(t.idle) > 0 && now.Sub(t.idle[0]) >= most {
+// takeConnection takes the most recently used connection, as a real target would, and returns how
+// long it was idle, or zero if there is no connection.
+func (t *simulatedTarget) takeConnection(now time.Time) time.Duration {
+	maxIdle := time.Duration(reusableIdleShare * float64(t.courier.settings.ConnIdle))
+	for len(t.idle) > 0 && now.Sub(t.idle[0]) >= maxIdle {
 		t.idle = t.idle[1:]
 	}
 	n := len(t.idle)
 	if n == 0 {
 		return 0
 	}
-	d := max(now.Sub(t.idle[n-1]), 1)
+	idle := max(now.Sub(t.idle[n-1]), 1)
 	t.idle = t.idle[:n-1]
-	return d
+	return idle
 }
 
-// connUse is the share of the time that a connection may be idle for which it is used again.
-const connUse = 0.85
+// reusableIdleShare is the share of the idle timeout for which a connection is reused.
+const reusableIdleShare = 0.85
 
-// CloseIdle ends idle connections.
-func (t *drawnTarget) CloseIdle() { t.idle = nil }
+// CloseIdle closes idle connections.
+func (t *simulatedTarget) CloseIdle() { t.idle = nil }
 
-// Retire ends idle connections.
-func (t *drawnTarget) Retire() { t.idle = nil }
+// Retire closes idle connections.
+func (t *simulatedTarget) Retire() { t.idle = nil }
 
-type drawnCall struct {
-	left bool
-	kept time.Duration
-	done func(core.Result) // nil once it is over
-	end  func(delivered bool)
+type simulatedCall struct {
+	sent       bool
+	idleBefore time.Duration
+	onResult   func(core.Result) // nil after the call has finished
+	onEnd      func(delivered bool)
 }
 
-// Call makes an attempt.
-func (t *drawnTarget) Call(m *store.Message, _ core.Shape, _ time.Duration, may func() bool, done func(core.Result)) core.Call {
-	loop := t.h.shard.loop
-	x := &drawnCall{done: done, kept: t.kept(loop.Now())}
-	if x.kept > 0 {
-		t.leave(x, m)
-		return x
+// Call starts an attempt.
+func (t *simulatedTarget) Call(m *store.Message, _ core.Shape, _ time.Duration, allowed func() bool, done func(core.Result)) core.Call {
+	loop := t.courier.shard.loop
+	call := &simulatedCall{onResult: done, idleBefore: t.takeConnection(loop.Now())}
+	if call.idleBefore > 0 {
+		t.send(call, m)
+		return call
 	}
 	loop.After(0, func() {
 		switch {
-		case x.done == nil:
-		case !may():
+		case call.onResult == nil:
+		case !allowed():
 			t.idle = append(t.idle, loop.Now())
-			x.finish(core.Result{Outcome: snowjunction.NotSent})
+			call.finish(core.Result{Outcome: snowjunction.NotSent})
 		default:
-			t.leave(x, m)
+			t.send(call, m)
 		}
 	})
-	return x
+	return call
 }
 
-func (t *drawnTarget) leave(x *drawnCall, m *store.Message) {
-	x.left = true
-	a, end, err := t.h.farm.Begin(t.dest, m.ID, m.Body)
-	loop := t.h.shard.loop
+func (t *simulatedTarget) send(call *simulatedCall, m *store.Message) {
+	call.sent = true
+	answer, end, err := t.courier.farm.Begin(t.destination, m.ID, m.Body)
+	loop := t.courier.shard.loop
 	if err != nil {
-		loop.After(0, func() { x.finish(core.Result{Outcome: snowjunction.ConnectFailed}) })
+		loop.After(0, func() { call.finish(core.Result{Outcome: snowjunction.ConnectFailed}) })
 		return
 	}
-	x.end = end
-	if a.Status == 0 && !a.Reset {
-		return // silent: the call is given up
+	call.onEnd = end
+	if answer.Status == 0 && !answer.Reset {
+		return // silent partner: the call ends with the caller's timeout
 	}
-	loop.After(a.After, func() {
-		if x.done == nil {
+	loop.After(answer.After, func() {
+		if call.onResult == nil {
 			return
 		}
-		if a.Reset {
-			x.finish(core.Result{Outcome: snowjunction.Reset})
+		if answer.Reset {
+			call.finish(core.Result{Outcome: snowjunction.Reset})
 			return
 		}
-		x.end(a.Status == 200)
-		x.end = nil
+		call.onEnd(answer.Status == 200)
+		call.onEnd = nil
 		t.idle = append(t.idle, loop.Now())
-		x.finish(front.ResultFromAnswer(a.Status, func(name string) string { return standin.Header(a, name) }, t.h.columns))
+		call.finish(front.ResultFromAnswer(answer.Status, func(name string) string { return standin.Header(answer, name) }, t.courier.columns))
 	})
 }
 
-// Sent tells whether its last byte would have left.
-func (x *drawnCall) Sent() bool { return x.left }
+// Sent reports whether the last byte of the request would have been sent.
+func (c *simulatedCall) Sent() bool { return c.sent }
 
-// IdleBefore is how long its connection would have been idle.
-func (x *drawnCall) IdleBefore() time.Duration { return x.kept }
+// IdleBefore returns how long the connection would have been idle.
+func (c *simulatedCall) IdleBefore() time.Duration { return c.idleBefore }
 
-// GiveUp stops waiting.
-func (x *drawnCall) GiveUp() {
-	x.done = nil
-	x.over()
+// GiveUp cancels the call.
+func (c *simulatedCall) GiveUp() {
+	c.onResult = nil
+	c.release()
 }
 
-func (x *drawnCall) over() {
-	if x.end != nil {
-		x.end(false)
-		x.end = nil
+func (c *simulatedCall) release() {
+	if c.onEnd != nil {
+		c.onEnd(false)
+		c.onEnd = nil
 	}
 }
 
-func (x *drawnCall) finish(r core.Result) {
-	x.over()
-	done := x.done
-	x.done = nil
+func (c *simulatedCall) finish(r core.Result) {
+	c.release()
+	done := c.onResult
+	c.onResult = nil
 	done(r)
 }
 
-// starts starts couriers one after another, with so many at once that have no list yet.
-type starts struct {
-	room chan struct{}
-	wg   sync.WaitGroup
+// startLimiter limits how many couriers start at the same time without holding a list yet.
+type startLimiter struct {
+	slots chan struct{}
+	wg    sync.WaitGroup
 }
 
-const startsAtOnce = shardsMost // a long list keeps a loop busy, and has to come within its time
+const concurrentStarts = maxShards // a long list keeps a loop busy and has to arrive before its timeout
 
-func newStarts() *starts { return &starts{room: make(chan struct{}, startsAtOnce)} }
+func newStartLimiter() *startLimiter {
+	return &startLimiter{slots: make(chan struct{}, concurrentStarts)}
+}
 
-// one waits for room. The courier calls what it returns once it holds a list.
-func (s *starts) one() (held func()) {
-	s.room <- struct{}{}
+// acquire waits for a free slot. The courier calls the returned function when it holds a list.
+func (s *startLimiter) acquire() (release func()) {
+	s.slots <- struct{}{}
 	s.wg.Add(1)
 	return sync.OnceFunc(func() {
-		<-s.room
+		<-s.slots
 		s.wg.Done()
 	})
 }
 
-// wait waits until all hold one.
-func (s *starts) wait(most time.Duration) error {
+// awaitAll waits until all started couriers hold a list.
+func (s *startLimiter) awaitAll(timeout time.Duration) error {
 	done := make(chan struct{})
 	go func() {
 		s.wg.Wait()
@@ -441,12 +443,12 @@
 	select {
 	case <-done:
 		return nil
-	case <-time.After(most):
-		return fmt.Errorf("some of the couriers hold no list after %v", most)
+	case <-time.After(timeout):
+		return fmt.Errorf("some couriers hold no list after %v", timeout)
 	}
 }
 
-// listBytes bounds what a list of so many entries may take as it is told.
-func listBytes(entries int) int { return 1<<20 + entries*int(math.Ceil(entryBytes)) }
+// maxListBytes returns an upper bound for the encoded size of a list.
+func maxListBytes(entries int) int { return 1<<20 + entries*int(math.Ceil(maxEntryBytes)) }
 
-const entryBytes = 220.0 // in JSON, at most: names are short
+const maxEntryBytes = 220.0 // in JSON, at most, since names are short
