--- a/cmd/snowjunction/command_test.go
+++ b/cmd/snowjunction/command_test.go
@@ -12,8 +12,7 @@
 	"snowjunction/internal/scenario"
 )
 
-// command runs the program with arguments and returns what it prints and its
-// exit code.
+// command runs the program with arguments and returns its output and exit code.
 func command(t *testing.T, env []string, args ...string) (string, int) {
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(append(os.Environ(), scenario.RunAs+"=1"), env...)
@@ -63,16 +62,15 @@
 	}
 }
 
-// The newcomer's command: every message has its one end, or it says so by its
-// exit code.
+// The demo command exits with 0 only if every message has exactly one final result.
 func TestDemo(t *testing.T) {
 	out, code := command(t, nil, "demo", "--messages=120", "--over=2s")
 	assert.Zero(t, code, out)
 	assert.Contains(t, out, "every one taken on its one end")
 }
 
-// The tools around the emulator say in one line what is wrong with their use.
-func TestTools(t *testing.T) {
+// emulate, experiment and load run, and report wrong arguments with a plain message.
+func TestEmulatorAndLoadCommands(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "e.json")
 	require.NoError(t, os.WriteFile(file, []byte(`{
@@ -91,9 +89,9 @@
 		{[]string{"experiment", "list"}, 0, "ledger"},
 		{[]string{"experiment", "nowhere"}, exitFailed, "no experiment nowhere"},
 		{[]string{"experiment", file, "--out=" + out, "--jobs=2"}, 0, "one-try"},
-		{[]string{"load"}, exitFailed, "whom to load?"},
-		{[]string{"load", "--sink", "--rig"}, exitFailed, "exclude each other"},
-		{[]string{"load", "--sink", "--to=8-1"}, exitFailed, `"8-1" is no list`},
+		{[]string{"load"}, exitFailed, "no courier given"},
+		{[]string{"load", "--sink", "--rig"}, exitFailed, "mutually exclusive"},
+		{[]string{"load", "--sink", "--to=8-1"}, exitFailed, `"8-1" is not a list`},
 		{[]string{"load", "--sink", "--rate=0"}, exitFailed, "the rate must be over 0"},
 	} {
 		text, code := command(t, nil, tc.args...)
--- a/cmd/snowjunction/directory.go
+++ b/cmd/snowjunction/directory.go
@@ -16,41 +16,43 @@
 	"snowjunction/internal/dirtool"
 )
 
+// directoryCommand groups the commands on stored directory lists.
 type directoryCommand struct {
-	Show   directoryShow   `cmd:"" help:"What is believed of each endpoint, why and since when."`
-	Diff   directoryDiff   `cmd:"" help:"What leads from one list to another; exit 1 if they differ."`
-	Export directoryExport `cmd:"" help:"Write the list as JSON in the directory's form."`
-	Import directoryImport `cmd:"" help:"Put a list into the folder of a courier that does not run."`
+	Show   directoryShow   `cmd:"" help:"Show the confidence in each endpoint, the reason and its age."`
+	Diff   directoryDiff   `cmd:"" help:"Show the changes from one list to another; exit 1 if they differ."`
+	Export directoryExport `cmd:"" help:"Write the list as JSON in the directory's format."`
+	Import directoryImport `cmd:"" help:"Write a list into the state folder of a stopped courier."`
 }
 
-// folder is the folder of a courier.
-type folder struct {
-	State string `env:"GW_STATE" type:"path" placeholder:"FOLDER" help:"The courier's folder that lasts."`
+// stateFolder is the flag that names a courier's state folder.
+type stateFolder struct {
+	State string `env:"GW_STATE" type:"path" placeholder:"FOLDER" help:"The courier's state folder."`
 }
 
-func (f folder) dir() (string, error) {
+func (f stateFolder) dir() (string, error) {
 	if f.State == "" {
-		return "", errors.New("--state or GW_STATE names the courier's folder")
+		return "", errors.New("--state or GW_STATE must name the courier's state folder")
 	}
 	return f.State, nil
 }
 
+// warn prints an error about a file to standard error.
 func warn(file string, err error) { fmt.Fprintf(os.Stderr, "%s: %v\n", file, err) }
 
-// operatorDirectory is the operator file for the directory.
-func operatorDirectory() (*config.Directory, error) {
+// loadDirectoryConfig loads the operator file for the directory.
+func loadDirectoryConfig() (*config.Directory, error) {
 	return config.LoadDirectory(daemon.DirectoryFile(os.Getenv))
 }
 
 type directoryShow struct {
-	folder
-	Admin string `placeholder:"SOCKET" help:"Ask a running courier at its admin socket instead."`
-	JSON  bool   `help:"As JSON."`
+	stateFolder
+	Admin string `placeholder:"SOCKET" help:"Query a running courier through its admin socket instead."`
+	JSON  bool   `help:"Print JSON."`
 }
 
 func (d directoryShow) Run() error {
 	if d.Admin != "" {
-		return d.ask()
+		return d.showLive()
 	}
 	dir, err := d.dir()
 	if err != nil {
@@ -60,28 +62,28 @@
 	if err != nil {
 		return err
 	}
-	op, err := operatorDirectory()
+	op, err := loadDirectoryConfig()
 	if err != nil {
 		return err
 	}
 	now := time.Now()
-	rows := dirtool.Rows(dir, s, op.Confidence.FreshFor, now, warn)
+	rows := dirtool.EndpointStatuses(dir, s, op.Confidence.FreshFor, now, warn)
 	if d.JSON {
 		return json.NewEncoder(os.Stdout).Encode(rows)
 	}
-	fmt.Printf("generation %d of %s, vouched for %v ago, %d endpoints%s\n", s.Generation, s.Agent,
-		now.Sub(s.ConfirmedAt).Round(time.Second), len(s.Entries), map[bool]string{true: ", not all that were listed"}[s.Partial])
+	fmt.Printf("generation %d of %s, confirmed %v ago, %d endpoints%s\n", s.Generation, s.Agent,
+		now.Sub(s.ConfirmedAt).Round(time.Second), len(s.Entries), map[bool]string{true: ", list incomplete"}[s.Partial])
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "ENDPOINT\tCELL\tADDRESS\tLIFECYCLE\tSTANDING\tWHY\tLEARNT\tLIMIT")
 	for _, r := range rows {
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%.3g\n", r.InstanceID, r.Cell, r.HostPort, r.Lifecycle, r.Standing, r.Why, r.Learnt, r.Limit)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%.3g\n", r.InstanceID, r.Cell, r.HostPort, r.Lifecycle, r.Confidence, r.Reason, r.LearnedCondition, r.RateLimit)
 	}
 	return w.Flush()
 }
 
-// ask asks a running courier.
-func (d directoryShow) ask() error {
-	text, err := admin.Ask(d.Admin, "directory")
+// showLive prints the status that a running courier reports.
+func (d directoryShow) showLive() error {
+	text, err := admin.Call(d.Admin, "directory")
 	if err != nil {
 		return err
 	}
@@ -93,7 +95,7 @@
 	if err := json.Unmarshal(text, &b); err != nil {
 		return err
 	}
-	fmt.Printf("source %s, live %v, vouched for %.0f s ago, %d endpoints\n", b.Source, b.Live, b.ConfirmedAgeS, b.ListedEndpoints)
+	fmt.Printf("source %s, live %v, confirmed %.0f s ago, %d endpoints\n", b.Source, b.Live, b.ConfirmedAgeS, b.ListedEndpoints)
 	for name, s := range b.Conditions {
 		fmt.Printf("%s for %.0f s\n", name, s)
 	}
@@ -106,8 +108,8 @@
 }
 
 type directoryDiff struct {
-	From string `arg:"" type:"path" help:"A courier's folder, a snapshot, or JSON in the directory's form."`
-	To   string `arg:"" type:"path" help:"Another."`
+	From string `arg:"" type:"path" help:"A courier's state folder, a list snapshot, or JSON in the directory's format."`
+	To   string `arg:"" type:"path" help:"The list to compare with, in any of the same forms."`
 }
 
 func (d directoryDiff) Run() error {
@@ -124,14 +126,14 @@
 		fmt.Println(l)
 	}
 	if len(lines) > 0 {
-		return exit(exitFailed)
+		return exitStatus(exitFailed)
 	}
 	return nil
 }
 
 type directoryExport struct {
-	folder
-	File string `arg:"" default:"-" help:"Where it goes; '-' is standard output."`
+	stateFolder
+	File string `arg:"" default:"-" help:"Output file; '-' is standard output."`
 }
 
 func (d directoryExport) Run() error {
@@ -156,10 +158,10 @@
 }
 
 type directoryImport struct {
-	folder
-	File  string         `arg:"" type:"existingfile" help:"A list in the directory's form, or a snapshot."`
-	Age   *time.Duration `help:"How long ago the directory vouched for it; the file's own time, or now, if not given."`
-	Agent string         `help:"The address that told it: what is newer than its generation is asked for only there."`
+	stateFolder
+	File  string         `arg:"" type:"existingfile" help:"A list in the directory's JSON format, or a list snapshot."`
+	Age   *time.Duration `help:"How long ago the directory confirmed the list; by default the time in the file, or else now."`
+	Agent string         `help:"Address of the agent that sent the list; only there the courier asks for changes since its generation."`
 }
 
 func (d directoryImport) Run() error {
@@ -171,7 +173,7 @@
 	if err != nil {
 		return err
 	}
-	op, err := operatorDirectory()
+	op, err := loadDirectoryConfig()
 	if err != nil {
 		return err
 	}
@@ -187,6 +189,6 @@
 	if err := dirtool.Import(dir, s, o); err != nil {
 		return err
 	}
-	fmt.Printf("%d endpoints of generation %d, vouched for %v ago\n", len(s.Entries), s.Generation, time.Since(s.ConfirmedAt).Round(time.Second))
+	fmt.Printf("%d endpoints of generation %d, confirmed %v ago\n", len(s.Entries), s.Generation, time.Since(s.ConfirmedAt).Round(time.Second))
 	return nil
 }
--- a/cmd/snowjunction/directory_test.go
+++ b/cmd/snowjunction/directory_test.go
@@ -463,11 +463,11 @@
 		return out
 	}
 	out := run(0, "show", "--admin="+filepath.Join(s.Dir(), "door"))
-	assert.Regexp(t, `source live, live true, vouched for \d+ s ago, 4 endpoints`, out)
+	assert.Regexp(t, `source live, live true, confirmed \d+ s ago, 4 endpoints`, out)
 	assert.Regexp(t, `p1-0 .* told .* the directory lists it`, out)
 	require.NoError(t, s.Stop(syscall.SIGTERM))
 	out = run(0, "show")
-	assert.Regexp(t, `generation \d+ of 127\S+ vouched for \d+s ago, 4 endpoints`, out)
+	assert.Regexp(t, `generation \d+ of 127\S+ confirmed \d+s ago, 4 endpoints`, out)
 	assert.Regexp(t, `p1-[01] +1 .* probable +the list is young +serving +50`, out)
 	file := filepath.Join(s.Dir(), "list.json")
 	run(0, "export", file)
@@ -484,7 +484,7 @@
 	assert.Regexp(t, `source=cached .*age=168h`, s.Log())
 	for wrong, want := range map[string]string{
 		`{"generation":1,"instances":[{"instanceId":"a","hostPort":"nowhere","cell":1,"lifecycle":"Ready"}]}`: "/instances/0: hostPort",
-		`{"generation":1,"reset":false,"instances":[]}`:                                                       "/reset: these are changes",
+		`{"generation":1,"reset":false,"instances":[]}`:                                                       "/reset: must be true",
 		`{"instances":[]}`:                           "/generation: missing",
 		`{"generation":1,"instances":[` + two + `]}`: "/instances/1:",
 		`nothing`: "it begins otherwise",
--- a/cmd/snowjunction/experiment.go
+++ b/cmd/snowjunction/experiment.go
@@ -15,17 +15,18 @@
 	"snowjunction/internal/experiment"
 )
 
+// experimentCommand runs an experiment in the emulator and writes its report.
 type experimentCommand struct {
-	File  string `arg:"" default:"list" help:"One of the library's, or a file; 'list' names those that ship."`
-	Out   string `placeholder:"FOLDER" help:"Where results go and an interrupted run is taken up again; experiment-NAME if not given."`
-	Jobs  int    `help:"Runs at once; as many as there are cores if not given."`
-	Seeds int    `help:"Seeds, in place of the file's number."`
-	Fresh bool   `help:"Forget what the folder has."`
+	File  string `arg:"" default:"list" help:"Name of a built-in experiment, or a file; 'list' prints the built-in ones."`
+	Out   string `placeholder:"FOLDER" help:"Folder for results, from which an interrupted run resumes; experiment-NAME by default."`
+	Jobs  int    `help:"Number of parallel runs; the number of cores by default."`
+	Seeds int    `help:"Number of seeds, in place of the number in the file."`
+	Fresh bool   `help:"Discard earlier results in the folder."`
 }
 
 func (e experimentCommand) Run() error {
 	if e.File == "list" {
-		return list(experiment.Library.Names(), func(name string) (string, error) {
+		return printNames(experiment.Library.Names(), func(name string) (string, error) {
 			f, _, err := experiment.Read(name)
 			if err != nil {
 				return "", err
@@ -50,20 +51,20 @@
 	if e.Jobs <= 0 {
 		e.Jobs = runtime.GOMAXPROCS(0)
 	}
-	program, err := fingerprint()
+	buildHash, err := fingerprint()
 	if err != nil {
 		return err
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer stop()
-	show := status()
+	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer cancel()
+	showProgress := newProgressLine()
 	results, err := experiment.Play(ctx, plan, experiment.Options{
-		Out: e.Out, Build: program, Jobs: e.Jobs, Fresh: e.Fresh,
-		Progress: func(done, of int) { show("%s: %d of %d runs", f.Name, done, of) },
+		Out: e.Out, Build: buildHash, Jobs: e.Jobs, Fresh: e.Fresh,
+		Progress: func(done, of int) { showProgress("%s: %d of %d runs", f.Name, done, of) },
 	})
-	show("")
+	showProgress("")
 	if err != nil {
-		return fmt.Errorf("%w; what has been played is kept in %s", err, e.Out)
+		return fmt.Errorf("%w; the results of finished runs are kept in %s", err, e.Out)
 	}
 	s, err := experiment.Write(plan, results, e.Out)
 	if err != nil {
@@ -76,8 +77,8 @@
 	return nil
 }
 
-// fingerprint names this program by its bytes: two builds with changes that are not
-// committed have one revision.
+// fingerprint returns a hash of this executable. The VCS revision is not enough: two builds with
+// different uncommitted changes have the same revision.
 func fingerprint() (string, error) {
 	exe, err := os.Executable()
 	if err != nil {
--- a/cmd/snowjunction/load.go
+++ b/cmd/snowjunction/load.go
@@ -20,31 +20,32 @@
 	"snowjunction/internal/standin/sink"
 )
 
+// loadCommand sends an open-loop load to a courier and prints the result.
 type loadCommand struct {
-	Resp     string        `placeholder:"ADDR" help:"The courier's platform front (RESP2)."`
-	PushAddr string        `name:"push" placeholder:"ADDR" help:"Its push front (HTTP/2, prior knowledge)."`
-	Rig      bool          `help:"Start a courier and stand-in partners on loopback and load that."`
-	Sink     bool          `help:"Load a stand-in that takes everything at once: what the loader can do."`
-	Rate     float64       `default:"100" help:"Messages a second."`
-	For      time.Duration `default:"10s" help:"For so long."`
-	Even     bool          `help:"At even distances; else as a Poisson process."`
-	Share    float64       `default:"0.5" help:"Share over HTTP/2, if both fronts are named."`
-	Orders   float64       `default:"0.72" help:"Share of class order; the rest is status."`
-	PerKey   float64       `default:"3" help:"Messages of a key, on the average."`
-	Keyed    float64       `help:"Share of status messages that carries an idempotency key; orders all do."`
-	Skew     float64       `default:"0.8" help:"Of the destinations' popularity, as in Zipf's law."`
-	To       string        `default:"1" placeholder:"LIST" help:"Destinations over RESP2, as 1-8,12."`
-	PushTo   string        `default:"1" placeholder:"LIST" help:"Destinations over HTTP/2."`
-	Tenant   string        `default:"town" help:"Whose messages they are."`
-	Deadline time.Duration `default:"20s" help:"Of orders; of the rest two fifths."`
-	Conns    int           `default:"8" help:"Connections to each front."`
-	Pipeline int           `default:"64" help:"Messages on a connection at once."`
-	Settle   time.Duration `default:"5s" help:"How long answers may still come."`
-	Seed     uint64        `default:"1" help:"Decides what comes when."`
-	Partners int           `default:"8" help:"With --rig: partners of each front."`
-	Slots    int           `default:"64" help:"With --rig: calls that the courier may have out."`
-	Held     int           `default:"2000" help:"With --rig: messages that it may hold."`
-	JSON     string        `placeholder:"FILE" help:"Where the result goes as JSON; '-' is standard output."`
+	Resp     string        `placeholder:"ADDR" help:"Address of the courier's platform front (RESP2)."`
+	PushAddr string        `name:"push" placeholder:"ADDR" help:"Address of its push front (HTTP/2, prior knowledge)."`
+	Rig      bool          `help:"Start a courier and simulated partners on loopback and load that courier."`
+	Sink     bool          `help:"Load a sink that accepts everything at once, to measure the load generator itself."`
+	Rate     float64       `default:"100" help:"Messages per second."`
+	For      time.Duration `default:"10s" help:"Duration of the load."`
+	Even     bool          `help:"Send at even intervals instead of as a Poisson process."`
+	Share    float64       `default:"0.5" help:"Share of messages sent over HTTP/2 if both fronts are given."`
+	Orders   float64       `default:"0.72" help:"Share of messages of class order; the rest are of class status."`
+	PerKey   float64       `default:"3" help:"Average number of messages per ordering key."`
+	Keyed    float64       `help:"Share of status messages with an idempotency key; all orders have one."`
+	Skew     float64       `default:"0.8" help:"Exponent of the Zipf distribution of messages over destinations."`
+	To       string        `default:"1" placeholder:"LIST" help:"Destinations over RESP2, such as 1-8,12."`
+	PushTo   string        `default:"1" placeholder:"LIST" help:"Destinations over HTTP/2, in the same form."`
+	Tenant   string        `default:"town" help:"Tenant of the messages."`
+	Deadline time.Duration `default:"20s" help:"Deadline of orders; status messages get two fifths of it."`
+	Conns    int           `default:"8" help:"Number of connections to each front."`
+	Pipeline int           `default:"64" help:"Maximum number of unanswered messages per connection."`
+	Settle   time.Duration `default:"5s" help:"How long to wait for the last replies."`
+	Seed     uint64        `default:"1" help:"Seed of the generated load."`
+	Partners int           `default:"8" help:"With --rig: number of partners of each front."`
+	Slots    int           `default:"64" help:"With --rig: maximum number of concurrent calls of the courier."`
+	Held     int           `default:"2000" help:"With --rig: maximum number of messages that the courier holds."`
+	JSON     string        `placeholder:"FILE" help:"Output file for the result as JSON; '-' is standard output."`
 }
 
 func (c loadCommand) Run() (err error) {
@@ -55,16 +56,16 @@
 		},
 		RespAddr: c.Resp, PushAddr: c.PushAddr, Conns: c.Conns, Pipeline: c.Pipeline, Settle: c.Settle,
 	}
-	if o.Resp, err = numbers(c.To); err == nil {
-		o.Pushed, err = numbers(c.PushTo)
+	if o.Resp, err = parseDestinations(c.To); err == nil {
+		o.Pushed, err = parseDestinations(c.PushTo)
 	}
 	if err != nil {
 		return err
 	}
-	var ends func() load.Ends
+	var settle func() load.Ends
 	switch {
 	case c.Rig && c.Sink || (c.Rig || c.Sink) && c.Resp+c.PushAddr != "":
-		return fmt.Errorf("a courier's addresses, --rig and --sink exclude each other")
+		return fmt.Errorf("a courier's addresses, --rig and --sink are mutually exclusive")
 	case c.Sink:
 		s, err := sink.New()
 		if err != nil {
@@ -73,13 +74,13 @@
 		defer s.Close()
 		o.RespAddr, o.PushAddr = s.Resp, s.Push
 	case c.Rig:
-		var end func()
-		if ends, end, err = c.rig(&o); err != nil {
+		var stopRig func()
+		if settle, stopRig, err = c.rig(&o); err != nil {
 			return err
 		}
-		defer end()
+		defer stopRig()
 	case c.Resp == "" && c.PushAddr == "":
-		return fmt.Errorf("whom to load? --resp and --push name a courier's fronts; --rig starts one")
+		return fmt.Errorf("no courier given: --resp and --push name a courier's fronts; --rig starts one")
 	case c.Resp == "":
 		o.Mix.Push = 1
 	case c.PushAddr == "":
@@ -87,12 +88,12 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	show := status()
+	showProgress := newProgressLine()
 	o.Progress = func(at time.Duration, due int) {
-		show("%.0f of %.0f s, %d messages", at.Seconds(), c.For.Seconds(), due)
+		showProgress("%.0f of %.0f s, %d messages", at.Seconds(), c.For.Seconds(), due)
 	}
 	r, err := openload.Run(ctx, o)
-	show("")
+	showProgress("")
 	if err != nil {
 		return err
 	}
@@ -104,23 +105,24 @@
 	if err := writeJSON(c.JSON, r); err != nil {
 		return err
 	}
-	if ends != nil {
-		e := ends()
-		fmt.Fprintf(os.Stderr, "of %d taken: %d delivered, %d returned, %d given up, %d without an end, %d with two\n",
+	if settle != nil {
+		e := settle()
+		fmt.Fprintf(os.Stderr, "of %d accepted: %d delivered, %d returned, %d abandoned, %d without a final result, %d with more than one\n",
 			e.Taken, e.Delivered, e.Returned, e.Given, e.Open, e.Doubled)
 		if e.Open+e.Doubled > 0 {
-			return fmt.Errorf("%d messages have no end, %d more than one", e.Open, e.Doubled)
+			return fmt.Errorf("%d messages have no final result, %d have more than one", e.Open, e.Doubled)
 		}
 	}
 	if !r.KeptPace() {
-		return fmt.Errorf("the loader fell behind: take a lower rate or a faster machine")
+		return fmt.Errorf("the load generator fell behind: use a lower rate or a faster machine")
 	}
 	return nil
 }
 
-// rig starts a courier with partners of both fronts, and returns what settles the
-// account of the messages and what ends it all.
-func (c loadCommand) rig(o *openload.Options) (ends func() load.Ends, end func(), err error) {
+// rig starts a courier with simulated partners of both fronts and points o at it. It returns a
+// function that waits for the final results of all messages and counts them, and one that stops
+// everything.
+func (c loadCommand) rig(o *openload.Options) (settle func() load.Ends, stop func(), err error) {
 	exe, err := os.Executable()
 	if err != nil {
 		return nil, nil, err
@@ -143,17 +145,17 @@
 			}
 		}
 	}
-	kitchen, err := rig.NewKitchen(dir, specs)
+	partners, err := rig.NewKitchen(dir, specs)
 	if err != nil {
 		os.RemoveAll(dir)
 		return nil, nil, err
 	}
 	courier, err := rig.Start(exe, rig.Config{
-		Dir: dir, Discovery: kitchen.Directory.Addr(), Settings: rig.Large(c.Slots, c.Held, 1e6), MemoryMB: 192, Sockets: 1024, Push: kitchen.Push,
-		Known: kitchen.Listed,
+		Dir: dir, Discovery: partners.Directory.Addr(), Settings: rig.Large(c.Slots, c.Held, 1e6), MemoryMB: 192, Sockets: 1024, Push: partners.Push,
+		Known: partners.Listed,
 	})
 	if err != nil {
-		kitchen.Close()
+		partners.Close()
 		os.RemoveAll(dir)
 		return nil, nil, err
 	}
@@ -166,28 +168,29 @@
 		client.Sent = append(client.Sent, m)
 		client.Heard[m.ID] = v
 	}
-	return func() load.Ends { return kitchen.Settle(client, c.Deadline+5*time.Second) }, func() {
+	return func() load.Ends { return partners.Settle(client, c.Deadline+5*time.Second) }, func() {
 		client.Close()
 		courier.Kill()
-		kitchen.Close()
+		partners.Close()
 		os.RemoveAll(dir)
 	}, nil
 }
 
-// mostNumbers bounds a list of destinations.
-const mostNumbers = 1_000_000
+// maxDestinationRange is the maximum length of a range in a list of destinations.
+const maxDestinationRange = 1_000_000
 
-// numbers reads a list as 1-8,12.
-func numbers(list string) (out []uint32, err error) {
+// parseDestinations reads a list of destinations such as 1-8,12 and returns it sorted, without
+// duplicates.
+func parseDestinations(list string) (out []uint32, err error) {
 	for _, part := range strings.Split(list, ",") {
-		first, last, span := strings.Cut(part, "-")
-		if !span {
+		first, last, isRange := strings.Cut(part, "-")
+		if !isRange {
 			last = first
 		}
 		a, err := strconv.ParseUint(first, 10, 32)
 		b, err2 := strconv.ParseUint(last, 10, 32)
-		if err != nil || err2 != nil || a > b || b-a >= mostNumbers {
-			return nil, fmt.Errorf("%q is no list of destinations as 1-8,12", list)
+		if err != nil || err2 != nil || a > b || b-a >= maxDestinationRange {
+			return nil, fmt.Errorf("%q is not a list of destinations such as 1-8,12", list)
 		}
 		for n := a; n <= b; n++ {
 			out = append(out, uint32(n))
--- a/cmd/snowjunction/main.go
+++ b/cmd/snowjunction/main.go
@@ -1,6 +1,7 @@
-// Command snowjunction is the courier: it takes messages from clients, keeps
-// them in its journal and delivers them to targets, as the decision module
-// says. Without arguments it runs as the deploy file starts it.
+// Command snowjunction is the courier daemon: it accepts messages from clients, stores them in its
+// journal and delivers them to targets as the decision module decides. Without arguments it runs the
+// courier, as the deploy file does. Other commands check the configuration, run tests and
+// measurements, and manage plug-ins.
 package main
 
 import (
@@ -22,70 +23,76 @@
 
 // Exit codes; docs/commands.md lists them.
 const (
-	exitFailed  = 1 // a start that failed, or a run that did not show what it should
-	exitUsage   = 2 // the command line is wrong
-	exitMistake = 3 // check found mistakes
+	exitFailed  = 1 // the start failed, or a run did not give the expected result
+	exitUsage   = 2 // the command line is invalid
+	exitMistake = 3 // check found mistakes in configuration, operator files or plug-ins
 )
 
-const about = `A courier daemon: takes messages, keeps them in a journal, delivers each once.
+// programDescription is the description in the help text.
+const programDescription = `A courier daemon: accepts messages, stores them in a journal and delivers them.
 
-Without a command it runs the courier, told by GW_CONFIG (a file), GW_STATE (a
-folder that lasts) and the operator files under deploy/.
+Without a command it runs the courier, configured by GW_CONFIG (a file), GW_STATE
+(a persistent folder) and the operator files under deploy/.
 
-Exit codes: 0 done, 1 failed, 2 wrong command line, 3 check found mistakes.`
+Exit codes: 0 success, 1 failure, 2 invalid command line, 3 check found mistakes.`
 
 // globals are the flags of every command.
 type globals struct {
-	LogFormat string `enum:"text,json" default:"text" env:"SNOWJUNCTION_LOG_FORMAT" help:"Form of log lines: ${enum}."`
-	LogLevel  string `enum:"debug,info,warn,error" default:"info" env:"SNOWJUNCTION_LOG_LEVEL" help:"Least level of log lines: ${enum}."`
+	LogFormat string `enum:"text,json" default:"text" env:"SNOWJUNCTION_LOG_FORMAT" help:"Format of log lines: ${enum}."`
+	LogLevel  string `enum:"debug,info,warn,error" default:"info" env:"SNOWJUNCTION_LOG_LEVEL" help:"Minimum level of log lines: ${enum}."`
 }
 
-// unhurried is set by tests alone: how long plug-ins have, in place of their budgets.
-var unhurried time.Duration
+// pluginBudgetOverride replaces the time budgets of plug-ins. Only tests set it; zero means that the
+// budgets apply.
+var pluginBudgetOverride time.Duration
 
+// options returns the daemon's options for this process.
 func (g globals) options() daemon.Options {
-	o := daemon.Options{Env: os.Getenv, Log: os.Stderr, LogFormat: g.LogFormat, Host: hostCommand(), PluginBudget: unhurried}
-	_ = o.LogLevel.UnmarshalText([]byte(g.LogLevel)) // kong has checked it
+	o := daemon.Options{Env: os.Getenv, Log: os.Stderr, LogFormat: g.LogFormat, Host: pluginHostCommand(), PluginBudget: pluginBudgetOverride}
+	_ = o.LogLevel.UnmarshalText([]byte(g.LogLevel)) // no error is possible: kong has validated it
 	return o
 }
 
+// commandLine is the root of the command line.
 type commandLine struct {
 	globals
 
-	Run        runCommand        `cmd:"" default:"1" help:"Run the courier; the default."`
-	Check      checkCommand      `cmd:"" help:"Read all configuration and operator files and print a line for each mistake."`
-	Demo       demoCommand       `cmd:"" help:"Play a courier against stand-in partners on loopback; exit 0 only if every message has its one end."`
-	Standin    standinCommand    `cmd:"" help:"Serve stand-in partners and a directory on loopback until told to end."`
-	Emulate    emulateCommand    `cmd:"" help:"Play couriers, clients and partners in virtual time."`
-	Experiment experimentCommand `cmd:"" help:"Play a grid of settings in virtual time and report on it."`
-	Load       loadCommand       `cmd:"" help:"Hand messages to a courier at a stated rate, in an open loop."`
-	Measure    measureCommand    `cmd:"" help:"Measure a courier in a process of its own; takes minutes."`
-	Directory  directoryCommand  `cmd:"" help:"Show, compare and carry the lists that couriers keep."`
-	Plugin     pluginCommand     `cmd:"" help:"Make, check and try plug-ins."`
-	Host       hostCommandLine   `cmd:"" name:"plugin-host" hidden:""`
-	Version    versionCommand    `cmd:"" help:"Print what this program is built from."`
-}
-
+	Run        runCommand            `cmd:"" default:"1" help:"Run the courier (default)."`
+	Check      checkCommand          `cmd:"" help:"Validate all configuration and operator files and print one line per mistake."`
+	Demo       demoCommand           `cmd:"" help:"Run a courier against simulated partners on loopback; exit 0 only if every message has exactly one final result."`
+	Standin    standinCommand        `cmd:"" help:"Serve simulated partners and a directory on loopback until told to stop."`
+	Emulate    emulateCommand        `cmd:"" help:"Simulate couriers, clients and partners in virtual time."`
+	Experiment experimentCommand     `cmd:"" help:"Simulate a grid of settings in virtual time and write a report."`
+	Load       loadCommand           `cmd:"" help:"Send messages to a courier at a given rate, in an open loop."`
+	Measure    measureCommand        `cmd:"" help:"Measure couriers that run in separate processes; takes minutes."`
+	Directory  directoryCommand      `cmd:"" help:"Show, compare, export and import the directory lists that couriers store."`
+	Plugin     pluginCommand         `cmd:"" help:"Create, check and try plug-ins."`
+	Host       pluginHostCommandLine `cmd:"" name:"plugin-host" hidden:""`
+	Version    versionCommand        `cmd:"" help:"Print the revision and toolchain of this build."`
+}
+
+// runCommand runs the courier.
 type runCommand struct{}
 
 func (runCommand) Run(g *globals) error { return daemon.Run(g.options()) }
 
+// checkCommand validates the configuration and all operator files.
 type checkCommand struct{}
 
-// exit is an end with a code and nothing more to say.
-type exit int
+// exitStatus is an error that ends the process with this exit code and prints no message.
+type exitStatus int
 
-func (e exit) Error() string { return fmt.Sprintf("exit %d", int(e)) }
+func (e exitStatus) Error() string { return fmt.Sprintf("exit %d", int(e)) }
 
 func (checkCommand) Run(g *globals) error {
 	o := g.options()
 	o.LogLevel = slog.LevelError
 	mistakes, notes := daemon.Check(o)
-	for _, m := range mistakes {
-		fmt.Println(m)
+	for _, mistake := range mistakes {
+		fmt.Println(mistake)
 	}
 	if len(mistakes) > 0 {
-		return exit(exitMistake)
+		return exitStatus(exitMistake)
 	}
 	for _, n := range notes {
 		fmt.Println(n)
@@ -94,10 +101,11 @@
 	return nil
 }
 
+// demoCommand runs a courier against simulated partners and checks the results.
 type demoCommand struct {
-	Messages int           `default:"400" help:"How many messages are handed in."`
-	Over     time.Duration `default:"8s" help:"In how long."`
-	Seed     uint64        `default:"1" help:"Decides what is drawn."`
+	Messages int           `default:"400" help:"Number of messages to send."`
+	Over     time.Duration `default:"8s" help:"Duration over which the messages are sent."`
+	Seed     uint64        `default:"1" help:"Seed of the random choices."`
 }
 
 func (d demoCommand) Run() error {
@@ -108,21 +116,23 @@
 	return demo.Run(demo.Options{Exe: exe, Messages: d.Messages, Over: d.Over, Seed: d.Seed, Out: os.Stdout})
 }
 
+// standinCommand serves simulated partners and a directory.
 type standinCommand struct {
 	standin.Population
 }
 
 func (s standinCommand) Run() error { return standin.Serve(s.Population, os.Stdin, os.Stdout) }
 
+// measureCommand groups the measurements.
 type measureCommand struct {
-	Directory directoryMeasure `cmd:"" help:"Starts with the directory down, and what restarts remember."`
-	Emulator  emulatorCommand  `cmd:"" help:"What the emulator's events cost, by the number of destinations."`
-	Idle      idleCommand      `cmd:"" help:"What idle destinations cost, and how they wake."`
-	Hostile   hostileCommand   `cmd:"" help:"Ten thousand messages past hostile plug-ins; exit 0 only if every rule holds."`
-	Plugins   pluginsCommand   `cmd:"" help:"What plug-ins cost, and what a looping one does to other flows."`
-	Scale     scaleCommand     `cmd:"" help:"A fleet of real couriers among hollow ones: what each role costs, by size."`
-	Start     startCommand     `cmd:"" help:"Starts of processes with full folders, step by step, one by one and at once."`
-	Upgrade   upgradeCommand   `cmd:"" help:"Processes that follow one another under load; exit 0 only if nothing is lost."`
+	Directory directoryMeasure `cmd:"" help:"Measure starts while the directory is unreachable, and the state that restarts restore."`
+	Emulator  emulatorCommand  `cmd:"" help:"Measure the cost of emulator events by number of destinations."`
+	Idle      idleCommand      `cmd:"" help:"Measure the cost of idle destinations, and how fast they load."`
+	Hostile   hostileCommand   `cmd:"" help:"Deliver ten thousand messages with hostile plug-ins active; exit 0 only if all invariants hold."`
+	Plugins   pluginsCommand   `cmd:"" help:"Measure the cost of plug-ins, and the effect of an endless loop in one on other flows."`
+	Scale     scaleCommand     `cmd:"" help:"Measure the cost of each role by fleet size, with real and simulated couriers."`
+	Start     startCommand     `cmd:"" help:"Measure each step of process starts with full state folders, one at a time and in parallel."`
+	Upgrade   upgradeCommand   `cmd:"" help:"Measure upgrades from process to process under load; exit 0 only if nothing is lost."`
 }
 
 type directoryMeasure struct{ measure.Directory }
@@ -198,12 +208,12 @@
 type versionCommand struct{}
 
 func (versionCommand) Run() error {
-	fmt.Println("snowjunction " + build())
+	fmt.Println("snowjunction " + buildVersion())
 	return nil
 }
 
-// build names what the program is built from.
-func build() string {
+// buildVersion returns the VCS revision, toolchain and platform of this build.
+func buildVersion() string {
 	revision, dirty := "unknown", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
@@ -211,7 +221,7 @@
 			case s.Key == "vcs.revision":
 				revision = s.Value
 			case s.Key == "vcs.modified" && s.Value == "true":
-				dirty = " with changes"
+				dirty = " with uncommitted changes"
 			}
 		}
 	}
@@ -220,7 +230,7 @@
 
 func main() {
 	var c commandLine
-	parser := kong.Must(&c, kong.Name("snowjunction"), kong.Description(about), kong.UsageOnError(),
+	parser := kong.Must(&c, kong.Name("snowjunction"), kong.Description(programDescription), kong.UsageOnError(),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Bind(&c.globals),
 		kong.Vars{"policies": policyNames()})
 	ctx, err := parser.Parse(os.Args[1:])
@@ -228,7 +238,7 @@
 		fmt.Fprintln(os.Stderr, "snowjunction:", err)
 		os.Exit(exitUsage)
 	}
-	var code exit
+	var code exitStatus
 	switch err := ctx.Run(); {
 	case err == nil:
 	case errors.As(err, &code):
--- a/cmd/snowjunction/main_test.go
+++ b/cmd/snowjunction/main_test.go
@@ -22,7 +22,7 @@
 	host := len(os.Args) > 1 && os.Args[1] == "plugin-host" // whose environment is empty
 	if os.Getenv(scenario.RunAs) == "1" || host {
 		if os.Getenv(runUnhurried) == "1" {
-			unhurried = scenario.Limit
+			pluginBudgetOverride = scenario.Limit
 		}
 		main()
 		return
--- a/cmd/snowjunction/output.go
+++ b/cmd/snowjunction/output.go
@@ -7,11 +7,11 @@
 	"text/tabwriter"
 )
 
-// list prints names, each with what it is about.
-func list(names []string, about func(name string) (string, error)) error {
+// printNames prints a table of names with their descriptions.
+func printNames(names []string, describe func(name string) (string, error)) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
 	for _, name := range names {
-		text, err := about(name)
+		text, err := describe(name)
 		if err != nil {
 			return err
 		}
@@ -20,8 +20,8 @@
 	return w.Flush()
 }
 
-// writeJSON writes v to a file, or to standard output where the path is "-"; "":
-// nowhere.
+// writeJSON writes v as indented JSON to a file, or to standard output if the path is "-". It does
+// nothing if the path is empty.
 func writeJSON(path string, v any) error {
 	if path == "" {
 		return nil
@@ -38,9 +38,9 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
-// status returns what shows a line of progress in place of the one before, if
-// standard error is a terminal; else it does nothing.
-func status() func(format string, args ...any) {
+// newProgressLine returns a function that replaces the current line of standard error by a progress
+// message. The function does nothing unless standard error is a terminal.
+func newProgressLine() func(format string, args ...any) {
 	if i, err := os.Stderr.Stat(); err != nil || i.Mode()&os.ModeCharDevice == 0 {
 		return func(string, ...any) {}
 	}
--- a/cmd/snowjunction/plugin.go
+++ b/cmd/snowjunction/plugin.go
@@ -13,8 +13,9 @@
 	"snowjunction/internal/plugin/skeleton"
 )
 
-// hostCommand is the command that starts a plug-in's host: this program.
-func hostCommand() []string {
+// pluginHostCommand returns the command line that starts a plug-in host: this program with its hidden
+// command plugin-host.
+func pluginHostCommand() []string {
 	exe, err := os.Executable()
 	if err != nil {
 		exe = os.Args[0]
@@ -22,21 +23,23 @@
 	return []string{exe, "plugin-host"}
 }
 
-type hostCommandLine struct{}
+// pluginHostCommandLine runs this process as a plug-in host.
+type pluginHostCommandLine struct{}
 
-func (hostCommandLine) Run() error { return host.Serve(os.Stdin, os.Stdout) }
+func (pluginHostCommandLine) Run() error { return host.Serve(os.Stdin, os.Stdout) }
 
+// pluginCommand groups the commands on plug-ins.
 type pluginCommand struct {
-	List  pluginList  `cmd:"" help:"Name the plug-ins of the operator file's folder, or of another."`
-	Check pluginCheck `cmd:"" help:"Run manifest, schema and sample cases of plug-ins."`
-	Try   pluginTry   `cmd:"" help:"Show what a plug-in makes of a recorded call."`
-	New   pluginNew   `cmd:"" help:"Write a skeleton that passes check."`
+	List  pluginList  `cmd:"" help:"List the plug-ins in the folder of the operator file, or in another folder."`
+	Check pluginCheck `cmd:"" help:"Check manifests, schemas and sample cases of plug-ins."`
+	Try   pluginTry   `cmd:"" help:"Run a plug-in on a recorded call and print its answer."`
+	New   pluginNew   `cmd:"" help:"Create a skeleton plug-in that passes check."`
 }
 
 type pluginList struct {
-	Admin  string `placeholder:"SOCKET" help:"Ask a running courier at its admin socket instead."`
-	Reload bool   `help:"With --admin: have it read its plug-ins anew first."`
-	Folder string `arg:"" optional:"" help:"Folder that holds a folder for each plug-in."`
+	Admin  string `placeholder:"SOCKET" help:"Query a running courier through its admin socket instead."`
+	Reload bool   `help:"With --admin: have the courier reload its plug-ins first."`
+	Folder string `arg:"" optional:"" help:"Folder with one subfolder per plug-in."`
 }
 
 func (p pluginList) Run() error {
@@ -45,7 +48,7 @@
 		if p.Reload {
 			do = "reload"
 		}
-		v, err := admin.Ask(p.Admin, do)
+		v, err := admin.Call(p.Admin, do)
 		if err == nil {
 			fmt.Println(string(v))
 		}
@@ -77,31 +80,31 @@
 }
 
 func (p pluginCheck) Run() error {
-	bad := 0
+	mistakes := 0
 	for _, dir := range p.Folders {
 		m, err := manifest.Load(dir)
 		if err != nil {
 			fmt.Println(err)
-			bad++
+			mistakes++
 			continue
 		}
-		wrong := plugin.Check(hostCommand(), m)
-		for _, why := range wrong {
+		found := plugin.Check(pluginHostCommand(), m)
+		for _, why := range found {
 			fmt.Printf("%s: %s\n", dir, why)
 		}
-		if bad += len(wrong); len(wrong) == 0 {
+		if mistakes += len(found); len(found) == 0 {
 			fmt.Printf("%s: %s %s, %d samples, no mistakes\n", dir, m.Name, m.Version, len(m.Samples))
 		}
 	}
-	if bad > 0 {
-		return exit(exitMistake)
+	if mistakes > 0 {
+		return exitStatus(exitMistake)
 	}
 	return nil
 }
 
 type pluginTry struct {
 	Folder string `arg:"" help:"Folder of the plug-in."`
-	Call   string `arg:"" help:"File with a call, in the form of a sample."`
+	Call   string `arg:"" help:"File with a call, in the format of a sample."`
 }
 
 func (p pluginTry) Run() error {
@@ -117,14 +120,14 @@
 	if err := json.Unmarshal(b, &s); err != nil {
 		return fmt.Errorf("%s: %w", p.Call, err)
 	}
-	answers, why := plugin.Try(hostCommand(), m, os.Stderr, host.Call{Hook: s.Hook, Call: s.Call})
-	if why != "" {
-		return fmt.Errorf("%s: %s", p.Folder, why)
+	answers, failure := plugin.Try(pluginHostCommand(), m, os.Stderr, host.Call{Hook: s.Hook, Call: s.Call})
+	if failure != "" {
+		return fmt.Errorf("%s: %s", p.Folder, failure)
 	}
 	for _, a := range answers {
 		if a.Error != "" {
 			fmt.Println("no answer:", a.Error)
-			return exit(exitFailed)
+			return exitStatus(exitFailed)
 		}
 		fmt.Println(string(a.Out))
 	}
@@ -132,13 +135,13 @@
 }
 
 type pluginNew struct {
-	Folder string `arg:"" help:"Folder to make; its name is the plug-in's."`
+	Folder string `arg:"" help:"Folder to create; its name becomes the name of the plug-in."`
 }
 
 func (p pluginNew) Run() error {
 	if err := skeleton.Write(p.Folder); err != nil {
 		return err
 	}
-	fmt.Printf("%s: written; 'snowjunction plugin check %s' runs its samples\n", p.Folder, p.Folder)
+	fmt.Printf("%s: created; 'snowjunction plugin check %s' runs its samples\n", p.Folder, p.Folder)
 	return nil
 }
--- a/cmd/snowjunction/plugin_test.go
+++ b/cmd/snowjunction/plugin_test.go
@@ -350,7 +350,7 @@
 		i++
 		last := fmt.Sprint("last", i)
 		version(last)
-		_, err := admin.Ask(filepath.Join(s.Dir(), "door"), "reload")
+		_, err := admin.Call(filepath.Join(s.Dir(), "door"), "reload")
 		require.NoError(t, err)
 		s.deliver(2, fmt.Sprint("x", i))
 		return slices.Equal(s.farm.LastShaped(), []string{last, ""})
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,7 @@
-// Package admin is the courier's local door for operators: a Unix socket that
-// only its owner may open. A request is a line of JSON, {"do":"WORD"}, and so is
-// its answer; many may come on one connection.
+// Package admin serves and calls the admin socket: a Unix socket on which operators send commands
+// to a running courier. Only the user that owns the socket can connect. A request is one line of
+// JSON, {"do":"COMMAND"}, and its reply is one line of JSON as well. A connection can carry many
+// requests, one at a time.
 package admin
 
 import (
@@ -15,75 +16,75 @@
 	"time"
 )
 
-// Request is a line that asks for something.
+// Request is one command sent to the admin socket.
 type Request struct {
 	Do string `json:"do"`
 }
 
-// Reply is its answer.
+// Reply is the response to a Request. Error is empty on success.
 type Reply struct {
 	Error string `json:"error,omitempty"`
 	Value any    `json:"value,omitempty"`
 }
 
-// Do carries a request out: it calls done once, on whatever goroutine.
-type Do func(r Request, done func(Reply))
+// Handler executes a request. It calls done once, from any goroutine.
+type Handler func(r Request, done func(Reply))
 
-// Socket is an open door.
+// Socket is a listening admin socket and its open connections.
 type Socket struct {
-	path string
-	l    net.Listener
-	do   Do
-	mu   sync.Mutex
-	open map[net.Conn]bool
+	path     string
+	listener net.Listener
+	handle   Handler
+	mu       sync.Mutex
+	conns    map[net.Conn]bool
 }
 
 const (
-	connsMost  = 8
-	lineMost   = 4096
-	idleWithin = 30 * time.Second
-	doWithin   = 60 * time.Second
+	maxConns       = 8
+	maxLineBytes   = 4096
+	idleTimeout    = 30 * time.Second
+	commandTimeout = 60 * time.Second
 )
 
-// Listen opens the door at a path. A socket that a process has left there is
-// replaced; one that is served, or anything else, is not.
-func Listen(path string, do Do) (*Socket, error) {
+// Listen opens the admin socket at path. A stale socket of an ended process is replaced. Listen
+// returns an error if another process serves the socket or if path is not a socket.
+func Listen(path string, handle Handler) (*Socket, error) {
 	if i, err := os.Lstat(path); err == nil {
 		if i.Mode()&os.ModeSocket == 0 {
-			return nil, fmt.Errorf("admin socket: %s is there and no socket", path)
+			return nil, fmt.Errorf("admin socket: %s exists and is not a socket", path)
 		}
 		if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
 			c.Close()
-			return nil, fmt.Errorf("admin socket: %s is served by another process", path)
+			return nil, fmt.Errorf("admin socket: %s is in use by another process", path)
 		}
 		if err := os.Remove(path); err != nil {
 			return nil, fmt.Errorf("admin socket: %w", err)
 		}
 	}
-	old := syscall.Umask(0o177) // never open to others, not even for a moment
+	old := syscall.Umask(0o177) // the socket is created with mode 0600, so other users can never connect
 	l, err := net.Listen("unix", path)
 	syscall.Umask(old)
 	if err != nil {
 		return nil, fmt.Errorf("admin socket: %w", err)
 	}
-	s := &Socket{path: path, l: l, do: do, open: map[net.Conn]bool{}}
+	s := &Socket{path: path, listener: l, handle: handle, conns: map[net.Conn]bool{}}
 	go s.accept()
 	return s, nil
 }
 
-// Close shuts the door.
+// Close stops listening and closes all connections.
 func (s *Socket) Close() {
-	s.l.Close()
+	s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.open {
+	for c := range s.conns {
 		c.Close()
 	}
 }
 
 func (s *Socket) accept() {
 	for {
-		c, err := s.l.Accept()
+		c, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -92,12 +93,12 @@
 			continue
 		}
 		s.mu.Lock()
-		full := len(s.open) >= connsMost
-		if !full {
-			s.open[c] = true
+		atCapacity := len(s.conns) >= maxConns
+		if !atCapacity {
+			s.conns[c] = true
 		}
 		s.mu.Unlock()
-		if full {
+		if atCapacity {
 			c.Close()
 			continue
 		}
@@ -109,54 +110,54 @@
 	defer func() {
 		c.Close()
 		s.mu.Lock()
-		delete(s.open, c)
+		delete(s.conns, c)
 		s.mu.Unlock()
 	}()
 	lines := bufio.NewScanner(c)
-	lines.Buffer(make([]byte, 0, 512), lineMost)
+	lines.Buffer(make([]byte, 0, 512), maxLineBytes)
 	for {
-		_ = c.SetDeadline(time.Now().Add(idleWithin))
+		_ = c.SetDeadline(time.Now().Add(idleTimeout))
 		if !lines.Scan() {
 			return
 		}
 		var r Request
 		reply := Reply{}
 		if err := json.Unmarshal(lines.Bytes(), &r); err != nil {
-			reply.Error = "a line of JSON is wanted: " + err.Error()
+			reply.Error = "the request must be one line of JSON: " + err.Error()
 		} else {
-			got := make(chan Reply, 1)
-			s.do(r, func(x Reply) {
+			replies := make(chan Reply, 1)
+			s.handle(r, func(x Reply) {
 				select {
-				case got <- x:
+				case replies <- x:
 				default:
 				}
 			})
 			select {
-			case reply = <-got:
-			case <-time.After(doWithin):
-				reply.Error = "no answer in time"
+			case reply = <-replies:
+			case <-time.After(commandTimeout):
+				reply.Error = "the courier did not reply in time"
 			}
 		}
 		b, err := json.Marshal(reply)
 		if err != nil {
 			return
 		}
-		_ = c.SetDeadline(time.Now().Add(idleWithin))
+		_ = c.SetDeadline(time.Now().Add(idleTimeout))
 		if _, err := c.Write(append(b, '\n')); err != nil {
 			return
 		}
 	}
 }
 
-// Ask asks at a door and returns what is answered, as JSON.
-func Ask(path, do string) (json.RawMessage, error) {
+// Call sends a command to the admin socket at path and returns the value of the reply as JSON.
+func Call(path, command string) (json.RawMessage, error) {
 	c, err := net.DialTimeout("unix", path, time.Second)
 	if err != nil {
 		return nil, fmt.Errorf("admin socket: %w", err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(doWithin))
-	if err := json.NewEncoder(c).Encode(Request{do}); err != nil {
+	_ = c.SetDeadline(time.Now().Add(commandTimeout))
+	if err := json.NewEncoder(c).Encode(Request{command}); err != nil {
 		return nil, fmt.Errorf("admin socket: %w", err)
 	}
 	var r struct {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -19,26 +19,26 @@
 			return
 		}
 		done(Reply{Value: []int{1}})
-		done(Reply{Value: "again"}) // once is enough
+		done(Reply{Value: "again"}) // a second reply is ignored
 	})
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
 	return s
 }
 
-func TestDoor(t *testing.T) {
+func TestRequests(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "door")
 	s := open(t, path)
 	i, err := os.Stat(path)
 	require.NoError(t, err)
 	assert.Equal(t, os.FileMode(0o600), i.Mode().Perm())
-	v, err := Ask(path, "echo")
+	v, err := Call(path, "echo")
 	require.NoError(t, err)
 	assert.Equal(t, "[1]", string(v))
-	_, err = Ask(path, "dance")
+	_, err = Call(path, "dance")
 	assert.EqualError(t, err, "no dance")
 	_, err = Listen(path, nil)
-	assert.ErrorContains(t, err, "served by another")
+	assert.ErrorContains(t, err, "in use by another process")
 
 	c, err := net.Dial("unix", path)
 	require.NoError(t, err)
@@ -48,21 +48,21 @@
 	r := bufio.NewReader(c)
 	line, err := r.ReadString('\n')
 	require.NoError(t, err)
-	assert.Contains(t, line, "JSON is wanted")
+	assert.Contains(t, line, "must be one line of JSON")
 	line, err = r.ReadString('\n')
 	require.NoError(t, err)
 	assert.Equal(t, "{\"value\":[1]}\n", line)
-	_, err = c.Write([]byte(strings.Repeat("x", lineMost+1)))
+	_, err = c.Write([]byte(strings.Repeat("x", maxLineBytes+1)))
 	require.NoError(t, err)
 	_, err = r.ReadString('\n')
-	assert.Error(t, err, "a line without an end closes the connection")
+	assert.Error(t, err, "a line that is too long closes the connection")
 	s.Close()
-	_, err = Ask(path, "echo")
+	_, err = Call(path, "echo")
 	assert.Error(t, err)
 }
 
-// What another process has left is replaced, a file is not.
-func TestLeftBehind(t *testing.T) {
+// A stale socket of an ended process is replaced; a regular file is not.
+func TestStaleSocketIsReplaced(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "door")
 	l, err := net.Listen("unix", path)
@@ -70,10 +70,10 @@
 	l.(*net.UnixListener).SetUnlinkOnClose(false)
 	l.Close()
 	open(t, path)
-	_, err = Ask(path, "echo")
+	_, err = Call(path, "echo")
 	assert.NoError(t, err)
 	file := filepath.Join(dir, "file")
 	require.NoError(t, os.WriteFile(file, nil, 0o600))
 	_, err = Listen(file, nil)
-	assert.ErrorContains(t, err, "no socket")
+	assert.ErrorContains(t, err, "not a socket")
 }
--- a/internal/dirtool/dirtool.go
+++ b/internal/dirtool/dirtool.go
@@ -1,5 +1,5 @@
-// Package dirtool reads, compares and writes directory lists for operators: the
-// snapshots that a courier keeps, and JSON in the directory's own form.
+// Package dirtool reads, compares and writes directory lists for operators: the list snapshots that
+// a courier stores on disk, and JSON in the directory's wire format.
 package dirtool
 
 import (
@@ -25,7 +25,7 @@
 	"snowjunction/internal/snapshot"
 )
 
-// Instance is an entry in the directory's form.
+// Instance is an endpoint in the directory's JSON format.
 type Instance struct {
 	InstanceID  string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
@@ -36,36 +36,36 @@
 	Weight      float64 `json:"weight"`
 }
 
-// List is a list in the directory's form, with what a snapshot says beside it.
+// List is a list in the directory's JSON format, with the metadata of a stored snapshot.
 type List struct {
-	Generation uint64     `json:"generation"`
-	Reset      bool       `json:"reset"`
-	Agent      string     `json:"agent,omitempty"`
-	ToldAtMs   int64      `json:"toldAtMs,omitempty"` // Unix time
-	Partial    bool       `json:"partial,omitempty"`
-	Partitions int        `json:"partitions,omitempty"` // of so many the list is of some, which Of names
-	Of         []int      `json:"of,omitempty"`
-	Instances  []Instance `json:"instances"`
+	Generation        uint64     `json:"generation"`
+	Reset             bool       `json:"reset"`
+	Agent             string     `json:"agent,omitempty"`
+	ConfirmedAtMs     int64      `json:"toldAtMs,omitempty"` // Unix time at which the directory last confirmed the list
+	Partial           bool       `json:"partial,omitempty"`
+	Partitions        int        `json:"partitions,omitempty"` // total number of partitions if the list covers only some of them
+	CoveredPartitions []int      `json:"of,omitempty"`         // numbers of the covered partitions
+	Instances         []Instance `json:"instances"`
 }
 
-const sizeMost = 256 << 20
+const maxFileBytes = 256 << 20
 
-// Read reads a list: from a folder the youngest snapshot that can be read, from a file
-// a snapshot or JSON. What is wrong with younger snapshots of a folder is told.
-func Read(path string, wrong func(file string, err error)) (*dircache.Snapshot, error) {
+// Read reads a list: from a folder, the newest readable snapshot; from a file, a snapshot or JSON.
+// Errors of newer but unreadable snapshots in a folder are passed to report.
+func Read(path string, report func(file string, err error)) (*dircache.Snapshot, error) {
 	i, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if i.IsDir() {
-		s := dircache.Load(path, wrong)
+		s := dircache.Load(path, report)
 		if s == nil {
-			return nil, fmt.Errorf("%s holds no list that can be read", path)
+			return nil, fmt.Errorf("%s contains no readable list", path)
 		}
 		return s, nil
 	}
-	if i.Size() > sizeMost {
-		return nil, fmt.Errorf("%s: %d bytes are too many", path, i.Size())
+	if i.Size() > maxFileBytes {
+		return nil, fmt.Errorf("%s: file too large: %d bytes", path, i.Size())
 	}
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -81,8 +81,8 @@
 	return s, nil
 }
 
-// Parse reads a list in the directory's form. It must be whole, and one that a courier
-// would take.
+// Parse reads a list in the directory's JSON format. It returns an error unless the list is a full
+// list that a courier would accept.
 func Parse(b []byte) (*dircache.Snapshot, error) {
 	v, err := fastjson.ParseBytes(b)
 	if err != nil {
@@ -92,20 +92,20 @@
 		return nil, errors.New("/generation: missing")
 	}
 	if v.Get("reset") != nil && !v.GetBool("reset") {
-		return nil, errors.New("/reset: these are changes, a whole list is wanted")
+		return nil, errors.New("/reset: must be true: a full list is required, not changes")
 	}
 	s := &dircache.Snapshot{Head: dircache.Head{
 		Generation: v.GetUint64("generation"), Agent: string(v.GetStringBytes("agent")), Partial: v.GetBool("partial"),
 	}}
 	if v.Exists("partitions") {
 		if s.Partitions = v.GetInt("partitions"); s.Partitions < 1 || s.Partitions > partition.MaxPartitions {
-			return nil, errors.New("/partitions: not a number of partitions")
+			return nil, errors.New("/partitions: out of range")
 		}
 		for _, x := range v.GetArray("of") {
 			s.Covered = append(s.Covered, x.GetInt())
 		}
 		if n := len(s.Covered); !slices.IsSorted(s.Covered) || len(slices.Compact(slices.Clone(s.Covered))) < n || n > 0 && (s.Covered[0] < 0 || s.Covered[n-1] >= s.Partitions) {
-			return nil, errors.New("/of: not partitions, in order, each once")
+			return nil, errors.New("/of: must be distinct partition numbers in ascending order")
 		}
 	}
 	if ms := v.GetInt64("toldAtMs"); ms != 0 {
@@ -133,11 +133,11 @@
 	return s, nil
 }
 
-// Export puts a list in the directory's form.
+// Export converts a snapshot to the directory's JSON format.
 func Export(s *dircache.Snapshot) *List {
-	l := &List{Generation: s.Generation, Reset: true, Agent: s.Agent, Partial: s.Partial, Partitions: s.Partitions, Of: s.Covered, Instances: []Instance{}}
+	l := &List{Generation: s.Generation, Reset: true, Agent: s.Agent, Partial: s.Partial, Partitions: s.Partitions, CoveredPartitions: s.Covered, Instances: []Instance{}}
 	if !s.ConfirmedAt.IsZero() {
-		l.ToldAtMs = s.ConfirmedAt.UnixMilli()
+		l.ConfirmedAtMs = s.ConfirmedAt.UnixMilli()
 	}
 	for _, e := range s.Entries {
 		l.Instances = append(l.Instances, instance(s, e))
@@ -146,23 +146,23 @@
 }
 
 func instance(s *dircache.Snapshot, e groups.Entry) Instance {
-	name := func(names []string, no int) string {
-		if no < len(names) {
-			return names[no]
+	name := func(names []string, index int) string {
+		if index < len(names) {
+			return names[index]
 		}
 		return ""
 	}
-	x := Instance{
+	inst := Instance{
 		InstanceID: e.Name, HostPort: e.Addr, Zone: name(s.Zones, e.Zone), MachineType: name(s.Kinds, e.Kind),
 		Cell: uint32(e.Destination), Lifecycle: "Ready", Weight: e.Weight,
 	}
 	if e.Phase != snowjunction.Ready {
-		x.Lifecycle = "Terminating"
+		inst.Lifecycle = "Terminating"
 	}
-	return x
+	return inst
 }
 
-// Write writes a list as JSON.
+// Write writes the list as indented JSON.
 func (l *List) Write(w io.Writer) error {
 	b, err := json.MarshalIndent(l, "", "  ")
 	if err == nil {
@@ -171,7 +171,7 @@
 	return err
 }
 
-// Import puts a list into a folder as its youngest snapshot.
+// Import writes a list into a folder as its newest snapshot.
 func Import(dir string, s *dircache.Snapshot, o dircache.Options) error {
 	c, err := dircache.Open(o)
 	if err != nil {
@@ -181,29 +181,29 @@
 	for _, e := range s.Entries {
 		if !w.Add(e) {
 			c.Close()
-			return fmt.Errorf("%d endpoints take more than %d bytes", len(s.Entries), o.Bytes)
+			return fmt.Errorf("%d endpoints exceed the limit of %d bytes", len(s.Entries), o.Bytes)
 		}
 	}
 	c.Put(w.Bytes())
 	c.Close()
 	if c.Counts().Failed > 0 {
-		return fmt.Errorf("the list cannot be written into %s", dir)
+		return fmt.Errorf("cannot write the list to %s", dir)
 	}
 	return nil
 }
 
-// Diff tells what leads from one list to another, a line for each endpoint, in order
-// of their names.
-func Diff(a, b *dircache.Snapshot) (lines []string) {
-	was, is := map[string]Instance{}, map[string]Instance{}
-	for _, e := range a.Entries {
-		was[e.Name] = instance(a, e)
+// Diff returns the changes between two lists: one line per changed endpoint, sorted by name.
+// A line starts with "-" (removed), "+" (added) or "~" (changed).
+func Diff(from, to *dircache.Snapshot) (lines []string) {
+	before, after := map[string]Instance{}, map[string]Instance{}
+	for _, e := range from.Entries {
+		before[e.Name] = instance(from, e)
 	}
-	for _, e := range b.Entries {
-		is[e.Name] = instance(b, e)
+	for _, e := range to.Entries {
+		after[e.Name] = instance(to, e)
 	}
-	for name, x := range was {
-		y, ok := is[name]
+	for name, x := range before {
+		y, ok := after[name]
 		if !ok {
 			lines = append(lines, fmt.Sprintf("- %s cell %d at %s", name, x.Cell, x.HostPort))
 			continue
@@ -224,8 +224,8 @@
 			lines = append(lines, fmt.Sprintf("~ %s %s", name, strings.Join(changes, ", ")))
 		}
 	}
-	for name, y := range is {
-		if _, ok := was[name]; !ok {
+	for name, y := range after {
+		if _, ok := before[name]; !ok {
 			lines = append(lines, fmt.Sprintf("+ %s cell %d at %s", name, y.Cell, y.HostPort))
 		}
 	}
@@ -233,61 +233,63 @@
 	return lines
 }
 
-// Row is what a folder says of one endpoint: what a start with the directory down would
-// believe, and what was learnt of it.
-type Row struct {
+// EndpointStatus describes one endpoint of a state folder: the confidence in it after a start while
+// the directory is unreachable, and its learned state.
+type EndpointStatus struct {
 	Instance
-	Standing string  `json:"standing"`
-	Why      string  `json:"why"`
-	WordAgeS float64 `json:"word_age_s"`
-	Learnt   string  `json:"learnt,omitempty"` // condition, and for how long when it was kept
-	LearntS  float64 `json:"learnt_age_s,omitempty"`
-	Limit    float64 `json:"limit,omitempty"` // of its destination, all couriers together
+	Confidence       string  `json:"standing"`
+	Reason           string  `json:"why"`
+	ConfirmedAgeS    float64 `json:"word_age_s"`
+	LearnedCondition string  `json:"learnt,omitempty"` // condition, and how long it had lasted when it was stored
+	LearnedAgeS      float64 `json:"learnt_age_s,omitempty"`
+	RateLimit        float64 `json:"limit,omitempty"` // rate limit of its target group for the whole fleet, in calls per second
 }
 
-var conditions = [...]string{"serving", "held", "warming"}
+var conditionNames = [...]string{"serving", "held", "warming"}
 
-// Rows tells of a folder what a start at a time would make of it.
-func Rows(dir string, s *dircache.Snapshot, fresh time.Duration, now time.Time, wrong func(file string, err error)) (rows []Row) {
-	type known struct {
-		m   *snapshot.Snapshot
-		age time.Duration
+// EndpointStatuses returns how a courier that starts at time now would rate each endpoint of a state
+// folder. A list confirmed less than freshFor ago counts as young. Unreadable records are passed to
+// report.
+func EndpointStatuses(dir string, s *dircache.Snapshot, freshFor time.Duration, now time.Time, report func(file string, err error)) (rows []EndpointStatus) {
+	type learnedRecord struct {
+		snap *snapshot.Snapshot
+		age  time.Duration
 	}
-	learned := map[uint32]known{}
-	for _, r := range learnedstate.Load(dir, wrong) {
-		if m, err := snapshot.Decode(r.Snapshot); err != nil {
-			wrong(filepath.Join(dir, "learnt"), err)
+	learned := map[uint32]learnedRecord{}
+	for _, r := range learnedstate.Load(dir, report) {
+		if decoded, err := snapshot.Decode(r.Snapshot); err != nil {
+			report(filepath.Join(dir, "learnt"), err)
 		} else {
-			learned[r.Destination] = known{m, now.Sub(r.At)}
+			learned[r.Destination] = learnedRecord{decoded, now.Sub(r.At)}
 		}
 	}
 	age := now.Sub(s.ConfirmedAt)
 	for _, e := range s.Entries {
-		r := Row{Instance: instance(s, e), Standing: "probable", Why: "the list is young", WordAgeS: age.Seconds()}
+		status := EndpointStatus{Instance: instance(s, e), Confidence: "probable", Reason: "the list is young", ConfirmedAgeS: age.Seconds()}
 		switch {
 		case e.Phase != snowjunction.Ready:
-			r.Standing, r.Why = "told", "the directory names it as draining"
+			status.Confidence, status.Reason = "told", "the directory names it as draining"
 		case age < -time.Second:
-			r.Standing, r.Why = "doubtful", "the list is from the future: the clock was set back"
-		case age >= fresh:
-			r.Standing, r.Why = "doubtful", "the list is old"
+			status.Confidence, status.Reason = "doubtful", "the list is from the future: the clock was set back"
+		case age >= freshFor:
+			status.Confidence, status.Reason = "doubtful", "the list is old"
 		}
-		if k, ok := learned[r.Cell]; ok {
-			r.LearntS = k.age.Seconds()
-			for i, n := range k.m.Names {
+		if record, ok := learned[status.Cell]; ok {
+			status.LearnedAgeS = record.age.Seconds()
+			for i, n := range record.snap.Names {
 				if n != snapshot.HashName(e.Name) {
 					continue
 				}
-				x := k.m.State.Endpoints[i]
-				if r.Learnt = conditions[x.Condition]; x.Condition != snowjunction.Serving {
-					r.Learnt += " for " + x.SinceCondition.Round(time.Millisecond).String()
+				endpoint := record.snap.State.Endpoints[i]
+				if status.LearnedCondition = conditionNames[endpoint.Condition]; endpoint.Condition != snowjunction.Serving {
+					status.LearnedCondition += " for " + endpoint.SinceCondition.Round(time.Millisecond).String()
 				}
-				if x.Route < len(k.m.State.Routes) {
-					r.Limit = k.m.State.Routes[x.Route].Limit
+				if endpoint.Route < len(record.snap.State.Routes) {
+					status.RateLimit = record.snap.State.Routes[endpoint.Route].Limit
 				}
 			}
 		}
-		rows = append(rows, r)
+		rows = append(rows, status)
 	}
 	return rows
 }
--- a/internal/dirtool/partitions_test.go
+++ b/internal/dirtool/partitions_test.go
@@ -10,8 +10,9 @@
 	"snowjunction/internal/dircache"
 )
 
-// A list of some partitions says so in JSON too: imported as one of all it would be held for whole.
-func TestPartThereAndBack(t *testing.T) {
+// JSON keeps the partitions that a list covers. Without them an imported partial list would count as
+// a full one.
+func TestPartialListRoundTrip(t *testing.T) {
 	for _, head := range []dircache.Head{{Generation: 3}, {Generation: 3, Partitions: 9, Covered: []int{0, 4, 8}}, {Generation: 3, Partitions: 9}} {
 		head.Zones, head.Kinds = []string{}, []string{}
 		var text bytes.Buffer
--- a/internal/gauge/gauge.go
+++ b/internal/gauge/gauge.go
@@ -1,6 +1,5 @@
-// Package gauge has benchmarks report what docs/CAPACITY.md counts with: bytes of heap
-// that things hold, and processor time, which other load on the machine alters less than
-// the time that passes.
+// Package gauge reports benchmark metrics for docs/CAPACITY.md: bytes of live heap per item, and CPU
+// time, which other load on the machine distorts less than wall-clock time.
 package gauge
 
 import (
@@ -10,41 +9,42 @@
 	"time"
 )
 
-// Held reports the bytes of heap that each of n things holds which build returns.
-func Held(b *testing.B, n int, thing string, build func() any) {
+// Held reports the bytes of live heap per item for the n items that build returns, as the metric
+// heap-B/ITEM.
+func Held(b *testing.B, n int, item string, build func() any) {
 	b.Helper()
 	var total float64
 	for b.Loop() {
-		before := heap()
-		things := build()
-		total += heap() - before
-		runtime.KeepAlive(things)
+		before := heapBytes()
+		items := build()
+		total += heapBytes() - before
+		runtime.KeepAlive(items)
 	}
-	b.ReportMetric(total/float64(b.N)/float64(n), "heap-B/"+thing)
+	b.ReportMetric(total/float64(b.N)/float64(n), "heap-B/"+item)
 }
 
-func heap() float64 {
+func heapBytes() float64 {
 	runtime.GC()
-	runtime.GC() // what had finalizers
+	runtime.GC() // a second cycle frees objects with finalizers
 	var s runtime.MemStats
 	runtime.ReadMemStats(&s)
 	return float64(s.HeapAlloc)
 }
 
-// CPU reports the processor time of this process, the collector's included, for each of n
-// things that f does.
-func CPU(b *testing.B, n int, thing string, f func()) {
+// CPU reports the CPU time of this process per item for the n items that f processes, as the metric
+// cpu-ns/ITEM. The time includes the garbage collector's.
+func CPU(b *testing.B, n int, item string, f func()) {
 	b.Helper()
 	var total time.Duration
 	for b.Loop() {
-		before := spent()
+		before := cpuTime()
 		f()
-		total += spent() - before
+		total += cpuTime() - before
 	}
-	b.ReportMetric(float64(total)/float64(b.N)/float64(n), "cpu-ns/"+thing)
+	b.ReportMetric(float64(total)/float64(b.N)/float64(n), "cpu-ns/"+item)
 }
 
-func spent() time.Duration {
+func cpuTime() time.Duration {
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
 		return 0
--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -1,4 +1,4 @@
-// Package latency keeps durations in HDR histograms, from a microsecond up.
+// Package latency records durations in HDR histograms with a lowest value of one microsecond.
 package latency
 
 import (
@@ -7,54 +7,54 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Histogram is of durations; what is shorter or longer than its bounds counts as
-// the bound.
+// Histogram counts durations. A duration outside the histogram's bounds counts as the nearest bound.
 type Histogram struct{ h *hdrhistogram.Histogram }
 
-// New returns an empty one, up to most and to so many digits.
-func New(most time.Duration, digits int) *Histogram {
-	return &Histogram{hdrhistogram.New(1, most.Microseconds(), digits)}
+// New returns an empty histogram for durations up to maxDuration that keeps the given number of
+// significant digits.
+func New(maxDuration time.Duration, digits int) *Histogram {
+	return &Histogram{hdrhistogram.New(1, maxDuration.Microseconds(), digits)}
 }
 
-// Add counts a duration.
+// Add records one duration.
 func (h *Histogram) Add(d time.Duration) {
-	_ = h.h.RecordValue(min(max(d.Microseconds(), 1), h.h.HighestTrackableValue())) // within its bounds
+	_ = h.h.RecordValue(min(max(d.Microseconds(), 1), h.h.HighestTrackableValue())) // no error is possible: the value is clamped to the bounds
 }
 
-// Merge adds what another has counted.
-func (h *Histogram) Merge(x *Histogram) { h.h.Merge(x.h) }
+// Merge adds the recorded values of another histogram.
+func (h *Histogram) Merge(other *Histogram) { h.h.Merge(other.h) }
 
-// N is how many were counted.
+// N returns the number of recorded durations.
 func (h *Histogram) N() int64 { return h.h.TotalCount() }
 
-// Mean and Max are in milliseconds.
+// Mean returns the mean in milliseconds.
 func (h *Histogram) Mean() float64 { return h.h.Mean() / 1000 }
 
-// Max is the longest.
+// Max returns the longest duration in milliseconds.
 func (h *Histogram) Max() float64 { return float64(h.h.Max()) / 1000 }
 
-// Ms is a percentile in milliseconds.
+// Ms returns the value at a percentile (0 to 100) in milliseconds.
 func (h *Histogram) Ms(percentile float64) float64 {
 	return float64(h.h.ValueAtQuantile(percentile)) / 1000
 }
 
-// Bucket is a part of a histogram.
+// Bucket is the number of durations between two bounds in milliseconds.
 type Bucket struct {
 	FromMs float64 `json:"from_ms"`
 	ToMs   float64 `json:"to_ms"`
 	N      int64   `json:"n"`
 }
 
-// firstBucket is the width of the first bucket in microseconds.
-const firstBucket = 128
+// firstBucketMicros is the width of the first bucket in microseconds.
+const firstBucketMicros = 128
 
-// Buckets is the whole histogram, each bucket ending at twice where the one before
-// does.
+// Buckets returns the whole histogram in adjacent buckets. The upper bound of each bucket is twice
+// that of the bucket before it.
 func (h *Histogram) Buckets() (out []Bucket) {
 	if h.N() == 0 {
 		return nil
 	}
-	from, to := int64(0), int64(firstBucket)
+	from, to := int64(0), int64(firstBucketMicros)
 	b := Bucket{ToMs: float64(to) / 1000}
 	for _, bar := range h.h.Distribution() {
 		for bar.From >= to && bar.Count > 0 {
--- a/internal/latency/latency_test.go
+++ b/internal/latency/latency_test.go
@@ -8,8 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Buckets hold everything once, next to each other, each duration in the one whose
-// bounds it lies in.
+// Buckets are adjacent and count each duration once, in the bucket whose bounds contain it.
 func TestBuckets(t *testing.T) {
 	assert.Empty(t, New(time.Minute, 3).Buckets())
 	rapid.Check(t, func(t *rapid.T) {
@@ -33,7 +32,7 @@
 	})
 }
 
-// What is out of bounds counts as the bound, and merging adds up.
+// Durations out of bounds count as the nearest bound, and Merge adds the counts.
 func TestBounds(t *testing.T) {
 	a, b := New(time.Second, 2), New(time.Second, 2)
 	a.Add(0)
--- a/internal/library/library.go
+++ b/internal/library/library.go
@@ -1,5 +1,4 @@
-// Package library finds documents by their name: those that ship with the program,
-// or files.
+// Package library loads JSON documents by name: documents embedded in the program, or files.
 package library
 
 import (
@@ -10,34 +9,35 @@
 	"strings"
 )
 
-// Set is the JSON documents of one kind that ship.
+// Set holds the embedded JSON documents of one kind.
 type Set struct {
-	FS   fs.FS  // holds them in its folder "library"
-	Kind string // what one is called in errors
+	FS   fs.FS  // has the documents in its folder "library"
+	Kind string // name of the kind of document in error messages
 }
 
-// Names are those that ship, in order.
+// Names returns the names of the embedded documents in alphabetical order.
 func (s Set) Names() (names []string) {
-	paths, _ := fs.Glob(s.FS, "library/*.json") // the pattern is well formed
+	paths, _ := fs.Glob(s.FS, "library/*.json") // no error is possible: the pattern is valid
 	for _, p := range paths {
 		names = append(names, strings.TrimSuffix(filepath.Base(p), ".json"))
 	}
 	return names
 }
 
-// Read reads one that ships, or else a file, whose path starts from a folder, "" for
-// that of the process. It returns the folder from which names in the document start:
-// a file's own, or for one that ships that given.
-func (s Set) Read(name, from string) (text []byte, folder string, err error) {
+// Read reads the embedded document with the given name, or else the file at that path. A relative
+// path is resolved against the folder from; empty means the working directory. Read also returns the
+// folder against which paths in the document are resolved: the file's own folder, or from for an
+// embedded document.
+func (s Set) Read(name, baseFolder string) (text []byte, folder string, err error) {
 	if text, err = fs.ReadFile(s.FS, "library/"+name+".json"); err == nil {
-		return text, from, nil
+		return text, baseFolder, nil
 	}
 	path := name
 	if !filepath.IsAbs(path) {
-		path = filepath.Join(from, path)
+		path = filepath.Join(baseFolder, path)
 	}
 	if text, err = os.ReadFile(path); err != nil {
-		return nil, "", fmt.Errorf("no %s %s: there are %s, or a file's path", s.Kind, name, strings.Join(s.Names(), ", "))
+		return nil, "", fmt.Errorf("no %s %s: valid names are %s, or the path of a file", s.Kind, name, strings.Join(s.Names(), ", "))
 	}
 	return text, filepath.Dir(path), nil
 }
--- a/internal/library/library_test.go
+++ b/internal/library/library_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What ships comes before files; names in a file start from its folder.
+// Embedded documents take precedence over files; paths in a file are resolved against its folder.
 func TestRead(t *testing.T) {
 	s := Set{fstest.MapFS{"library/b.json": {Data: []byte("1")}, "library/a.json": {Data: []byte("2")}, "other.json": {}}, "tale"}
 	assert.Equal(t, []string{"a", "b"}, s.Names())
@@ -24,5 +24,5 @@
 		assert.Equal(t, [2]string{tc.text, tc.folder}, [2]string{string(text), folder})
 	}
 	_, _, err := s.Read("d", dir)
-	assert.EqualError(t, err, "no tale d: there are a, b, or a file's path")
+	assert.EqualError(t, err, "no tale d: valid names are a, b, or the path of a file")
 }
