--- a/cmd/snowjunction/console_test.go
+++ b/cmd/snowjunction/console_test.go
@@ -10,8 +10,8 @@
 	"snowjunction/internal/scenario"
 )
 
-// second starts a courier with a second address, which it names.
-func second(t *testing.T) *scenario.Play {
+// startWithConsole starts a courier with the console address, which scripts call console.
+func startWithConsole(t *testing.T) *scenario.Play {
 	c := prepare(t)
 	c.Peers = map[string]any{"console": "127.0.0.1:0"}
 	require.NoError(t, c.Start())
@@ -21,9 +21,9 @@
 	return c.Play
 }
 
-// Counts follow a message from its taking to its end; attempts count when they leave.
-func TestSecondAddress(t *testing.T) {
-	p := second(t)
+// The telemetry counts a message from acceptance to its final result, and an attempt once it is sent.
+func TestConsoleTelemetry(t *testing.T) {
+	p := startWithConsole(t)
 	p.Let("n", `"order":0,"status":`)
 	p.Run(`
 		console dial q
@@ -50,10 +50,10 @@
 	`)
 }
 
-// What is no call gets an error line and a close; callers that stay silent, however many,
-// keep out neither another call nor a client.
-func TestSecondAddressBadCalls(t *testing.T) {
-	p := second(t)
+// An invalid call gets an error line and its connection is closed. Silent console connections,
+// however many, block neither other calls nor clients.
+func TestConsoleBadCalls(t *testing.T) {
+	p := startWithConsole(t)
 	for bad, want := range map[string]string{
 		`"restart\n"`: "unknown call", `"readyz now\n"`: "unknown call", `"\n"`: "a call is wanted", `"a b c\n"`: "at most one argument",
 		`"telem\x00etry\n"`: "printable",
@@ -85,16 +85,16 @@
 	`)
 }
 
-// An address that cannot be bound ends the start with one line.
-func TestSecondAddressTaken(t *testing.T) {
+// If the console address cannot be bound, the start fails with one line.
+func TestConsoleAddressInUse(t *testing.T) {
 	c := scenario.NewCourier(t)
 	c.Peers = map[string]any{"console": c.Play.Server("taken")}
 	require.Error(t, c.Start())
 	require.Regexp(t, `snowjunction: listen for console: .*in use`, c.Log())
 }
 
-// An endpoint that is taken out gets nothing, across a kill and lists that say the contrary,
-// until it is called back; then what waits for it goes.
+// An excluded endpoint gets no calls, even after a kill and a list with it as Ready, until it is
+// included again. Then the waiting messages are sent.
 func TestExcludedOutlastsKill(t *testing.T) {
 	c := prepare(t)
 	c.Peers = map[string]any{"console": "127.0.0.1:0"}
@@ -121,7 +121,7 @@
 		courier wait kill
 	`)
 	begin()
-	letList(c.Play, `{"generation":9,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"`+c.Targets[0].Addr+
+	defineList(c.Play, `{"generation":9,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"`+c.Targets[0].Addr+
 		`","zone":"a","machineType":"k","cell":7,"lifecycle":"Ready","weight":1,"startedAtMs":0}]}`)
 	c.Play.Run(`
 		discovery accept d
@@ -143,10 +143,10 @@
 	`)
 }
 
-// A caller that ends its sending side behind its call, as a pipe does, is answered all the same;
-// one that does so before is let go.
+// A caller that closes its sending side after its call, as a shell pipe does, gets a reply. If it
+// closes it in the middle of a call, the connection is closed without a reply.
 func TestHalfClosedCaller(t *testing.T) {
-	p := second(t)
+	p := startWithConsole(t)
 	for call, want := range map[string]string{"exclude s-1\n": "done\n", "readyz\n": "done\n", "exclude": ""} {
 		c, err := net.DialTimeout("tcp", p.Name("console"), scenario.Limit)
 		require.NoError(t, err)
--- a/cmd/snowjunction/directory.go
+++ b/cmd/snowjunction/directory.go
@@ -29,6 +29,7 @@
 	State string `env:"GW_STATE" type:"path" placeholder:"FOLDER" help:"The courier's state folder."`
 }
 
+// dir returns the state folder, or an error if none is given.
 func (f stateFolder) dir() (string, error) {
 	if f.State == "" {
 		return "", errors.New("--state or GW_STATE must name the courier's state folder")
@@ -44,6 +45,7 @@
 	return config.LoadDirectory(daemon.DirectoryFile(os.Getenv))
 }
 
+// directoryShow shows the endpoints of a state folder or of a running courier.
 type directoryShow struct {
 	stateFolder
 	Admin string `placeholder:"SOCKET" help:"Query a running courier through its admin socket instead."`
@@ -107,6 +109,7 @@
 	return w.Flush()
 }
 
+// directoryDiff compares two lists.
 type directoryDiff struct {
 	From string `arg:"" type:"path" help:"A courier's state folder, a list snapshot, or JSON in the directory's format."`
 	To   string `arg:"" type:"path" help:"The list to compare with, in any of the same forms."`
@@ -131,6 +134,7 @@
 	return nil
 }
 
+// directoryExport writes the list of a state folder as JSON.
 type directoryExport struct {
 	stateFolder
 	File string `arg:"" default:"-" help:"Output file; '-' is standard output."`
@@ -157,6 +161,7 @@
 	return dirtool.Export(s).Write(out)
 }
 
+// directoryImport writes a list into a state folder.
 type directoryImport struct {
 	stateFolder
 	File  string         `arg:"" type:"existingfile" help:"A list in the directory's JSON format, or a list snapshot."`
--- a/cmd/snowjunction/directory_test.go
+++ b/cmd/snowjunction/directory_test.go
@@ -23,8 +23,8 @@
 	"snowjunction/internal/standin/partner"
 )
 
-// restart ends the courier and starts it again; what happens between is the test's.
-func (s *stage) restart(how syscall.Signal, between func()) {
+// restart stops the courier with a signal, runs between and starts the courier again.
+func (s *testbed) restart(how syscall.Signal, between func()) {
 	s.t.Helper()
 	require.NoError(s.t, s.Stop(how))
 	between()
@@ -33,16 +33,16 @@
 	s.t.Cleanup(s.client.Close)
 }
 
-// kept waits until the list is on disk, and all that was handed in is booked: what a partner
-// has seen its courier may not have heard of, and the next life would take it up again.
-func (s *stage) kept() {
+// untilStored waits until the list is on disk and no message is held. A partner may have received a
+// message whose reply the courier has not processed; a restart would then send the message again.
+func (s *testbed) untilStored() {
 	s.t.Helper()
-	s.until("the list on disk", func() bool { return s.counters("directory.written") != "0" })
-	s.until("nothing is held", func() bool { return s.counters("held") == "0" })
+	s.until("the list on disk", func() bool { return s.counter("directory.written") != "0" })
+	s.until("nothing is held", func() bool { return s.counter("held") == "0" })
 }
 
-// told writes the operator file for the directory.
-func (s *stage) told(file map[string]any) {
+// configureDirectory writes the operator file for the directory.
+func (s *testbed) configureDirectory(file map[string]any) {
 	b, err := json.Marshal(file)
 	require.NoError(s.t, err)
 	path := filepath.Join(s.Dir(), "directory.json")
@@ -50,93 +50,94 @@
 	s.Env = append(s.Env, "SNOWJUNCTION_DIRECTORY="+path)
 }
 
-// many delivers n messages, one after another.
-func (s *stage) many(dest uint32, name string, n int) {
+// deliverMany delivers n messages, one after another.
+func (s *testbed) deliverMany(dest uint32, name string, n int) {
 	s.t.Helper()
 	for i := range n {
 		s.deliver(dest, fmt.Sprintf("%s-%d-%d", name, dest, i))
 	}
 }
 
-// clump hands messages in at once and waits for them.
-func (s *stage) clump(dest uint32, name string, n int) {
+// deliverBurst submits n messages at once and waits until the partner has received them.
+func (s *testbed) deliverBurst(dest uint32, name string, n int) {
 	s.t.Helper()
 	for i := range n {
-		require.Equal(s.t, load.Taken, s.add(dest, fmt.Sprintf("%s-%d", name, i)))
+		require.Equal(s.t, load.Taken, s.submit(dest, fmt.Sprintf("%s-%d", name, i)))
 	}
 	for i := range n {
 		s.until(name, func() bool { return s.seen(dest, fmt.Sprintf("%s-%d", name, i)) })
 	}
 }
 
-// replace has the directory tell a list whole, and waits until it is held.
-func (s *stage) replace(list []standin.Instance) {
+// replace makes the directory send a full list and waits until the courier has received it.
+func (s *testbed) replace(list []standin.Instance) {
 	s.t.Helper()
 	g := s.directory.Replace(list)
 	s.until("the list", func() bool { return s.directory.Heard() >= g })
 }
 
-// Killed while the directory is down, the courier delivers from the list on disk; the
-// moment the directory answers, what it names as drained or replaced gets nothing.
+// A courier restarted while the directory is down delivers from the list on disk. Once the directory
+// answers, endpoints that it lists as draining or no longer lists get no calls.
 func TestStartWithDiscoveryDown(t *testing.T) {
-	s := newStage(t, 3, map[string]any{})
+	s := newTestbed(t, 3, map[string]any{})
 	for d := uint32(1); d <= 3; d++ {
-		s.many(d, "before", 1)
+		s.deliverMany(d, "before", 1)
 	}
-	s.kept()
+	s.untilStored()
 	s.restart(syscall.SIGKILL, func() { s.directory.Down(true) })
 	assert.Regexp(t, `msg="starting list" .*source=cached .*endpoints=6`, s.Log())
 	for d := uint32(1); d <= 3; d++ {
-		s.many(d, "down", 1)
+		s.deliverMany(d, "down", 1)
 	}
-	assert.Equal(t, "false", s.counters("directory.live"))
-	// One of destination 1 has been drained meanwhile, and all of 2 is gone.
+	assert.Equal(t, "false", s.counter("directory.live"))
+	// In the meantime an endpoint of destination 1 drains, and those of destination 2 are removed.
 	s.list[0].Lifecycle = "Terminating"
 	s.directory.Down(false)
 	s.replace(append(s.list[:2:2], s.list[4:]...))
 	_, err := s.Await(`msg=belief .*of=directory is=live was=cached`)
 	require.NoError(t, err)
-	before := s.farm.Calls("p1-0")
-	s.many(1, "after", 20)
-	assert.Equal(t, before, s.farm.Calls("p1-0"), "what drains gets nothing more")
-	assert.Positive(t, s.farm.Calls("p1-1"))
+	callsBefore := s.partners.Calls("p1-0")
+	s.deliverMany(1, "after", 20)
+	assert.Equal(t, callsBefore, s.partners.Calls("p1-0"), "a draining endpoint gets no more calls")
+	assert.Positive(t, s.partners.Calls("p1-1"))
 	files, err := filepath.Glob(filepath.Join(s.State(), "directory-*"))
 	require.NoError(t, err)
 	assert.Len(t, files, 1)
 }
 
-// A list that may be old is used with care: what answers is used, what is not there is
-// left alone once a sibling has shown that its partner lives, and the directory's word
-// ends all that, also where an address serves another destination by then.
-func TestOldListIsUsedWithCare(t *testing.T) {
-	s := newStageWith(t, 3, map[string]any{}, func(s *stage) {
-		s.told(map[string]any{"refute_after_s": 0, "refute_fails": 1})
+// A list that may be old is used with caution. Endpoints that answer are confirmed. An unreachable
+// one is refuted once another endpoint of its destination is confirmed. The directory's next list
+// overrides both, also for an address that now serves another destination.
+func TestOldListIsUsedWithCaution(t *testing.T) {
+	s := newTestbedWith(t, 3, map[string]any{}, func(s *testbed) {
+		s.configureDirectory(map[string]any{"refute_after_s": 0, "refute_fails": 1})
 	}, false)
-	s.many(1, "before", 1)
-	s.kept()
+	s.deliverMany(1, "before", 1)
+	s.untilStored()
 	s.restart(syscall.SIGKILL, func() {
 		s.directory.Down(true)
-		s.farm.Remove("p1-0")
-		s.farm.Give("p2-0", 3)                               // its address is another partner's now
-		aged(t, s.State(), 7*24*time.Hour)                   // vouched for a week ago
-		require.NoError(t, removeAll(s.State(), "learnt-*")) // which else knows the better endpoint
+		s.partners.Remove("p1-0")
+		s.partners.Give("p2-0", 3)                  // its address now belongs to another partner
+		ageStoredList(t, s.State(), 7*24*time.Hour) // last confirmed a week ago
+		// Otherwise the learned state shows which endpoint is the better one.
+		require.NoError(t, removeAll(s.State(), "learnt-*"))
 	})
 	assert.Regexp(t, `source=cached .*age=168h`, s.Log())
 	for i := 0; !strings.Contains(s.Log(), "of=p1-0 destination=1 addr="+s.list[0].HostPort+" is=refuted"); i++ {
 		require.Less(t, i, 200)
-		s.clump(1, fmt.Sprint("clump", i), 6) // one at a time goes to p1-0, if any
+		s.deliverBurst(1, fmt.Sprint("clump", i), 6) // at most one call at a time goes to p1-0
 	}
 	assert.Contains(t, s.Log(), "of=p1-1 destination=1 addr="+s.list[1].HostPort+" is=confirmed was=doubtful")
 	s.directory.Down(false)
-	calls := s.farm.Calls("p2-0")
+	calls := s.partners.Calls("p2-0")
 	list := slices.Clone(s.list)
 	list[2].Cell, list[2].InstanceID = 3, "new"
 	s.replace(list)
-	s.many(2, "told", 20)
-	assert.Equal(t, calls, s.farm.Calls("p2-0"), "whatever it has answered, it is another's")
-	for i := 0; s.farm.Calls("p2-0") == calls; i++ {
-		require.Less(t, i, 200, "p3 is called at its new address")
-		s.clump(3, fmt.Sprint("new", i), 6)
+	s.deliverMany(2, "told", 20)
+	assert.Equal(t, calls, s.partners.Calls("p2-0"), "despite its earlier replies the address belongs to another destination")
+	for i := 0; s.partners.Calls("p2-0") == calls; i++ {
+		require.Less(t, i, 200, "destination 3 is never called at its new address")
+		s.deliverBurst(3, fmt.Sprint("new", i), 6)
 	}
 }
 
@@ -150,8 +151,8 @@
 	return err
 }
 
-// aged makes the list that is kept in a folder so much older.
-func aged(t *testing.T, dir string, by time.Duration) {
+// ageStoredList moves the confirmation time of the list stored in dir back by the given duration.
+func ageStoredList(t *testing.T, dir string, by time.Duration) {
 	files, err := dircache.Files(dir)
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
@@ -165,72 +166,72 @@
 	require.NoError(t, os.WriteFile(files[0], w.Bytes(), 0o600))
 }
 
-// A clock that was set back between two lives makes the list's age one that is not
-// known: it is used with care.
+// If the clock is set back between two process runs, the age of the list is unknown: the list is used
+// with caution.
 func TestClockSetBack(t *testing.T) {
-	s := newStage(t, 1, map[string]any{})
-	s.many(1, "before", 2)
-	s.kept()
+	s := newTestbed(t, 1, map[string]any{})
+	s.deliverMany(1, "before", 2)
+	s.untilStored()
 	s.restart(syscall.SIGKILL, func() {
 		s.directory.Down(true)
-		aged(t, s.State(), -time.Hour)
+		ageStoredList(t, s.State(), -time.Hour)
 	})
-	s.many(1, "after", 2)
+	s.deliverMany(1, "after", 2)
 	_, err := s.Await(`msg=belief .*is=confirmed was=doubtful`)
 	require.NoError(t, err)
 }
 
-// A directory that loses most of its list is not believed at once, where the operator
-// says so: what is left out is served on, with doubt, but for what is named as
-// draining; what its lists agree on in the end is believed.
+// With keep_omitted set, a list that omits most endpoints is not accepted at once. Omitted endpoints
+// are still used, as doubtful, except those listed as draining. The list is accepted once enough
+// lists in a row agree.
 func TestCollapsedList(t *testing.T) {
-	s := newStageWith(t, 4, map[string]any{}, func(s *stage) {
-		s.told(map[string]any{"keep_omitted": true, "agree": 3, "agree_s": 2, "recheck_s": 0.1})
+	s := newTestbedWith(t, 4, map[string]any{}, func(s *testbed) {
+		s.configureDirectory(map[string]any{"keep_omitted": true, "agree": 3, "agree_s": 2, "recheck_s": 0.1})
 	}, false)
 	for d := uint32(1); d <= 4; d++ {
-		s.many(d, "before", 2)
+		s.deliverMany(d, "before", 2)
 	}
-	drains := s.list[2]
-	drains.Lifecycle = "Terminating"
-	s.directory.Replace([]standin.Instance{s.list[0], drains})
+	draining := s.list[2]
+	draining.Lifecycle = "Terminating"
+	s.directory.Replace([]standin.Instance{s.list[0], draining})
 	_, err := s.Await(`condition=collapsed is=entered why="6 of 8 endpoints are left out, 1 are listed"`)
 	require.NoError(t, err)
-	before := s.farm.Calls("p2-0")
+	before := s.partners.Calls("p2-0")
 	for d := uint32(1); d <= 4; d++ {
-		s.many(d, "kept", 2)
+		s.deliverMany(d, "kept", 2)
 	}
-	assert.Equal(t, before, s.farm.Calls("p2-0"), "it is named as draining")
+	assert.Equal(t, before, s.partners.Calls("p2-0"), "an endpoint listed as draining gets no calls")
 	_, err = s.Await(`condition=collapsed is=left why=".* lists agree over`)
 	require.NoError(t, err)
-	s.until("destination 4 has nobody", func() bool { return s.counters("idle.destinations") == "2" })
-	before = s.farm.Calls("p1-1")
-	s.many(1, "agreed", 5)
-	assert.Equal(t, before, s.farm.Calls("p1-1"))
+	s.until("destination 4 has no endpoint", func() bool { return s.counter("idle.destinations") == "2" })
+	before = s.partners.Calls("p1-1")
+	s.deliverMany(1, "agreed", 5)
+	assert.Equal(t, before, s.partners.Calls("p1-1"))
 }
 
-// Where the operator does not say so, a list's word is taken, whatever it leaves out.
-func TestCollapsedListIsTaken(t *testing.T) {
-	s := newStage(t, 4, map[string]any{})
+// Without keep_omitted, a list is accepted at once, whatever it omits.
+func TestCollapsedListIsAccepted(t *testing.T) {
+	s := newTestbed(t, 4, map[string]any{})
 	for d := uint32(1); d <= 4; d++ {
-		s.many(d, "before", 2)
+		s.deliverMany(d, "before", 2)
 	}
 	s.replace(s.list[:1])
 	_, err := s.Await(`condition=collapsed is=entered`)
 	require.NoError(t, err)
-	before := s.farm.Calls("p1-1")
-	s.many(1, "after", 10)
-	assert.Equal(t, before, s.farm.Calls("p1-1"))
+	before := s.partners.Calls("p1-1")
+	s.deliverMany(1, "after", 10)
+	assert.Equal(t, before, s.partners.Calls("p1-1"))
 	s.replace(s.list)
 	_, err = s.Await(`condition=collapsed is=left`)
 	require.NoError(t, err)
-	s.many(4, "after", 2)
+	s.deliverMany(4, "after", 2)
 }
 
-// A list that flaps between two answers is served by what both have; what is named as
-// draining meanwhile gets nothing.
+// While the list flaps between two versions, the endpoints in both are preferred. An endpoint listed
+// as draining gets no calls.
 func TestFlappingList(t *testing.T) {
-	s := newStageWith(t, 2, map[string]any{}, func(s *stage) {
-		s.told(map[string]any{"flap_rest_s": 1})
+	s := newTestbedWith(t, 2, map[string]any{}, func(s *testbed) {
+		s.configureDirectory(map[string]any{"flap_rest_s": 1})
 	}, false)
 	for range 3 {
 		s.replace(s.list[:3])
@@ -238,33 +239,33 @@
 	}
 	_, err := s.Await(`condition=flapping is=entered`)
 	require.NoError(t, err)
-	// What it brings now is in doubt: the endpoint that both lists have goes first.
+	// Endpoints that a list adds now are doubtful: the endpoint in both lists is preferred.
 	s.replace(s.list[:3])
 	s.replace(s.list)
-	before := s.farm.Calls("p2-1")
+	before := s.partners.Calls("p2-1")
 	for i := range 5 {
-		s.clump(2, fmt.Sprint("flap", i), 6)
+		s.deliverBurst(2, fmt.Sprint("flap", i), 6)
 	}
-	assert.Equal(t, before, s.farm.Calls("p2-1"))
-	drains := s.list[0]
-	drains.Lifecycle = "Terminating"
-	s.replace(append([]standin.Instance{drains}, s.list[1:]...))
-	before = s.farm.Calls("p1-0")
-	s.many(1, "drained", 10)
-	assert.Equal(t, before, s.farm.Calls("p1-0"), "what it names as draining gets nothing")
+	assert.Equal(t, before, s.partners.Calls("p2-1"))
+	draining := s.list[0]
+	draining.Lifecycle = "Terminating"
+	s.replace(append([]standin.Instance{draining}, s.list[1:]...))
+	before = s.partners.Calls("p1-0")
+	s.deliverMany(1, "drained", 10)
+	assert.Equal(t, before, s.partners.Calls("p1-0"), "an endpoint listed as draining gets no calls")
 	_, err = s.Await(`condition=flapping is=left why="no turn for 1s"`)
 	require.NoError(t, err)
-	s.many(2, "rest", 3)
+	s.deliverMany(2, "rest", 3)
 }
 
-// Changes to an older list than the one held are no news, but for what they name as
-// draining; and an agent at another address is asked for its whole list.
-func TestListGoesBack(t *testing.T) {
-	s := newStage(t, 2, map[string]any{})
-	s.many(1, "before", 2)
-	drains := s.list[0]
-	drains.Lifecycle = "Terminating"
-	b, err := json.Marshal(map[string]any{"generation": 1, "reset": false, "instances": []any{drains}})
+// Changes to a list older than the current one are ignored, except that endpoints listed as draining
+// get no more calls. After a move to an agent at another address, the courier asks for a full list.
+func TestOlderListIsIgnored(t *testing.T) {
+	s := newTestbed(t, 2, map[string]any{})
+	s.deliverMany(1, "before", 2)
+	draining := s.list[0]
+	draining.Lifecycle = "Terminating"
+	b, err := json.Marshal(map[string]any{"generation": 1, "reset": false, "instances": []any{draining}})
 	require.NoError(t, err)
 	s.replace(s.list)
 	s.replace(s.list)
@@ -273,26 +274,26 @@
 	require.NoError(t, err)
 	_, err = s.Await(`code=drained`)
 	require.NoError(t, err)
-	before := s.farm.Calls("p1-0")
-	s.many(1, "back", 5)
-	assert.Equal(t, before, s.farm.Calls("p1-0"))
-	// The other agent has started anew, and has other endpoints for destination 2.
+	before := s.partners.Calls("p1-0")
+	s.deliverMany(1, "back", 5)
+	assert.Equal(t, before, s.partners.Calls("p1-0"))
+	// The other agent has restarted and has other endpoints for destination 2.
 	other, err := standin.NewDirectory(s.list[:3])
 	require.NoError(t, err)
 	t.Cleanup(other.Close)
 	s.Play.Let("discovery", other.Addr())
 	s.Play.Run("courier wait hup")
 	s.until("the other agent's list", func() bool { return other.Heard() == 1 })
-	before = s.farm.Calls("p2-1")
-	s.many(2, "moved", 5)
-	assert.Equal(t, before, s.farm.Calls("p2-1"))
+	before = s.partners.Calls("p2-1")
+	s.deliverMany(2, "moved", 5)
+	assert.Equal(t, before, s.partners.Calls("p2-1"))
 }
 
-// What is kept on disk may be damaged in any way: it costs what is known.
+// Damaged files on disk lose the stored list and learned state, and nothing else: the courier starts.
 func TestDamagedCache(t *testing.T) {
-	s := newStage(t, 1, map[string]any{})
-	s.many(1, "before", 3)
-	s.kept()
+	s := newTestbed(t, 1, map[string]any{})
+	s.deliverMany(1, "before", 3)
+	s.untilStored()
 	for name, damage := range map[string]func(b []byte) []byte{
 		"torn":      func(b []byte) []byte { return append(b[:len(b)/2:len(b)/2], make([]byte, len(b)/2)...) },
 		"truncated": func(b []byte) []byte { return b[:len(b)-3] },
@@ -317,27 +318,27 @@
 			}
 		})
 		assert.Contains(t, s.Log(), "file=directory-", name)
-		assert.Equal(t, load.Refused, s.add(1, "nobody"), name)
+		assert.Equal(t, load.Refused, s.submit(1, "nobody"), name)
 		s.directory.Down(false)
 		s.replace(s.list)
-		s.many(1, name, 2)
-		s.kept()
+		s.deliverMany(1, name, 2)
+		s.untilStored()
 	}
 }
 
-// A folder that takes no list costs what would be kept, and the courier serves.
-func TestNoRoomForTheCache(t *testing.T) {
-	s := newStageWith(t, 1, map[string]any{}, func(s *stage) {
+// If the list cannot be written to the state folder, the courier logs that once and still delivers.
+func TestListCannotBeStored(t *testing.T) {
+	s := newTestbedWith(t, 1, map[string]any{}, func(s *testbed) {
 		blocked := filepath.Join(s.State(), "directory-new")
 		require.NoError(t, os.MkdirAll(filepath.Join(blocked, "x"), 0o700))
 	}, false)
 	assert.Equal(t, 1, strings.Count(s.Log(), "the directory's list is not kept"))
-	s.many(1, "taken", 3)
+	s.deliverMany(1, "taken", 3)
 }
 
-// condition tells whether what is kept on disk says that an endpoint of a destination
-// is in it; with every, that all of its endpoints are.
-func (s *stage) condition(dest uint32, c snowjunction.Condition, every ...bool) bool {
+// storedCondition returns whether the learned state on disk has an endpoint of a destination in
+// condition c, or with every, whether all of them are.
+func (s *testbed) storedCondition(dest uint32, c snowjunction.Condition, every ...bool) bool {
 	in := map[bool]int{}
 	for _, r := range learnedstate.Load(s.State(), func(string, error) {}) {
 		m, err := snapshot.Decode(r.Snapshot)
@@ -351,87 +352,88 @@
 	return in[true] > 0 && (len(every) == 0 || in[false] == 0)
 }
 
-// beside waits for something that is to come, with messages to a destination meanwhile: what
-// is learnt goes to disk as the journal's writes allow it.
-func (s *stage) beside(dest uint32, what string, ok func() bool) {
+// untilWithTraffic waits for a condition while it delivers messages to a destination: learned state
+// is only written to disk along with journal writes.
+func (s *testbed) untilWithTraffic(dest uint32, what string, ok func() bool) {
 	s.t.Helper()
 	n := 0
 	s.until(what, func() bool {
-		s.many(dest, fmt.Sprint("beside", n), 1)
+		s.deliverMany(dest, fmt.Sprint("beside", n), 1)
 		n++
 		return ok()
 	})
 }
 
-// Killed in an outage, twice in a row, the courier knows of it: what waits does not go
-// as a clump into a partner that says nothing, but one call at a time.
+// A courier that is killed twice during a partner's outage still knows of the outage: waiting
+// messages go to the silent partner one call at a time, not as a burst.
 func TestOutageOutlastsRestarts(t *testing.T) {
-	s := newStage(t, 2, map[string]any{})
-	s.many(1, "before", 5)
-	s.many(2, "before", 20)
-	require.NoError(t, s.farm.With(1, func(p *partner.Partner) {
-		p.Add(partner.Fault{Kind: partner.Silent, From: s.farm.Now(), Until: s.farm.Now() + time.Hour})
+	s := newTestbed(t, 2, map[string]any{})
+	s.deliverMany(1, "before", 5)
+	s.deliverMany(2, "before", 20)
+	require.NoError(t, s.partners.With(1, func(p *partner.Partner) {
+		p.Add(partner.Fault{Kind: partner.Silent, From: s.partners.Now(), Until: s.partners.Now() + time.Hour})
 	}))
-	// Time-outs close the gates; one endpoint held and one never called would take a clump.
-	// As many are open as the courier has slots: once it is nearly full it sheds what comes.
-	lost := 0
-	s.beside(2, "every endpoint is held", func() bool {
-		if lost-len(s.directory.Notices()) < 8 {
-			require.Equal(t, load.Taken, s.add(1, fmt.Sprintf("lost-%d", lost)))
-			lost++
+	// Timeouts open the circuit breakers. Both endpoints must be down: one that was never called
+	// would get a burst. At most 8 messages are open, as many as the courier has slots: a nearly
+	// full courier sheds new messages.
+	submitted := 0
+	s.untilWithTraffic(2, "every endpoint is down", func() bool {
+		if submitted-len(s.directory.Notices()) < 8 {
+			require.Equal(t, load.Taken, s.submit(1, fmt.Sprintf("lost-%d", submitted)))
+			submitted++
 		}
-		return s.condition(1, snowjunction.Down, true)
+		return s.storedCondition(1, snowjunction.Down, true)
 	})
-	for life := range 2 {
+	for run := range 2 {
 		s.restart(syscall.SIGKILL, func() {
-			s.until("the last life's calls are over", func() bool { return s.under(1) == 0 })
+			s.until("the calls of the previous process run are over", func() bool { return s.callsInProgress(1) == 0 })
 		})
-		assert.NotEqual(t, "0", s.counters("learnt.recalled"))
+		assert.NotEqual(t, "0", s.counter("learnt.recalled"))
 		for i := range 6 {
-			s.add(1, fmt.Sprintf("clump-%d-%d", life, i))
+			s.submit(1, fmt.Sprintf("clump-%d-%d", run, i))
 		}
-		s.until("a trial", func() bool { return s.under(1) > 0 })
-		s.many(2, fmt.Sprint("life", life), 5)
-		assert.LessOrEqual(t, s.under(1), 1)
+		s.until("a half-open trial call", func() bool { return s.callsInProgress(1) > 0 })
+		s.deliverMany(2, fmt.Sprint("life", run), 5)
+		assert.LessOrEqual(t, s.callsInProgress(1), 1)
 	}
 }
 
-// under is how many calls a partner has under way.
-func (s *stage) under(dest uint32) (n int) {
-	require.NoError(s.t, s.farm.With(dest, func(p *partner.Partner) { n = p.Under() }))
+// callsInProgress returns the number of calls that a partner is processing.
+func (s *testbed) callsInProgress(dest uint32) (n int) {
+	require.NoError(s.t, s.partners.With(dest, func(p *partner.Partner) { n = p.Under() }))
 	return n
 }
 
-// Killed in the wait that a shut partner has told, the courier asks it again, as the
-// restart ends the wait, and knows that it is shut: one that opens is cold.
-func TestToldWaitEndsWithRestart(t *testing.T) {
-	s := newStage(t, 2, map[string]any{})
-	s.many(1, "before", 5)
-	require.NoError(t, s.farm.With(1, func(p *partner.Partner) {
-		p.Add(partner.Fault{Kind: partner.Shut, From: s.farm.Now(), Until: s.farm.Now() + time.Hour})
+// A courier killed during the retry-after delay of a closed partner calls it again after the restart,
+// which ends the delay. It still knows that the partner was closed, so it will treat it as cold.
+func TestRetryAfterEndsWithRestart(t *testing.T) {
+	s := newTestbed(t, 2, map[string]any{})
+	s.deliverMany(1, "before", 5)
+	require.NoError(t, s.partners.With(1, func(p *partner.Partner) {
+		p.Add(partner.Fault{Kind: partner.Shut, From: s.partners.Now(), Until: s.partners.Now() + time.Hour})
 	}))
-	calls := func() int { return s.farm.Calls("p1-0") + s.farm.Calls("p1-1") }
-	s.add(1, "told")
+	calls := func() int { return s.partners.Calls("p1-0") + s.partners.Calls("p1-1") }
+	s.submit(1, "told")
 	_, err := s.Await(`gate: destination 1 endpoint \d+ shut, told until when`)
 	require.NoError(t, err)
-	s.beside(2, "it is known to be shut", func() bool { return s.condition(1, snowjunction.Recovering) })
-	told := calls()
-	s.many(2, "meanwhile", 20)
-	assert.Equal(t, told, calls(), "the wait is heeded")
+	s.untilWithTraffic(2, "the closed partner is stored as recovering", func() bool { return s.storedCondition(1, snowjunction.Recovering) })
+	calledBefore := calls()
+	s.deliverMany(2, "meanwhile", 20)
+	assert.Equal(t, calledBefore, calls(), "the courier honors the retry-after delay")
 	s.restart(syscall.SIGKILL, func() {})
-	s.add(1, "again")
-	s.until("a call after the restart", func() bool { return calls() > told })
-	s.many(2, "after", 20)
-	again := calls()
-	s.many(2, "then", 20)
-	assert.Equal(t, again, calls(), "told anew, it waits anew")
-	assert.NotEqual(t, "0", s.counters("learnt.recalled"))
+	s.submit(1, "again")
+	s.until("a call after the restart", func() bool { return calls() > calledBefore })
+	s.deliverMany(2, "after", 20)
+	calledAgain := calls()
+	s.deliverMany(2, "then", 20)
+	assert.Equal(t, calledAgain, calls(), "the courier honors the second retry-after delay")
+	assert.NotEqual(t, "0", s.counter("learnt.recalled"))
 }
 
-// A planned stop keeps the limit that was told, and the next life knows it.
+// A planned stop stores the reported limit, and the next process run restores it.
 func TestLimitOutlastsRestart(t *testing.T) {
-	s := newStage(t, 1, map[string]any{})
-	s.many(1, "before", 30)
+	s := newTestbed(t, 1, map[string]any{})
+	s.deliverMany(1, "before", 30)
 	require.NoError(t, s.Stop(syscall.SIGTERM))
 	limit := 0.0
 	for _, r := range learnedstate.Load(s.State(), func(string, error) {}) {
@@ -441,22 +443,23 @@
 		limit = m.State.Routes[0].Limit
 	}
 	assert.InDelta(t, 50, limit, 0.1)
-	s.restart(syscall.SIGTERM, func() {}) // it has stopped already
-	s.many(1, "after", 2)
-	assert.Equal(t, "1", s.counters("idle.known"))
+	s.restart(syscall.SIGTERM, func() {}) // it has already stopped
+	s.deliverMany(1, "after", 2)
+	assert.Equal(t, "1", s.counter("idle.known"))
 }
 
-// What is kept can be seen, compared, taken out and put in, and a running courier asked.
+// The directory commands show, compare, export and import the stored list and query a running
+// courier.
 func TestDirectoryCommands(t *testing.T) {
-	s := newStageWith(t, 2, map[string]any{}, func(s *stage) {
+	s := newTestbedWith(t, 2, map[string]any{}, func(s *testbed) {
 		b, err := json.Marshal(map[string]any{"folder": "", "admin": filepath.Join(s.Dir(), "door")})
 		require.NoError(s.t, err)
 		path := filepath.Join(s.Dir(), "plugins.json")
 		require.NoError(s.t, os.WriteFile(path, b, 0o600))
 		s.Env = append(s.Env, "SNOWJUNCTION_PLUGINS="+path)
 	}, false)
-	s.many(1, "before", 3)
-	s.kept()
+	s.deliverMany(1, "before", 3)
+	s.untilStored()
 	run := func(code int, args ...string) string {
 		out, got := command(t, []string{"GW_STATE=" + s.State()}, append([]string{"directory"}, args...)...)
 		assert.Equal(t, code, got, "%v: %s", args, out)
@@ -485,8 +488,8 @@
 	for wrong, want := range map[string]string{
 		`{"generation":1,"instances":[{"instanceId":"a","hostPort":"nowhere","cell":1,"lifecycle":"Ready"}]}`: "/instances/0: hostPort",
 		`{"generation":1,"reset":false,"instances":[]}`:                                                       "/reset: must be true",
-		`{"instances":[]}`:                           "/generation: missing",
-		`{"generation":1,"instances":[` + two + `]}`: "/instances/1:",
+		`{"instances":[]}`: "/generation: missing",
+		`{"generation":1,"instances":[` + duplicateEndpoints + `]}`: "/instances/1:",
 		`nothing`: "it begins otherwise",
 	} {
 		require.NoError(t, os.WriteFile(file, []byte(wrong), 0o600))
@@ -494,4 +497,4 @@
 	}
 }
 
-const two = `{"instanceId":"a","hostPort":"127.0.0.1:1","cell":1,"lifecycle":"Ready"},{"instanceId":"a","hostPort":"127.0.0.1:2","cell":1,"lifecycle":"Ready"}`
+const duplicateEndpoints = `{"instanceId":"a","hostPort":"127.0.0.1:1","cell":1,"lifecycle":"Ready"},{"instanceId":"a","hostPort":"127.0.0.1:2","cell":1,"lifecycle":"Ready"}`
--- a/cmd/snowjunction/fleet_test.go
+++ b/cmd/snowjunction/fleet_test.go
@@ -14,8 +14,8 @@
 	"snowjunction/internal/scenario"
 )
 
-// fleet starts one courier of so many, with a target for destination 7.
-func fleet(t *testing.T, size any) *scenario.Courier {
+// startInFleet starts one courier of a fleet of the given size, with a target for destination 7.
+func startInFleet(t *testing.T, size any) *scenario.Courier {
 	c := scenario.NewCourier(t)
 	c.Settings["fleet-size"] = size
 	c.Targets = []scenario.Target{{Name: "s-1", Addr: c.Play.Server("target"), Cell: 7}}
@@ -25,10 +25,10 @@
 	return c
 }
 
-// One courier of a large fleet that the directory turns away stays away for its part of
-// the fleet's pause, then asks for what is newer than the list it has used meanwhile.
-func TestOverbookedDirectory(t *testing.T) {
-	c := fleet(t, 80)
+// A courier of a large fleet that the directory rejects pauses in proportion to the fleet size.
+// Then it asks for changes since the list that it uses.
+func TestDirectoryRejects(t *testing.T) {
+	c := startInFleet(t, 80)
 	last := 0
 	for range 2 {
 		c.Play.Run(`
@@ -42,7 +42,7 @@
 		require.NoError(t, err)
 		pause, err := strconv.Atoi(line[1])
 		require.NoError(t, err)
-		assert.GreaterOrEqual(t, pause, 1000, "eighty couriers that come back sooner keep the directory busy")
+		assert.GreaterOrEqual(t, pause, 1000, "with shorter pauses, eighty couriers would keep the directory overloaded")
 		assert.GreaterOrEqual(t, pause, last)
 		last = pause
 	}
@@ -58,10 +58,10 @@
 	`)
 }
 
-// Started with a full journal while the directory turns it away, a courier of a large
-// fleet delivers what it holds from the list it had.
-func TestStartWhileOverbooked(t *testing.T) {
-	c := fleet(t, 80)
+// A courier of a large fleet that restarts with messages in its journal while the directory rejects
+// it delivers them by the stored list.
+func TestStartWhileDirectoryRejects(t *testing.T) {
+	c := startInFleet(t, 80)
 	c.Play.Run(`
 		client dial c
 		c send "*5\r\n$7\r\nOUT.ADD\r\n$16\r\n0000000000000000\r\n$2\r\nm1\r\n$29\r\nc=status,t=town,d=8000,dest=7\r\n$1\r\nx\r\n"
@@ -81,10 +81,10 @@
 	`)
 }
 
-// A fleet's size that is missing or cannot be read is that of a courier alone.
-func TestFleetSizeUnread(t *testing.T) {
+// A missing or invalid fleet size counts as a fleet of one courier.
+func TestInvalidFleetSize(t *testing.T) {
 	for _, size := range []any{nil, 0, -5, "many", 1} {
-		fleet(t, size).Play.Run(`
+		startInFleet(t, size).Play.Run(`
 			discovery accept d
 			d expect "...\r\n\r\n"
 			d send "$busy"
@@ -94,12 +94,12 @@
 	}
 }
 
-// One courier of eighty asks the keeper of a limit over the wire before it calls, and
-// calls once it is granted that. What cannot be read does it no harm.
-func TestAsksKeeper(t *testing.T) {
-	keeper, err := net.ListenPacket("udp4", "127.0.0.1:0")
+// One courier of eighty requests a grant from the lease owner of a limit before it calls, and calls
+// once it has the grant. Datagrams that cannot be decoded do no harm.
+func TestRequestsGrant(t *testing.T) {
+	leaseOwner, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { keeper.Close() })
+	t.Cleanup(func() { leaseOwner.Close() })
 	own, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, own.Close())
@@ -108,7 +108,7 @@
 	c.Settings["limits"].(map[string]any)["may-tell"] = true
 	peers := make([]string, 80)
 	for i := range peers {
-		peers[i] = keeper.LocalAddr().String() // all of them are this one
+		peers[i] = leaseOwner.LocalAddr().String() // the test owns all other addresses
 	}
 	peers[79] = own.LocalAddr().String()
 	c.Peers = map[string]any{"peer_listen": peers[79], "peers": peers}
@@ -118,10 +118,10 @@
 	c.Play.Let("STATUS", "\r\n$29\r\nc=status,t=town,d=8000,dest=7\r\n$1\r\n")
 	require.NoError(t, c.Start())
 	limits := make(chan float64, 64)
-	go func() { // grants whatever is asked, among what cannot be read
+	go func() { // grants every request, among invalid datagrams
 		buf := make([]byte, 512)
 		for {
-			n, from, err := keeper.ReadFrom(buf)
+			n, from, err := leaseOwner.ReadFrom(buf)
 			if err != nil {
 				return
 			}
@@ -137,7 +137,7 @@
 					continue
 				}
 				for _, b := range append([][]byte{nil, []byte("bad"), make([]byte, 4000)}, peermsg.Encode([]snowjunction.PeerMessage{{Destination: 7, IsGrant: true, Calls: 1}})...) {
-					_, _ = keeper.WriteTo(b, from)
+					_, _ = leaseOwner.WriteTo(b, from)
 				}
 			}
 		}
@@ -155,7 +155,7 @@
 		t send "$ok"
 	`)
 	assert.Equal(t, 44.0, <-limits)
-	// Each of them is counted, and what an address says that is no peer's.
+	// Invalid datagrams and those of addresses that are not peers are counted.
 	stranger, err := net.Dial("udp4", peers[79])
 	require.NoError(t, err)
 	defer stranger.Close()
@@ -165,7 +165,7 @@
 		require.NoError(t, c.Signal(syscall.SIGUSR1))
 		line, err := c.Await(`counters .* n.unread=([0-9]+) .* datagrams.strange=([0-9]+) datagrams.oversize=([0-9]+)`)
 		require.NoError(t, err)
-		if line[1] >= "2" && line[2] == "1" && line[3] >= "1" { // they come when they come
+		if line[1] >= "2" && line[2] == "1" && line[3] >= "1" { // some datagrams may still be on their way
 			break
 		}
 	}
--- a/cmd/snowjunction/handover_test.go
+++ b/cmd/snowjunction/handover_test.go
@@ -25,26 +25,27 @@
 	"snowjunction/internal/standin/load"
 )
 
-// pair is a courier with a second address, and a process to be started beside it. A limit on
-// sockets may be given.
-func pair(t *testing.T, sockets ...int) (old, next *scenario.Courier) {
+// startPair starts a courier with a console address and prepares a second process of the same
+// courier, with an optional limit on sockets.
+func startPair(t *testing.T, sockets ...int) (old, next *scenario.Courier) {
 	old = prepare(t)
 	if len(sockets) > 0 {
 		old.Limits["sockets"] = sockets[0]
 	}
 	old.Peers = map[string]any{"console": "127.0.0.1:0"}
 	require.NoError(t, old.Start())
-	console(t, old, "old")
+	defineConsole(t, old, "old")
 	p := old.Play
 	p.Let("last", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
-	// $ADDm1$STATUSx is a message as in prepare; $KEY id $ORDER key byte: one of a key in order.
+	// $KEYid$ORDERkey\r\n$1\r\nbyte\r\n submits an ordered message; $ADD and $STATUS are defined in
+	// prepare.
 	p.Let("KEY", "*5\r\n$7\r\nOUT.ADD\r\n$16\r\n0000000000000009\r\n$2\r\n")
 	p.Let("ORDER", "\r\n$34\r\nc=order,t=town,d=60000,dest=7,k=")
 	return old, old.Beside("next")
 }
 
-// m1Out has client a hand m1 in, which goes out to t1 and is not answered.
-const m1Out = `
+// m1Sent makes client a submit m1, which is sent to t1 and not answered.
+const m1Sent = `
 	client dial a
 	a send "$ADDm1$STATUSx\r\n"
 	a expect "+OK\r\n"
@@ -53,31 +54,31 @@
 	t1 expect "...\r\n\r\nx"
 `
 
-// meets has next come to the owner as soon as a script has been played: it has started before,
-// and waits. So what the script leaves half done is handed over within the times that such a
-// thing may take, however long a process takes to start.
-func meets(t *testing.T, old, next *scenario.Courier, script string) {
-	door := filepath.Join(old.State(), "handover.sock")
-	away := door + ".away"
-	require.NoError(t, os.Rename(door, away))
+// handOverAfter starts next, which cannot reach the owner's handover socket until the script has run.
+// So requests that the script leaves incomplete are handed over before their timeouts, however long a
+// process takes to start.
+func handOverAfter(t *testing.T, old, next *scenario.Courier, script string) {
+	socketPath := filepath.Join(old.State(), "handover.sock")
+	hiddenPath := socketPath + ".away"
+	require.NoError(t, os.Rename(socketPath, hiddenPath))
 	require.NoError(t, next.Launch())
 	old.Play.Run(`next wait "waits for the folder's owner"`)
 	old.Play.Run(script)
-	require.NoError(t, os.Rename(away, door))
+	require.NoError(t, os.Rename(hiddenPath, socketPath))
 	old.Play.Run(`
 		next wait "msg=started"
 		courier wait "handed over"
 	`)
 }
 
-// console names the second address of a courier that has started.
-func console(t *testing.T, c *scenario.Courier, name string) {
+// defineConsole defines name as the console address of a started courier.
+func defineConsole(t *testing.T, c *scenario.Courier, name string) {
 	m, err := c.Await(`msg="second address" .*listen=(\S+)`)
 	require.NoError(t, err)
 	c.Play.Let(name, m[1])
 }
 
-// telemetry is what a second address tells.
+// telemetry returns the figures from the console address with the given name.
 func telemetry(t *testing.T, p *scenario.Play, name string) (x core.Figures) {
 	c, err := net.DialTimeout("tcp", p.Name(name), scenario.Limit)
 	require.NoError(t, err)
@@ -88,13 +89,13 @@
 	return x
 }
 
-// Messages out, a key's in order, half a request and a client that is only connected pass to
-// the process started beside the first: nothing is lost, sent twice or out of order, and what
-// is counted is counted once.
+// Calls in progress, the queue of an ordering key, an incomplete request and a silent client
+// connection are handed over to the second process. Nothing is lost, sent twice or out of order,
+// and everything is counted once.
 func TestHandover(t *testing.T) {
-	old, next := pair(t)
+	old, next := startPair(t)
 	p := old.Play
-	p.Run(m1Out + `
+	p.Run(m1Sent + `
 		client dial k
 		k send "$KEYo1$ORDERk1\r\n$1\r\na\r\n"
 		k expect "+OK\r\n"
@@ -107,7 +108,7 @@
 		half send "*1\r\n$4\r\nPING\r\n"
 		half expect "+PONG\r\n"
 	`)
-	meets(t, old, next, `
+	handOverAfter(t, old, next, `
 		half send "*5\r\n$7\r\nOUT.ADD\r\n$16\r\n00000000"
 		t1 send "HTTP/1.1 200"
 		client dial quiet
@@ -122,7 +123,7 @@
 		t3 expect "...X-Request-ID: m2\r\n"
 		t3 expect "...\r\n\r\ny"
 		t3 send "$last"
-		# the key's second goes once the first has ended, on the connection that was handed over
+		# the key's second message is sent once the first has ended, on the connection that was handed over
 		t2 send "$ok"
 		t2 expect "POST /inbox HTTP/1.1\r\n"
 		t2 expect "...X-Request-ID: o2\r\n"
@@ -135,12 +136,12 @@
 		a expect "+OK\r\n"
 		t2 expect "...X-Request-ID: m3\r\n"
 	`)
-	console(t, next, "new")
-	was, is := telemetry(t, p, "old"), telemetry(t, p, "new")
-	assert.Equal(t, core.Figures{Fulfilled: map[string]uint64{"order": 0, "status": 0}, Throttled: is.Throttled, Faulted: is.Faulted, Relayed: 2, Entries: 2}, was)
-	assert.Equal(t, map[string]uint64{"order": 2, "status": 2}, is.Fulfilled)
-	assert.EqualValues(t, 3, is.Relayed)
-	assert.Equal(t, 1, is.Open)
+	defineConsole(t, next, "new")
+	oldFigures, newFigures := telemetry(t, p, "old"), telemetry(t, p, "new")
+	assert.Equal(t, core.Figures{Fulfilled: map[string]uint64{"order": 0, "status": 0}, Throttled: newFigures.Throttled, Faulted: newFigures.Faulted, Relayed: 2, Entries: 2}, oldFigures)
+	assert.Equal(t, map[string]uint64{"order": 2, "status": 2}, newFigures.Fulfilled)
+	assert.EqualValues(t, 3, newFigures.Relayed)
+	assert.Equal(t, 1, newFigures.Open)
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	p.Run(`
 		t2 send "$ok"
@@ -150,14 +151,14 @@
 	`)
 }
 
-// Calls that reach the process which has handed over hold at the owner, and a SIGHUP does.
+// After a handover, console calls and a SIGHUP that reach the old process take effect at the owner.
 func TestCallsToBothProcesses(t *testing.T) {
-	old, next := pair(t)
+	old, next := startPair(t)
 	p := old.Play
 	p.Run(`
 		old dial half
 	`)
-	meets(t, old, next, `half send "exclude "`)
+	handOverAfter(t, old, next, `half send "exclude "`)
 	p.Run(`
 		half send "s-1\n"
 		half expect "done\n"
@@ -166,7 +167,7 @@
 		q send "exclude s-2\n"
 		q expect "error no such endpoint\n"
 	`)
-	console(t, next, "new")
+	defineConsole(t, next, "new")
 	assert.Equal(t, 1, telemetry(t, p, "new").OutOfRotation)
 	assert.Equal(t, 1, telemetry(t, p, "old").OutOfRotation)
 	require.NoError(t, old.Signal(syscall.SIGHUP))
@@ -188,12 +189,13 @@
 	assert.Equal(t, 1, telemetry(t, p, "new").OutOfRotation)
 }
 
-// The new process is killed while the old one still answers: that one owns again, from the
-// journal, as after any restart. A third process, started at once, finds one owner.
-func TestNewOneDies(t *testing.T) {
-	old, _ := pair(t)
+// If the new process is killed while the old one still runs, the old process owns the folder again
+// and continues from the journal, as after a restart. A third process started at once finds one
+// owner.
+func TestNewProcessDies(t *testing.T) {
+	old, _ := startPair(t)
 	p := old.Play
-	p.Run(m1Out + `
+	p.Run(m1Sent + `
 		next wait start
 		next wait kill
 		courier wait "owns the folder again"
@@ -214,12 +216,12 @@
 	`)
 }
 
-// Another process asks and goes away, or falls silent, at each step: the owner goes on with
-// its clients and calls, and the next one that asks is handed everything.
-func TestAskedInVain(t *testing.T) {
-	old, _ := pair(t)
+// Another process requests a handover and disconnects at each step. The owner continues with its
+// clients and calls, and the next process that requests a handover gets everything.
+func TestAbortedHandovers(t *testing.T) {
+	old, _ := startPair(t)
 	p := old.Play
-	p.Run(m1Out)
+	p.Run(m1Sent)
 	for _, last := range []handover.Kind{handover.KindHello, handover.KindClient, handover.KindEnd, handover.KindLock} {
 		link, err := handover.Dial(old.State())
 		require.NoError(t, err)
@@ -258,10 +260,10 @@
 	`)
 }
 
-// What is no frame is refused with one line; a process that speaks another version has the
-// owner end in order, and starts as after any end.
-func TestForeignFrames(t *testing.T) {
-	old, _ := pair(t)
+// Invalid frames are rejected with one log line each. For a process with another protocol version the
+// owner stops in an orderly way, and the new process starts from the journal.
+func TestInvalidFrames(t *testing.T) {
+	old, _ := startPair(t)
 	raw := func(b []byte) {
 		c, err := net.Dial("unixpacket", filepath.Join(old.State(), "handover.sock"))
 		require.NoError(t, err)
@@ -279,7 +281,7 @@
 		courier wait "a handover was refused"
 		courier wait "a handover was refused"
 	`)
-	old.Play.Run(m1Out)
+	old.Play.Run(m1Sent)
 	hello[record.FrameSize]++
 	raw(record.Seal(hello))
 	old.Play.Run(`
@@ -290,10 +292,10 @@
 	`)
 }
 
-// The owner stands still, does not answer or is already ending: the other waits and says so,
-// ends when told to, and starts once the owner is gone or hands over.
-func TestOwnerStandsStill(t *testing.T) {
-	old, next := pair(t)
+// While the owner is suspended or already stopping, the new process logs that it waits and stops on
+// SIGTERM. It starts once the owner has ended or hands over.
+func TestOwnerSuspended(t *testing.T) {
+	old, next := startPair(t)
 	require.NoError(t, old.Signal(syscall.SIGSTOP))
 	require.NoError(t, next.Launch())
 	old.Play.Run(`
@@ -317,8 +319,8 @@
 	`)
 }
 
-// The folder's owner is no courier that can be asked: the process waits for the lock alone.
-func TestOwnerWithoutDoor(t *testing.T) {
+// If the owner of the folder has no handover socket, the new process waits for the lock.
+func TestOwnerWithoutSocket(t *testing.T) {
 	c := prepare(t)
 	lock, err := handover.Acquire(c.State())
 	require.NoError(t, err)
@@ -328,9 +330,9 @@
 	c.Play.Run(`courier wait "msg=started"`)
 }
 
-// An address that a program has which is no courier of this folder ends the start with one
-// line, before anything in the folder is touched.
-func TestAddressTaken(t *testing.T) {
+// If the listen address is in use by a program that does not own the state folder, the start fails
+// with one line, before anything in the folder is written.
+func TestAddressInUse(t *testing.T) {
 	c := prepare(t)
 	c.Peers = map[string]any{"listen": c.Play.Server("foreign")}
 	require.Error(t, c.Start())
@@ -340,38 +342,41 @@
 	assert.Empty(t, files)
 }
 
-// account waits for the end of every message, of which so many were handed in, some again.
-func (s *stage) account(handed int) (e load.Ends) {
+// awaitResults waits for the final result of every message and returns the totals. submitted is
+// the number of distinct messages submitted; some were resubmitted.
+func (s *testbed) awaitResults(submitted int) (e load.Ends) {
 	s.t.Helper()
 	sent := map[string]load.Message{}
 	for _, m := range s.client.Sent {
 		sent[m.ID] = m
 	}
 	s.client.Sent = slices.Collect(maps.Values(sent))
-	s.until("every message's end", func() bool {
+	s.until("the final result of every message", func() bool {
 		e = s.client.Account(s.seen, s.directory.Notices(), nil)
 		return e.Open == 0
 	})
-	assert.Equal(s.t, handed, e.Handed)
+	assert.Equal(s.t, submitted, e.Handed)
 	return e
 }
 
-// Processes follow one another under load, by upgrades alone: every message is answered at once,
-// has one end, in order, and none is sent twice.
-func TestUpgradesUnderLoad(t *testing.T) { upgrades(t, false) }
+// Under load, processes replace each other by upgrades alone: every message is answered at once,
+// has one final result, in order, and none is sent twice.
+func TestUpgradesUnderLoad(t *testing.T) { testUpgrades(t, false) }
 
-// The same with one that starts right after a kill, and one whose elder is told to end first.
-func TestUpgradesAndKills(t *testing.T) { upgrades(t, true) }
+// As TestUpgradesUnderLoad, with one process started after a kill and one started while the old
+// process stops on SIGTERM.
+func TestUpgradesAndKills(t *testing.T) { testUpgrades(t, true) }
 
-func upgrades(t *testing.T, rough bool) {
+func testUpgrades(t *testing.T, withKills bool) {
 	const lanes, each = 6, 50
-	s := newStageWith(t, 2, map[string]any{}, func(s *stage) {
+	s := newTestbedWith(t, 2, map[string]any{}, func(s *testbed) {
 		s.Unhurried()
-		s.Peers = map[string]any{"listen": "127.91.7.3:0"} // where no connection of a test begins
+		// No outgoing connection of a test uses this address.
+		s.Peers = map[string]any{"listen": "127.91.7.3:0"}
 	}, false)
 	s.Peers["listen"] = s.Play.Name("client")
-	// gaps is odd while no process may listen: only then may a request stay without an answer.
-	var gaps, unheard atomic.Int64
+	// gaps is odd while no process may be listening: only then may a request get no reply.
+	var gaps, noReplies atomic.Int64
 	var wg sync.WaitGroup
 	done := make(chan struct{})
 	for lane := range lanes {
@@ -381,18 +386,19 @@
 				if lane < 3 {
 					m.Class, m.Keyed, m.Key, m.Seq = "order", true, uint64(lane+1), uint64(i)
 				}
-				for limit := time.Now().Add(scenario.Limit); time.Now().Before(limit); { // a client that is not answered sends the same again
+				// A client without a reply resubmits the message.
+				for limit := time.Now().Add(scenario.Limit); time.Now().Before(limit); {
 					before := gaps.Load()
 					v, after, err := s.client.Add(m)
 					if v == load.Taken || v == load.Failed {
 						break
 					}
 					if err != nil && before%2 == 0 && gaps.Load() == before {
-						assert.NoError(t, err, "%s: a process was there all the while", m.ID)
+						assert.NoError(t, err, "%s: a process was listening all the time", m.ID)
 						break
 					}
 					if err != nil {
-						unheard.Add(1)
+						noReplies.Add(1)
 					}
 					time.Sleep(max(after, time.Millisecond))
 				}
@@ -403,52 +409,53 @@
 		wg.Wait()
 		close(done)
 	}()
-	now := s.Courier
+	current := s.Courier
 	for i := range 5 {
-		next := now.Beside(fmt.Sprint("process ", i))
+		next := current.Beside(fmt.Sprint("process ", i))
 		switch {
-		case rough && i == 2:
+		case withKills && i == 2:
 			gaps.Add(1)
-			require.NoError(t, now.Stop(syscall.SIGKILL))
-			s.until("a client that meets nobody", func() bool {
+			require.NoError(t, current.Stop(syscall.SIGKILL))
+			s.until("a client that reaches no process", func() bool {
 				select {
 				case <-done:
-					return true // all had been answered before
+					return true // all messages had been answered before
 				default:
-					return unheard.Load() > 0
+					return noReplies.Load() > 0
 				}
 			})
 			require.NoError(t, next.Start())
 			gaps.Add(1)
-		case rough && i == 3:
+		case withKills && i == 3:
 			gaps.Add(1)
 			require.NoError(t, next.Launch())
-			require.NoError(t, now.Stop(syscall.SIGTERM))
+			require.NoError(t, current.Stop(syscall.SIGTERM))
 			_, err := next.Await(`msg=started`)
 			require.NoError(t, err)
 			gaps.Add(1)
 		default:
 			require.NoError(t, next.Start())
-			require.NoError(t, now.Stop(syscall.SIGTERM))
+			require.NoError(t, current.Stop(syscall.SIGTERM))
 		}
-		now = next
+		current = next
 	}
 	<-done
-	e := s.account(lanes * each)
+	e := s.awaitResults(lanes * each)
 	assert.Zero(t, e.Unheard+e.Doubled+e.Failed+e.Refused, "%+v", e)
 	n := s.counts()
 	assert.Zero(t, n.OutOfOrder+n.InWait+n.Drained, "%+v", n)
-	if !rough {
+	if !withKills {
 		assert.Zero(t, n.Copies, "%+v", n)
 	}
 }
 
-// The owner dies at each step, or falls silent: the other process goes on from what it was
-// handed if the lock is here, else as after any restart once the lock is free.
+// The owner dies or stops responding at each step of a handover. The other process continues from the
+// handover state if it has received the lock; otherwise it restarts from the journal once the lock is
+// free.
 func TestOwnerDies(t *testing.T) {
-	estate := handover.State{Destinations: []handover.DestinationState{{Destination: 7, At: time.Now(), Snapshot: []byte("no memento")}}, ListConfirmed: true}
+	state := handover.State{Destinations: []handover.DestinationState{{Destination: 7, At: time.Now(), Snapshot: []byte("no memento")}}, ListConfirmed: true}
 	var frames []handover.Frame
-	for f := range estate.Frames {
+	for f := range state.Frames {
 		frames = append(frames, f)
 	}
 	for _, c := range []struct {
@@ -457,19 +464,19 @@
 		deed   bool
 		silent bool
 	}{
-		{"after the hello", 0, false, false}, {"in the estate", 1, false, false}, {"before the lock", 2, false, false},
-		{"once the lock has gone", 2, true, false}, {"silent in the estate", 1, false, true},
+		{"after the hello", 0, false, false}, {"in the handover state", 1, false, false}, {"before the lock", 2, false, false},
+		{"after the lock was sent", 2, true, false}, {"silent in the handover state", 1, false, true},
 	} {
-		old, next := pair(t)
+		old, next := startPair(t)
 		p := old.Play
-		p.Run(m1Out + `
+		p.Run(m1Sent + `
 			courier wait kill
 			t1 expect EOF
 		`)
 		lock, err := handover.Acquire(old.State())
 		require.NoError(t, err)
 		served := make(chan *handover.Link, 64)
-		door, err := handover.Open(old.State(), func(link *handover.Link, f handover.Frame, err error) {
+		listener, err := handover.Open(old.State(), func(link *handover.Link, f handover.Frame, err error) {
 			assert.NoError(t, err)
 			for _, f := range frames[:c.frames] {
 				assert.NoError(t, link.Send(f))
@@ -487,7 +494,7 @@
 		if c.silent {
 			p.Run(`next wait "waits for the folder's owner"`)
 		}
-		door.Close()
+		listener.Close()
 		lock.Close()
 		link.Close()
 		m, err := next.Await(`msg=started .*listen=(\S+) push=\S* restored=1`)
@@ -507,11 +514,11 @@
 	}
 }
 
-// With few descriptors each is let go of here as it leaves; where nobody can be asked for the
-// folder, the courier serves as before.
+// With few file descriptors, the owner closes each one as it hands it over. If the handover socket
+// cannot be created, the courier runs without handovers.
 func TestFewDescriptors(t *testing.T) {
-	old, _ := pair(t, 64)
-	for i := range 7 { // more would be spared
+	old, _ := startPair(t, 64)
+	for i := range 7 { // more would be closed to stay within the limit
 		old.Play.Run(fmt.Sprintf("client dial c%d", i))
 	}
 	old.Play.Run(`
@@ -524,31 +531,31 @@
 		next wait kill
 		courier wait kill
 	`)
-	door := filepath.Join(old.State(), "handover.sock")
-	require.NoError(t, os.Remove(door))
-	require.NoError(t, os.MkdirAll(filepath.Join(door, "in the way"), 0o700))
+	socketPath := filepath.Join(old.State(), "handover.sock")
+	require.NoError(t, os.Remove(socketPath))
+	require.NoError(t, os.MkdirAll(filepath.Join(socketPath, "in the way"), 0o700))
 	third := old.Beside("third")
 	require.NoError(t, third.Start())
 	assert.Contains(t, third.Log(), "no handovers")
 }
 
-// A second address that somebody has ends the new process with one line, before the owner has
-// let go of anything.
-func TestSecondAddressTakenInAnUpgrade(t *testing.T) {
-	old, next := pair(t)
+// If the console address of the new process is in use, that process ends with one line before the
+// owner hands anything over.
+func TestConsoleAddressInUseDuringUpgrade(t *testing.T) {
+	old, next := startPair(t)
 	next.Peers = map[string]any{"console": old.Play.Server("taken")}
 	require.Error(t, next.Start())
 	assert.Regexp(t, `^snowjunction: listen for console: .*in use\n$`, next.Log())
 	assert.NotContains(t, old.Log(), "handing over")
 }
 
-// With both fronts, plug-ins and a store of sleeping destinations: HTTP/2 connections are not
-// handed over, and yet every message has its one end.
+// Upgrades with both fronts, plug-ins and a store of unloaded destinations: HTTP/2 connections are
+// not handed over, and still every message has exactly one final result.
 func TestUpgradeOfBothFronts(t *testing.T) {
 	folder := t.TempDir()
-	writePlugin(t, folder, "shaper", map[string]any{"hooks": []string{"shape"}, "touches": map[string]any{"headers": true}, "budget": slowest},
+	writePlugin(t, folder, "shaper", map[string]any{"hooks": []string{"shape"}, "touches": map[string]any{"headers": true}, "budget": generousBudget},
 		"def shape(call):\n    return {'headers': {'X-Kitchen': 'one'}}\n")
-	s := newStageWith(t, 2, map[string]any{"store": filepath.Join(t.TempDir(), "idle.db")}, func(s *stage) {
+	s := newTestbedWith(t, 2, map[string]any{"store": filepath.Join(t.TempDir(), "idle.db")}, func(s *testbed) {
 		s.Unhurried()
 		s.Env = append(s.Env, withPlugins(t, s.Dir(), folder))
 	}, true)
@@ -558,7 +565,7 @@
 		wg.Go(func() {
 			for i := range each {
 				m := load.Message{ID: fmt.Sprintf("b-%d-%d", lane, i), Class: "status", Tenant: "town", Destination: uint32(1 + lane%2), Left: time.Minute, Push: lane >= 2}
-				// A push client whose connection ends with its process sends the same again.
+				// A push client whose connection ends with its process resubmits the message.
 				for limit := time.Now().Add(scenario.Limit); time.Now().Before(limit); {
 					v, after, err := s.client.Add(m)
 					if v == load.Taken || v == load.Failed || err != nil && !m.Push {
@@ -570,37 +577,37 @@
 			}
 		})
 	}
-	now := s.Courier
+	current := s.Courier
 	for i := range 3 {
-		next := now.Beside(fmt.Sprint("process ", i))
+		next := current.Beside(fmt.Sprint("process ", i))
 		require.NoError(t, next.Start())
 		assert.Contains(t, next.Log(), "taken over")
 		assert.NotContains(t, next.Log(), "no idle store")
-		require.NoError(t, now.Stop(syscall.SIGTERM))
-		now = next
+		require.NoError(t, current.Stop(syscall.SIGTERM))
+		current = next
 	}
 	wg.Wait()
-	e := s.account(lanes * each)
+	e := s.awaitResults(lanes * each)
 	assert.Zero(t, e.Unheard+e.Doubled+e.Failed+e.Refused, "%+v", e)
 	n := s.counts()
 	assert.Zero(t, n.Copies+n.InWait+n.Drained, "%+v", n)
-	// The last process has the plug-in too. Whether it is in time depends on the machine.
+	// The last process has loaded the plug-in too. Whether it answers in time depends on the machine.
 	s.deliver(1, "last")
-	require.NoError(t, now.Signal(syscall.SIGUSR1))
-	m, err := now.Await(`msg=counters .* plugins\.shaper\.calls=(\d+) plugins\.shaper\.answered=(\d+) .*plugins\.shaper\.passed=(\d+)`)
+	require.NoError(t, current.Signal(syscall.SIGUSR1))
+	m, err := current.Await(`msg=counters .* plugins\.shaper\.calls=(\d+) plugins\.shaper\.answered=(\d+) .*plugins\.shaper\.passed=(\d+)`)
 	require.NoError(t, err)
-	assert.NotEqual(t, []string{"0", "0"}, []string{m[1], m[3]}, "it is asked, or passed by while in quarantine")
-	if shaped := s.farm.LastShaped(); m[2] != "0" || len(shaped) > 0 {
+	assert.NotEqual(t, []string{"0", "0"}, []string{m[1], m[3]}, "the plug-in is called, or skipped while in quarantine")
+	if shaped := s.partners.LastShaped(); m[2] != "0" || len(shaped) > 0 {
 		require.NotEmpty(t, shaped)
 		assert.Equal(t, "one", shaped[0])
 	}
 }
 
-// An endpoint that is out while the owner changes stays out, though the list that the next owner
-// hears has it as Ready, restarted, until either process is told to include it.
-func TestExcludedWhileTheOwnerChanges(t *testing.T) {
-	old, next := pair(t)
-	letList(old.Play, `{"generation":9,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"`+old.Targets[0].Addr+
+// An endpoint excluded before a handover stays excluded, although the next owner's list has it as
+// Ready with a new start time, until an include call to either process.
+func TestExcludedDuringHandover(t *testing.T) {
+	old, next := startPair(t)
+	defineList(old.Play, `{"generation":9,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"`+old.Targets[0].Addr+
 		`","zone":"a","machineType":"k","cell":7,"lifecycle":"Ready","weight":1,"startedAtMs":77}]}`)
 	old.Play.Run(`
 		discovery accept d1
@@ -618,7 +625,7 @@
 		c send "$ADDm2$STATUSy\r\n"
 		c expect "+OK\r\n"
 	`)
-	console(t, next, "new")
+	defineConsole(t, next, "new")
 	x := telemetry(t, old.Play, "new")
 	assert.Equal(t, []int{0, 2, 1, 1}, []int{int(x.Relayed), x.Open, x.Entries, x.OutOfRotation})
 	old.Play.Run(`
--- a/cmd/snowjunction/idle_test.go
+++ b/cmd/snowjunction/idle_test.go
@@ -20,28 +20,28 @@
 	"snowjunction/internal/standin/partner"
 )
 
-// stage is a courier with stand-in partners and a directory.
-type stage struct {
+// testbed is a courier with simulated partners and a directory.
+type testbed struct {
 	*scenario.Courier
 	t         *testing.T
-	farm      *standin.Farm
+	partners  *standin.Farm
 	directory *standin.Directory
 	list      []standin.Instance
 	client    *load.Client
-	idle      string
-	left      time.Duration // that messages have
+	idleFile  string
+	timeLeft  time.Duration // time to deliver that messages get
 }
 
-// newStage starts partners, which answer quickly, and a courier that listens to
-// the directory alone. What idle says goes into the file for idle destinations.
-func newStage(t *testing.T, partners int, idle map[string]any) *stage {
-	return newStageWith(t, partners, idle, func(*stage) {}, false)
+// newTestbed starts partners, which answer quickly, and a courier whose only list is the directory's.
+// The operator file for idle destinations gets the settings in idle.
+func newTestbed(t *testing.T, partners int, idle map[string]any) *testbed {
+	return newTestbedWith(t, partners, idle, func(*testbed) {}, false)
 }
 
-// newStageWith has more done before the courier starts; with push, every other
-// partner speaks HTTP/2 and stands behind the push front.
-func newStageWith(t *testing.T, partners int, idle map[string]any, before func(*stage), push bool) *stage {
-	s := &stage{Courier: scenario.NewCourier(t), t: t, left: 8 * time.Second}
+// newTestbedWith runs before prior to the start of the courier. With push, every other partner speaks
+// HTTP/2 and is a target of the push front.
+func newTestbedWith(t *testing.T, partners int, idle map[string]any, before func(*testbed), push bool) *testbed {
+	s := &testbed{Courier: scenario.NewCourier(t), t: t, timeLeft: 8 * time.Second}
 	var specs []standin.Spec
 	for i := range partners {
 		specs = append(specs, standin.Spec{Destination: uint32(i + 1), Endpoints: 2, HTTP2: push && i%2 == 1, Profile: partner.Profile{
@@ -49,11 +49,11 @@
 		}})
 	}
 	var err error
-	s.farm, err = standin.NewFarm(specs)
+	s.partners, err = standin.NewFarm(specs)
 	require.NoError(t, err)
-	t.Cleanup(s.farm.Close)
+	t.Cleanup(s.partners.Close)
 	var pushed []standin.Endpoint
-	for _, e := range s.farm.Endpoints() {
+	for _, e := range s.partners.Endpoints() {
 		if e.HTTP2 {
 			pushed = append(pushed, e)
 		} else {
@@ -73,57 +73,57 @@
 	require.NoError(t, err)
 	t.Cleanup(s.directory.Close)
 	s.Play.Let("discovery", s.directory.Addr())
-	s.idle = filepath.Join(s.Dir(), "idle.json")
+	s.idleFile = filepath.Join(s.Dir(), "idle.json")
 	s.configure(idle)
-	s.Env = append(s.Env, "SNOWJUNCTION_IDLE="+s.idle)
+	s.Env = append(s.Env, "SNOWJUNCTION_IDLE="+s.idleFile)
 	before(s)
 	s.start()
 	return s
 }
 
-func (s *stage) configure(idle map[string]any) {
+func (s *testbed) configure(idle map[string]any) {
 	b, err := json.Marshal(idle)
 	require.NoError(s.t, err)
-	require.NoError(s.t, os.WriteFile(s.idle, b, 0o600))
+	require.NoError(s.t, os.WriteFile(s.idleFile, b, 0o600))
 }
 
-func (s *stage) start() {
+func (s *testbed) start() {
 	require.NoError(s.t, s.Start())
 	s.client = load.New(s.Play.Name("client"), s.Play.Name("push"))
 	s.client.Within = scenario.Limit
 	s.t.Cleanup(s.client.Close)
-	g := s.directory.Replace(s.list) // the configuration's list is empty, and of the first generation
+	g := s.directory.Replace(s.list) // the list in the configuration is empty and has generation 1
 	s.until("the list", func() bool { return s.directory.Heard() >= g })
 }
 
-// until waits for something that is to come.
-func (s *stage) until(what string, ok func() bool) {
+// until polls ok until it returns true and fails the test after scenario.Limit.
+func (s *testbed) until(what string, ok func() bool) {
 	s.t.Helper()
 	for limit := time.Now().Add(scenario.Limit); !ok(); time.Sleep(5 * time.Millisecond) {
 		require.True(s.t, time.Now().Before(limit), "not in time: %s", what)
 	}
 }
 
-func (s *stage) seen(dest uint32, id string) (seen bool) {
-	_ = s.farm.With(dest, func(p *partner.Partner) { seen = p.Seen(id) })
+func (s *testbed) seen(dest uint32, id string) (seen bool) {
+	_ = s.partners.With(dest, func(p *partner.Partner) { seen = p.Seen(id) })
 	return seen
 }
 
-func (s *stage) add(dest uint32, id string) load.Verdict {
-	v, _, err := s.client.Add(load.Message{ID: id, Class: "status", Tenant: "town", Destination: dest, Left: s.left})
+func (s *testbed) submit(dest uint32, id string) load.Verdict {
+	v, _, err := s.client.Add(load.Message{ID: id, Class: "status", Tenant: "town", Destination: dest, Left: s.timeLeft})
 	require.NoError(s.t, err)
 	return v
 }
 
-// deliver hands a message in and waits for it at the partner.
-func (s *stage) deliver(dest uint32, id string) {
+// deliver submits a message and waits until the partner has received it.
+func (s *testbed) deliver(dest uint32, id string) {
 	s.t.Helper()
-	require.Equal(s.t, load.Taken, s.add(dest, id), id)
+	require.Equal(s.t, load.Taken, s.submit(dest, id), id)
 	s.until(id, func() bool { return s.seen(dest, id) })
 }
 
-// idleListed are endpoints that nobody will call: n partners of two.
-func idleListed(from, n int) (list []standin.Instance) {
+// idleInstances returns the endpoints of n partners, two each, which no test calls.
+func idleInstances(from, n int) (list []standin.Instance) {
 	for i := range 2 * n {
 		list = append(list, standin.Instance{
 			InstanceID: fmt.Sprintf("idle-%d", from+i), HostPort: fmt.Sprintf("127.%d.%d.%d:9", 1+i>>16, i>>8&255, i&255),
@@ -133,66 +133,67 @@
 	return list
 }
 
-// counters asks the courier and returns the value of a counter.
-func (s *stage) counters(name string) string {
+// counter makes the courier log its counters and returns the value of one.
+func (s *testbed) counter(name string) string {
 	require.NoError(s.t, s.Signal(syscall.SIGUSR1))
 	m, err := s.Await(`msg=counters .* ` + name + `=(\S+)`)
 	require.NoError(s.t, err)
 	return m[1]
 }
 
-// Ten thousand partners listed, ten of them awake: messages go on while the list
-// comes, and nothing is made for the others.
+// With ten thousand partners listed and ten in use, messages are delivered while the list arrives,
+// and no state is created for the idle ones.
 func TestTenThousandPartners(t *testing.T) {
-	s := newStage(t, 10, map[string]any{})
+	s := newTestbed(t, 10, map[string]any{})
 	s.deliver(1, "before")
-	all := append(append([]standin.Instance(nil), s.list...), idleListed(0, 9990)...)
+	all := append(append([]standin.Instance(nil), s.list...), idleInstances(0, 9990)...)
 	generation := s.directory.Replace(all)
 	for i := 0; s.directory.Heard() < generation || i < 50; i++ {
 		s.deliver(uint32(i%10+1), fmt.Sprintf("m%d", i))
-		require.Less(t, i, 5000, "the list is never taken")
+		require.Less(t, i, 5000, "the list is never accepted")
 	}
-	assert.Equal(t, "10000", s.counters("idle.destinations"))
-	assert.Equal(t, "10", s.counters("idle.awake"))
-	for round := range 3 { // and back, and again, in full and by changes
+	assert.Equal(t, "10000", s.counter("idle.destinations"))
+	assert.Equal(t, "10", s.counter("idle.awake"))
+	for round := range 3 { // back to the short list and up again, by full lists and by changes
 		g := s.directory.Replace(s.list)
 		s.until("the short list", func() bool { return s.directory.Heard() >= g })
 		s.deliver(3, fmt.Sprintf("short%d", round))
-		g = s.directory.Change(idleListed(round*4000, 2000)...)
+		g = s.directory.Change(idleInstances(round*4000, 2000)...)
 		s.until("the change", func() bool { return s.directory.Heard() >= g })
 		s.deliver(4, fmt.Sprintf("long%d", round))
-		assert.Equal(t, "2010", s.counters("idle.destinations"))
+		assert.Equal(t, "2010", s.counter("idle.destinations"))
 	}
 }
 
-// A list that cannot be taken leaves a line and the list held; what it says of
-// draining is heeded; nothing is lost, and a good one is taken again.
-func TestListsThatCannotBeTaken(t *testing.T) {
-	s := newStage(t, 3, map[string]any{"list_mb": 1, "list_entries": 5000})
-	text := func(generation int, entries ...string) []byte {
+// An invalid list is logged, and the current list stays in use, except that endpoints listed as
+// draining before the invalid entry get no more calls. No message is lost, and the next valid list is
+// accepted.
+func TestInvalidLists(t *testing.T) {
+	s := newTestbed(t, 3, map[string]any{"list_mb": 1, "list_entries": 5000})
+	list := func(generation int, entries ...string) []byte {
 		return fmt.Appendf(nil, `{"generation":%d,"reset":true,"instances":[%s]}`, generation, strings.Join(entries, ","))
 	}
-	one := func(id, addr, cell, lifecycle, weight string) string {
+	entry := func(id, addr, cell, lifecycle, weight string) string {
 		return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"a","machineType":"k","cell":%s,"lifecycle":%q,"weight":%s,"startedAtMs":0}`,
 			id, addr, cell, lifecycle, weight)
 	}
 	var long []string
 	for i := range 5001 {
-		long = append(long, one(fmt.Sprint(i), fmt.Sprintf("127.1.%d.%d:1", i>>8, i&255), "1", "Ready", "1"))
+		long = append(long, entry(fmt.Sprint(i), fmt.Sprintf("127.1.%d.%d:1", i>>8, i&255), "1", "Ready", "1"))
 	}
-	a, b := one("x", "127.0.0.1:1", "1", "Ready", "1"), one("y", "127.0.0.1:1", "2", "Ready", "1")
+	a, b := entry("x", "127.0.0.1:1", "1", "Ready", "1"), entry("y", "127.0.0.1:1", "2", "Ready", "1")
 	n := 0
 	for name, tc := range map[string]struct {
 		text []byte
 		want string
 	}{
-		"duplicate names": {text(100, a, one("x", "127.0.0.1:2", "1", "Ready", "1")), "named twice"},
-		"one address":     {text(100, a, b), "two endpoints at one address"},
-		"no cell":         {text(100, strings.Replace(a, `"cell":1,`, "", 1)), "cell"},
-		"weight":          {text(100, one("x", "127.0.0.1:1", "1", "Ready", `"heavy"`)), "weight"},
+		"duplicate names": {list(100, a, entry("x", "127.0.0.1:2", "1", "Ready", "1")), "named twice"},
+		"one address":     {list(100, a, b), "two endpoints at one address"},
+		"no cell":         {list(100, strings.Replace(a, `"cell":1,`, "", 1)), "cell"},
+		"weight":          {list(100, entry("x", "127.0.0.1:1", "1", "Ready", `"heavy"`)), "weight"},
 		"no list":         {[]byte(`<html>`), "not a list"},
 		"cut short":       {[]byte(`{"generation":100,"instances":[`), "too early"},
-		"too many":        {text(100, long...), "too big"},
+		"too many":        {list(100, long...), "too big"},
 		"64 MB":           {[]byte(`{"generation":100,"instances":[` + strings.Repeat(" ", 64<<20)), "too big"},
 	} {
 		s.directory.Say(tc.text)
@@ -206,30 +207,30 @@
 		g := s.directory.Replace(s.list)
 		s.until("a good list", func() bool { return s.directory.Heard() >= g })
 	}
-	// One that drains, in a list that is spoilt behind it.
-	drains := s.list[0]
-	s.directory.Say(text(100, one(drains.InstanceID, drains.HostPort, "1", "Terminating", "1"), one("x", "127.0.0.1:1", `"no"`, "Ready", "1")))
+	// A list with a draining endpoint, followed by an invalid entry.
+	draining := s.list[0]
+	s.directory.Say(list(100, entry(draining.InstanceID, draining.HostPort, "1", "Terminating", "1"), entry("x", "127.0.0.1:1", `"no"`, "Ready", "1")))
 	_, err := s.Await(`code=drained`)
-	require.NoError(t, err, "its idle connection is ended")
+	require.NoError(t, err, "the idle connection of the draining endpoint is closed")
 	s.directory.Say(nil)
 	g := s.directory.Replace(s.list[2:])
 	s.until("a good list", func() bool { return s.directory.Heard() >= g })
 	s.deliver(2, "last")
 }
 
-// Partners sleep, their memory is in the store, and a courier that is killed and
-// starts again knows them; a store that is no store costs nothing but that.
-func TestSleepBeyondMemory(t *testing.T) {
-	s := newStage(t, 3, map[string]any{"sleep_after_s": 0.05, "store": "idle.db"})
+// Idle partners are unloaded and their snapshots written to the store, from which a restarted courier
+// loads them. A damaged store file loses the snapshots and nothing else.
+func TestUnloadedStateInStore(t *testing.T) {
+	s := newTestbed(t, 3, map[string]any{"sleep_after_s": 0.05, "store": "idle.db"})
 	for d := uint32(1); d <= 3; d++ {
 		s.deliver(d, fmt.Sprintf("a%d", d))
 	}
-	s.until("all asleep", func() bool { return s.counters("idle.mementos") == "3" })
-	s.until("in the store", func() bool { return s.counters("idle.beyond") == "3" })
+	s.until("all partners are unloaded", func() bool { return s.counter("idle.mementos") == "3" })
+	s.until("all snapshots are in the store", func() bool { return s.counter("idle.beyond") == "3" })
 	require.NoError(t, s.Stop(syscall.SIGTERM))
 	s.start()
 	s.deliver(1, "b1")
-	assert.Equal(t, "1", s.counters("idle.known"), "its memento came from the store")
+	assert.Equal(t, "1", s.counter("idle.known"), "its snapshot came from the store")
 	require.NoError(t, s.Stop(syscall.SIGKILL))
 	require.NoError(t, os.WriteFile(filepath.Join(s.Dir(), "idle.db"), []byte("damaged"), 0o600))
 	s.start()
--- a/cmd/snowjunction/main.go
+++ b/cmd/snowjunction/main.go
@@ -135,6 +135,7 @@
 	Upgrade   upgradeCommand   `cmd:"" help:"Measure upgrades from process to process under load; exit 0 only if nothing is lost."`
 }
 
+// directoryMeasure runs measure directory.
 type directoryMeasure struct{ measure.Directory }
 
 func (m directoryMeasure) Run() (err error) {
@@ -144,6 +145,7 @@
 	return err
 }
 
+// emulatorCommand runs measure emulator.
 type emulatorCommand struct{ measure.Emulator }
 
 func (m emulatorCommand) Run() error {
@@ -151,6 +153,7 @@
 	return err
 }
 
+// hostileCommand runs measure hostile.
 type hostileCommand struct{ measure.Hostile }
 
 func (m hostileCommand) Run() (err error) {
@@ -160,6 +163,7 @@
 	return err
 }
 
+// pluginsCommand runs measure plugins.
 type pluginsCommand struct{ measure.Plugins }
 
 func (m pluginsCommand) Run() (err error) {
@@ -169,6 +173,7 @@
 	return err
 }
 
+// startCommand runs measure start.
 type startCommand struct{ measure.Start }
 
 func (m startCommand) Run() (err error) {
@@ -178,6 +183,7 @@
 	return err
 }
 
+// scaleCommand runs measure scale.
 type scaleCommand struct{ measure.Scale }
 
 func (m scaleCommand) Run() (err error) {
@@ -187,6 +193,7 @@
 	return err
 }
 
+// upgradeCommand runs measure upgrade.
 type upgradeCommand struct{ measure.Upgrade }
 
 func (m upgradeCommand) Run() (err error) {
@@ -196,6 +203,7 @@
 	return err
 }
 
+// idleCommand runs measure idle.
 type idleCommand struct{ measure.Idle }
 
 func (m idleCommand) Run() (err error) {
@@ -205,6 +213,7 @@
 	return err
 }
 
+// versionCommand prints the revision and toolchain of this build.
 type versionCommand struct{}
 
 func (versionCommand) Run() error {
--- a/cmd/snowjunction/main_test.go
+++ b/cmd/snowjunction/main_test.go
@@ -13,15 +13,16 @@
 	"snowjunction/internal/scenario"
 )
 
-// runUnhurried has the test binary, as the courier, wait for plug-ins as long as a test does for an
-// event, whatever their budgets. Without it those hold, as they always do in the program.
-const runUnhurried = "RUN_UNHURRIED"
+// envExtendPluginBudgets is the environment variable that makes the test binary, run as the courier,
+// wait for plug-ins as long as a test waits for an event. Without it the budgets of the plug-ins
+// apply, as they always do in the program.
+const envExtendPluginBudgets = "RUN_UNHURRIED"
 
-// The test binary is the courier when it is told so.
+// TestMain runs the test binary as the courier or as a plug-in host if it is started as one.
 func TestMain(m *testing.M) {
-	host := len(os.Args) > 1 && os.Args[1] == "plugin-host" // whose environment is empty
+	host := len(os.Args) > 1 && os.Args[1] == "plugin-host" // a plug-in host has an empty environment
 	if os.Getenv(scenario.RunAs) == "1" || host {
-		if os.Getenv(runUnhurried) == "1" {
+		if os.Getenv(envExtendPluginBudgets) == "1" {
 			pluginBudgetOverride = scenario.Limit
 		}
 		main()
@@ -30,6 +31,8 @@
 	os.Exit(m.Run())
 }
 
+// prepare returns a courier, not yet started, with one target for destination 7 and a silent one for
+// destination 9. It defines the variables $ok, $ADD and $STATUS for scripts.
 func prepare(t *testing.T) *scenario.Courier {
 	c := scenario.NewCourier(t)
 	c.Unhurried()
@@ -37,20 +40,20 @@
 		{Name: "s-1", Addr: c.Play.Server("target"), Cell: 7}, {Name: "s-9", Addr: c.Play.Server("silent"), Cell: 9},
 	}
 	c.Play.Let("ok", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	// $ADD id $STATUS byte: a message of one byte without a key.
+	// $ADDid$STATUSbyte submits a message with a body of one byte and without a key.
 	c.Play.Let("ADD", "*5\r\n$7\r\nOUT.ADD\r\n$16\r\n0000000000000000\r\n$2\r\n")
 	c.Play.Let("STATUS", "\r\n$30\r\nc=status,t=town,d=60000,dest=7\r\n$1\r\n")
 	return c
 }
 
-// letList names a list for discovery to send, and its size.
-func letList(p *scenario.Play, list string) {
+// defineList defines the script variables $list, a directory list, and $size, its length in bytes.
+func defineList(p *scenario.Play, list string) {
 	p.Let("list", list)
 	p.Let("size", strconv.Itoa(len(list)))
 }
 
-// start starts a courier with one target for destination 7 and a silent one for
-// destination 9. A limit on sockets may be given.
+// start starts a courier with one target for destination 7 and a silent one for destination 9, with
+// an optional limit on sockets.
 func start(t *testing.T, limits ...int) *scenario.Play {
 	c := prepare(t)
 	if len(limits) > 0 {
@@ -115,20 +118,20 @@
 		d send "*2\r\n$4\r\nECHO\r\n$1\r\nx\r\n"
 		d expect "-ERR unknown command"
 		d expect "...\r\n"
-		# a destination that no list has named
+		# a destination that is in no list
 		d send "$ADDm1\r\n$29\r\nc=status,t=town,d=8000,dest=8\r\n$1\r\nx\r\n"
 		d expect "-BUSY "
 		d expect "...\r\n"
-		# what breaks the protocol ends the connection, after an answer
+		# a protocol error closes the connection, after a reply
 		d send "*1\r\n$99999999\r\n"
 		d expect "-ERR protocol error: too big\r\n"
 		d expect EOF
 	`)
 }
 
-func TestGivenUpAtOnce(t *testing.T) {
-	// Destination 9 says nothing: the notice comes at the message's deadline,
-	// repeated until its 204.
+func TestMessageFailsAtDeadline(t *testing.T) {
+	// Destination 9 never replies: the notice is sent at the message's deadline and repeated until
+	// the reply is 204.
 	start(t).Run(`
 		client dial c
 		c send "$ADDm1\r\n$27\r\nc=status,t=town,d=50,dest=9\r\n$0\r\n\r\n"
@@ -147,8 +150,8 @@
 }
 
 func TestRestart(t *testing.T) {
-	// Killed with a call out: the message goes again after the restart, as its
-	// class allows a repeat within its window.
+	// The courier is killed during a call. It sends the message again after the restart, because the
+	// message's class allows retries within its window.
 	start(t).Run(`
 		client dial c
 		c send "*5\r\n$7\r\nOUT.ADD\r\n$16\r\n00000000000000aa\r\n$2\r\nm1\r\n$33\r\nc=order,t=town,d=60000,dest=7,k=a\r\n$1\r\nx\r\n"
@@ -164,7 +167,7 @@
 		t expect "...Idempotency-Key: a\r\n"
 		t expect "...\r\n\r\nx"
 		t send "$ok"
-		# the second of the key only then
+		# the key's second message is sent only after that
 		t expect "POST /inbox"
 		t expect "...X-Request-ID: m2\r\n"
 		t expect "...\r\n\r\ny"
@@ -184,7 +187,7 @@
 		t expect "...\r\n\r\nx"
 		courier wait term
 		idle expect EOF
-		# the call that is out is finished
+		# the call in progress is finished
 		t send "$ok"
 		courier wait "msg=ended"
 		courier wait "n.delivered=1"
@@ -196,7 +199,7 @@
 	p := start(t)
 	list := `{"generation":2,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","cell":7,` +
 		`"lifecycle":"Terminating","zone":"a","machineType":"k"}]}`
-	letList(p, list)
+	defineList(p, list)
 	p.Run(`
 		client dial c
 		c send "$ADDm1$STATUSx\r\n"
@@ -211,15 +214,15 @@
 		d expect "...\r\n\r\n"
 		d send "HTTP/1.1 200 OK\r\nContent-Length: $size\r\n\r\n$list"
 		d expect "GET /discovery/hosts?after=2&wait_ms=20000 HTTP/1.1\r\n"
-		# the call that is out is finished, then its connection ends
+		# the call in progress is finished, then its connection is closed
 		t send "$ok"
 		t expect EOF
 	`)
 }
 
-// A long answer whose sender closes behind it, and one that breaks off behind
-// its first line: both messages are delivered and do not go again.
-func TestAnswersThatEndTheirConnection(t *testing.T) {
+// A long response followed by a close, and a response that ends after its status line: both messages
+// are delivered and not sent again.
+func TestResponsesThatEndTheConnection(t *testing.T) {
 	p := start(t)
 	p.Let("long", strings.Repeat("x", 60000))
 	p.Run(`
@@ -245,12 +248,11 @@
 	`)
 }
 
-// A first line with 200 stands, whatever comes behind it; any other answer that
-// is not whole says nothing, and the message goes again. No spoilt connection
-// is used twice.
-func TestSpoiltAnswers(t *testing.T) {
+// A status line with 200 counts as delivered, whatever follows it. After any other incomplete or
+// invalid response the message is sent again. A connection with an invalid response is not reused.
+func TestInvalidResponses(t *testing.T) {
 	p := start(t)
-	for answer, again := range map[string]bool{
+	for answer, sentAgain := range map[string]bool{
 		"HTTP/1.1 200 OK\r\nX-Endless: ":                                    false,
 		"HTTP/1.1 200 OK\r\nno header\r\n\r\n":                              false,
 		"HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n":                     false,
@@ -273,7 +275,7 @@
 			t send "$answer"
 			t expect EOF
 		`)
-		if again {
+		if sentAgain {
 			p.Run(`
 				target accept t
 				t expect "...X-Request-ID: m1\r\n"
@@ -291,8 +293,8 @@
 	`)
 }
 
-// Connections that are kept for nothing end: silent ones, and such as do not
-// go on with their command. The others may rest.
+// Client connections without a valid command are closed when idle, and so are those with an
+// incomplete command. A connection that has completed a valid command may stay idle.
 func TestIdleClients(t *testing.T) {
 	start(t).Run(`
 		client dial good
@@ -316,8 +318,8 @@
 	`)
 }
 
-// A flood of silent connections does not keep out those who have something to
-// say: with 40 sockets, 14 are for clients.
+// A flood of silent connections does not block clients that send commands: of 40 sockets, 14 are for
+// clients, and silent connections are closed to make room.
 func TestSilentFlood(t *testing.T) {
 	p := start(t, 40)
 	for n := range 30 {
@@ -354,15 +356,15 @@
 	}
 }
 
-// SIGHUP with another address: the list is asked for there, the notice that the
-// old agent has not answered goes there, and a flow that is held is delivered
-// to a target that only the new agent tells.
-func TestPlatformMoves(t *testing.T) {
+// After a SIGHUP with another platform address, the courier gets the list from there and sends there
+// the notice that the old agent has not acknowledged. A message is delivered to a target that only
+// the new agent lists.
+func TestReloadWithNewPlatform(t *testing.T) {
 	p := start(t)
 	p.Server("other")
 	list := `{"generation":1,"reset":true,"instances":[{"instanceId":"s-2","hostPort":"` + p.Server("second") +
 		`","cell":7,"lifecycle":"Ready","zone":"a","machineType":"k"}]}`
-	letList(p, list)
+	defineList(p, list)
 	p.Run(`
 		client dial c
 		c send "$ADDm1\r\n$27\r\nc=status,t=town,d=50,dest=9\r\n$0\r\n\r\n"
@@ -391,16 +393,16 @@
 	`)
 }
 
-// A courier of a rolling restart comes up with the list that it kept, while its agent says
-// nothing, and is moved to another by SIGHUP. That tells that the endpoint it knows drains:
-// what is handed in after that goes to the new one alone.
+// A courier restarts with its stored list while its agent does not answer, and SIGHUP moves it to
+// another agent, as in a rolling restart. The new agent lists the known endpoint as draining and
+// another as ready: messages submitted after that go only to the new endpoint.
 func TestRestartedThenMoved(t *testing.T) {
 	p := start(t)
 	p.Server("other")
 	list := `{"generation":9,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"` + p.Name("target") +
 		`","cell":7,"lifecycle":"Terminating","zone":"a","machineType":"k"},{"instanceId":"s-2","hostPort":"` + p.Server("second") +
 		`","cell":7,"lifecycle":"Ready","zone":"a","machineType":"k"}]}`
-	letList(p, list)
+	defineList(p, list)
 	p.Run(`
 		client dial c
 		c send "*1\r\n$4\r\nPING\r\n"
@@ -424,7 +426,7 @@
 	`)
 }
 
-// A configuration that cannot be read changes nothing and ends nothing.
+// A SIGHUP with an invalid configuration changes nothing, and the courier continues.
 func TestBadConfigurationAtReload(t *testing.T) {
 	p := start(t)
 	p.Let("discovery", "nowhere")
@@ -442,8 +444,8 @@
 	`)
 }
 
-// A message that has been answered is delivered, though its connection ends right behind that.
-func TestAnsweredBeforeItsConnectionEnds(t *testing.T) {
+// An accepted message is delivered even if its client disconnects right after the reply.
+func TestAcceptedBeforeDisconnect(t *testing.T) {
 	start(t).Run(`
 		client dial c
 		c send "$ADDm1$STATUSx\r\n*1\r\n$4\r\nQUIT\r\n"
--- a/cmd/snowjunction/partition_fleet_test.go
+++ b/cmd/snowjunction/partition_fleet_test.go
@@ -27,38 +27,40 @@
 )
 
 const (
-	partsOf   = 64 // partitions
-	partsDest = 12 // destinations, from 1 on
+	partitionCount   = 64 // number of partitions
+	destinationCount = 12 // number of destinations; their ids start at 1
 )
 
-// parted is couriers that divide the destinations. Each has a directory of its own, which lists
-// every destination at an address that is that courier's: so it shows who has delivered what.
-type parted struct {
-	t        *testing.T
-	copies   int
-	addrs    []string
-	couriers []*rig.Courier
-	dirs     []*standin.Directory
-	files    []string // of partitions, by courier
-	configs  []rig.Config
-	slow     time.Duration // that a call takes
-
-	mu    sync.Mutex
-	heard map[string]load.Verdict // by message
-	seen  map[string]map[int]int  // by message and courier: calls answered
-	come  map[int]int             // by courier: calls
+// partitionedFleet is a fleet of couriers that divide the destinations. Each has its own directory,
+// which lists every destination at an address used only by that courier. The address of a call
+// shows which courier made it.
+type partitionedFleet struct {
+	t            *testing.T
+	copies       int
+	addrs        []string
+	couriers     []*rig.Courier
+	dirs         []*standin.Directory
+	files        []string // partition files, by courier
+	configs      []rig.Config
+	callDuration time.Duration // duration of a call
+
+	mu         sync.Mutex
+	verdicts   map[string]load.Verdict // verdict by message id
+	deliveries map[string]map[int]int  // answered calls by message id and courier
+	callCount  map[int]int             // calls by courier
 }
 
-// newParted starts so many couriers of one region, with so many copies; of these the first
-// members are members.
-func newParted(t *testing.T, couriers, members, copies int) *parted {
+// newPartitionedFleet starts couriers of one region. The first members of them are members; copies is
+// the number of owners per partition.
+func newPartitionedFleet(t *testing.T, couriers, members, copies int) *partitionedFleet {
 	t.Setenv(scenario.RunAs, "1")
-	s := &parted{t: t, copies: copies, heard: map[string]load.Verdict{}, seen: map[string]map[int]int{}, come: map[int]int{}}
-	// Addresses of which others do not know: the port is held at another one.
-	hold, err := net.Listen("tcp", "127.0.0.1:0")
+	s := &partitionedFleet{t: t, copies: copies, verdicts: map[string]load.Verdict{}, deliveries: map[string]map[int]int{}, callCount: map[int]int{}}
+	// The couriers listen on addresses of a private 127.x.y block, at a port that the test reserves
+	// on 127.0.0.1, so that no other program uses them.
+	portHolder, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { hold.Close() })
-	_, port, err := net.SplitHostPort(hold.Addr().String())
+	t.Cleanup(func() { portHolder.Close() })
+	_, port, err := net.SplitHostPort(portHolder.Addr().String())
 	require.NoError(t, err)
 	block := fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(256))
 	for n := range couriers {
@@ -84,30 +86,31 @@
 			c.Kill()
 		}
 	})
-	s.lists(members)
+	s.untilListed(members)
 	return s
 }
 
-// directory lists all destinations for one courier.
-func (s *parted) directory(n int) *standin.Directory {
+// directory serves the targets of all destinations for one courier and returns the directory that
+// lists them.
+func (s *partitionedFleet) directory(n int) *standin.Directory {
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Request-Id")
 		_, _ = io.Copy(io.Discard, r.Body)
 		s.mu.Lock()
-		s.come[n]++
-		slow := s.slow
+		s.callCount[n]++
+		slow := s.callDuration
 		s.mu.Unlock()
 		time.Sleep(slow)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.seen[id] == nil {
-			s.seen[id] = map[int]int{}
+		if s.deliveries[id] == nil {
+			s.deliveries[id] = map[int]int{}
 		}
-		s.seen[id][n]++
+		s.deliveries[id][n]++
 	})}
 	s.t.Cleanup(func() { server.Close() })
 	var list []standin.Instance
-	for d := range partsDest {
+	for d := range destinationCount {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(s.t, err)
 		go func() { _ = server.Serve(l) }()
@@ -119,76 +122,77 @@
 	return dir
 }
 
-// member is a courier as a member.
-func (s *parted) member(n int) partition.Member {
+// member returns the membership entry of a courier.
+func (s *partitionedFleet) member(n int) partition.Member {
 	return partition.Member{Name: fmt.Sprintf("n%d", n), Addr: s.addrs[n], Region: "r"}
 }
 
-// membership is what couriers with that many members should go by.
-func (s *parted) membership(members int) *partition.Membership {
+// membership returns the expected membership for the given number of members.
+func (s *partitionedFleet) membership(members int) *partition.Membership {
 	var all []partition.Member
 	for n := range members {
 		all = append(all, s.member(n))
 	}
-	m, err := partition.New(partsOf, s.copies, all)
+	m, err := partition.New(partitionCount, s.copies, all)
 	require.NoError(s.t, err)
 	return m
 }
 
-// file is the operator file for that many members.
-func (s *parted) file(members int) map[string]any {
+// file returns the operator file for the given number of members.
+func (s *partitionedFleet) file(members int) map[string]any {
 	all := []any{}
 	for n := range members {
 		x := s.member(n)
 		all = append(all, map[string]any{"name": x.Name, "addr": x.Addr, "region": x.Region})
 	}
-	return map[string]any{"enabled": true, "partitions": partsOf, "copies": s.copies, "members": all, "linger_s": 2}
+	return map[string]any{"enabled": true, "partitions": partitionCount, "copies": s.copies, "members": all, "linger_s": 2}
 }
 
-// owners are the numbers of a destination's owners.
-func (s *parted) owners(dest, members int) (out []int) {
-	for _, o := range s.membership(members).Owners(partition.Of(uint32(dest), partsOf), "r") {
+// owners returns the numbers of a destination's owners in order of preference.
+func (s *partitionedFleet) owners(dest, members int) (out []int) {
+	for _, o := range s.membership(members).Owners(partition.Of(uint32(dest), partitionCount), "r") {
 		out = append(out, slices.Index(s.addrs, o.Addr))
 	}
 	return out
 }
 
-// owned is a destination whose first owner is that courier.
-func (s *parted) owned(n, members int) int {
-	for d := 1; d <= partsDest; d++ {
+// destinationOwnedBy returns a destination whose first owner is courier n.
+func (s *partitionedFleet) destinationOwnedBy(n, members int) int {
+	for d := 1; d <= destinationCount; d++ {
 		if s.owners(d, members)[0] == n {
 			return d
 		}
 	}
-	require.FailNow(s.t, "it owns nothing")
+	require.FailNow(s.t, "courier owns no destination")
 	return 0
 }
 
-func (s *parted) start(n int) {
+func (s *partitionedFleet) start(n int) {
 	c, err := rig.Start(os.Args[0], s.configs[n])
 	require.NoError(s.t, err)
 	s.couriers[n] = c
 }
 
-func (s *parted) until(what string, ok func() bool) {
+func (s *partitionedFleet) until(what string, ok func() bool) {
 	s.t.Helper()
 	for limit := time.Now().Add(scenario.Limit); !ok(); time.Sleep(5 * time.Millisecond) {
 		require.True(s.t, time.Now().Before(limit), "not in time: %s", what)
 	}
 }
 
-func (s *parted) counter(n int, path ...string) int {
+func (s *partitionedFleet) counter(n int, path ...string) int {
 	line, err := s.couriers[n].Counters(false)
 	require.NoError(s.t, err)
 	return int(rig.Number(line, path...))
 }
 
-// lists waits until each courier holds what it owns, and no more.
-func (s *parted) lists(members int) {
+// untilListed waits until each courier holds exactly the list entries of the destinations that it
+// owns.
+func (s *partitionedFleet) untilListed(members int) {
 	s.t.Helper()
 	for n := range s.couriers {
 		want := 0
-		for d := 1; d <= partsDest; d++ {
+		for d := 1; d <= destinationCount; d++ {
 			if slices.Contains(s.owners(d, members), n) {
 				want++
 			}
@@ -197,10 +201,10 @@
 	}
 }
 
-// add hands a message in at a courier, again while it is refused, and returns the last verdict.
-// Each time it is on a connection of its own: on one that was used before a client could think
-// that an answer that does not come was never asked for, and ask again.
-func (s *parted) add(n, dest int, id, class string) (v load.Verdict) {
+// submit submits a message to a courier, resubmits it while it is refused, and returns the last
+// verdict. Each submission uses a new connection: on a reused one, a client may take a missing
+// reply for a request that was never sent, and send it again.
+func (s *partitionedFleet) submit(n, dest int, id, class string) (v load.Verdict) {
 	m := load.Message{ID: id, Class: class, Tenant: "town", Destination: uint32(dest), Left: 8 * time.Second, Keyed: class == "order"}
 	v = load.Refused
 	for limit := time.Now().Add(scenario.Limit); v == load.Refused && time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
@@ -210,24 +214,24 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard[id] = v
+	s.verdicts[id] = v
 	return v
 }
 
-// by are the couriers that have delivered a message.
-func (s *parted) by(id string) (out []int) {
+// deliveredBy returns the couriers that have delivered a message.
+func (s *partitionedFleet) deliveredBy(id string) (out []int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for n := range s.seen[id] {
+	for n := range s.deliveries[id] {
 		out = append(out, n)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// ended waits until each message that was taken has its end, and holds that it has one alone: no
-// two couriers have delivered it, and no notice tells of another.
-func (s *parted) ended() {
+// checkResults waits for the final result of each accepted message and checks that there is only
+// one: no two couriers have delivered it, and no delivered message has a notice.
+func (s *partitionedFleet) checkResults() {
 	s.t.Helper()
 	notices := func(id string) (n int) {
 		for _, d := range s.dirs {
@@ -236,27 +240,27 @@
 		return n
 	}
 	s.mu.Lock()
-	heard := maps.Clone(s.heard)
+	verdicts := maps.Clone(s.verdicts)
 	s.mu.Unlock()
-	for id, v := range heard {
+	for id, v := range verdicts {
 		if v == load.Taken {
-			s.until("the end of "+id, func() bool { return len(s.by(id))+notices(id) > 0 })
+			s.until("the final result of "+id, func() bool { return len(s.deliveredBy(id))+notices(id) > 0 })
 		}
-		assert.LessOrEqual(s.t, len(s.by(id)), 1, "%s: two couriers have delivered it", id)
+		assert.LessOrEqual(s.t, len(s.deliveredBy(id)), 1, "%s: two couriers have delivered it", id)
 		if v != load.Unheard {
-			assert.LessOrEqual(s.t, len(s.by(id))+min(1, notices(id)), 1, "%s: two ends", id)
+			assert.LessOrEqual(s.t, len(s.deliveredBy(id))+min(1, notices(id)), 1, "%s: two final results", id)
 		}
 		if v == load.Refused || v == load.Failed {
-			assert.Empty(s.t, s.by(id), "%s: it was not taken", id)
+			assert.Empty(s.t, s.deliveredBy(id), "%s: delivered although not accepted", id)
 		}
 	}
 }
 
-// ids are the messages of these streams that have been delivered.
-func (s *parted) ids(prefixes ...string) (out []string) {
+// deliveredIDs returns the delivered messages whose streams have one of these prefixes.
+func (s *partitionedFleet) deliveredIDs(prefixes ...string) (out []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id := range s.seen {
+	for id := range s.deliveries {
 		if slices.ContainsFunc(prefixes, func(p string) bool { return strings.HasPrefix(id, p+"-") }) {
 			out = append(out, id)
 		}
@@ -264,46 +268,46 @@
 	return out
 }
 
-// calls are how many have come from a courier.
-func (s *parted) calls(n int) int {
+// calls returns the number of calls made by a courier.
+func (s *partitionedFleet) calls(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.come[n]
+	return s.callCount[n]
 }
 
-// Handed to any courier, a message is delivered once, by the courier that owns its destination.
+// A message submitted to any courier is delivered once, by the courier that owns its destination.
 func TestPartitionsOwnersDeliver(t *testing.T) {
-	s := newParted(t, 3, 3, 1)
-	away, all := make([]int, 3), 0
+	s := newPartitionedFleet(t, 3, 3, 1)
+	forwarded, all := make([]int, 3), 0
 	for n := range 3 {
-		for d := 1; d <= partsDest; d++ {
+		for d := 1; d <= destinationCount; d++ {
 			for _, class := range []string{"status", "order"} {
 				id := fmt.Sprintf("%s-%d-%d", class, n, d)
-				require.Equal(t, load.Taken, s.add(n, d, id, class), id)
-				s.until(id, func() bool { return len(s.by(id)) > 0 })
+				require.Equal(t, load.Taken, s.submit(n, d, id, class), id)
+				s.until(id, func() bool { return len(s.deliveredBy(id)) > 0 })
 				owner := s.owners(d, 3)[0]
-				assert.Equal(t, []int{owner}, s.by(id))
+				assert.Equal(t, []int{owner}, s.deliveredBy(id))
 				all++
 				if owner != n {
-					away[n]++
+					forwarded[n]++
 				}
 			}
 		}
 	}
-	s.ended()
+	s.checkResults()
 	calls := 0
 	for n := range 3 {
-		assert.Positive(t, away[n])
-		assert.Equal(t, away[n], s.counter(n, "n", "forwarded"), "n%d", n)
+		assert.Positive(t, forwarded[n])
+		assert.Equal(t, forwarded[n], s.counter(n, "n", "forwarded"), "n%d", n)
 		assert.Zero(t, s.counter(n, "n", "moved"))
 		calls += s.calls(n)
 	}
-	assert.Equal(t, all, calls, "each is called for once")
+	assert.Equal(t, all, calls, "one call per message")
 }
 
-// stream hands messages in at a courier, one after the other, until it is told to stop, and
-// returns how many.
-func (s *parted) stream(n, dest int, prefix string) (stop func() int) {
+// stream submits messages to a courier, one after another, until stop is called. stop returns their
+// number.
+func (s *partitionedFleet) stream(n, dest int, prefix string) (stop func() int) {
 	end, out := make(chan struct{}), make(chan int)
 	go func() {
 		for i := 0; ; i++ {
@@ -312,7 +316,7 @@
 				out <- i
 				return
 			default:
-				s.add(n, dest, fmt.Sprintf("%s-%d", prefix, i), "status")
+				s.submit(n, dest, fmt.Sprintf("%s-%d", prefix, i), "status")
 			}
 		}
 	}()
@@ -322,95 +326,98 @@
 	})
 }
 
-// delivered is how many messages of a stream have been delivered.
-func (s *parted) delivered(prefix string) int { return len(s.ids(prefix)) }
+// delivered returns the number of delivered messages of a stream.
+func (s *partitionedFleet) delivered(prefix string) int { return len(s.deliveredIDs(prefix)) }
 
-// An only owner is killed while messages come. What it had taken is delivered after its restart,
-// and by nobody else; meanwhile its messages are refused.
+// The only owner of a destination is killed under load. Messages that it had accepted are delivered
+// after its restart and by no other courier. In the meantime messages for it are refused.
 func TestPartitionsOwnerKilled(t *testing.T) {
-	s := newParted(t, 3, 3, 1)
-	dest, other := s.owned(1, 3), s.owned(2, 3)
+	s := newPartitionedFleet(t, 3, 3, 1)
+	dest, other := s.destinationOwnedBy(1, 3), s.destinationOwnedBy(2, 3)
 	s.mu.Lock()
-	s.slow = 20 * time.Millisecond // so that some are held
+	s.callDuration = 20 * time.Millisecond // so that the courier holds some messages
 	s.mu.Unlock()
 	stop, stop2 := s.stream(0, dest, "a"), s.stream(2, dest, "b")
-	s.until("messages come", func() bool { return s.delivered("a") > 3 && s.delivered("b") > 3 })
+	s.until("messages are delivered", func() bool { return s.delivered("a") > 3 && s.delivered("b") > 3 })
 	s.couriers[1].Kill()
 	refused := s.counter(0, "n", "unrouted")
 	s.until("messages are refused", func() bool { return s.counter(0, "n", "unrouted") > refused })
-	require.Equal(t, load.Taken, s.add(0, other, "other", "status"), "another owner's are not touched by that")
+	require.Equal(t, load.Taken, s.submit(0, other, "other", "status"), "messages for another owner are still accepted")
 	before := s.delivered("a")
 	s.start(1)
-	s.until("messages come again", func() bool { return s.delivered("a") > before+3 })
+	s.until("messages are delivered again", func() bool { return s.delivered("a") > before+3 })
 	stop()
 	stop2()
-	s.ended()
-	for _, id := range s.ids("a", "b") {
-		assert.Equal(t, []int{1}, s.by(id))
+	s.checkResults()
+	for _, id := range s.deliveredIDs("a", "b") {
+		assert.Equal(t, []int{1}, s.deliveredBy(id))
 	}
 }
 
-// others is a destination that the last of three couriers does not own, and its owners.
-func (s *parted) others() (dest int, owners []int) {
-	for d := 1; d <= partsDest; d++ {
+// destinationOwnedByOthers returns a destination that the last of three couriers does not own, and
+// its owners.
+func (s *partitionedFleet) destinationOwnedByOthers() (dest int, owners []int) {
+	for d := 1; d <= destinationCount; d++ {
 		if o := s.owners(d, 3); !slices.Contains(o, 2) {
 			return d, o
 		}
 	}
-	require.FailNow(s.t, "n2 owns all")
+	require.FailNow(s.t, "n2 owns all destinations")
 	return 0, nil
 }
 
-// What has left for an owner that gives no answer has no answer: it is neither refused nor handed
-// to the other owner, which would deliver it a second time. Later ones the other owner takes.
+// A message forwarded to an owner that does not reply gets no reply: it is neither refused nor
+// forwarded to the other owner, which could deliver it a second time. Later messages go to the
+// other owner.
 func TestPartitionsOwnerSilent(t *testing.T) {
-	s := newParted(t, 3, 3, 2)
-	dest, owners := s.others()
-	require.Equal(t, load.Taken, s.add(2, dest, "before", "status"))
-	s.until("it comes", func() bool { return len(s.by("before")) > 0 })
-	assert.Equal(t, owners[:1], s.by("before"))
+	s := newPartitionedFleet(t, 3, 3, 2)
+	dest, owners := s.destinationOwnedByOthers()
+	require.Equal(t, load.Taken, s.submit(2, dest, "before", "status"))
+	s.until("the message is delivered", func() bool { return len(s.deliveredBy("before")) > 0 })
+	assert.Equal(t, owners[:1], s.deliveredBy("before"))
 	first := s.couriers[owners[0]]
 	require.NoError(t, first.Pause())
-	assert.Equal(t, load.Unheard, s.add(2, dest, "silent", "status"))
-	assert.Empty(t, s.by("silent"))
+	assert.Equal(t, load.Unheard, s.submit(2, dest, "silent", "status"))
+	assert.Empty(t, s.deliveredBy("silent"))
 	id := ""
-	for n := 0; id == "" || s.heard[id] == load.Unheard; n++ { // it is passed over, for a while each time
+	// After each failure the silent owner is skipped for a limited time.
+	for n := 0; id == "" || s.verdicts[id] == load.Unheard; n++ {
 		require.Less(t, n, 50, "the other owner never takes over")
 		id = fmt.Sprint("other-", n)
-		s.add(2, dest, id, "status")
+		s.submit(2, dest, id, "status")
 	}
-	s.until(id, func() bool { return len(s.by(id)) > 0 })
-	assert.Equal(t, owners[1:], s.by(id))
+	s.until(id, func() bool { return len(s.deliveredBy(id)) > 0 })
+	assert.Equal(t, owners[1:], s.deliveredBy(id))
 	require.NoError(t, first.Resume())
 	s.until("the first is back", func() bool {
-		s.add(2, dest, fmt.Sprint("after-", time.Now().UnixNano()), "status")
+		s.submit(2, dest, fmt.Sprint("after-", time.Now().UnixNano()), "status")
 		return s.calls(owners[0]) > 1
 	})
-	s.ended()
+	s.checkResults()
 }
 
-// With two copies the other owner takes over at once, and what the first had taken it still
-// delivers itself.
+// With two copies the other owner takes over at once when the first is killed. After its restart, the
+// first delivers the messages that it had accepted.
 func TestPartitionsOtherOwner(t *testing.T) {
-	s := newParted(t, 3, 3, 2)
-	dest, owners := s.others()
+	s := newPartitionedFleet(t, 3, 3, 2)
+	dest, owners := s.destinationOwnedByOthers()
 	s.mu.Lock()
-	s.slow = 20 * time.Millisecond
+	s.callDuration = 20 * time.Millisecond
 	s.mu.Unlock()
 	stop := s.stream(2, dest, "a")
-	s.until("messages come", func() bool { return s.delivered("a") > 3 })
-	assert.Zero(t, s.calls(owners[1]), "the first owner gets them")
+	s.until("messages are delivered", func() bool { return s.delivered("a") > 3 })
+	assert.Zero(t, s.calls(owners[1]), "only the first owner delivers")
 	s.couriers[owners[0]].Kill()
 	s.until("the other owner takes over", func() bool { return s.calls(owners[1]) > 3 })
 	s.start(owners[0])
 	before := s.calls(owners[0])
 	s.until("the first is back", func() bool { return s.calls(owners[0]) > before+3 })
 	stop()
-	s.ended()
+	s.checkResults()
 }
 
-// write puts a file of partitions in the place of a courier's and has the courier read it.
-func (s *parted) write(n int, file any) error {
+// reload replaces a courier's partition file and makes the courier reload it.
+func (s *partitionedFleet) reload(n int, file any) error {
 	b, raw := file.([]byte)
 	if !raw {
 		var err error
@@ -421,54 +428,54 @@
 	return s.couriers[n].Hup()
 }
 
-// The members are replaced on one courier after the other while messages come: at times there are
-// two views of who owns what, and each message has one end all the same.
+// The members are changed on one courier after another under load. Although couriers disagree on the
+// owners for a time, each message has exactly one final result.
 func TestPartitionsMembersReplaced(t *testing.T) {
-	s := newParted(t, 3, 3, 1)
+	s := newPartitionedFleet(t, 3, 3, 1)
 	var stops []func() int
 	for n := range 3 {
-		for d := 1; d <= partsDest; d += 3 {
+		for d := 1; d <= destinationCount; d += 3 {
 			stops = append(stops, s.stream(n, d+n, fmt.Sprintf("m%d%d", n, d)))
 		}
 	}
-	for round, members := range []int{2, 3} { // one goes, and is back
+	for round, members := range []int{2, 3} { // remove one member, then add it again
 		for n := range 3 {
-			require.NoError(t, s.write(n, s.file(members)))
+			require.NoError(t, s.reload(n, s.file(members)))
 			id := fmt.Sprintf("m%d1", n)
 			before := s.delivered(id)
-			s.until("messages come", func() bool { return s.delivered(id) > before+2 })
+			s.until("messages are delivered", func() bool { return s.delivered(id) > before+2 })
 		}
-		s.lists(members) // what is no longer owned has lingered
-		require.Equal(t, load.Taken, s.add(0, s.owned(1, members), fmt.Sprint("round", round), "status"))
+		s.untilListed(members) // entries that are no longer owned are removed after linger_s
+		require.Equal(t, load.Taken, s.submit(0, s.destinationOwnedBy(1, members), fmt.Sprint("round", round), "status"))
 	}
 	for _, stop := range stops {
 		assert.Positive(t, stop())
 	}
-	s.ended()
+	s.checkResults()
 }
 
-// A bad file at SIGHUP is told of, and the members held stay. A courier that is no member
-// forwards all. A bad file at a start is one line.
+// An invalid file at SIGHUP is reported and the current members stay. A courier that is not a member
+// forwards everything. An invalid file at a start is reported in one line.
 func TestPartitionsFile(t *testing.T) {
-	s := newParted(t, 3, 2, 1) // the last is no member
+	s := newPartitionedFleet(t, 3, 2, 1) // the last courier is not a member
 	check := func(round string) {
 		for n := range 3 {
-			for d := 1; d <= partsDest; d++ {
+			for d := 1; d <= destinationCount; d++ {
 				id := fmt.Sprintf("%s-%d-%d", round, n, d)
-				require.Equal(t, load.Taken, s.add(n, d, id, "status"))
-				s.until(id, func() bool { return len(s.by(id)) > 0 })
-				assert.Equal(t, s.owners(d, 2)[:1], s.by(id))
+				require.Equal(t, load.Taken, s.submit(n, d, id, "status"))
+				s.until(id, func() bool { return len(s.deliveredBy(id)) > 0 })
+				assert.Equal(t, s.owners(d, 2)[:1], s.deliveredBy(id))
 			}
 		}
 	}
 	check("first")
-	assert.Equal(t, partsDest, s.counter(2, "n", "forwarded"))
+	assert.Equal(t, destinationCount, s.counter(2, "n", "forwarded"))
 	assert.Zero(t, s.counter(2, "idle", "listed"))
 	twice := s.file(2)
 	twice["members"] = append(twice["members"].([]any), twice["members"].([]any)[0])
 	for name, file := range map[string]any{"text": []byte("{"), "number": map[string]any{"partitions": "many"}, "twice": twice} {
-		assert.ErrorContains(t, s.write(0, file), "partitions.json", name)
-		assert.ErrorContains(t, s.write(2, file), "partitions.json", name)
+		assert.ErrorContains(t, s.reload(0, file), "partitions.json", name)
+		assert.ErrorContains(t, s.reload(2, file), "partitions.json", name)
 		check(name)
 	}
 	c := scenario.NewCourier(t)
--- a/cmd/snowjunction/partitions_test.go
+++ b/cmd/snowjunction/partitions_test.go
@@ -15,8 +15,8 @@
 	"snowjunction/internal/scenario"
 )
 
-// members is the text of an operator file that divides so many partitions among couriers n0, n1, ...
-func members(t *testing.T, partitions int, names ...string) []byte {
+// membersFile returns an operator file that divides partitions among the named couriers.
+func membersFile(t *testing.T, partitions int, names ...string) []byte {
 	var all []any
 	for i, name := range names {
 		all = append(all, map[string]any{"name": name, "addr": fmt.Sprintf("127.0.0.1:%d", i+1), "region": "r" + fmt.Sprint(i%2)})
@@ -26,9 +26,9 @@
 	return b
 }
 
-// SIGHUP takes other members up, names what waits for a restart, and keeps what holds where the
-// file is wrong.
-func TestMembersReadAgain(t *testing.T) {
+// SIGHUP applies changed members and logs settings that need a restart. If the file is invalid, the
+// current members stay.
+func TestMembersReloaded(t *testing.T) {
 	c := scenario.NewCourier(t)
 	path := filepath.Join(c.Dir(), "partitions.json")
 	c.Env = append(c.Env, "SNOWJUNCTION_PARTITIONS="+path)
@@ -38,35 +38,35 @@
 		_, err := c.Await(pattern)
 		require.NoError(t, err)
 	}
-	write(members(t, 64, "n0", "n1"))
+	write(membersFile(t, 64, "n0", "n1"))
 	require.NoError(t, c.Start())
 	assert.Contains(t, c.Log(), "msg=partitions courier=n0 members=2 partitions=64 copies=1 own=64")
 	require.NoError(t, c.Signal(syscall.SIGUSR1))
 	await(`msg=counters .* partitions.owned=64 partitions.listed=64 partitions.wanted=[0-9]+ partitions.pins=0 partitions.unreached=0`)
 
-	write(members(t, 64, "n0", "n1", "n2", "n3"))
+	write(membersFile(t, 64, "n0", "n1", "n2", "n3"))
 	c.Play.Run(`courier wait hup`)
 	await(`msg=partitions .*members=4 partitions=64 copies=1 own=[123]?[0-9]\n`)
 	await(`configuration read again`)
 
-	write(members(t, 32, "n0", "n1"))
+	write(membersFile(t, 32, "n0", "n1"))
 	c.Play.Run(`courier wait hup`)
 	await(`these wait for a restart.* values=\[partitions\]`)
 	await(`configuration read again`)
 
-	write(members(t, 64, "n1", "n1"))
+	write(membersFile(t, 64, "n1", "n1"))
 	c.Play.Run(`courier wait hup`)
 	await(`configuration not read again.*partitions.json: /members/1/name: .*n1.* is the name of /members/0 too`)
 
-	write(members(t, 64, "n1"))
+	write(membersFile(t, 64, "n1"))
 	c.Play.Run(`courier wait hup`)
 	await(`no member of the partitions: it owns none and forwards all.* members=1`)
 	await(`configuration read again`)
-	assert.Equal(t, 2, strings.Count(c.Log(), "msg=partitions "), "nothing else was taken up")
+	assert.Equal(t, 2, strings.Count(c.Log(), "msg=partitions "), "no other change was applied")
 }
 
-// Off, as without the file, nothing is said of partitions, and what turns them on waits.
-func TestPartitionsWaitForARestart(t *testing.T) {
+// While partitions are disabled, nothing is logged about them. Enabling them needs a restart.
+func TestPartitionsNeedRestart(t *testing.T) {
 	c := scenario.NewCourier(t)
 	path := filepath.Join(c.Dir(), "partitions.json")
 	c.Env = append(c.Env, "SNOWJUNCTION_PARTITIONS="+path)
@@ -79,7 +79,7 @@
 	_, err := c.Await(`msg=counters .*\n`)
 	require.NoError(t, err)
 	assert.NotContains(t, c.Log(), "partition")
-	require.NoError(t, os.WriteFile(path, members(t, 64, "n0"), 0o600))
+	require.NoError(t, os.WriteFile(path, membersFile(t, 64, "n0"), 0o600))
 	c.Play.Run(`
 		courier wait hup
 		courier wait "values=[partitions]"
@@ -88,7 +88,7 @@
 	assert.NotContains(t, c.Log(), "msg=partitions")
 }
 
-// check tells what it reads, and start and check tell of mistakes in one line each.
+// check prints the partition settings; start and check report a mistake in one line.
 func TestPartitionsChecked(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "partitions.json")
@@ -100,9 +100,9 @@
 		want string
 	}{
 		{[]byte(`{"enabled": false}`), 0, "no mistakes\n"},
-		{members(t, 64, "n0", "n1"), 0, path + ": members=2 regions=2 partitions=64 copies=1; n0 owns 64\n"},
-		{members(t, 64, "a", "b", "c"), 0, path + ": members=3 regions=2 partitions=64 copies=1; n0 owns 0\nno mistakes\n"},
-		{members(t, 4096, "n0"), exitMistake, path + `: /partitions: 4096 is too large for so few members: "n0" would own 4096, over 1024` + "\n"},
+		{membersFile(t, 64, "n0", "n1"), 0, path + ": members=2 regions=2 partitions=64 copies=1; n0 owns 64\n"},
+		{membersFile(t, 64, "a", "b", "c"), 0, path + ": members=3 regions=2 partitions=64 copies=1; n0 owns 0\nno mistakes\n"},
+		{membersFile(t, 4096, "n0"), exitMistake, path + `: /partitions: 4096 is too large for so few members: "n0" would own 4096, over 1024` + "\n"},
 		{[]byte(`{"enabled": true}`), exitMistake, path + ": /members: none, and /enabled is true\n"},
 		{[]byte(`{"copies": 9, "colour": "red"}`), exitMistake, path + ": /copies: "},
 	} {
--- a/cmd/snowjunction/plugin.go
+++ b/cmd/snowjunction/plugin.go
@@ -36,6 +36,7 @@
 	New   pluginNew   `cmd:"" help:"Create a skeleton plug-in that passes check."`
 }
 
+// pluginList lists plug-ins in a folder or those of a running courier.
 type pluginList struct {
 	Admin  string `placeholder:"SOCKET" help:"Query a running courier through its admin socket instead."`
 	Reload bool   `help:"With --admin: have the courier reload its plug-ins first."`
@@ -75,6 +76,7 @@
 	return err
 }
 
+// pluginCheck checks plug-ins against their samples.
 type pluginCheck struct {
 	Folders []string `arg:"" help:"Folders of plug-ins."`
 }
@@ -102,6 +104,7 @@
 	return nil
 }
 
+// pluginTry runs a plug-in on one recorded call.
 type pluginTry struct {
 	Folder string `arg:"" help:"Folder of the plug-in."`
 	Call   string `arg:"" help:"File with a call, in the format of a sample."`
@@ -134,6 +137,7 @@
 	return nil
 }
 
+// pluginNew creates a skeleton plug-in.
 type pluginNew struct {
 	Folder string `arg:"" help:"Folder to create; its name becomes the name of the plug-in."`
 }
--- a/cmd/snowjunction/plugin_test.go
+++ b/cmd/snowjunction/plugin_test.go
@@ -43,30 +43,32 @@
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "p.star"), []byte(code), 0o600))
 }
 
-// slowest is the budget of a plug-in that a busy machine, too, has in time nearly always. What is
-// over its time goes on without it, and is counted.
-var slowest = map[string]any{"time_ms": 40}
+// generousBudget is a plug-in budget that even a busy machine nearly always meets. A flow whose
+// plug-in exceeds it continues without the plug-in and is counted.
+var generousBudget = map[string]any{"time_ms": 40}
 
-// patient has the courier wait for its plug-ins, in a test that is about what they answer.
-const patient = runUnhurried + "=1"
+// extendBudgets makes the courier wait for its plug-ins, for tests that check their answers.
+const extendBudgets = envExtendPluginBudgets + "=1"
 
-// hostsReady is for hosts to be ready. A module of Go's takes the race detector some 20 s of a core of
-// its own, and a host has the lowest priority.
-const hostsReady = 5 * time.Minute
+// hostStartTimeout limits the start of plug-in hosts. Under the race detector a WebAssembly module
+// compiled by Go takes some 20 s of a core, and a host has the lowest priority.
+const hostStartTimeout = 5 * time.Minute
 
-// withPlugins has a courier read its plug-ins from a folder.
+// withPlugins writes the operator file for plug-ins into dir, with plug-ins from folder, and
+// returns the environment variable that names it.
 func withPlugins(t *testing.T, dir, folder string) string {
 	file := filepath.Join(dir, "plugins.json")
-	b, err := json.Marshal(map[string]any{"folder": folder, "start_s": int(hostsReady.Seconds()), "admin": filepath.Join(dir, "door")})
+	b, err := json.Marshal(map[string]any{"folder": folder, "start_s": int(hostStartTimeout.Seconds()), "admin": filepath.Join(dir, "door")})
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(file, b, 0o600))
 	return "SNOWJUNCTION_PLUGINS=" + file
 }
 
+// sees returns a manifest's sees entry for the given destinations.
 func sees(destinations ...int) map[string]any { return map[string]any{"destinations": destinations} }
 
-// A skeleton passes its own check; a plug-in that does not do as its samples say
-// fails it, and try shows what it says.
+// A new skeleton passes check, and try prints its answer. A plug-in whose answers differ from its
+// samples fails check.
 func TestPluginCommands(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "odd-hints")
 	out, code := command(t, nil, "plugin", "new", dir)
@@ -92,15 +94,15 @@
 	assert.Equal(t, exitMistake, code, out)
 }
 
-// kitchen is a stage whose partners speak HTTP/1.1 or, every other one, HTTP/2
-// behind the push front, with plug-ins loaded.
-func kitchen(t *testing.T, partners int, folder string, env ...string) *stage {
-	return newStageWith(t, partners, map[string]any{}, func(s *stage) {
+// newPluginTestbed returns a testbed with the plug-ins of folder loaded. Every other partner speaks
+// HTTP/2 and is a target of the push front; the others speak HTTP/1.1.
+func newPluginTestbed(t *testing.T, partners int, folder string, env ...string) *testbed {
+	return newTestbedWith(t, partners, map[string]any{}, func(s *testbed) {
 		s.Env = append(s.Env, withPlugins(t, s.Dir(), folder), "SNOWJUNCTION_LOG_LEVEL=debug")
 		s.Unhurried()
-		s.left = scenario.Limit
-		s.Patience = hostsReady
-		s.farm.Keep()
+		s.timeLeft = scenario.Limit
+		s.Patience = hostStartTimeout
+		s.partners.Keep()
 		s.Env = append(s.Env, env...)
 		s.Settings["family-info"].(map[string]any)["max-calls"] = 32
 		s.Settings["limits"].(map[string]any)["most-held"] = 400
@@ -108,106 +110,108 @@
 	}, true)
 }
 
-func (s *stage) counts() (sum partner.Counts) {
-	s.farm.Each(func(_ uint32, p *partner.Partner) { sum.Add(p.Counts) })
+// counts returns the summed counts of all partners.
+func (s *testbed) counts() (sum partner.Counts) {
+	s.partners.Each(func(_ uint32, p *partner.Partner) { sum.Add(p.Counts) })
 	return sum
 }
 
-// brokenWaits is what standin.BrokenWaits names of all that has come about so far.
-func (s *stage) brokenWaits() []standin.BrokenWait {
-	s.counters("n.sent") // all lines of that are there
-	return standin.BrokenWaits(s.farm.Taken(), standin.Traces(s.Log()))
+// brokenWaits returns the result of standin.BrokenWaits for the calls and log so far.
+func (s *testbed) brokenWaits() []standin.BrokenWait {
+	s.counter("n.sent") // after this, all earlier log lines have arrived
+	return standin.BrokenWaits(s.partners.Taken(), standin.Traces(s.Log()))
 }
 
-// The hooks at work on sockets: one refuses, one reads a success that is none,
-// one remembers and prints.
+// Hooks work on real connections: admit refuses a message, ended keeps state across calls and a
+// reload and prints, and shape changes headers and query.
 func TestPluginHooks(t *testing.T) {
 	folder := t.TempDir()
-	writePlugin(t, folder, "gate", map[string]any{"hooks": []string{"admit"}, "sees": sees(2), "budget": slowest},
+	writePlugin(t, folder, "gate", map[string]any{"hooks": []string{"admit"}, "sees": sees(2), "budget": generousBudget},
 		"def admit(call):\n    return {'after_ms': 2500}\n")
-	tail := func(version string) {
-		writePlugin(t, folder, "tail", map[string]any{"version": version, "hooks": []string{"ended"}, "sees": sees(3), "budget": slowest},
+	writeTail := func(version string) {
+		writePlugin(t, folder, "tail", map[string]any{"version": version, "hooks": []string{"ended"}, "sees": sees(3), "budget": generousBudget},
 			"def ended(call):\n    keep('n', str(int(recall('n') or '0') + 1))\n    print('end', recall('n'), call.id, call.state)\n")
 	}
-	tail("1")
-	writePlugin(t, folder, "shaper", map[string]any{"hooks": []string{"shape"}, "sees": sees(4), "budget": slowest, "touches": map[string]any{"headers": true, "path": true}},
+	writeTail("1")
+	writePlugin(t, folder, "shaper", map[string]any{"hooks": []string{"shape"}, "sees": sees(4), "budget": generousBudget, "touches": map[string]any{"headers": true, "path": true}},
 		"def shape(call):\n    return {'headers': {'X-Kitchen': call.endpoint}, 'query': 'a=1'}\n")
-	s := kitchen(t, 4, folder, patient)
+	s := newPluginTestbed(t, 4, folder, extendBudgets)
 	s.deliver(1, "m1")
 	var v load.Verdict
 	var after time.Duration
-	once(t, s.Courier, "gate", func() {
+	callOnce(t, s.Courier, "gate", func() {
 		var err error
-		v, after, err = s.client.Add(load.Message{ID: "m2", Class: "status", Tenant: "town", Destination: 2, Left: s.left})
+		v, after, err = s.client.Add(load.Message{ID: "m2", Class: "status", Tenant: "town", Destination: 2, Left: s.timeLeft})
 		require.NoError(t, err)
 	})
 	assert.Equal(t, load.Refused, v)
 	assert.InDelta(t, 2500, after.Milliseconds(), 1)
-	ended := func(name string) int {
-		once(t, s.Courier, "tail", func() { s.deliver(3, name) })
+	callEnded := func(name string) int {
+		callOnce(t, s.Courier, "tail", func() { s.deliver(3, name) })
 		m := regexp.MustCompile(`text="end (\d+) ` + name + ` delivered"`).FindStringSubmatch(s.Log())
 		require.NotNil(t, m, name)
 		n, err := strconv.Atoi(m[1])
 		require.NoError(t, err)
 		return n
 	}
-	assert.Equal(t, 1, ended("m3"))
-	tail("2")
+	assert.Equal(t, 1, callEnded("m3"))
+	writeTail("2")
 	require.NoError(t, s.Signal(syscall.SIGHUP))
 	_, err := s.Await("plug-ins replaced")
 	require.NoError(t, err)
-	assert.Equal(t, 2, ended("m4"), "it remembers")
-	once(t, s.Courier, "shaper", func() { s.deliver(4, "m5") })
-	assert.Equal(t, []string{"p4-0", "a=1"}, s.farm.LastShaped())
+	assert.Equal(t, 2, callEnded("m4"), "the plug-in keeps its state across a reload")
+	callOnce(t, s.Courier, "shaper", func() { s.deliver(4, "m5") })
+	assert.Equal(t, []string{"p4-0", "a=1"}, s.partners.LastShaped())
 
-	// A plug-in that cannot be read is not taken, and the others stay.
+	// An invalid plug-in is not loaded, and the current plug-ins stay.
 	require.NoError(t, os.WriteFile(filepath.Join(folder, "tail", "p.star"), []byte("def ended(:\n"), 0o600))
 	require.NoError(t, s.Signal(syscall.SIGHUP))
 	_, err = s.Await("plug-ins not replaced.*tail")
 	require.NoError(t, err)
-	assert.Equal(t, 3, ended("m6"))
+	assert.Equal(t, 3, callEnded("m6"))
 }
 
-// once calls once, and returns when a plug-in has answered that: none goes on without it, where the
-// courier is unhurried.
-func once(t *testing.T, c *scenario.Courier, plugin string, call func()) {
+// callOnce runs call, which calls a plug-in once, and returns when the plug-in has answered. The
+// courier must run with extendBudgets, so that no flow continues without the plug-in.
+func callOnce(t *testing.T, c *scenario.Courier, plugin string, call func()) {
 	t.Helper()
-	was, missed := asked(t, c, plugin)
+	answeredBefore, skippedBefore := pluginCounts(t, c, plugin)
 	call()
 	limit := time.Now().Add(scenario.Limit)
 	for {
-		answered, without := asked(t, c, plugin)
-		require.Equal(t, missed, without, "gone on without %s", plugin)
-		if answered > was {
-			require.Equal(t, was+1, answered)
+		answered, skipped := pluginCounts(t, c, plugin)
+		require.Equal(t, skippedBefore, skipped, "a flow continued without %s", plugin)
+		if answered > answeredBefore {
+			require.Equal(t, answeredBefore+1, answered)
 			return
 		}
-		require.True(t, time.Now().Before(limit), "no answer: %s", plugin)
+		require.True(t, time.Now().Before(limit), "no answer of plug-in %s", plugin)
 	}
 }
 
-// inTime calls again, under other names, until a plug-in has answered in its time, and returns that
-// name: on a busy machine it may be late, which is counted.
-func inTime(t *testing.T, c *scenario.Courier, plugin, name string, call func(id string)) string {
+// untilInTime repeats call with new ids until a plug-in has answered within its budget, and returns
+// the last id. On a busy machine the plug-in may be late, which is counted.
+func untilInTime(t *testing.T, c *scenario.Courier, plugin, name string, call func(id string)) string {
 	t.Helper()
 	limit := time.Now().Add(scenario.Limit)
 	for i := 0; ; i++ {
 		id := fmt.Sprintf("%s-%d", name, i)
-		was, missed := asked(t, c, plugin)
+		answeredBefore, skippedBefore := pluginCounts(t, c, plugin)
 		call(id)
-		answered, without := was, missed
-		for answered+without == was+missed {
-			require.True(t, time.Now().Before(limit), "never in time: %s", plugin)
-			answered, without = asked(t, c, plugin)
+		answered, skipped := answeredBefore, skippedBefore
+		for answered+skipped == answeredBefore+skippedBefore {
+			require.True(t, time.Now().Before(limit), "plug-in %s never answered within its budget", plugin)
+			answered, skipped = pluginCounts(t, c, plugin)
 		}
-		if answered > was {
+		if answered > answeredBefore {
 			return id
 		}
 	}
 }
 
-// asked is how many calls a plug-in has answered in time, and how many went on without it.
-func asked(t *testing.T, c *scenario.Courier, plugin string) (answered, without int) {
+// pluginCounts returns how many calls a plug-in has answered in time, and how many flows continued
+// without it.
+func pluginCounts(t *testing.T, c *scenario.Courier, plugin string) (answered, skipped int) {
 	require.NoError(t, c.Signal(syscall.SIGUSR1))
 	at := func(name string) string { return `plugins\.` + plugin + `\.` + name + `=(\d+) ` }
 	m, err := c.Await(`msg=counters .* ` + at("answered") + at("failed") + `.*` + at("passed"))
@@ -220,16 +224,16 @@
 	return n[0], n[1] + n[2]
 }
 
-// Hostile plug-ins, all at once, while partners fail: every message has its one
-// end, no rule is broken, the courier stays up, and who is not seen by a hostile
-// one is served as ever. They go into quarantine, are reloaded in the middle, and
-// what the guard drops is counted.
+// Several hostile plug-ins run at once while partners fail. Every message has exactly one final
+// result, no invariant is violated, the courier keeps running, and destinations that no hostile
+// plug-in sees are served as usual. The plug-ins are quarantined, reloaded in the middle of the
+// run, and their dropped answers are counted.
 func TestHostilePlugins(t *testing.T) {
 	folder := t.TempDir()
 	require.NoError(t, measure.HostilePlugins(folder))
-	s := kitchen(t, 9, folder)
+	s := newPluginTestbed(t, 9, folder)
 	for d, kind := range map[uint32]partner.Kind{4: partner.Error, 5: partner.Shut} {
-		require.NoError(t, s.farm.With(d, func(p *partner.Partner) {
+		require.NoError(t, s.partners.With(d, func(p *partner.Partner) {
 			p.Add(partner.Fault{Kind: kind, Until: time.Hour, Share: 0.3})
 		}))
 	}
@@ -243,7 +247,8 @@
 					ID: fmt.Sprintf("m%d-%d", lane, n), Class: "status", Tenant: "town", Destination: uint32(lane%9 + 1),
 					Left: scenario.Limit, Push: lane%3 == 0,
 				}
-				if m.Destination == 5 { // what its partner shuts out for an hour ends by its time
+				// The partner is closed for an hour: its messages end at their deadline.
+				if m.Destination == 5 {
 					m.Left = 3 * time.Second
 				}
 				if lane%2 == 0 {
@@ -260,7 +265,7 @@
 		}
 	}
 	var e load.Ends
-	s.until("every message's end", func() bool {
+	s.until("the final result of every message", func() bool {
 		e = s.client.Account(s.seen, s.directory.Notices(), nil)
 		return e.Open == 0
 	})
@@ -269,20 +274,20 @@
 	n := s.counts()
 	assert.Zero(t, n.Copies+n.OutOfOrder, "%+v", n)
 	assert.Empty(t, s.brokenWaits())
-	for _, d := range []uint32{8, 9} { // seen by none of them
+	for _, d := range []uint32{8, 9} { // no hostile plug-in sees these
 		e := s.client.Account(s.seen, s.directory.Notices(), func(m load.Message) bool { return m.Destination == d })
 		assert.Equal(t, e.Taken, e.Delivered, "destination %d: %+v", d, e)
 	}
 	require.NoError(t, s.Signal(syscall.SIGUSR1))
 	m, err := s.Await(`msg=counters .*`)
 	require.NoError(t, err)
-	// Which of them is over its time before it can misbehave depends on the
-	// machine; that each was held off does not.
+	// Whether a plug-in exceeds its budget before it can misbehave depends on the machine. In any
+	// case each must have been stopped or corrected.
 	for _, name := range []string{"loops", "grows", "breaks", "lies", "floods", "huge"} {
 		assert.Regexp(t, "plugins."+name+".(failed=[1-9]|.* plugins."+name+".corrected=[1-9])", m[0])
 	}
-	// How many calls each of them has got in all that depends on the machine, too: a few may be too
-	// few. Their flows go on until one is held off altogether.
+	// The number of calls to each plug-in also depends on the machine and may be too small for a
+	// quarantine. Messages continue until one plug-in is quarantined.
 	i := 0
 	s.until("a quarantine", func() bool {
 		s.deliver(uint32(i%3+1), fmt.Sprint("on", i))
@@ -293,25 +298,25 @@
 	require.NoError(t, s.Stop(syscall.SIGTERM))
 }
 
-// A courier that is killed while a hook runs owes what it had taken on.
+// A courier killed while a hook runs delivers the accepted message after its restart.
 func TestKilledWhileAHookRuns(t *testing.T) {
 	folder := t.TempDir()
 	writePlugin(t, folder, "slow", map[string]any{"hooks": []string{"shape"}, "sees": sees(1), "budget": map[string]any{"time_ms": 40, "steps": 100000000}},
 		"def shape(call):\n    for i in range(100000000):\n        pass\n")
-	s := kitchen(t, 2, folder)
-	require.Equal(t, load.Taken, s.add(1, "m1"))
+	s := newPluginTestbed(t, 2, folder)
+	require.Equal(t, load.Taken, s.submit(1, "m1"))
 	require.NoError(t, s.Stop(syscall.SIGKILL))
 	s.start()
 	s.until("m1", func() bool { return s.seen(1, "m1") })
 	assert.Zero(t, s.counts().Copies)
 }
 
-// handInOrder hands in messages of one key, one after another.
-func (s *stage) handInOrder(name string, dest uint32, n int, between func(i int)) {
+// submitInOrder submits n messages of one key, one after another.
+func (s *testbed) submitInOrder(name string, dest uint32, n int, between func(i int)) {
 	for i := range n {
 		between(i)
 		v, _, err := s.client.Add(load.Message{
-			ID: fmt.Sprintf("%s-%d", name, i), Class: "order", Tenant: "town", Destination: dest, Left: s.left,
+			ID: fmt.Sprintf("%s-%d", name, i), Class: "order", Tenant: "town", Destination: dest, Left: s.timeLeft,
 			Keyed: true, Key: 77, Seq: uint64(i + 1),
 		})
 		require.NoError(s.t, err)
@@ -319,112 +324,112 @@
 	}
 }
 
-// Plug-ins are replaced in the middle of a clump for one key: nothing is lost,
-// comes twice or out of order, and the new version serves what comes later.
-func TestReloadInAClump(t *testing.T) {
+// Plug-ins are reloaded in the middle of a burst for one key: nothing is lost, sent twice or out of
+// order, and the new version handles later messages.
+func TestReloadDuringBurst(t *testing.T) {
 	folder := t.TempDir()
-	version := func(v string) {
+	writeVersion := func(v string) {
 		writePlugin(t, folder, "shaper", map[string]any{
-			"version": v, "hooks": []string{"admit", "shape", "read"}, "touches": map[string]any{"headers": true}, "budget": slowest,
+			"version": v, "hooks": []string{"admit", "shape", "read"}, "touches": map[string]any{"headers": true}, "budget": generousBudget,
 		}, "def admit(call):\n    return None\ndef shape(call):\n    return {'headers': {'X-Kitchen': '"+v+"'}}\ndef read(call):\n    return None\n")
 	}
-	version("1")
-	s := kitchen(t, 2, folder)
-	s.handInOrder("m", 1, 60, func(i int) {
+	writeVersion("1")
+	s := newPluginTestbed(t, 2, folder)
+	s.submitInOrder("m", 1, 60, func(i int) {
 		if i%20 == 10 {
-			version(fmt.Sprint("2.", i))
+			writeVersion(fmt.Sprint("2.", i))
 			require.NoError(t, s.Signal(syscall.SIGHUP))
 		}
 	})
-	s.until("every message's end", func() bool {
+	s.until("the final result of every message", func() bool {
 		return s.client.Account(s.seen, s.directory.Notices(), nil).Delivered == 60
 	})
 	n := s.counts()
 	assert.Zero(t, n.Copies+n.OutOfOrder, "%+v", n)
 	_, err := s.Await("plug-ins replaced")
 	require.NoError(t, err)
-	// On a busy machine it may be late, and in quarantine before it has answered: each new version
-	// begins with none.
+	// On a busy machine the plug-in may be late and quarantined before it answers. Each new version
+	// starts without a quarantine.
 	i := 0
 	s.until("the last version", func() bool {
 		i++
 		last := fmt.Sprint("last", i)
-		version(last)
+		writeVersion(last)
 		_, err := admin.Call(filepath.Join(s.Dir(), "door"), "reload")
 		require.NoError(t, err)
 		s.deliver(2, fmt.Sprint("x", i))
-		return slices.Equal(s.farm.LastShaped(), []string{last, ""})
+		return slices.Equal(s.partners.LastShaped(), []string{last, ""})
 	})
 	assert.Empty(t, s.brokenWaits())
 }
 
-// A plug-in that fails goes into quarantine, its flows pass it by, and when it
-// answers again it comes back.
+// A failing plug-in is quarantined and its flows skip it. It returns once it answers again.
 func TestQuarantineAndReturn(t *testing.T) {
 	folder := t.TempDir()
 	writePlugin(t, folder, "moody", map[string]any{"hooks": []string{"admit"}, "budget": map[string]any{"time_ms": 40}},
 		"def admit(call):\n    return fail('no') if call.id.startswith('bad') else None\n")
-	s := kitchen(t, 2, folder, patient)
+	s := newPluginTestbed(t, 2, folder, extendBudgets)
 	i, open := 0, regexp.MustCompile("plug-in quarantine.*plugin=moody state=open")
 	for ; i < breaker.Default.Row; i++ {
 		assert.NotRegexp(t, open, s.Log())
 		s.deliver(1, fmt.Sprint("bad", i))
 	}
-	assert.Equal(t, fmt.Sprint(breaker.Default.Row), s.counters("plugins.moody.failed"))
+	assert.Equal(t, fmt.Sprint(breaker.Default.Row), s.counter("plugins.moody.failed"))
 	assert.Regexp(t, open, s.Log())
-	// Where its rest is over before the next flow comes that is a trial, which fails: it rests for twice as long.
-	s.until("a flow that passes it by", func() bool {
+	// If the quarantine ends before the next flow, that flow is a half-open trial. It fails, which
+	// doubles the quarantine.
+	s.until("a flow that skips the plug-in", func() bool {
 		s.deliver(2, fmt.Sprint("bad", i))
 		i++
-		return s.counters("plugins.moody.passed") != "0"
+		return s.counter("plugins.moody.passed") != "0"
 	})
 	i = 0
-	s.until("its return", func() bool {
+	s.until("the return of the plug-in", func() bool {
 		s.deliver(1, fmt.Sprint("good", i))
 		i++
-		return s.counters("plugins.moody.state") == "closed"
+		return s.counter("plugins.moody.state") == "closed"
 	})
-	assert.Equal(t, fmt.Sprint(breaker.Default.Trials), s.counters("plugins.moody.answered"))
+	assert.Equal(t, fmt.Sprint(breaker.Default.Trials), s.counter("plugins.moody.answered"))
 }
 
-// The admin socket lists the plug-ins of a running courier and has them read
-// anew; what it cannot do it says.
+// The admin socket lists and reloads the plug-ins of a running courier and reports a failed reload.
 func TestAdminSocket(t *testing.T) {
 	folder := t.TempDir()
 	write := func(v string) {
 		writePlugin(t, folder, "tail", map[string]any{"version": v, "hooks": []string{"ended"}}, "def ended(call):\n    return None\n")
 	}
 	write("1")
-	door := filepath.Join(folder, "door")
-	s := newStageWith(t, 1, map[string]any{}, func(s *stage) {
+	socketPath := filepath.Join(folder, "door")
+	s := newTestbedWith(t, 1, map[string]any{}, func(s *testbed) {
 		file := filepath.Join(s.Dir(), "plugins.json")
-		b, err := json.Marshal(map[string]any{"folder": folder, "admin": door})
+		b, err := json.Marshal(map[string]any{"folder": folder, "admin": socketPath})
 		require.NoError(t, err)
 		require.NoError(t, os.WriteFile(file, b, 0o600))
 		s.Env = append(s.Env, "SNOWJUNCTION_PLUGINS="+file)
 	}, false)
-	out, code := command(t, nil, "plugin", "list", "--admin", door)
+	out, code := command(t, nil, "plugin", "list", "--admin", socketPath)
 	assert.Zero(t, code, out)
 	assert.Contains(t, out, `"name":"tail","version":"1"`)
 	write("2")
-	out, code = command(t, nil, "plugin", "list", "--admin", door, "--reload")
+	out, code = command(t, nil, "plugin", "list", "--admin", socketPath, "--reload")
 	assert.Zero(t, code, out)
 	assert.Contains(t, out, `"version":"2"`)
 	require.NoError(t, os.WriteFile(filepath.Join(folder, "tail", "p.star"), []byte("x = 1\n"), 0o600))
-	out, code = command(t, nil, "plugin", "list", "--admin", door, "--reload")
+	out, code = command(t, nil, "plugin", "list", "--admin", socketPath, "--reload")
 	assert.Equal(t, exitFailed, code)
 	assert.Contains(t, out, "must define ended(call)")
 	s.deliver(1, "m1")
-	i, err := os.Stat(door)
+	i, err := os.Stat(socketPath)
 	require.NoError(t, err)
 	assert.Equal(t, os.FileMode(0o600), i.Mode().Perm())
 }
 
-// hostileModule does what a module must not, as the first letter of its call's id says: that stands
-// behind {"id":". It is made by hand: to compile Go's own, as the engine's tests do, takes a host, which
-// has the lowest priority, minutes on a busy machine.
+// hostileModule returns a WebAssembly module that misbehaves as the first letter of the call's id
+// says; that letter follows {"id":" in the input. The module is assembled by hand: on a busy
+// machine a host, which has the lowest priority, takes minutes to compile a module built by Go, as
+// in the engine's tests.
 func hostileModule() []byte {
-	leb := func(v int64) (b []byte) { // signed; of few bits it is the unsigned one, too
+	leb := func(v int64) (b []byte) { // signed LEB128; for small values the same bytes as unsigned
 		for {
 			x := byte(v & 0x7f)
 			if v >>= 7; v == 0 && x&0x40 == 0 || v == -1 && x&0x40 != 0 {
@@ -451,7 +456,8 @@
 	}{
 		{'l', "\x03\x40\x0c\x00\x0b"}, // loop: br 0
 		{'p', "\x00"},                 // unreachable
-		{'g', "\x03\x40\x41\x10\x40\x00\x41\x7f\x46\x04\x40\x00\x0b\x0c\x00\x0b"}, // loop: memory.grow 16, unreachable if it cannot
+		// loop: memory.grow 16; unreachable if that fails
+		{'g', "\x03\x40\x41\x10\x40\x00\x41\x7f\x46\x04\x40\x00\x0b\x0c\x00\x0b"},
 		{'b', returns(0x7fffffff, 100)},
 		{'h', returns(1, 0x7fffffff)},
 		{'n', says("no json")},
@@ -462,7 +468,7 @@
 		// if i32.load8_u(address + 7) == letter
 		read += "\x20\x00\x2d\x00\x07\x41" + string(leb(int64(c.letter))) + "\x46\x04\x40" + c.does + "\x0b"
 	}
-	read += "\x42\x00\x0b" // nothing
+	read += "\x42\x00\x0b" // no result
 	alloc := "\x00\x41" + string(leb(4096)) + "\x0b"
 	return slices.Concat([]byte("\x00asm\x01\x00\x00\x00"),
 		section(1, "\x60\x01\x7f\x01\x7f", "\x60\x02\x7f\x7f\x01\x7e"), // (i32) -> i32, (i32, i32) -> i64
@@ -473,28 +479,28 @@
 		section(11, data...))
 }
 
-// quiet is all that a module reaches.
-type quiet struct{ *engine.Memory }
+// discardLog is an engine environment that discards log lines.
+type discardLog struct{ *engine.Memory }
 
-func (quiet) Log(string) {}
+func (discardLog) Log(string) {}
 
-// The module does what it is to do, each call on its own.
+// Each call of the hostile module fails, or answers, in the intended way.
 func TestHostileModuleAlone(t *testing.T) {
 	m := &manifest.Manifest{
 		Name: "module", Engine: "wasm", Code: "m.wasm", Text: hostileModule(), Hooks: []manifest.Hook{manifest.Read},
 		Budget: manifest.Budget{MemoryMB: 24},
 	}
-	e, err := engine.Open(m, quiet{engine.NewMemory(nil)}, hostsReady)
+	e, err := engine.Open(m, discardLog{engine.NewMemory(nil)}, hostStartTimeout)
 	require.NoError(t, err)
 	defer e.Close()
 	for id, want := range map[string]error{
 		"loop": engine.ErrTime, "panic": engine.ErrTrap, "grow": engine.ErrTrap, "beyond": engine.ErrForm, "huge": engine.ErrForm,
 	} {
-		within := hostsReady
+		timeout := hostStartTimeout
 		if want == engine.ErrTime {
-			within = 100 * time.Millisecond
+			timeout = 100 * time.Millisecond
 		}
-		ctx, cancel := context.WithTimeout(t.Context(), within)
+		ctx, cancel := context.WithTimeout(t.Context(), timeout)
 		_, err := e.Call(ctx, manifest.Read, []byte(`{"id":"`+id+`-1"}`))
 		cancel()
 		assert.ErrorIs(t, err, want, id)
@@ -508,9 +514,9 @@
 	}
 }
 
-// A hostile WebAssembly module reads the answers of one partner: it loops, traps,
-// grows and answers nonsense, each call on its own, and the messages end. One that
-// it calls a failure though it was delivered may go again, as its class allows.
+// A hostile WebAssembly module interprets partners' responses: it loops, traps, grows its memory or
+// answers nonsense. Every message still has a final result. A delivered message that the module
+// reports as failed may be sent again if its class allows that.
 func TestHostileModule(t *testing.T) {
 	folder := t.TempDir()
 	writePlugin(t, folder, "module", map[string]any{
@@ -518,20 +524,21 @@
 		"budget": map[string]any{"time_ms": 40, "memory_mb": 24},
 	}, "")
 	require.NoError(t, os.WriteFile(filepath.Join(folder, "module", "m.wasm"), hostileModule(), 0o600))
-	s := kitchen(t, 3, folder)
-	s.left = 8 * time.Second // what the module calls a failure goes again until its time is over
-	words := []string{"loop", "panic", "grow", "beyond", "huge", "nonsense", "full", "error", "ok"}
+	s := newPluginTestbed(t, 3, folder)
+	// Messages that the module reports as failed are retried until their deadline.
+	s.timeLeft = 8 * time.Second
+	behaviors := []string{"loop", "panic", "grow", "beyond", "huge", "nonsense", "full", "error", "ok"}
 	for i := range 54 {
 		d := uint32(i%3 + 1)
-		s.add(d, fmt.Sprintf("%s-%d", words[i%len(words)], i))
+		s.submit(d, fmt.Sprintf("%s-%d", behaviors[i%len(behaviors)], i))
 	}
 	var e load.Ends
-	s.until("every message's end", func() bool {
+	s.until("the final result of every message", func() bool {
 		e = s.client.Account(s.seen, s.directory.Notices(), nil)
 		return e.Open == 0
 	})
 	assert.Zero(t, e.Unheard+e.Failed, "%+v", e)
-	assert.NotEqual(t, "0", s.counters("plugins.module.failed"))
-	s.left = scenario.Limit
+	assert.NotEqual(t, "0", s.counter("plugins.module.failed"))
+	s.timeLeft = scenario.Limit
 	s.deliver(3, "last")
 }
--- a/cmd/snowjunction/push_test.go
+++ b/cmd/snowjunction/push_test.go
@@ -26,16 +26,15 @@
 	"snowjunction/internal/scenario"
 )
 
-// gateway is a courier with the push front on, and an independent HTTP/2
-// client of it.
+// gateway is a courier with the push front enabled, and an independent HTTP/2 client for it.
 type gateway struct {
 	t *testing.T
 	*scenario.Courier
-	http *http.Client
-	file map[string]any // what the push front's file says besides
+	http     *http.Client
+	settings map[string]any // additional settings for the push front's file
 }
 
-// pushTarget is an entry of the push front's file.
+// pushTarget is a target in the push front's file.
 type pushTarget struct {
 	Name  string `json:"instanceId"`
 	Addr  string `json:"hostPort"`
@@ -66,13 +65,13 @@
 		"listen": "127.0.0.1:0", "openapi": filepath.Join(deploy, "openapi.json"),
 		"asyncapi": filepath.Join(deploy, "asyncapi.json"), "targets": targets,
 	}
-	maps.Copy(file, g.file)
+	maps.Copy(file, g.settings)
 	b, err := json.Marshal(file)
 	require.NoError(g.t, err)
 	require.NoError(g.t, os.WriteFile(filepath.Join(g.Dir(), "push.json"), b, 0o600))
 }
 
-func ready(name, addr string, cell int) pushTarget {
+func readyTarget(name, addr string, cell int) pushTarget {
 	return pushTarget{name, addr, cell, "Ready", "a", "k"}
 }
 
@@ -88,13 +87,13 @@
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
 	require.NoError(g.t, err)
-	g.described(method, path, resp, b)
+	g.checkDescribed(method, path, resp, b)
 	return resp, string(b)
 }
 
-// described holds every answer that a test gets to the deployed documents: its
-// status, the headers that it must have, and the fields of a message's life.
-func (g *gateway) described(method, path string, resp *http.Response, body []byte) {
+// checkDescribed checks a response against the deployed OpenAPI and AsyncAPI documents: its status,
+// its required headers, and the fields of the message status.
+func (g *gateway) checkDescribed(method, path string, resp *http.Response, body []byte) {
 	text, err := os.ReadFile("../../deploy/openapi.json")
 	require.NoError(g.t, err)
 	doc, err := fastjson.ParseBytes(text)
@@ -122,23 +121,23 @@
 	}
 	text, err = os.ReadFile("../../deploy/asyncapi.json")
 	require.NoError(g.t, err)
-	life, err := describe.AsyncAPI("asyncapi.json", text)
+	messageAPI, err := describe.AsyncAPI("asyncapi.json", text)
 	require.NoError(g.t, err)
 	v, err := fastjson.ParseBytes(body)
 	require.NoError(g.t, err)
-	notice := life.Ended
-	if state := string(v.GetStringBytes("state")); state == life.Taken.States[0] {
-		notice = life.Taken
+	notice := messageAPI.Ended
+	if state := string(v.GetStringBytes("state")); state == messageAPI.Taken.States[0] {
+		notice = messageAPI.Taken
 	} else {
-		assert.Contains(g.t, life.Ended.States, state)
+		assert.Contains(g.t, messageAPI.Ended.States, state)
 	}
 	v.GetObject().Visit(func(key []byte, _ *fastjson.Value) { assert.Contains(g.t, notice.Fields, string(key)) })
 	for _, field := range notice.Fields {
-		assert.True(g.t, field == "after_ms" || v.Exists(field), "%s is promised: %s", field, body)
+		assert.True(g.t, field == "after_ms" || v.Exists(field), "the documents require %s: %s", field, body)
 	}
 }
 
-// post hands a message in and returns its location.
+// post submits a message and returns its location.
 func (g *gateway) post(id, class, key, body string, dest int) string {
 	g.t.Helper()
 	headers := []string{"TTL", "18", "Message-Id", id, "Message-Class", class, "Tenant", "town"}
@@ -150,43 +149,43 @@
 	return resp.Header.Get("Location")
 }
 
-// end waits for a message's end and returns its state.
-func (g *gateway) end(location string) string {
+// finalState waits for a message's final result and returns its state.
+func (g *gateway) finalState(location string) string {
 	g.t.Helper()
 	resp, text := g.do("GET", location, "", "Prefer", "wait=20")
 	require.Equal(g.t, 200, resp.StatusCode, text)
-	var life struct{ ID, State, At string }
-	require.NoError(g.t, json.Unmarshal([]byte(text), &life))
-	return life.State
+	var status struct{ ID, State, At string }
+	require.NoError(g.t, json.Unmarshal([]byte(text), &status))
+	return status.State
 }
 
-// recorder is a stand-in for a partner's system behind either kind of target.
-// It notes what it is called with and checks that no message is out twice.
+// recorder simulates a partner's system behind either kind of target. It records its calls and checks
+// that there are no two concurrent attempts of a message or messages of a key.
 type recorder struct {
-	t      *testing.T
-	mu     sync.Mutex
-	order  []string // ids, as their calls began
-	bodies map[string]string
-	out    map[string]int
-	keys   map[string]int
-	answer func(r *http.Request, id string) int // status
+	t          *testing.T
+	mu         sync.Mutex
+	order      []string // ids in the order in which their calls began
+	bodies     map[string]string
+	active     map[string]int
+	activeKeys map[string]int
+	answer     func(r *http.Request, id string) int // returns the status of the response
 }
 
 func newPartner(t *testing.T) *recorder {
-	return &recorder{t: t, bodies: map[string]string{}, out: map[string]int{}, keys: map[string]int{}}
+	return &recorder{t: t, bodies: map[string]string{}, active: map[string]int{}, activeKeys: map[string]int{}}
 }
 
 func (p *recorder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Request-ID")
 	body, _ := io.ReadAll(r.Body)
-	key, _, _ := strings.Cut(string(body), ":") // the tests' bodies are KEY:TEXT
+	key, _, _ := strings.Cut(string(body), ":") // bodies in these tests have the form KEY:TEXT
 	p.mu.Lock()
 	p.order, p.bodies[id] = append(p.order, id), string(body)
-	p.out[id]++
-	p.keys[key]++
-	assert.Equal(p.t, 1, p.out[id], "attempts out of %s", id)
+	p.active[id]++
+	p.activeKeys[key]++
+	assert.Equal(p.t, 1, p.active[id], "concurrent attempts of %s", id)
 	if key != "" {
-		assert.Equal(p.t, 1, p.keys[key], "messages out of key %s", key)
+		assert.Equal(p.t, 1, p.activeKeys[key], "concurrent messages of key %s", key)
 	}
 	answer := p.answer
 	p.mu.Unlock()
@@ -195,13 +194,13 @@
 		status = answer(r, id)
 	}
 	p.mu.Lock()
-	p.out[id]--
-	p.keys[key]--
+	p.active[id]--
+	p.activeKeys[key]--
 	p.mu.Unlock()
 	w.WriteHeader(status)
 }
 
-// seen returns the ids called so far that begin with prefix.
+// seen returns the ids with this prefix in the order of their calls so far.
 func (p *recorder) seen(prefix string) (out []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -213,7 +212,7 @@
 	return out
 }
 
-// serveH2 serves a stand-in server of the play with x/net's HTTP/2.
+// serveH2 serves h on l with the HTTP/2 server of x/net.
 func serveH2(l net.Listener, h http.Handler) {
 	go func() {
 		for {
@@ -226,7 +225,7 @@
 	}()
 }
 
-// Either kind of client reaches either kind of target, under the same rules.
+// Both kinds of clients reach both kinds of targets, with the same guarantees.
 func TestMixedFronts(t *testing.T) {
 	p := newPartner(t)
 	g := newGateway(t)
@@ -234,7 +233,7 @@
 	serveH2(g.Play.Listener("two"), p)
 	go http.Serve(g.Play.Listener("one"), p)
 	g.Targets = []scenario.Target{{Name: "s-1", Addr: one, Cell: 7}}
-	g.write([]pushTarget{ready("p-1", two, 7), ready("p-2", two, 8)})
+	g.write([]pushTarget{readyTarget("p-1", two, 7), readyTarget("p-2", two, 8)})
 	require.NoError(t, g.Start())
 
 	const keys, each = 6, 6
@@ -249,13 +248,13 @@
 			defer c.Close()
 			for i := range each {
 				id, dest, body := fmt.Sprint(prefix, i), 7+i%2, fmt.Sprintf("k%d:%d", k, i)
-				if (k+i)%2 == 0 { // every key comes by both fronts, one after the other
+				if (k+i)%2 == 0 { // each key alternates between the fronts
 					resp, text := g.do("POST", fmt.Sprint("/push/", dest), body, "TTL", "8", "Message-Id", id,
 						"Message-Class", "order", "Tenant", "town", "Order-Key", fmt.Sprintf("%x", k+1), "Idempotency-Key", id)
 					assert.Equal(t, 201, resp.StatusCode, text)
 					continue
 				}
-				handIn(t, c, k+1, id, body, dest)
+				submitRESP(t, c, k+1, id, body, dest)
 			}
 		})
 	}
@@ -263,22 +262,22 @@
 	for k := range keys {
 		for i := range each {
 			if id := fmt.Sprintf("k%d-%d", k, i); (k+i)%2 == 0 {
-				assert.Equal(t, "delivered", g.end("/message/"+id))
+				assert.Equal(t, "delivered", g.finalState("/message/"+id))
 			}
 		}
 	}
-	// The last of each key may have come by RESP2: its delivery shows in the log.
+	// The last message of a key may have been submitted over RESP2: only the log shows its delivery.
 	require.NoError(t, g.delivered(keys*each))
 	for k := range keys {
 		var want []string
 		for i := range each {
 			want = append(want, fmt.Sprintf("k%d-%d", k, i))
 		}
-		assert.Equal(t, want, p.seen(fmt.Sprintf("k%d-", k)), "the order of handing in")
+		assert.Equal(t, want, p.seen(fmt.Sprintf("k%d-", k)), "the order of submission")
 	}
 }
 
-// delivered waits until the counters tell of so many deliveries.
+// delivered waits until the counters show n deliveries.
 func (g *gateway) delivered(n int) error {
 	for limit := time.Now().Add(scenario.Limit); time.Now().Before(limit); {
 		if err := g.Signal(syscall.SIGUSR1); err != nil {
@@ -292,7 +291,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("not %d deliveries", n)
+	return fmt.Errorf("the counters do not show %d deliveries in time", n)
 }
 
 func TestIdenticalAnswers(t *testing.T) {
@@ -304,10 +303,10 @@
 		return 200
 	}
 	g := newGateway(t)
-	serveH2(g.Play.Listener(g.serve("two")), p)
-	g.write([]pushTarget{ready("p-1", g.Play.Name("two"), 7)})
+	serveH2(g.Play.Listener(g.addServer("two")), p)
+	g.write([]pushTarget{readyTarget("p-1", g.Play.Name("two"), 7)})
 	require.NoError(t, g.Start())
-	assert.Equal(t, "delivered", g.end(g.post("ok1", "status", "", ":x", 7)))
+	assert.Equal(t, "delivered", g.finalState(g.post("ok1", "status", "", ":x", 7)))
 	for id, want := range map[string]string{"a": `unknown class`, "b": `unknown tenant`} {
 		class, tenant := "nope", "town"
 		if id == "b" {
@@ -326,12 +325,12 @@
 			c expect "...\r\n"
 		`)
 	}
-	// The same id again is the same message.
+	// A message resubmitted with the same id is the same message.
 	assert.Equal(t, "/message/ok1", g.post("ok1", "status", "", ":x", 7))
 	assert.Len(t, p.seen("ok1"), 1)
 }
 
-func (g *gateway) serve(name string) string {
+func (g *gateway) addServer(name string) string {
 	g.Play.Server(name)
 	return name
 }
@@ -364,20 +363,20 @@
 	}
 }
 
-// play starts a gateway with one HTTP/2 target, "two", for destination 7.
-func (g *gateway) play() *scenario.Play {
-	g.write([]pushTarget{ready("p-1", g.Play.Server("two"), 7)})
+// startWithTarget starts the courier with one HTTP/2 target, "two", for destination 7.
+func (g *gateway) startWithTarget() *scenario.Play {
+	g.write([]pushTarget{readyTarget("p-1", g.Play.Server("two"), 7)})
 	g.Play.Let("status", "ttl=8 message-class=status tenant=town")
 	g.Play.Let("order", "ttl=8 message-class=order tenant=town order-key=a")
 	require.NoError(g.t, g.Start())
 	return g.Play
 }
 
-// A GOAWAY in the middle of a clump: what is above its last stream never ran
-// and goes again, on another connection; what is below is answered.
-func TestGoAwayInAClump(t *testing.T) {
+// A GOAWAY in the middle of a burst: the call on a stream above its last stream id did not run and is
+// sent again on another connection. The other calls are answered.
+func TestGoAwayDuringBurst(t *testing.T) {
 	g := newGateway(t)
-	g.play().Run(`
+	g.startWithTarget().Run(`
 		push h2dial c
 		c send "1 POST /push/7 message-id=m1 $status |x"
 		c expect "1 201 location=/message/m1"
@@ -402,17 +401,17 @@
 		c send "9 GET /message/m3 prefer=wait=20"
 		c expect "9 200"
 	`)
-	// It says nothing of the target's health, and is booked so.
+	// The call that did not run counts as not sent, not as a failure of the target.
 	require.NoError(t, g.Signal(syscall.SIGUSR1))
 	g.Play.Run(`courier wait "n.full=0 n.timed_out=0 n.connect_failed=0 n.reset=0 n.cancelled=0 n.moot=1"`)
 }
 
-// With one connection to a target of one stream, a call waits for a stream and opens no
-// other connection. An end kept for retain_s and forgotten is answered 410.
+// With one connection per target and one stream at a time, a call waits for the stream and opens no
+// other connection. The status of a message is 410 once retain_s has passed since its final result.
 func TestOneStreamAtATime(t *testing.T) {
 	g := newGateway(t)
-	g.file = map[string]any{"target_connections": 1, "retain_s": 1}
-	g.play().Run(`
+	g.settings = map[string]any{"target_connections": 1, "retain_s": 1}
+	g.startWithTarget().Run(`
 		push h2dial c
 		c send "1 POST /push/7 message-id=m1 $status |x"
 		c expect "1 201 location=/message/m1"
@@ -432,7 +431,7 @@
 	require.NoError(t, g.Signal(syscall.SIGUSR1))
 	g.Play.Run(`courier wait "n.timed_out=0 n.connect_failed=0 n.reset=0 n.cancelled=0 n.moot=0"`)
 	for i := 0; ; i++ {
-		require.Less(t, i, 1_000_000, "its end is kept for ever")
+		require.Less(t, i, 1_000_000, "the final result is never removed")
 		if resp, text := g.do("GET", "/message/m2", ""); resp.StatusCode != 200 {
 			require.Equal(t, 410, resp.StatusCode, text)
 			break
@@ -440,8 +439,8 @@
 	}
 }
 
-// Behind m1, which is out, m3 replaces m2 of its topic and m4 is deleted; m1 is neither
-// deleted nor replaced by m5. What was withdrawn stays so after a kill.
+// While the call of m1 is in progress, m3 replaces m2, which has the same topic, and m4 is deleted.
+// m1 is neither deleted nor replaced by m5. Withdrawn messages stay withdrawn after a kill.
 func TestWithdrawn(t *testing.T) {
 	script := "push h2dial c\n"
 	for i, m := range []string{"m1 topic=s $order |x", "m2 topic=t $order |y", "m3 topic=t $order |z", "m4 $order |w",
@@ -449,7 +448,7 @@
 		m = strings.Replace(m, " ", fmt.Sprintf(" idempotency-key=i%d ", i), 1)
 		script += fmt.Sprintf("c send \"%d POST /push/7 message-id=%s\"\nc expect \"%d 201\"\n", 2*i+1, m, 2*i+1)
 	}
-	newGateway(t).play().Run(script + `
+	newGateway(t).startWithTarget().Run(script + `
 		two h2accept a
 		a expect "1 POST /inbox x-request-id=m1 |x"
 		c send "13 DELETE /message/m1"
@@ -471,9 +470,9 @@
 	`)
 }
 
-// While much is held, what is less urgent is turned away at once, with when to return:
-// very-low at 4 of 8, low at 6.
-func TestUrgencyGivesWay(t *testing.T) {
+// While many messages are held, less urgent ones are rejected at once with a Retry-After: very-low
+// from 4 of 8 held messages on, low from 6 on.
+func TestUrgencyUnderLoad(t *testing.T) {
 	g := newGateway(t)
 	g.Settings["limits"].(map[string]any)["most-held"] = 8
 	script := "push h2dial c\n"
@@ -483,13 +482,13 @@
 		script += fmt.Sprintf("c send \"%d POST /push/7 message-id=m%d urgency=%s $status |x\"\nc expect \"%d %s\"\n",
 			2*i+1, i, urgency, 2*i+1, answer)
 	}
-	g.play().Run(script)
+	g.startWithTarget().Run(script)
 }
 
-// A stream reset after the request left may have run: a keyed message goes
-// again within its window, and the next of its key only behind it.
+// A stream reset after the request was sent may have run: a message with an idempotency key is sent
+// again within its window, and the next message of its ordering key only after it.
 func TestResetAfterTheRequestLeft(t *testing.T) {
-	newGateway(t).play().Run(`
+	newGateway(t).startWithTarget().Run(`
 		push h2dial c
 		c send "1 POST /push/7 message-id=m1 idempotency-key=i1 $order |x"
 		c expect "1 201 location=/message/m1"
@@ -505,9 +504,10 @@
 	`)
 }
 
-// A stream that the target refuses never ran; 410 tells that nothing is owed.
+// A stream that the target refuses never ran and is sent again. A 410 response ends the message
+// without a retry.
 func TestRefusedStream(t *testing.T) {
-	newGateway(t).play().Run(`
+	newGateway(t).startWithTarget().Run(`
 		push h2dial c
 		c send "1 POST /push/7 message-id=m1 $status |x"
 		c expect "1 201"
@@ -521,9 +521,10 @@
 	`)
 }
 
-// Restart: what was out goes again, what had ended can still be asked for.
+// After a restart, calls that were in progress are sent again, and the status of ended messages is
+// still available.
 func TestPushRestart(t *testing.T) {
-	newGateway(t).play().Run(`
+	newGateway(t).startWithTarget().Run(`
 		push h2dial c
 		c send "1 POST /push/7 message-id=m1 $status |x"
 		c expect "1 201 location=/message/m1"
@@ -550,30 +551,30 @@
 	`)
 }
 
-// Messages of many keys are taken on by both fronts while the partner is silent;
-// the courier ends, by either signal, and starts again. Each message is delivered,
-// those of a key in the order of their handing in.
-func TestRestartWithMuchHeld(t *testing.T) {
+// Both fronts accept messages of many keys while the partner is silent. The courier ends on SIGKILL
+// or SIGTERM and restarts. Each message is delivered, those of a key in the order of submission.
+func TestRestartWithManyHeld(t *testing.T) {
 	for _, sig := range []syscall.Signal{syscall.SIGKILL, syscall.SIGTERM} {
 		t.Run(sig.String(), func(t *testing.T) {
 			t.Parallel()
-			silent, p := newPartner(t), newPartner(t)
+			silent, responsive := newPartner(t), newPartner(t)
 			released := make(chan struct{})
 			silent.answer = func(r *http.Request, _ string) int {
 				select {
 				case <-released:
-				case <-r.Context().Done(): // the courier has given that attempt up
+				case <-r.Context().Done(): // the courier has abandoned this attempt
 				}
 				return 500
 			}
 			defer close(released)
 			g := newGateway(t)
-			for _, class := range g.Settings["classes"].([]any) { // a planned stop alone takes most of five seconds
+			// A planned stop alone takes nearly five seconds.
+			for _, class := range g.Settings["classes"].([]any) {
 				class.(map[string]any)["window-ms"] = 60000
 			}
-			serveH2(g.Play.Listener(g.serve("two")), silent)
-			serveH2(g.Play.Listener(g.serve("three")), p)
-			g.write([]pushTarget{ready("p-1", g.Play.Name("two"), 7)})
+			serveH2(g.Play.Listener(g.addServer("two")), silent)
+			serveH2(g.Play.Listener(g.addServer("three")), responsive)
+			g.write([]pushTarget{readyTarget("p-1", g.Play.Name("two"), 7)})
 			require.NoError(t, g.Start())
 			c, err := net.Dial("tcp", g.Play.Name("client"))
 			require.NoError(t, err)
@@ -585,12 +586,12 @@
 						g.post(id, "order", fmt.Sprintf("%x", k+1), fmt.Sprintf("k%d:%d", k, i), 7)
 						continue
 					}
-					handIn(t, c, k+1, id, fmt.Sprintf("k%d:%d", k, i), 7)
+					submitRESP(t, c, k+1, id, fmt.Sprintf("k%d:%d", k, i), 7)
 				}
 			}
 			require.NoError(t, g.Stop(sig))
-			// The partner has moved meanwhile.
-			g.write([]pushTarget{ready("p-1", g.Play.Name("three"), 7)})
+			// In the meantime the partner has moved to another address.
+			g.write([]pushTarget{readyTarget("p-1", g.Play.Name("three"), 7)})
 			require.NoError(t, g.Start())
 			require.NoError(t, g.delivered(keys*each))
 			for k := range keys {
@@ -598,14 +599,14 @@
 				for i := range each {
 					want = append(want, fmt.Sprintf("k%d-%d", k, i))
 				}
-				assert.Equal(t, want, p.seen(fmt.Sprintf("k%d-", k)))
+				assert.Equal(t, want, responsive.seen(fmt.Sprintf("k%d-", k)))
 			}
 		})
 	}
 }
 
-// handIn hands a message in by RESP2 and waits until it is taken on.
-func handIn(t *testing.T, c net.Conn, key int, id, body string, dest int) {
+// submitRESP submits a message over RESP2 and waits until it is accepted.
+func submitRESP(t *testing.T, c net.Conn, key int, id, body string, dest int) {
 	meta := fmt.Sprintf("c=order,t=town,d=18000,dest=%d,k=%s", dest, id)
 	fmt.Fprintf(c, "*5\r\n$7\r\nOUT.ADD\r\n$16\r\n%016x\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n",
 		key, len(id), id, len(meta), meta, len(body), body)
@@ -615,10 +616,10 @@
 	assert.Equal(t, "+OK\r\n", string(answer))
 }
 
-// A target drained in the push front's file gets nothing new.
+// A target marked as draining in the push front's file gets no new calls.
 func TestPushDrain(t *testing.T) {
 	g := newGateway(t)
-	p := g.play()
+	p := g.startWithTarget()
 	p.Run(`
 		push h2dial c
 		c send "1 POST /push/7 message-id=m1 $status |x"
@@ -626,7 +627,7 @@
 		two h2accept a
 		a expect "1 POST /inbox x-request-id=m1 |x"
 	`)
-	g.write([]pushTarget{{"p-1", p.Name("two"), 7, "Terminating", "a", "k"}, ready("p-2", p.Server("three"), 7)})
+	g.write([]pushTarget{{"p-1", p.Name("two"), 7, "Terminating", "a", "k"}, readyTarget("p-2", p.Server("three"), 7)})
 	require.NoError(t, g.Signal(syscall.SIGHUP))
 	p.Run(`
 		courier wait "configuration read again"
@@ -634,7 +635,7 @@
 		c expect "3 201"
 		three h2accept b
 		b expect "1 POST /inbox x-request-id=m2 |x"
-		# the call that is out is finished, then its connection ends
+		# the call in progress is finished, then its connection is closed
 		a send "1 200"
 		a expect "GOAWAY 0 NO_ERROR"
 		a expect EOF
@@ -642,10 +643,10 @@
 	`)
 }
 
-// The same as for the platform's targets: a status 200 stands though the rest
-// is spoilt or never comes, any other answer that is not whole may have run.
-func TestPushSpoiltAnswers(t *testing.T) {
-	newGateway(t).play().Run(`
+// As for the targets of the platform front: status 200 counts as delivered even if the rest of the
+// response is invalid or missing. After any other incomplete response the call may have run.
+func TestPushInvalidResponses(t *testing.T) {
+	newGateway(t).startWithTarget().Run(`
 		push h2dial c
 		c send "1 POST /push/7 message-id=m1 $status |x"
 		c expect "1 201"
@@ -673,10 +674,10 @@
 	`)
 }
 
-// A planned stop: a GOAWAY, the streams that are open are answered, the call
-// that is out is finished.
+// On a planned stop the courier sends a GOAWAY, answers the open streams and finishes the call in
+// progress.
 func TestPushPlannedStop(t *testing.T) {
-	newGateway(t).play().Run(`
+	newGateway(t).startWithTarget().Run(`
 		push h2dial c
 		c send "1 POST /push/7 message-id=m1 $status |x"
 		c expect "1 201"
@@ -694,24 +695,24 @@
 	`)
 }
 
-// The deadline ends a message whose target says nothing; a hook refuses another.
+// A message whose target does not reply ends at its deadline. A hook refuses another message.
 func TestDeadlineAndHook(t *testing.T) {
 	g := newGateway(t)
 	folder := t.TempDir()
-	writePlugin(t, folder, "closed", map[string]any{"hooks": []string{"admit"}, "budget": slowest},
+	writePlugin(t, folder, "closed", map[string]any{"hooks": []string{"admit"}, "budget": generousBudget},
 		"def admit(call):\n  return {'after_ms': 2500} if call.destination == 13 else None\n")
 	g.Env = append(g.Env, withPlugins(t, g.Dir(), folder))
-	g.write([]pushTarget{ready("silent", g.Play.Server("silent"), 9)})
+	g.write([]pushTarget{readyTarget("silent", g.Play.Server("silent"), 9)})
 	require.NoError(t, g.Start())
 	headers := []string{"TTL", "1", "Message-Id", "m", "Message-Class", "status", "Tenant", "town"}
 	resp, text := g.do("POST", "/push/9", "", headers...)
 	require.Equal(t, 201, resp.StatusCode, text)
 	_, text = g.do("GET", resp.Header.Get("Location"), "")
-	assert.Contains(t, text, `"taken"`, "without a wait the answer comes at once")
-	assert.Contains(t, []string{"failed", "returned"}, g.end(resp.Header.Get("Location")))
+	assert.Contains(t, text, `"taken"`, "without Prefer: wait the reply comes at once")
+	assert.Contains(t, []string{"failed", "returned"}, g.finalState(resp.Header.Get("Location")))
 	resp, text = g.do("POST", "/push/13", "", headers...)
-	assert.Equal(t, 201, resp.StatusCode, "the same id is the same message: %s", text)
-	inTime(t, g.Courier, "closed", "n", func(id string) {
+	assert.Equal(t, 201, resp.StatusCode, "a resubmitted id is the same message: %s", text)
+	untilInTime(t, g.Courier, "closed", "n", func(id string) {
 		headers[3] = id
 		resp, text = g.do("POST", "/push/13", "", headers...)
 	})
--- a/cmd/snowjunction/scale_test.go
+++ b/cmd/snowjunction/scale_test.go
@@ -13,7 +13,7 @@
 	"snowjunction/internal/measure"
 )
 
-// A scale run that cannot be is refused in one line, before anything starts.
+// Invalid options of a scale run are rejected with one line before anything starts.
 func TestScaleBadInput(t *testing.T) {
 	for args, want := range map[string]string{
 		"--couriers=0": "--couriers: 0 is not over 0", "--events=-1": "--events: -1 is not over 0", "--bogus": "unknown flag --bogus",
@@ -40,8 +40,8 @@
 	}
 }
 
-// played runs a short scale run and returns what it tells.
-func played(t *testing.T, into any, args ...string) {
+// runScale runs measure scale with the given flags and decodes its JSON figures.
+func runScale(t *testing.T, into any, args ...string) {
 	file := filepath.Join(t.TempDir(), "figures.json")
 	out, code := command(t, nil, append([]string{"measure", "scale", "--json=" + file, "--settle=0.5"}, args...)...)
 	require.Equal(t, 0, code, out)
@@ -50,11 +50,11 @@
 	require.NoError(t, json.Unmarshal(b, into))
 }
 
-// Real and hollow couriers are one fleet: they hold one list, hear of each change, ask each
-// other for leave, and messages of both are delivered.
+// Real and simulated couriers form one fleet: they hold the same list, receive each change, request
+// grants from each other, and deliver messages.
 func TestScaleShort(t *testing.T) {
 	var f measure.ScaleFigures
-	played(t, &f, "--couriers=9", "--real=2", "--destinations=12", "--endpoints=2", "--zones=2", "--down=0.1",
+	runScale(t, &f, "--couriers=9", "--real=2", "--destinations=12", "--endpoints=2", "--zones=2", "--down=0.1",
 		"--events=60", "--changes=120", "--seconds=2")
 	assert.Equal(t, 4, f.Force.Changes)
 	assert.LessOrEqual(t, f.Force.Heard, int64(f.Force.Expect))
@@ -63,7 +63,7 @@
 		require.NotNil(t, c)
 		assert.Positive(t, c.Sent)
 		assert.Positive(t, c.Received)
-		assert.GreaterOrEqual(t, c.StateBytes, 24*56.0, "the list alone takes that")
+		assert.GreaterOrEqual(t, c.StateBytes, 24*56.0, "the list alone takes that much memory")
 	}
 	assert.Equal(t, []int{2, 7}, []int{f.Real.Couriers, f.Hollow.Couriers})
 	assert.Positive(t, f.Carrier.Sent)
@@ -73,49 +73,51 @@
 	assert.Positive(t, f.Directory.Out)
 	assert.Zero(t, f.Dropped)
 	assert.Zero(t, f.Cut)
-	assert.Equal(t, []float64{24, 24}, []float64{f.Real.ListEntries, f.Hollow.ListEntries}, "each has all")
+	assert.Equal(t, []float64{24, 24}, []float64{f.Real.ListEntries, f.Hollow.ListEntries}, "each holds the full list")
 	assert.Greater(t, f.Start.Bytes, 24*100.0)
 	assert.Nil(t, f.Real.Forwarding)
 }
 
-// What the flags name happens: couriers restart and are back, and a cut stops notes.
+// Restarts and cuts take place as the flags say: restarted couriers come back, and a cut between
+// regions drops peer messages.
 func TestScaleEvents(t *testing.T) {
 	var f measure.ScaleFigures
-	played(t, &f, "--couriers=9", "--real=2", "--destinations=6", "--events=90", "--regions=3", "--cuts=1", "--cut-seconds=1.5",
+	runScale(t, &f, "--couriers=9", "--real=2", "--destinations=6", "--events=90", "--regions=3", "--cuts=1", "--cut-seconds=1.5",
 		"--restarts=9", "--seconds=3", "--changes=0")
 	assert.Positive(t, f.Cut)
 	assert.Positive(t, f.Delivered)
 	assert.Zero(t, f.Force.Changes)
-	assert.Positive(t, f.Real.Sent, "the counts of earlier lives stay")
+	assert.Positive(t, f.Real.Sent, "the counts of previous process runs are included")
 	assert.Positive(t, f.Real.CPU)
 }
 
-// With partitions each courier is told, holds and calls its part alone, and what it does not own
-// it forwards.
+// With partitions, each courier receives, holds and calls only its own part of the list and forwards
+// messages for other destinations.
 func TestScalePartitions(t *testing.T) {
 	var f measure.ScaleFigures
-	played(t, &f, "--partitions=144", "--couriers=9", "--real=2", "--destinations=900", "--events=90", "--regions=3", "--zones=2",
+	runScale(t, &f, "--partitions=144", "--couriers=9", "--real=2", "--destinations=900", "--events=90", "--regions=3", "--zones=2",
 		"--seconds=2", "--changes=180", "--down=0")
-	assert.InDelta(t, 3*900, 2*f.Real.ListEntries+7*f.Hollow.ListEntries, 0.5, "each region has each once")
-	assert.InDelta(t, 160, f.Start.Bytes/300, 60, "bytes of an entry of a third of the list")
+	assert.InDelta(t, 3*900, 2*f.Real.ListEntries+7*f.Hollow.ListEntries, 0.5, "each region has each entry once")
+	assert.InDelta(t, 160, f.Start.Bytes/300, 60, "bytes per entry in a third of the list")
 	assert.InDelta(t, f.Start.Bytes/182_000, f.Start.Over, 1e-9)
 	for _, c := range []*measure.CourierFigures{f.Real, f.Hollow} {
 		require.NotNil(t, c.Forwarding)
 		assert.Positive(t, c.Forwarding.Handed)
 		assert.Positive(t, c.Forwarding.Forwarded)
-		assert.Greater(t, c.Forwarding.Bytes, 50*c.Forwarding.Forwarded, "a command of each")
-		assert.Zero(t, c.Forwarding.Moved, "all see the same members")
+		assert.Greater(t, c.Forwarding.Bytes, 50*c.Forwarding.Forwarded, "bytes of a command per forwarded message")
+		assert.Zero(t, c.Forwarding.Moved, "all couriers have the same members")
 	}
 	assert.Positive(t, f.Delivered)
 	assert.Equal(t, 6, f.Force.Changes)
-	assert.Equal(t, 18, f.Force.Expect, "its owner's in each region")
+	assert.Equal(t, 18, f.Force.Expect, "one owner per region receives each change")
 	assert.LessOrEqual(t, f.Force.Heard, int64(18))
 }
 
-// Killed and back, a hollow courier is told its part again, a real one what has changed.
+// After a restart, a simulated courier receives its full part of the list again, a real one only the
+// changes.
 func TestScalePartitionsRestarts(t *testing.T) {
 	var f measure.ScaleFigures
-	played(t, &f, "--partitions=72", "--couriers=4", "--real=2", "--destinations=900", "--events=40", "--copies=2", "--restarts=4",
+	runScale(t, &f, "--partitions=72", "--couriers=4", "--real=2", "--destinations=900", "--events=40", "--copies=2", "--restarts=4",
 		"--seconds=2", "--changes=0", "--down=0")
 	assert.Equal(t, []int{2, 2}, []int{f.Start.Again, f.Start.AgainReal})
 	assert.Positive(t, f.Start.Restarted)
@@ -124,10 +126,10 @@
 	assert.Positive(t, f.Delivered)
 }
 
-// Five sizes are played, and each sum has its line.
+// A fit runs five sizes and fits a line to each figure.
 func TestScaleFit(t *testing.T) {
 	var f measure.Fitted
-	played(t, &f, "--fit=destinations", "--couriers=4", "--real=0", "--destinations=50", "--events=40", "--seconds=0.5")
+	runScale(t, &f, "--fit=destinations", "--couriers=4", "--real=0", "--destinations=50", "--events=40", "--seconds=0.5")
 	assert.Equal(t, []float64{10, 20, 30, 40, 50}, f.Sizes)
 	assert.Len(t, f.Runs, 5)
 	assert.Positive(t, f.Lines["directory: B out at the start"].Slope)
--- a/cmd/snowjunction/start_test.go
+++ b/cmd/snowjunction/start_test.go
@@ -14,8 +14,8 @@
 	"snowjunction/internal/scenario"
 )
 
-// The log has one account of a start: its steps in their order, and what was taken up.
-func TestStartTellsItsSteps(t *testing.T) {
+// The log has one line per start, with the duration of each step in order and what was restored.
+func TestStartLogsSteps(t *testing.T) {
 	c := prepare(t)
 	ready := `msg=ready .*`
 	for _, step := range daemon.StartSteps {
@@ -37,8 +37,8 @@
 	}
 }
 
-// The measurement of starts in short: every process is counted, has each step, and takes up all
-// that was left for it.
+// A short run of measure start: each process is counted, reports each step, and restores all that
+// was stored for it.
 func TestMeasureStart(t *testing.T) {
 	t.Setenv(scenario.RunAs, "1")
 	o := measure.Start{Starts: 1, AtOnce: 2, Entries: 60, DiskMB: 1, MemoryMB: 64, Exe: os.Args[0]}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -39,6 +39,7 @@
 	conns    map[net.Conn]bool
 }
 
+// Limits of the admin socket.
 const (
 	maxConns       = 8
 	maxLineBytes   = 4096
@@ -82,6 +83,8 @@
 	}
 }
 
+// accept serves connections until the listener is closed. Connections over maxConns are closed at
+// once.
 func (s *Socket) accept() {
 	for {
 		c, err := s.listener.Accept()
@@ -106,6 +109,7 @@
 	}
 }
 
+// serve handles the requests of a connection, one at a time.
 func (s *Socket) serve(c net.Conn) {
 	defer func() {
 		c.Close()
--- a/internal/dirtool/dirtool.go
+++ b/internal/dirtool/dirtool.go
@@ -41,13 +41,14 @@
 	Generation        uint64     `json:"generation"`
 	Reset             bool       `json:"reset"`
 	Agent             string     `json:"agent,omitempty"`
-	ConfirmedAtMs     int64      `json:"toldAtMs,omitempty"` // Unix time at which the directory last confirmed the list
+	ConfirmedAtMs     int64      `json:"toldAtMs,omitempty"` // Unix time of the directory's last confirmation
 	Partial           bool       `json:"partial,omitempty"`
-	Partitions        int        `json:"partitions,omitempty"` // total number of partitions if the list covers only some of them
+	Partitions        int        `json:"partitions,omitempty"` // total; set if the list covers only some
 	CoveredPartitions []int      `json:"of,omitempty"`         // numbers of the covered partitions
 	Instances         []Instance `json:"instances"`
 }
 
+// maxFileBytes is the maximum size of a list file.
 const maxFileBytes = 256 << 20
 
 // Read reads a list: from a folder, the newest readable snapshot; from a file, a snapshot or JSON.
@@ -145,6 +146,7 @@
 	return l
 }
 
+// instance converts an entry of s to the directory's JSON format.
 func instance(s *dircache.Snapshot, e groups.Entry) Instance {
 	name := func(names []string, index int) string {
 		if index < len(names) {
@@ -240,11 +242,12 @@
 	Confidence       string  `json:"standing"`
 	Reason           string  `json:"why"`
 	ConfirmedAgeS    float64 `json:"word_age_s"`
-	LearnedCondition string  `json:"learnt,omitempty"` // condition, and how long it had lasted when it was stored
+	LearnedCondition string  `json:"learnt,omitempty"` // condition, and its age when it was stored
 	LearnedAgeS      float64 `json:"learnt_age_s,omitempty"`
-	RateLimit        float64 `json:"limit,omitempty"` // rate limit of its target group for the whole fleet, in calls per second
+	RateLimit        float64 `json:"limit,omitempty"` // fleet-wide, of its target group, in calls per second
 }
 
+// conditionNames are the names of the endpoint conditions, indexed by snowjunction.Condition.
 var conditionNames = [...]string{"serving", "held", "warming"}
 
 // EndpointStatuses returns how a courier that starts at time now would rate each endpoint of a state
--- a/internal/gauge/gauge.go
+++ b/internal/gauge/gauge.go
@@ -23,6 +23,7 @@
 	b.ReportMetric(total/float64(b.N)/float64(n), "heap-B/"+item)
 }
 
+// heapBytes returns the bytes of live heap after garbage collection.
 func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC() // a second cycle frees objects with finalizers
@@ -44,6 +45,7 @@
 	b.ReportMetric(float64(total)/float64(b.N)/float64(n), "cpu-ns/"+item)
 }
 
+// cpuTime returns the user and system CPU time of this process, or 0 on an error.
 func cpuTime() time.Duration {
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -18,7 +18,8 @@
 
 // Add records one duration.
 func (h *Histogram) Add(d time.Duration) {
-	_ = h.h.RecordValue(min(max(d.Microseconds(), 1), h.h.HighestTrackableValue())) // no error is possible: the value is clamped to the bounds
+	// No error is possible: the value is clamped to the bounds.
+	_ = h.h.RecordValue(min(max(d.Microseconds(), 1), h.h.HighestTrackableValue()))
 }
 
 // Merge adds the recorded values of another histogram.
