--- a/internal/front/crowd_test.go
+++ b/internal/front/crowd_test.go
@@ -24,17 +24,31 @@
 func (s *testCourier) makeCalls(n int, answered bool) {
 	s.t.Helper()
 	for i := range n {
-		id, done := fmt.Sprintf("x%d", i), false
-		target := s.front.Target(core.Entry{Name: id, Addr: s.target.listener.Addr().String()})
-		target.Call(&store.Message{ID: id}, core.Shape{}, 10*time.Second, always, func(r core.Result) { done = true })
-		s.until("a call arrives", func() bool { return s.target.with("X-Request-ID: "+id+"\r") != nil })
+		id := fmt.Sprintf("x%d", i)
+		done := s.makeCall(id)
 		if answered {
-			s.target.with("X-Request-ID: "+id+"\r").send(s.t, httpAnswer("200 OK", ""))
-			s.until("the call is answered", func() bool { return done })
+			s.answerCall(id, done)
 		}
 	}
 }
 
+// makeCall makes one call and returns a function that reports whether it has ended.
+func (s *testCourier) makeCall(id string) (done func() bool) {
+	s.t.Helper()
+	ended := false
+	target := s.front.Target(core.Entry{Name: id, Addr: s.target.listener.Addr().String()})
+	target.Call(&store.Message{ID: id}, core.Shape{}, 10*time.Second, always, func(r core.Result) { ended = true })
+	s.until("a call arrives", func() bool { return s.target.with("X-Request-ID: "+id+"\r") != nil })
+	return func() bool { return ended }
+}
+
+// answerCall answers a call and waits until the courier has read the answer.
+func (s *testCourier) answerCall(id string, done func() bool) {
+	s.t.Helper()
+	s.target.with("X-Request-ID: "+id+"\r").send(s.t, httpAnswer("200 OK", ""))
+	s.until("the call is answered", done)
+}
+
 // Guards against starving essential connections: idle clients and connections to endpoints use up
 // all file descriptors while discovery is down. Discovery, notices and the console must still get
 // connections, and so must a client with a message.
--- a/internal/front/forward_test.go
+++ b/internal/front/forward_test.go
@@ -535,10 +535,11 @@
 	s.until("the list is watched", func() bool { return s.discovery.hasReceived(0, discoveryPath, 1) })
 	s.setMembership("f", singlePartition(t, partition.Member{Name: "n0", Addr: owner.listener.Addr().String(), Region: "r1"}))
 	c := s.client()
+	done := s.makeCall("answered")
 	s.makeCalls(8-s.engine.OpenCount(), false)
 	c.send(t, debitCommand("m1"))
 	s.expectAnswer(c, "-BUSY 501\r\n")
-	s.target.at(0).send(t, httpAnswer("200 OK", ""))
+	s.answerCall("answered", done) // until then the client of settle would not be accepted either
 	s.settle()
 	c.send(t, debitCommand("m2"))
 	s.until("the message is sent at once", func() bool { return owner.with(commandStart("m2")) != nil })
