--- a/internal/measure/scalerun.go
+++ b/internal/measure/scalerun.go
@@ -183,11 +183,17 @@
 	return len(t.propagation.confirmed)
 }
 
+// realCourier returns a real courier, or nil if it has not been started. Couriers restart
+// concurrently, and each restart changes the map.
+func (t *fleet) realCourier(n int) *realCourier {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.real[n]
+}
+
 // startReal starts the process of a real courier, or restarts it.
 func (t *fleet) startReal(n int) error {
-	t.mu.Lock()
-	m := t.real[n]
-	t.mu.Unlock()
+	m := t.realCourier(n)
 	if m == nil {
 		m = &realCourier{number: n, dir: filepath.Join(t.dir, fmt.Sprint(n)), pastCounters: map[string]float64{}}
 	}
@@ -282,7 +288,7 @@
 		})
 		return err
 	}
-	m := t.real[n]
+	m := t.realCourier(n)
 	line, err := m.courier.Counters(false)
 	if err != nil {
 		return err
