--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -26,20 +26,20 @@
 type instance struct {
 	courier *snowjunction.Courier
 	events  []snowjunction.Event
-	touched bool
-	fault   string
+	active  bool
+	failure string
 }
 
 // host holds the instances and the process's numbered endpoint lists.
 type host struct {
 	instances map[uint16]*instance
-	pages     map[uint16][]snowjunction.Endpoint
+	lists     map[uint16][]snowjunction.Endpoint
 	order     []uint16 // instances with events, in order of their first
 }
 
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
-	h := &host{instances: map[uint16]*instance{}, pages: map[uint16][]snowjunction.Endpoint{}}
+	h := &host{instances: map[uint16]*instance{}, lists: map[uint16][]snowjunction.Endpoint{}}
 	for {
 		now, events, err := wire.ReadBatch(r)
 		if errors.Is(err, io.EOF) {
@@ -67,22 +67,22 @@
 	for i, ev := range events {
 		switch ev.Code {
 		case wire.Table:
-			h.pages[ev.Page] = endpoints(ev.Entries)
+			h.lists[ev.Page] = endpoints(ev.Entries)
 		case wire.Start:
-			in := h.touch(ev.Who)
-			*in = instance{touched: true}
+			in := h.activate(ev.Who)
+			*in = instance{active: true}
 			settings, err := config.ParseSettings(ev.Token, ev.Data)
 			if err != nil {
 				return nil, fmt.Errorf("record %d: instance %d: %w", i, ev.Who, err)
 			}
 			if in.courier, err = snowjunction.New(settings); err != nil {
-				in.fault = err.Error()
+				in.failure = err.Error()
 			}
 		case wire.Teardown:
-			*h.touch(ev.Who) = instance{touched: true}
+			*h.activate(ev.Who) = instance{active: true}
 		default:
-			in := h.touch(ev.Who)
-			if e := translate(ev, h.pages); e != nil {
+			in := h.activate(ev.Who)
+			if e := translate(ev, h.lists); e != nil {
 				in.events = append(in.events, e)
 			}
 		}
@@ -90,27 +90,27 @@
 	reply := &wire.Reply{}
 	for _, who := range h.order {
 		in := h.instances[who]
-		in.touched = false
+		in.active = false
 		if in.courier != nil {
 			in.handle(who, now, reply)
 		}
-		if in.fault != "" {
-			reply.Add(wire.Action{Code: wire.BailOut, Who: who, Text: in.fault})
-			in.courier, in.fault = nil, ""
+		if in.failure != "" {
+			reply.Add(wire.Action{Code: wire.BailOut, Who: who, Text: in.failure})
+			in.courier, in.failure = nil, ""
 		}
 		in.events = in.events[:0]
 	}
 	return reply, nil
 }
 
-func (h *host) touch(who uint16) *instance {
+func (h *host) activate(who uint16) *instance {
 	in := h.instances[who]
 	if in == nil {
 		in = &instance{}
 		h.instances[who] = in
 	}
-	if !in.touched {
-		in.touched = true
+	if !in.active {
+		in.active = true
 		h.order = append(h.order, who)
 	}
 	return in
@@ -120,7 +120,7 @@
 func (in *instance) handle(who uint16, now time.Duration, reply *wire.Reply) {
 	defer func() {
 		if p := recover(); p != nil {
-			in.fault = fmt.Sprintf("panic: %v", p)
+			in.failure = fmt.Sprintf("panic: %v", p)
 		}
 	}()
 	for _, a := range in.courier.Handle(now, in.events) {
@@ -139,14 +139,14 @@
 	return out
 }
 
-var outcomes = map[uint16]snowjunction.Outcome{
+var outcomeOfVerdict = map[uint16]snowjunction.Outcome{
 	200: snowjunction.OK, 502: snowjunction.Error, 429: snowjunction.Rejected, 408: snowjunction.TimedOut,
 	521: snowjunction.ConnectFailed, 520: snowjunction.Reset, 444: snowjunction.Cancelled, 409: snowjunction.NotSent,
 }
 
 // outcome takes a verdict it does not know for an error: that proves nothing.
 func outcome(verdict uint16) snowjunction.Outcome {
-	if o, ok := outcomes[verdict]; ok {
+	if o, ok := outcomeOfVerdict[verdict]; ok {
 		return o
 	}
 	return snowjunction.Error
@@ -171,7 +171,7 @@
 		return snowjunction.Request{
 			ID: snowjunction.RequestID(ev.Req), Destination: snowjunction.DestinationID(ev.Dest),
 			Class: int(ev.Class), Tenant: int(ev.Tenant), Key: ev.Token, Deadline: ev.Budget,
-			Work: hinted(ev), Resubmitted: ev.Bits&2 != 0,
+			Work: workHint(ev), Resubmitted: ev.Bits&2 != 0,
 		}
 	case wire.Started:
 		return snowjunction.StreamStarted{Request: snowjunction.RequestID(ev.Req), Attempt: int(ev.Seq)}
@@ -198,8 +198,8 @@
 	return nil // notes from peers carry nothing this module uses
 }
 
-// hinted returns the work hint where the bits call it valid.
-func hinted(ev wire.Event) time.Duration {
+// workHint returns the work hint where the bits call it valid.
+func workHint(ev wire.Event) time.Duration {
 	if ev.Bits&1 == 0 {
 		return 0
 	}
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -24,7 +24,7 @@
 	os.Exit(m.Run())
 }
 
-const goodSettings = `{"fleet-size": 1, "quantum-ms": 5, "family-info": {"max-calls": 4, "bundle-max": [1]},
+const validSettings = `{"fleet-size": 1, "quantum-ms": 5, "family-info": {"max-calls": 4, "bundle-max": [1]},
 	"limits": {"most-held": 50}, "dcs": ["a"], "models": ["k"],
 	"classes": [{"name": "c", "semantics": "pure", "promise-ms": 1000, "deadline-ms": 10000, "importance": 1}]}`
 
@@ -108,7 +108,7 @@
 }
 
 // Over pipes: one flushed reply a batch, and a clean exit at end of input.
-func TestAdapterOverPipes(t *testing.T) {
+func TestAdapterPipes(t *testing.T) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "RUN_ADAPTER=1")
 	in, _ := cmd.StdinPipe()
@@ -117,7 +117,7 @@
 		t.Fatal(err)
 	}
 	var b batch
-	b.start(3, goodSettings)
+	b.start(3, validSettings)
 	b.list(3)
 	b.call(3, 42)
 	for i, frame := range [][]byte{(&batch{}).frame(0), b.frame(5)} {
@@ -185,7 +185,7 @@
 	}
 }
 
-func play(t *testing.T, frames ...[]byte) ([][]action, string) {
+func runFrames(t *testing.T, frames ...[]byte) ([][]action, string) {
 	t.Helper()
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(bytes.Join(frames, nil)), &out); err != nil {
@@ -195,13 +195,13 @@
 }
 
 // Impossible settings are the fault of that instance alone.
-func TestImpossibleSettingsAreAFault(t *testing.T) {
+func TestInvalidSettingsFailOneInstance(t *testing.T) {
 	var b batch
 	b.start(1, `{"quantum-ms": 5, "classes": []}`)
-	b.start(2, goodSettings)
+	b.start(2, validSettings)
 	b.list(2)
 	b.call(2, 42)
-	frames, text := play(t, b.frame(5))
+	frames, text := runFrames(t, b.frame(5))
 	if !has(frames[0], action{code: wire.BailOut, who: 1}) || !strings.Contains(text, "no classes") {
 		t.Errorf("no fault naming the field: %v %q", frames[0], text)
 	}
@@ -211,22 +211,22 @@
 }
 
 // A panic in the module is that instance's fault, with its text.
-func TestPanicIsAFault(t *testing.T) {
+func TestPanicFailsOneInstance(t *testing.T) {
 	reply := &wire.Reply{}
 	in := &instance{} // no courier: a nil dereference
 	in.handle(4, 0, reply)
-	if !strings.Contains(in.fault, "panic") {
-		t.Errorf("fault %q", in.fault)
+	if !strings.Contains(in.failure, "panic") {
+		t.Errorf("fault %q", in.failure)
 	}
 }
 
 // Several instances in one process act as each does alone.
-func TestInstancesShareNothing(t *testing.T) {
+func TestInstancesAreIndependent(t *testing.T) {
 	make3 := func(whos ...uint16) [][]byte {
 		var frames [][]byte
 		var first batch
 		for _, w := range whos {
-			first.start(w, goodSettings)
+			first.start(w, validSettings)
 			first.list(w)
 		}
 		frames = append(frames, first.frame(0))
@@ -239,9 +239,9 @@
 		}
 		return frames
 	}
-	together, _ := play(t, make3(1, 2, 3)...)
+	together, _ := runFrames(t, make3(1, 2, 3)...)
 	for _, who := range []uint16{1, 2, 3} {
-		alone, _ := play(t, make3(who)...)
+		alone, _ := runFrames(t, make3(who)...)
 		for i := range alone {
 			var mine []action
 			for _, a := range together[i] {
@@ -257,14 +257,14 @@
 }
 
 // A restart under the same number forgets what it held.
-func TestRestartForgets(t *testing.T) {
+func TestRestartDropsHeldRequests(t *testing.T) {
 	var a, b batch
-	a.start(1, goodSettings)
+	a.start(1, validSettings)
 	a.call(1, 42) // no list yet: held
 	b.rec(uint8(wire.Teardown), uint16(1))
-	b.start(1, goodSettings)
+	b.start(1, validSettings)
 	b.list(1)
-	frames, _ := play(t, a.frame(0), b.frame(5))
+	frames, _ := runFrames(t, a.frame(0), b.frame(5))
 	if has(frames[1], action{code: wire.Assign, who: 1}) {
 		t.Errorf("a request of the last life is sent: %v", frames[1])
 	}
--- a/internal/emulate/clients.go
+++ b/internal/emulate/clients.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// rate is that of first tries at a time, in messages a second.
-func (w *world) rate(at time.Duration) float64 {
-	l, t := &w.s.Load, at.Seconds()
+// arrivalRate is that of first tries at a time, in messages a second.
+func (w *world) arrivalRate(at time.Duration) float64 {
+	l, t := &w.scenario.Load, at.Seconds()
 	r := l.Full * l.Level
 	if l.Wave > 0 {
 		r *= 1 + l.Wave*math.Sin(2*math.Pi*t/l.WaveS)
@@ -21,9 +21,9 @@
 	return r
 }
 
-// most bounds rate.
-func (w *world) most() float64 {
-	l := &w.s.Load
+// maxArrivalRate bounds rate.
+func (w *world) maxArrivalRate() float64 {
+	l := &w.scenario.Load
 	r := l.Full * l.Level * (1 + l.Wave)
 	times := 1.0
 	for _, j := range l.Jumps {
@@ -35,124 +35,124 @@
 // nextArrival draws when clients hand in next: a Poisson process whose rate
 // changes, by thinning. A clump counts as one arrival of it.
 func (w *world) nextArrival() time.Duration {
-	most := w.most() / w.clumping()
+	most := w.maxArrivalRate() / w.meanArrivalSize()
 	at := w.now
 	for {
-		at += seconds(w.traffic.ExpFloat64() / math.Max(most, 1e-9))
-		if at >= w.until || w.traffic.Float64()*most <= w.rate(at)/w.clumping() {
+		at += seconds(w.trafficRNG.ExpFloat64() / math.Max(most, 1e-9))
+		if at >= w.arrivalsUntil || w.trafficRNG.Float64()*most <= w.arrivalRate(at)/w.meanArrivalSize() {
 			return at
 		}
 	}
 }
 
-// clumping is how many messages an arrival has on the average.
-func (w *world) clumping() float64 {
-	if w.s.Load.Clumps <= 0 {
+// meanArrivalSize is how many messages an arrival has on the average.
+func (w *world) meanArrivalSize() float64 {
+	if w.scenario.Load.Clumps <= 0 {
 		return 1
 	}
-	size := w.clumpMean()
-	share := w.s.Load.Clumps / size // of the arrivals, nearly
+	size := w.meanBurstSize()
+	share := w.scenario.Load.Clumps / size // of the arrivals, nearly
 	return 1 - share + share*size
 }
 
-func (w *world) clumpMean() float64 {
-	l := &w.s.Load
-	return math.Max(1, (l.ClumpS[0]+l.ClumpS[1])/2*l.Full*l.Level/float64(max(1, len(w.weights))))
+func (w *world) meanBurstSize() float64 {
+	l := &w.scenario.Load
+	return math.Max(1, (l.ClumpS[0]+l.ClumpS[1])/2*l.Full*l.Level/float64(max(1, len(w.cumulativeWeights))))
 }
 
-// arrive has clients hand in a message, or a clump of them.
-func (w *world) arrive() {
-	if w.now >= w.until {
+// handleArrival has clients hand in a message, or a clump of them.
+func (w *world) handleArrival() {
+	if w.now >= w.arrivalsUntil {
 		return
 	}
-	dest := w.pick()
+	dest := w.pickPartner()
 	n := 1
-	if w.s.Load.Clumps > 0 && w.traffic.Float64() < w.s.Load.Clumps/w.clumpMean() {
-		n = max(1, int(math.Round(w.partners[dest].rate*w.s.Load.Level*draw(w.traffic, w.s.Load.ClumpS))))
+	if w.scenario.Load.Clumps > 0 && w.trafficRNG.Float64() < w.scenario.Load.Clumps/w.meanBurstSize() {
+		n = max(1, int(math.Round(w.partners[dest].fullLoadRate*w.scenario.Load.Level*uniform(w.trafficRNG, w.scenario.Load.ClumpS))))
 	}
 	for range n {
-		w.handIn(dest)
+		w.createMessage(dest)
 	}
-	w.q.push(event{at: w.nextArrival(), kind: arrive})
+	w.queue.push(event{at: w.nextArrival(), kind: clientArrival})
 }
 
-// pick draws a partner by its share of the traffic.
-func (w *world) pick() int32 {
+// pickPartner draws a partner by its share of the traffic.
+func (w *world) pickPartner() int32 {
 	t := w.now.Seconds()
-	for _, h := range w.s.Load.Hot {
-		if t >= h.At && t < h.At+h.For && w.traffic.Float64() < h.Share {
-			return int32(w.traffic.IntN(min(h.Partners, len(w.weights))))
+	for _, h := range w.scenario.Load.Hot {
+		if t >= h.At && t < h.At+h.For && w.trafficRNG.Float64() < h.Share {
+			return int32(w.trafficRNG.IntN(min(h.Partners, len(w.cumulativeWeights))))
 		}
 	}
-	x := w.traffic.Float64() * w.weights[len(w.weights)-1]
-	return int32(min(sort.SearchFloat64s(w.weights, x), len(w.weights)-1))
+	x := w.trafficRNG.Float64() * w.cumulativeWeights[len(w.cumulativeWeights)-1]
+	return int32(min(sort.SearchFloat64s(w.cumulativeWeights, x), len(w.cumulativeWeights)-1))
 }
 
-func (w *world) handIn(dest int32) {
+func (w *world) createMessage(dest int32) {
 	class := 1
-	if w.traffic.Float64() < w.s.Load.Orders {
+	if w.trafficRNG.Float64() < w.scenario.Load.Orders {
 		class = 0
 	}
 	m := message{
-		dest: dest, out: -1, class: uint8(class), tenant: uint8(w.partners[dest].tenant),
+		dest: dest, call: -1, class: uint8(class), tenant: uint8(w.partners[dest].tenant),
 		created: w.now, deadline: w.now + w.classes[class].Deadline,
 	}
 	if class == 0 {
-		m.key = w.keyFor(dest)
+		m.key = w.nextKey(dest)
 	}
 	q := &w.quotas[m.tenant]
-	q.tokens = math.Min(q.tokens+(w.now-q.at).Seconds()*q.rate, 2*q.rate)
-	q.at = w.now
+	q.tokens = math.Min(q.tokens+(w.now-q.refilledAt).Seconds()*q.rate, 2*q.rate)
+	q.refilledAt = w.now
 	if q.tokens < 1 {
-		m.excess = true
+		m.overQuota = true
 	} else {
 		q.tokens--
 	}
-	w.res.asked(&m, w.worth(&m))
-	w.hand(m, w.now+handIn)
+	w.result.addRequested(&m, w.messageValue(&m))
+	w.submit(m, w.now+clientDelay)
 }
 
-// keyFor is the key of the next order to a partner: one that has messages to come and
+// nextKey is the key of the next order to a partner: one that has messages to come and
 // has rested for its gap, else a new one.
-func (w *world) keyFor(dest int32) uint64 {
-	l, open := &w.s.Load, w.keyed[dest]
-	k := keyed{}
-	if len(open) > 0 && open[0].due <= w.now {
+func (w *world) nextKey(dest int32) uint64 {
+	l, open := &w.scenario.Load, w.openKeys[dest]
+	k := openKey{}
+	if len(open) > 0 && open[0].nextAt <= w.now {
 		k, open = open[0], open[1:]
 	} else {
-		w.keys++
-		k = keyed{key: w.keys, left: 1 + int(w.traffic.ExpFloat64()*(l.PerKey-1))}
+		w.lastKey++
+		k = openKey{key: w.lastKey, remaining: 1 + int(w.trafficRNG.ExpFloat64()*(l.PerKey-1))}
 	}
-	if k.left--; k.left > 0 {
-		k.due = w.now + seconds(l.KeyGapS*(0.5+w.traffic.Float64()))
+	if k.remaining--; k.remaining > 0 {
+		k.nextAt = w.now + seconds(l.KeyGapS*(0.5+w.trafficRNG.Float64()))
 		open = append(open, k)
 	}
-	w.keyed[dest] = open
+	w.openKeys[dest] = open
 	return k.key
 }
 
-// worth is what a message earns in time.
-func (w *world) worth(m *message) float64 {
+// messageValue is what a message earns in time.
+func (w *world) messageValue(m *message) float64 {
 	v := w.classes[m.class].Value
-	if m.excess {
+	if m.overQuota {
 		v *= 0.05
 	}
 	return v
 }
 
-// hand sends a message on its way to a courier.
-func (w *world) hand(m message, at time.Duration) {
-	id := w.place(m)
-	w.q.push(event{at: at, kind: taken, id: id, gen: w.messages[id].gen})
+// submit sends a message on its way to a courier.
+func (w *world) submit(m message, at time.Duration) {
+	id := w.storeMessage(m)
+	w.queue.push(event{at: at, kind: messageReceived, id: id, generation: w.messages[id].generation})
 }
 
-// place puts a message into the world and returns its number.
-func (w *world) place(m message) int32 {
-	m.open = true
-	if n := len(w.freed); n > 0 {
-		id := w.freed[n-1]
-		w.freed = w.freed[:n-1]
-		m.gen = w.messages[id].gen + 1
+// storeMessage puts a message into the world and returns its number.
+func (w *world) storeMessage(m message) int32 {
+	m.pending = true
+	if n := len(w.freeMessages); n > 0 {
+		id := w.freeMessages[n-1]
+		w.freeMessages = w.freeMessages[:n-1]
+		m.generation = w.messages[id].generation + 1
 		w.messages[id] = m
 		return id
 	}
@@ -160,83 +160,83 @@
 	return int32(len(w.messages) - 1)
 }
 
-// taken has a courier take a message on: the one of its key, or any.
-func (w *world) taken(id int32, gen uint32) {
+// acceptMessage has a courier take a message on: the one of its key, or any.
+func (w *world) acceptMessage(id int32, gen uint32) {
 	m := &w.messages[id]
-	if m.gen != gen {
+	if m.generation != gen {
 		return
 	}
 	n := len(w.couriers)
 	first := int(m.key % uint64(n))
 	if m.key == 0 {
-		first = w.reaction.IntN(n)
+		first = w.reactionRNG.IntN(n)
 	}
 	for i := range n {
 		c := w.couriers[(first+i)%n]
 		if !c.up {
 			continue
 		}
-		m.courier = c.no
-		w.serial++
-		m.serial = w.serial
-		c.held = append(c.held, hold{id, m.serial})
-		if w.check != nil {
-			w.check.Taken(w.now, c.no, id, m.dest, int(m.class), m.key, m.deadline)
+		m.courier = c.number
+		w.lastSerial++
+		m.serial = w.lastSerial
+		c.held = append(c.held, heldMessage{id, m.serial})
+		if w.checker != nil {
+			w.checker.Accepted(w.now, c.number, id, m.dest, int(m.class), m.key, m.deadline)
 		}
-		c.admit(id)
+		c.askPlugin(id)
 		return
 	}
-	m.open = false
-	w.refused(id, 0) // nobody is there: the client comes again
-	w.free(id)
+	m.pending = false
+	w.retryRefused(id, 0) // nobody is there: the client comes again
+	w.freeMessage(id)
 }
 
-// ended is a message's final answer. delivered: at the time at which its courier
+// finishMessage is a message's final answer. delivered: at the time at which its courier
 // hears of it.
-func (w *world) ended(id int32, how fate) {
+func (w *world) finishMessage(id int32, how messageResult) {
 	m := &w.messages[id]
-	m.open = false
-	if w.check != nil {
-		w.check.Ended(w.now, id)
+	m.pending = false
+	if w.checker != nil {
+		w.checker.Finished(w.now, id)
 	}
-	w.res.ends[how]++
+	w.result.results[how]++
 	if how != delivered {
 		return
 	}
 	class := w.classes[m.class]
-	v, late := w.worth(m), w.now-(m.created+class.TargetLatency)
+	v, late := w.messageValue(m), w.now-(m.created+class.TargetLatency)
 	if late > 0 {
-		w.res.Late++
+		w.result.Late++
 		v *= math.Max(0, 1-(1-class.LateValueShare)*float64(late)/float64(class.Deadline-class.TargetLatency))
 	}
-	w.res.got(m, v, w.now-m.created)
+	w.result.addDelivered(m, v, w.now-m.created)
 }
 
-// refused has the client of a message that was refused come again, perhaps.
-func (w *world) refused(id int32, after time.Duration) {
+// retryRefused has the client of a message that was refused come again, perhaps.
+func (w *world) retryRefused(id int32, after time.Duration) {
 	m := w.messages[id]
-	c := &w.s.Clients
-	again := c.Retries - float64(m.tries)
-	if again <= 0 || again < 1 && w.reaction.Float64() >= again {
+	c := &w.scenario.Clients
+	again := c.Retries - float64(m.clientTries)
+	if again <= 0 || again < 1 && w.reactionRNG.Float64() >= again {
 		return
 	}
-	wait := seconds(draw(w.reaction, c.BackoffMs) / 1000 * math.Exp2(float64(m.tries)))
-	if after > 0 && w.reaction.Float64() < c.Heeds {
+	wait := seconds(uniform(w.reactionRNG, c.BackoffMs) / 1000 * math.Exp2(float64(m.clientTries)))
+	if after > 0 && w.reactionRNG.Float64() < c.Heeds {
 		wait = after
 	}
-	if at := w.now + wait + handIn; at < m.deadline {
+	if at := w.now + wait + clientDelay; at < m.deadline {
 		n := message{
-			dest: m.dest, out: -1, class: m.class, tenant: m.tenant, tries: m.tries + 1, excess: m.excess, key: m.key,
+			dest: m.dest, call: -1, class: m.class, tenant: m.tenant, clientTries: m.clientTries + 1, overQuota: m.overQuota, key: m.key,
 			created: m.created, deadline: m.deadline,
 		}
-		w.res.Retries++
-		w.hand(n, at)
+		w.result.Retries++
+		w.submit(n, at)
 	}
 }
 
-// free gives back a message that has its end and no call out.
-func (w *world) free(id int32) {
-	if m := &w.messages[id]; !m.open && m.out < 0 {
-		w.freed = append(w.freed, id)
+// freeMessage gives back a message that has its end and no call out.
+func (w *world) freeMessage(id int32) {
+	if m := &w.messages[id]; !m.pending && m.call < 0 {
+		w.freeMessages = append(w.freeMessages, id)
 	}
 }
--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -42,7 +42,7 @@
 
 // The same seed plays the same run, byte for byte, also beside others; another
 // seed plays another.
-func TestSameSeedSameBytes(t *testing.T) {
+func TestSameSeedGivesIdenticalResults(t *testing.T) {
 	for _, name := range []string{"all-at-once", "ten-thousand-idle", "restart-in-outage"} {
 		s := load(t, name, `{"seconds": 20}`)
 		texts := make([]string, 5)
@@ -69,7 +69,7 @@
 }
 
 // What clients ask for does not depend on who decides.
-func TestSameLoadForAll(t *testing.T) {
+func TestLoadIsIndependentOfPolicy(t *testing.T) {
 	s := load(t, "chain-shut", `{"seconds": 20}`)
 	want := 0
 	for _, p := range policy.Names() {
@@ -84,7 +84,7 @@
 }
 
 // The module keeps every rule that holds for it alone, whatever happens.
-func TestModuleKeepsTheRules(t *testing.T) {
+func TestModuleFollowsTheRules(t *testing.T) {
 	for _, name := range []string{"quiet", "lunch-rush", "half-replaced", "directory-down", "rolling-restart", "flapping", "quick-errors", "ten-thousand-idle"} {
 		r := run(t, load(t, name, `{"seconds": 45}`), Options{Policy: "module"})
 		assert.Empty(t, r.Rules, "%s: %+v", name, r.First)
@@ -92,14 +92,14 @@
 	}
 }
 
-// breach passes a policy's events and actions through a fault.
-type breach struct {
+// faultyPolicy passes a policy's events and actions through a fault.
+type faultyPolicy struct {
 	policy.Policy
 	events  func(snowjunction.Event) snowjunction.Event // nil: dropped
 	actions func(snowjunction.Action) []snowjunction.Action
 }
 
-func (b breach) Handle(now time.Duration, events []snowjunction.Event) []snowjunction.Action {
+func (b faultyPolicy) Handle(now time.Duration, events []snowjunction.Event) []snowjunction.Action {
 	if b.events != nil {
 		var kept []snowjunction.Event
 		for _, ev := range events {
@@ -121,7 +121,7 @@
 }
 
 // A planted breach of each rule is found, and named by its rule.
-func TestPlantedBreaches(t *testing.T) {
+func TestInjectedViolationsAreFound(t *testing.T) {
 	keep := func(a snowjunction.Action) []snowjunction.Action { return []snowjunction.Action{a} }
 	for _, tc := range []struct {
 		name, scenario, policy string
@@ -131,53 +131,53 @@
 		events                 func(snowjunction.Event) snowjunction.Event
 		actions                func(snowjunction.Action) []snowjunction.Action
 	}{
-		{name: "no end", scenario: "silent", policy: "one-try", rule: rules.OneEnd, actions: func(a snowjunction.Action) []snowjunction.Action {
+		{name: "no end", scenario: "silent", policy: "one-try", rule: rules.SingleResult, actions: func(a snowjunction.Action) []snowjunction.Action {
 			switch a.(type) {
 			case snowjunction.Refuse, snowjunction.Fail:
 				return nil
 			}
 			return keep(a)
 		}},
-		{name: "two ends", scenario: "nauryz", policy: "one-try", rule: rules.OneEnd, actions: func(a snowjunction.Action) []snowjunction.Action {
+		{name: "two ends", scenario: "nauryz", policy: "one-try", rule: rules.SingleResult, actions: func(a snowjunction.Action) []snowjunction.Action {
 			if _, ok := a.(snowjunction.Fail); ok {
 				return []snowjunction.Action{a, a}
 			}
 			return keep(a)
 		}},
-		{name: "two out", scenario: "quiet", policy: "one-try", rule: rules.OneOut, actions: func(a snowjunction.Action) []snowjunction.Action {
+		{name: "two out", scenario: "quiet", policy: "one-try", rule: rules.SingleAttempt, actions: func(a snowjunction.Action) []snowjunction.Action {
 			if _, ok := a.(snowjunction.Send); ok {
 				return []snowjunction.Action{a, a}
 			}
 			return keep(a)
 		}},
-		{name: "too many", scenario: "quick-errors", policy: "oracle", rule: rules.Attempts,
+		{name: "too many", scenario: "quick-errors", policy: "oracle", rule: rules.MaxAttempts,
 			overlay: `{"faults": [{"kind": "errors", "at_s": 0, "for_s": 60, "share": 1, "calls": 0.95}]}`,
 			change:  func(s *snowjunction.Settings) { s.MaxAttempts = 40 }},
-		{name: "repeats late", scenario: "silent", policy: "oracle", rule: rules.Repeat,
+		{name: "repeats late", scenario: "silent", policy: "oracle", rule: rules.SafeRetry,
 			overlay: `{"faults": [{"kind": "errors", "at_s": 0, "for_s": 60, "share": 1, "calls": 0.9}], "settings": {"attempts": 100}}`,
 			change: func(s *snowjunction.Settings) {
 				s.Classes = append([]snowjunction.Class(nil), s.Classes...)
 				s.Classes[0].Window = time.Hour
 			}},
-		{name: "drains", scenario: "half-replaced", policy: "one-try", rule: rules.Drain, events: func(ev snowjunction.Event) snowjunction.Event {
+		{name: "drains", scenario: "half-replaced", policy: "one-try", rule: rules.DrainGrace, events: func(ev snowjunction.Event) snowjunction.Event {
 			if l, ok := ev.(snowjunction.List); ok && l.Kind == snowjunction.ListDelta && l.Endpoints[0].Phase != snowjunction.Ready {
 				return nil
 			}
 			return ev
 		}},
-		{name: "order", scenario: "lunch-rush", policy: "blind", rule: rules.Order, change: func(s *snowjunction.Settings) {
+		{name: "order", scenario: "lunch-rush", policy: "blind", rule: rules.KeyOrder, change: func(s *snowjunction.Settings) {
 			s.Classes = append([]snowjunction.Class(nil), s.Classes...)
 			s.Classes[0].InOrder = false
 		}},
-		{name: "waits", scenario: "nauryz", policy: "blind", rule: rules.Wait, events: func(ev snowjunction.Event) snowjunction.Event {
+		{name: "waits", scenario: "nauryz", policy: "blind", rule: rules.RetryAfter, events: func(ev snowjunction.Event) snowjunction.Event {
 			if a, ok := ev.(snowjunction.AttemptEnded); ok {
 				a.RetryAfter = 0
 				return a
 			}
 			return ev
 		}},
-		{name: "cold", scenario: "silent", policy: "blind", rule: rules.Cold, overlay: `{"couriers": 1, "load": {"level": 3}, "partners": {"fall_slack": 0}}`},
-		{name: "place", scenario: "quiet", policy: "one-try", rule: rules.Place, actions: func(a snowjunction.Action) []snowjunction.Action {
+		{name: "cold", scenario: "silent", policy: "blind", rule: rules.ColdCollapse, overlay: `{"couriers": 1, "load": {"level": 3}, "partners": {"fall_slack": 0}}`},
+		{name: "place", scenario: "quiet", policy: "one-try", rule: rules.WrongEndpoint, actions: func(a snowjunction.Action) []snowjunction.Action {
 			if s, ok := a.(snowjunction.Send); ok {
 				s.Endpoint = s.Endpoint%20 + 1
 				return keep(s)
@@ -187,14 +187,14 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := load(t, tc.scenario, tc.overlay)
-			o := Options{Change: tc.change, New: func(s snowjunction.Settings, truth policy.Truth) (policy.Policy, error) {
+			o := Options{Change: tc.change, New: func(s snowjunction.Settings, truth policy.GroundTruth) (policy.Policy, error) {
 				p, err := policy.New(tc.policy, s, truth)
-				return breach{p, tc.events, tc.actions}, err
+				return faultyPolicy{p, tc.events, tc.actions}, err
 			}}
 			r := run(t, s, o)
 			assert.Positive(t, r.Rules[tc.rule], "%v", r.Rules)
 			sound := run(t, s, Options{Policy: tc.policy})
-			if tc.rule != rules.Cold { // which no plain policy minds
+			if tc.rule != rules.ColdCollapse { // which no plain policy minds
 				assert.Zero(t, sound.Rules[tc.rule], "without the breach: %+v", sound.First)
 			}
 		})
@@ -202,7 +202,7 @@
 }
 
 // A mistake in a scenario gets one line with the place that it stands at.
-func TestScenarioMistakes(t *testing.T) {
+func TestScenarioErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"couriers": 0}`:         "/couriers: ",
 		`{"load": {"level": -1}}`: "/load/level: ",
@@ -238,7 +238,7 @@
 }
 
 // Every scenario that ships can be played.
-func TestLibrary(t *testing.T) {
+func TestLibraryScenariosRun(t *testing.T) {
 	require.GreaterOrEqual(t, len(Library.Names()), 13)
 	for _, name := range Library.Names() {
 		r := run(t, load(t, name, `{"seconds": 8}`), Options{Policy: "module"})
@@ -247,7 +247,7 @@
 }
 
 // Events come out by their time and, at one time, in the order of scheduling.
-func TestQueue(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q, n := queue{}, 0
 		last := event{}
@@ -262,7 +262,7 @@
 			q.push(event{at: last.at + time.Duration(rapid.IntRange(0, 5).Draw(t, "after"))})
 			n++
 		}
-		require.Len(t, q.heap, n)
+		require.Len(t, q.events, n)
 	})
 }
 
@@ -284,7 +284,7 @@
 
 // A fault of some of a partner's endpoints leaves the others alone, and its answers
 // do not weigh on the partner.
-func TestSomeEndpointsFail(t *testing.T) {
+func TestFaultsOfSomeEndpoints(t *testing.T) {
 	const form = `{"seconds": 30, "partners": {"endpoints": [2, 2], "errors": 0}, "faults": [{"kind": "%s", "at_s": 5, "for_s": 20, "share": 1%s}]}`
 	for _, kind := range []string{"errors", "shut", "silent", "reset", "vanish"} {
 		half := run(t, load(t, "quiet", fmt.Sprintf(form, kind, `, "endpoints": 0.5`)), Options{Policy: "module"})
@@ -300,7 +300,7 @@
 // A plug-in that hangs costs little in quarantine, and without it messages end late;
 // in quarantine they keep their order by key, and deaths of couriers lose none of those
 // it was asked about.
-func TestPluginHangs(t *testing.T) {
+func TestHangingPlugin(t *testing.T) {
 	const busy = `{"load": {"full": 200}, "partners": {"errors": 0}, "crashes": [{"at_s": 20, "down_s": 1, "share": 1, "over_s": 3, "journal": true}]`
 	with := run(t, load(t, "plugin-hangs", busy+"}"), Options{Policy: "module"})
 	without := run(t, load(t, "plugin-hangs", busy+`, "plugin": {"breaker": false}}`), Options{Policy: "module"})
@@ -309,33 +309,33 @@
 		assert.Zero(t, r.Broken(), "%+v", r.First)
 		assert.Zero(t, r.Lost)
 	}
-	assert.Positive(t, without.Rules[rules.OneEnd], "messages wait for it past their time")
-	assert.Positive(t, with.Skipped)
-	assert.Zero(t, without.Skipped+none.Skipped+none.Asked)
-	assert.Less(t, with.Asked, without.Asked)
+	assert.Positive(t, without.Rules[rules.SingleResult], "messages wait for it past their time")
+	assert.Positive(t, with.PluginSkips)
+	assert.Zero(t, without.PluginSkips+none.PluginSkips+none.PluginCalls)
+	assert.Less(t, with.PluginCalls, without.PluginCalls)
 	assert.InDelta(t, none.G, with.G, 0.05)
 	assert.Less(t, without.G, with.G-0.1)
 }
 
 // When all is over, no partner has a call under way or coming, whoever failed or died
 // meanwhile: each that began has ended once.
-func TestCallsEndOnce(t *testing.T) {
+func TestEachCallEndsOnce(t *testing.T) {
 	const parts = `{"faults": [
 		{"kind": "errors", "at_s": 5, "for_s": 40, "share": 0.5, "endpoints": 0.5}, {"kind": "silent", "at_s": 5, "for_s": 40, "share": 0.5, "endpoints": 0.5}
 	], "crashes": [{"at_s": 10, "down_s": 1, "share": 1, "over_s": 20, "journal": true}], "load": {"full": 300}}`
 	for name, overlay := range map[string]string{"all-at-once": "{}", "quick-errors": parts, "flapping": "{}", "rolling-restart": "{}"} {
-		w, err := play(load(t, name, overlay), Options{Policy: "module", Seed: 1})
+		w, err := simulate(load(t, name, overlay), Options{Policy: "module", Seed: 1})
 		require.NoError(t, err)
 		for _, p := range w.partners {
-			assert.Zero(t, p.Under(), "%s, partner %d", name, p.no)
-			assert.Zero(t, p.coming, "%s, partner %d", name, p.no)
+			assert.Zero(t, p.Under(), "%s, partner %d", name, p.number)
+			assert.Zero(t, p.incoming, "%s, partner %d", name, p.number)
 		}
 	}
 }
 
 // Eighty couriers that share limits keep to them and deliver more than where each goes by
 // its own refusals, in each of these days.
-func TestGrowingFleet(t *testing.T) {
+func TestFleetSharesLimits(t *testing.T) {
 	const form, silent = `{"seconds": 30%s}`, `, "network": {"notes": {"delay_ms": [0, 0]}}`
 	for what, tc := range map[string]struct {
 		overlay string
@@ -361,7 +361,7 @@
 			alone := run(t, load(t, "growing-fleet", fmt.Sprintf(form, tc.overlay+silent)), Options{Policy: "module", Seed: 6})
 			assert.Greater(t, float64(r.Delivered), 1.04*float64(alone.Delivered))
 			assert.Greater(t, r.G, alone.G+0.04)
-			assert.Zero(t, alone.Notes)
+			assert.Zero(t, alone.PeerMessages)
 		})
 	}
 }
@@ -369,7 +369,7 @@
 // What comes back cold is not pushed over by those that saw it fail, whether they may
 // tell each other or not and whether its limit is told, also where some have begun anew.
 // The counter of the rule and the partners' own agree.
-func TestColdRamp(t *testing.T) {
+func TestNoCollapseDuringRecovery(t *testing.T) {
 	const restarts = `"crashes": [{"at_s": 22.5, "down_s": 1, "share": 0.3, "over_s": 4, "journal": true}], `
 	for _, tc := range []struct {
 		name, more   string
@@ -392,16 +392,16 @@
 			if !tc.notes {
 				overlay += `"network": {"notes": {"delay_ms": [0, 0]}}, `
 			}
-			s := load(t, "cold-ramp", overlay+fmt.Sprintf(`"partners": {"reports": %v}}`, one(tc.limit)))
+			s := load(t, "cold-ramp", overlay+fmt.Sprintf(`"partners": {"reports": %v}}`, indicator(tc.limit)))
 			for _, seed := range tc.seeds {
 				r := run(t, s, Options{Policy: "module", Seed: seed})
 				assert.Empty(t, r.Rules, "seed %d: %+v", seed, r.First)
-				assert.Equal(t, r.Fell, r.RampFell)
+				assert.Equal(t, r.Fell, r.RampCollapses)
 				assert.Positive(t, r.RampPeak)
 			}
 		})
 	}
 	r := run(t, load(t, "cold-ramp", `{"seconds": 34, "load": {"level": 3}, "partners": {"limited": 0}}`), Options{Policy: "blind"})
-	assert.Positive(t, r.RampBroken, "who minds nothing breaks it")
-	assert.Equal(t, r.Fell, r.RampFell)
+	assert.Positive(t, r.RampViolations, "who minds nothing breaks it")
+	assert.Equal(t, r.Fell, r.RampCollapses)
 }
--- a/internal/emulate/kept.go
+++ b/internal/emulate/kept.go
@@ -13,27 +13,27 @@
 	"snowjunction/internal/standin/partner"
 )
 
-// kept is what a courier keeps on its disk beside its journal, and what it makes of
+// savedState is what a courier keeps on its disk beside its journal, and what it makes of
 // that: package belief for its list, package learnt for its state.
-type kept struct {
-	disk    map[uint32]learnedstate.Record // by destination
-	picker  *learnedstate.Picker
-	journal uint64 // writes of this life
-	due     bool   // the picker is to be asked
+type savedState struct {
+	learned       map[uint32]learnedstate.Record // by destination
+	picker        *learnedstate.Picker
+	journalWrites uint64 // writes of this life
+	pickScheduled bool   // the picker is to be asked
 
-	belief *confidence.Tracker
-	heard  time.Duration // when the directory was last up for this courier
-	blind  bool          // no list is held, until the directory speaks
+	confidence    *confidence.Tracker
+	directorySeen time.Duration // when the directory was last up for this courier
+	noList        bool          // no list is held, until the directory speaks
 }
 
 const (
-	journalOf  = 80 // bytes of a journal's write, on the average
-	blindAfter = 1500 * time.Millisecond
+	journalWriteBytes = 80 // bytes of a journal's write, on the average
+	noListRetryAfter  = 1500 * time.Millisecond
 )
 
-// down tells whether the directory is silent now, and until when.
-func (w *world) down() (bool, time.Duration) {
-	for _, d := range w.s.Directory.Down {
+// directoryDown tells whether the directory is silent now, and until when.
+func (w *world) directoryDown() (bool, time.Duration) {
+	for _, d := range w.scenario.Directory.Down {
 		if from, until := seconds(d.At), seconds(d.At+d.For); w.now >= from && w.now < until {
 			return true, until
 		}
@@ -41,109 +41,109 @@
 	return false, 0
 }
 
-// recall begins a life with what is on the disk. Until the directory speaks its list is
+// restoreSaved begins a life with what is on the disk. Until the directory speaks its list is
 // what it was, or nothing.
-func (c *courier) recall() {
-	w, k := c.w, &c.kept
-	k.picker, k.due, k.journal = learnedstate.NewPicker(), false, 0
-	if k.disk == nil {
-		k.disk = map[uint32]learnedstate.Record{}
+func (c *courier) restoreSaved() {
+	w, k := c.world, &c.saved
+	k.picker, k.pickScheduled, k.journalWrites = learnedstate.NewPicker(), false, 0
+	if k.learned == nil {
+		k.learned = map[uint32]learnedstate.Record{}
 	}
-	silent, until := w.down()
-	if c.life == 1 || !silent {
-		k.heard = w.now
+	silent, until := w.directoryDown()
+	if c.run == 1 || !silent {
+		k.directorySeen = w.now
 	}
-	k.blind = c.life > 1 && silent && !w.s.Kept.List
-	if silent && c.life > 1 {
-		w.q.push(event{at: until, kind: spoken, who: c.no, id: int32(c.life)})
+	k.noList = c.run > 1 && silent && !w.scenario.Kept.List
+	if silent && c.run > 1 {
+		w.queue.push(event{at: until, kind: directoryBack, target: c.number, id: int32(c.run)})
 	}
-	if !w.s.Kept.Weigh {
+	if !w.scenario.Kept.Weigh {
 		return
 	}
 	cfg := confidence.Default()
-	if f := w.s.Kept.FreshS; f > 0 {
+	if f := w.scenario.Kept.FreshS; f > 0 {
 		cfg.FreshFor = seconds(f)
 	}
-	k.belief = confidence.New(cfg)
-	if c.life == 1 || !silent {
-		k.belief.Start(confidence.Live, 0, w.now)
-		k.belief.DirectoryConfirmed(w.now)
+	k.confidence = confidence.New(cfg)
+	if c.run == 1 || !silent {
+		k.confidence.Start(confidence.Live, 0, w.now)
+		k.confidence.DirectoryConfirmed(w.now)
 	} else {
-		k.belief.Start(confidence.Cached, w.now-k.heard, w.now)
+		k.confidence.Start(confidence.Cached, w.now-k.directorySeen, w.now)
 	}
-	c.look()
+	c.updateConfidence()
 }
 
-// look has the book find what time has changed, and looks again when it may change next.
+// updateConfidence has the book find what time has changed, and looks again when it may change next.
 // A directory that is up counts as heard at all times.
-func (c *courier) look() {
-	k, w := &c.kept, c.w
-	if k.belief == nil || !c.up {
+func (c *courier) updateConfidence() {
+	k, w := &c.saved, c.world
+	if k.confidence == nil || !c.up {
 		return
 	}
-	silent, until := w.down()
+	silent, until := w.directoryDown()
 	if !silent {
-		k.heard = w.now
-		k.belief.DirectoryConfirmed(w.now)
-		for _, d := range w.s.Directory.Down { // the next silence
+		k.directorySeen = w.now
+		k.confidence.DirectoryConfirmed(w.now)
+		for _, d := range w.scenario.Directory.Down { // the next silence
 			if from := seconds(d.At); from >= w.now {
-				w.q.push(event{at: from, kind: look, who: c.no, id: int32(c.life)})
+				w.queue.push(event{at: from, kind: confidenceCheck, target: c.number, id: int32(c.run)})
 				return
 			}
 		}
 		return
 	}
-	change, again := k.belief.Advance(w.now)
+	change, again := k.confidence.Advance(w.now)
 	if change != confidence.Unchanged {
-		c.represent()
+		c.resendList()
 	}
 	at := until
 	if again > 0 {
 		at = min(at, w.now+again)
 	}
-	w.q.push(event{at: at, kind: look, who: c.no, id: int32(c.life)})
+	w.queue.push(event{at: at, kind: confidenceCheck, target: c.number, id: int32(c.run)})
 }
 
-// spoken is the directory's word after a silence.
-func (c *courier) spoken(life uint32) {
-	if life != c.life || !c.up {
+// directoryRecovered is the directory's word after a silence.
+func (c *courier) directoryRecovered(life uint32) {
+	if life != c.run || !c.up {
 		return
 	}
-	k := &c.kept
-	k.heard = c.w.now
-	was := k.blind
-	k.blind = false
-	if was && c.w.check != nil {
-		for id := range c.view {
-			if c.view[id] != snowjunction.Gone {
-				c.w.check.Listed(c.w.now, c.no, int32(id), c.w.endpoints[id].dest, c.view[id] == snowjunction.Ready)
+	k := &c.saved
+	k.directorySeen = c.world.now
+	was := k.noList
+	k.noList = false
+	if was && c.world.checker != nil {
+		for id := range c.listedPhases {
+			if c.listedPhases[id] != snowjunction.Gone {
+				c.world.checker.Listed(c.world.now, c.number, int32(id), c.world.endpoints[id].dest, c.listedPhases[id] == snowjunction.Ready)
 			}
 		}
 	}
-	if k.belief != nil && k.belief.DirectoryConfirmed(c.w.now) || was {
-		c.represent()
+	if k.confidence != nil && k.confidence.DirectoryConfirmed(c.world.now) || was {
+		c.resendList()
 	}
 }
 
-// represent shows the policy all that is listed as it is believed now.
-func (c *courier) represent() {
+// resendList shows the policy all that is listed as it is believed now.
+func (c *courier) resendList() {
 	var list []snowjunction.Endpoint
-	for id := range c.view {
-		if _, awake := c.awake[c.w.endpoints[id].dest]; c.view[id] != snowjunction.Gone && (c.book == nil || awake) {
-			list = append(list, c.entry(int32(id)))
+	for id := range c.listedPhases {
+		if _, awake := c.loaded[c.world.endpoints[id].dest]; c.listedPhases[id] != snowjunction.Gone && (c.idleTracker == nil || awake) {
+			list = append(list, c.listEntry(int32(id)))
 		}
 	}
 	if len(list) > 0 {
-		c.post(snowjunction.List{Kind: snowjunction.ListDelta, Endpoints: list, Destinations: len(c.w.partners)})
+		c.post(snowjunction.List{Kind: snowjunction.ListDelta, Endpoints: list, Destinations: len(c.world.partners)})
 	}
 }
 
-// believed is an entry as it is believed.
-func (c *courier) believed(e snowjunction.Endpoint, id int32) snowjunction.Endpoint {
-	if c.kept.belief == nil || e.Phase != snowjunction.Ready {
+// withConfidence is an entry as it is believed.
+func (c *courier) withConfidence(e snowjunction.Endpoint, id int32) snowjunction.Endpoint {
+	if c.saved.confidence == nil || e.Phase != snowjunction.Ready {
 		return e
 	}
-	switch c.kept.belief.Level(endpointName(id)) {
+	switch c.saved.confidence.Level(endpointName(id)) {
 	case confidence.Doubtful:
 		e.Doubtful = true
 	case confidence.Refuted:
@@ -154,72 +154,72 @@
 
 func endpointName(id int32) string { return string([]byte{byte(id), byte(id >> 8), byte(id >> 16)}) }
 
-// evidence takes what a call has shown.
-func (c *courier) evidence(ep int32, out snowjunction.Outcome, elsewhere bool) {
-	k := &c.kept
-	if k.belief == nil || c.view[ep] != snowjunction.Ready {
+// recordEvidence takes what a call has shown.
+func (c *courier) recordEvidence(ep int32, out snowjunction.Outcome, elsewhere bool) {
+	k := &c.saved
+	if k.confidence == nil || c.listedPhases[ep] != snowjunction.Ready {
 		return
 	}
 	e := confidence.EvidenceOf(out)
 	if elsewhere {
 		e = confidence.OtherEndpoint
 	}
-	was, is, _ := k.belief.RecordCall(snowjunction.DestinationID(c.w.endpoints[ep].dest), endpointName(ep), e, c.w.now)
+	was, is, _ := k.confidence.RecordCall(snowjunction.DestinationID(c.world.endpoints[ep].dest), endpointName(ep), e, c.world.now)
 	if is == confidence.Refuted && was != is {
-		c.w.res.Refuted++
+		c.world.result.RefutedEndpoints++
 	}
 	if was != is {
-		c.post(snowjunction.List{Kind: snowjunction.ListDelta, Endpoints: []snowjunction.Endpoint{c.entry(ep)}, Destinations: len(c.w.partners)})
+		c.post(snowjunction.List{Kind: snowjunction.ListDelta, Endpoints: []snowjunction.Endpoint{c.listEntry(ep)}, Destinations: len(c.world.partners)})
 	}
 }
 
-// learn tells that something new may be known of a destination.
-func (c *courier) learn(d int32) {
-	if c.w.s.Kept.Learnt {
-		c.kept.picker.MarkChanged(uint32(d))
-		c.learnSoon()
+// markChanged tells that something new may be known of a destination.
+func (c *courier) markChanged(d int32) {
+	if c.world.scenario.Kept.Learnt {
+		c.saved.picker.MarkChanged(uint32(d))
+		c.scheduleLearned()
 	}
 }
 
-func (c *courier) learnSoon() {
-	if k := &c.kept; !k.due && k.picker.Waiting() {
-		k.due = true
-		c.w.q.push(event{at: c.w.now + learnedstate.PickInterval, kind: learnDue, who: c.no, id: int32(c.life)})
+func (c *courier) scheduleLearned() {
+	if k := &c.saved; !k.pickScheduled && k.picker.Waiting() {
+		k.pickScheduled = true
+		c.world.queue.push(event{at: c.world.now + learnedstate.PickInterval, kind: learnedStateDue, target: c.number, id: int32(c.run)})
 	}
 }
 
-func (k *kept) written() learnedstate.Journal {
-	return learnedstate.Journal{Writes: k.journal, Bytes: k.journal * journalOf}
+func (k *savedState) journalWritten() learnedstate.Journal {
+	return learnedstate.Journal{Writes: k.journalWrites, Bytes: k.journalWrites * journalWriteBytes}
 }
 
-func (c *courier) learnNow(life uint32) {
-	k := &c.kept
-	if life != c.life || !c.up {
+func (c *courier) inspectChanged(life uint32) {
+	k := &c.saved
+	if life != c.run || !c.up {
 		return
 	}
-	k.due = false
-	for _, d := range k.picker.Pick(k.written()) {
-		if _, awake := c.awake[int32(d)]; c.book != nil && !awake {
+	k.pickScheduled = false
+	for _, d := range k.picker.Pick(k.journalWritten()) {
+		if _, awake := c.loaded[int32(d)]; c.idleTracker != nil && !awake {
 			k.picker.HandleState(d, nil, time.Time{}, nil, learnedstate.Journal{})
 			continue
 		}
 		c.post(snowjunction.Inspect{Destination: snowjunction.DestinationID(d)})
 	}
-	c.learnSoon()
+	c.scheduleLearned()
 }
 
-// seen takes what the policy knows of a destination.
-func (c *courier) seen(a snowjunction.Inspected) {
-	form := func(s *snowjunction.DestinationSnapshot) []byte { return snapshot.Encode(nil, mementoOf(s)) }
-	c.kept.picker.HandleState(uint32(a.Destination), a.Snapshot, epoch.Add(c.w.now), form, c.kept.written())
+// handleInspected takes what the policy knows of a destination.
+func (c *courier) handleInspected(a snowjunction.Inspected) {
+	form := func(s *snowjunction.DestinationSnapshot) []byte { return snapshot.Encode(nil, snapshotOf(s)) }
+	c.saved.picker.HandleState(uint32(a.Destination), a.Snapshot, epoch.Add(c.world.now), form, c.saved.journalWritten())
 }
 
-// learned writes what the policy has told in one turn.
-func (c *courier) learned() {
-	if batch := c.kept.picker.Flush(); len(batch) > 0 {
-		c.w.res.Learnt++
+// flushLearned writes what the policy has told in one turn.
+func (c *courier) flushLearned() {
+	if batch := c.saved.picker.Flush(); len(batch) > 0 {
+		c.world.result.LearnedWrites++
 		for _, r := range batch {
-			c.kept.disk[r.Destination] = r
+			c.saved.learned[r.Destination] = r
 		}
 	}
 }
@@ -227,7 +227,7 @@
 // epoch is where a run begins on the wall's clock.
 var epoch = time.UnixMilli(0)
 
-func mementoOf(s *snowjunction.DestinationSnapshot) *snapshot.Snapshot {
+func snapshotOf(s *snowjunction.DestinationSnapshot) *snapshot.Snapshot {
 	m := &snapshot.Snapshot{State: *s}
 	for _, e := range s.Endpoints {
 		m.Names = append(m.Names, snapshot.EndpointHash(e.ID))
@@ -235,40 +235,40 @@
 	return m
 }
 
-// recalled are the destinations that the disk knows of, woken for a policy that has
+// restoreDestinations are the destinations that the disk knows of, woken for a policy that has
 // all of them awake.
-func (c *courier) recalled() (events []snowjunction.Event) {
-	w, k := c.w, &c.kept
-	if !w.s.Kept.Learnt || len(k.disk) == 0 {
+func (c *courier) restoreDestinations() (events []snowjunction.Event) {
+	w, k := c.world, &c.saved
+	if !w.scenario.Kept.Learnt || len(k.learned) == 0 {
 		return nil
 	}
-	now := w.now - c.began
-	book := c.book
+	now := w.now - c.startedAt
+	book := c.idleTracker
 	if book == nil {
-		cfg := idlestate.Default(c.s)
+		cfg := idlestate.Default(c.settings)
 		cfg.MaxBytes = 1 << 30
 		book = idlestate.New(cfg)
 	}
-	for _, d := range slices.Sorted(maps.Keys(k.disk)) {
-		r := k.disk[d]
+	for _, d := range slices.Sorted(maps.Keys(k.learned)) {
+		r := k.learned[d]
 		age := w.now - r.At.Sub(epoch)
 		if !book.Restore(snowjunction.DestinationID(d), r.Snapshot, age, now) {
 			continue
 		}
-		w.res.Recalled++
-		if c.book == nil {
-			events = append(events, c.woken(int32(d), book.Load(snowjunction.DestinationID(d), now)))
+		w.result.RestoredDestinations++
+		if c.idleTracker == nil {
+			events = append(events, c.loadEvent(int32(d), book.Load(snowjunction.DestinationID(d), now)))
 		}
 	}
 	return events
 }
 
-// woken is the event that brings a destination back to a policy.
-func (c *courier) woken(d int32, got idlestate.Loaded) snowjunction.Load {
-	ev := snowjunction.Load{Destination: snowjunction.DestinationID(d), UnloadedFor: got.UnloadedFor, CautiousStart: got.Caution, Destinations: len(c.w.partners)}
-	for _, id := range c.w.partners[d].eps {
-		if c.view[id] == snowjunction.Ready && !c.kept.blind {
-			ev.Endpoints = append(ev.Endpoints, c.entry(id))
+// loadEvent is the event that brings a destination back to a policy.
+func (c *courier) loadEvent(d int32, got idlestate.Loaded) snowjunction.Load {
+	ev := snowjunction.Load{Destination: snowjunction.DestinationID(d), UnloadedFor: got.UnloadedFor, CautiousStart: got.Caution, Destinations: len(c.world.partners)}
+	for _, id := range c.world.partners[d].endpoints {
+		if c.listedPhases[id] == snowjunction.Ready && !c.saved.noList {
+			ev.Endpoints = append(ev.Endpoints, c.listEntry(id))
 		}
 	}
 	if got.Snapshot != nil {
@@ -280,15 +280,15 @@
 	return ev
 }
 
-// elsewhere is what is found at the address of an endpoint that is gone, where the
+// reusedAddress is what is found at the address of an endpoint that is gone, where the
 // address is used again: somebody who says so, or who answers with errors.
-func (w *world) elsewhere(ep int32) (partner.Answer, bool) {
+func (w *world) reusedAddress(ep int32) (partner.Answer, bool) {
 	e := &w.endpoints[ep]
-	if !e.reused {
+	if !e.addressReused {
 		return partner.Answer{}, false
 	}
 	a := partner.Answer{Status: 500, After: w.partners[e.dest].Profile.Latency / 4}
-	if e.says {
+	if e.saysMisdirected {
 		a.Status = 421
 	}
 	return a, true
--- a/internal/emulate/queue.go
+++ b/internal/emulate/queue.go
@@ -5,28 +5,28 @@
 // event is something that happens at a time. Of those at one time the one that
 // was scheduled first happens first: a run depends on its seed alone.
 type event struct {
-	at   time.Duration
-	seq  uint64
-	kind kind
-	who  int32  // a courier, or a plan's place
-	id   int32  // a call or message
-	gen  uint32 // of that, or a timer's token
+	at         time.Duration
+	seq        uint64
+	kind       eventKind
+	target     int32  // a courier, or a plan's place
+	id         int32  // a call or message
+	generation uint32 // of that, or a timer's token
 }
 
 // queue is a heap of events, four children a node: fewer and nearer steps than
 // with two, and no boxing as in container/heap, which takes twice as long.
 type queue struct {
-	heap []event
-	seq  uint64
+	events  []event
+	lastSeq uint64
 }
 
 func (a *event) before(b *event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
 func (q *queue) push(e event) {
-	q.seq++
-	e.seq = q.seq
-	q.heap = append(q.heap, e)
-	h, i := q.heap, len(q.heap)-1
+	q.lastSeq++
+	e.seq = q.lastSeq
+	q.events = append(q.events, e)
+	h, i := q.events, len(q.events)-1
 	for i > 0 {
 		up := (i - 1) / 4
 		if !e.before(&h[up]) {
@@ -39,10 +39,10 @@
 }
 
 func (q *queue) pop() event {
-	h := q.heap
+	h := q.events
 	top, last := h[0], h[len(h)-1]
 	h = h[:len(h)-1]
-	q.heap = h
+	q.events = h
 	if len(h) == 0 {
 		return top
 	}
--- a/internal/emulate/result.go
+++ b/internal/emulate/result.go
@@ -9,15 +9,15 @@
 	"snowjunction/internal/latency"
 )
 
-// fate is how a message ended.
-type fate int
+// messageResult is how a message ended.
+type messageResult int
 
 const (
-	delivered fate = iota
+	delivered messageResult = iota
 	refused
 	failed
 	lost // its courier died without a journal
-	fates
+	resultCount
 )
 
 // Result is what came of a run.
@@ -26,17 +26,17 @@
 	Policy   string `json:"policy"`
 	Seed     uint64 `json:"seed"`
 
-	Tries     int     `json:"tries"` // first ones of clients
-	Retries   int     `json:"retries"`
-	Sends     int     `json:"sends"`
-	Delivered int     `json:"delivered"`
-	Refused   int     `json:"refused"`
-	Failed    int     `json:"failed"`
-	Lost      int     `json:"lost"`
-	Late      int     `json:"late"`      // delivered after their aim
-	AfterEnd  int     `json:"after_end"` // successes after the message had its end
-	P50Ms     float64 `json:"p50_ms"`    // from a client's first try to delivery
-	P99Ms     float64 `json:"p99_ms"`
+	Tries              int     `json:"tries"` // first ones of clients
+	Retries            int     `json:"retries"`
+	Sends              int     `json:"sends"`
+	Delivered          int     `json:"delivered"`
+	Refused            int     `json:"refused"`
+	Failed             int     `json:"failed"`
+	Lost               int     `json:"lost"`
+	Late               int     `json:"late"`      // delivered after their aim
+	SuccessAfterResult int     `json:"after_end"` // successes after the message had its end
+	P50Ms              float64 `json:"p50_ms"`    // from a client's first try to delivery
+	P99Ms              float64 `json:"p99_ms"`
 
 	TurnedAway int `json:"turned_away"` // calls that partners refused
 	Errors     int `json:"errors"`
@@ -47,18 +47,18 @@
 	Fell       int `json:"fell"`
 	// Falls of cold partners past N + 2 x root of N + 2 calls (rules.Ramp), those that
 	// break the rule, and the most calls as a multiple of that.
-	RampFell   int     `json:"ramp_fell,omitempty"`
-	RampBroken int     `json:"ramp_broken,omitempty"`
-	RampPeak   float64 `json:"ramp_peak,omitempty"`
+	RampCollapses  int     `json:"ramp_fell,omitempty"`
+	RampViolations int     `json:"ramp_broken,omitempty"`
+	RampPeak       float64 `json:"ramp_peak,omitempty"`
 
-	Notes   int `json:"notes,omitempty"` // that couriers sent each other
-	Asked   int `json:"plugin_asked,omitempty"`
-	Skipped int `json:"plugin_skipped,omitempty"` // not asked: it was in quarantine
+	PeerMessages int `json:"notes,omitempty"` // that couriers sent each other
+	PluginCalls  int `json:"plugin_asked,omitempty"`
+	PluginSkips  int `json:"plugin_skipped,omitempty"` // not asked: it was in quarantine
 
-	Recalled  int `json:"recalled,omitempty"`  // destinations of which a life before had left something
-	Learnt    int `json:"learnt,omitempty"`    // writes of what was learnt
-	Refuted   int `json:"refuted,omitempty"`   // endpoints taken for gone by what calls have shown
-	Strangers int `json:"strangers,omitempty"` // calls that came to whoever uses a gone endpoint's address
+	RestoredDestinations int `json:"recalled,omitempty"`  // destinations of which a life before had left something
+	LearnedWrites        int `json:"learnt,omitempty"`    // writes of what was learnt
+	RefutedEndpoints     int `json:"refuted,omitempty"`   // endpoints taken for gone by what calls have shown
+	ReusedAddressCalls   int `json:"strangers,omitempty"` // calls that came to whoever uses a gone endpoint's address
 
 	// G is the worth got over the worth asked for: 40% over the whole run, 30% in
 	// its worst 10 s, 20% of the worst class, 10% of the worst tenant.
@@ -70,48 +70,48 @@
 
 	Events int                `json:"events"`
 	Rules  map[rules.Rule]int `json:"rules,omitempty"`
-	First  []rules.Breach     `json:"first_breaches,omitempty"`
-
-	classes  []snowjunction.Class
-	outcomes [snowjunction.NotSent + 1]int
-	ends     [fates]int
-	latency  *latency.Histogram
-	second   []account // by second of the first try
-	class    []account
-	tenant   []account
+	First  []rules.Violation  `json:"first_breaches,omitempty"`
+
+	classes   []snowjunction.Class
+	outcomes  [snowjunction.NotSent + 1]int
+	results   [resultCount]int
+	latency   *latency.Histogram
+	perSecond []valueTotals // by second of the first try
+	perClass  []valueTotals
+	perTenant []valueTotals
 }
 
-// account is worth asked for and got.
-type account struct{ asked, got float64 }
+// valueTotals is worth asked for and got.
+type valueTotals struct{ requested, earned float64 }
 
-func (a account) share() float64 {
-	if a.asked == 0 {
+func (a valueTotals) share() float64 {
+	if a.requested == 0 {
 		return 1
 	}
-	return a.got / a.asked
+	return a.earned / a.requested
 }
 
 func newResult(s *Scenario, o Options, classes []snowjunction.Class) Result {
 	return Result{
 		Scenario: s.Name, Policy: o.Policy, Seed: o.Seed, classes: classes, latency: latency.New(time.Minute, 2),
-		second: make([]account, int(math.Ceil(s.Seconds))+1), class: make([]account, len(classes)), tenant: make([]account, len(s.Tenants)),
+		perSecond: make([]valueTotals, int(math.Ceil(s.Seconds))+1), perClass: make([]valueTotals, len(classes)), perTenant: make([]valueTotals, len(s.Tenants)),
 	}
 }
 
-func (r *Result) asked(m *message, worth float64) {
+func (r *Result) addRequested(m *message, worth float64) {
 	r.Tries++
-	r.second[int(m.created/time.Second)].asked += worth
-	r.class[m.class].asked += worth
-	if !m.excess { // a tenant counts within its share
-		r.tenant[m.tenant].asked += worth
+	r.perSecond[int(m.created/time.Second)].requested += worth
+	r.perClass[m.class].requested += worth
+	if !m.overQuota { // a tenant counts within its share
+		r.perTenant[m.tenant].requested += worth
 	}
 }
 
-func (r *Result) got(m *message, worth float64, took time.Duration) {
-	r.second[int(m.created/time.Second)].got += worth
-	r.class[m.class].got += worth
-	if !m.excess {
-		r.tenant[m.tenant].got += worth
+func (r *Result) addDelivered(m *message, worth float64, took time.Duration) {
+	r.perSecond[int(m.created/time.Second)].earned += worth
+	r.perClass[m.class].earned += worth
+	if !m.overQuota {
+		r.perTenant[m.tenant].earned += worth
 	}
 	r.latency.Add(took)
 }
@@ -119,14 +119,14 @@
 // windowSeconds is the length of the window that counts by its worst.
 const windowSeconds = 10
 
-// finish sums a run up.
-func (w *world) finish() {
-	r := &w.res
-	if w.check != nil {
-		w.check.Over(w.now)
-		r.Rules, r.First = w.check.Counts, w.check.First
+// summarize sums a run up.
+func (w *world) summarize() {
+	r := &w.result
+	if w.checker != nil {
+		w.checker.RunEnded(w.now)
+		r.Rules, r.First = w.checker.Counts, w.checker.First
 	}
-	r.Delivered, r.Refused, r.Failed, r.Lost = r.ends[delivered], r.ends[refused], r.ends[failed], r.ends[lost]
+	r.Delivered, r.Refused, r.Failed, r.Lost = r.results[delivered], r.results[refused], r.results[failed], r.results[lost]
 	r.Errors, r.TimedOut = r.outcomes[snowjunction.Error], r.outcomes[snowjunction.TimedOut]
 	r.Resets, r.Unreached = r.outcomes[snowjunction.Reset], r.outcomes[snowjunction.ConnectFailed]
 	for _, p := range w.partners {
@@ -134,25 +134,25 @@
 	}
 	r.RampPeak = w.ramp.Peak()
 	r.P50Ms, r.P99Ms = r.latency.Ms(50), r.latency.Ms(99)
-	whole := account{}
-	for _, x := range r.second {
-		whole.asked, whole.got = whole.asked+x.asked, whole.got+x.got
+	whole := valueTotals{}
+	for _, x := range r.perSecond {
+		whole.requested, whole.earned = whole.requested+x.requested, whole.earned+x.earned
 	}
 	r.Whole, r.WorstWindow, r.WorstClass, r.WorstTenant = whole.share(), 1, 1, 1
-	for i := 0; i+windowSeconds <= len(r.second)-1; i++ {
-		x := account{}
-		for _, y := range r.second[i : i+windowSeconds] {
-			x.asked, x.got = x.asked+y.asked, x.got+y.got
+	for i := 0; i+windowSeconds <= len(r.perSecond)-1; i++ {
+		x := valueTotals{}
+		for _, y := range r.perSecond[i : i+windowSeconds] {
+			x.requested, x.earned = x.requested+y.requested, x.earned+y.earned
 		}
 		r.WorstWindow = math.Min(r.WorstWindow, x.share())
 	}
-	if len(r.second)-1 < windowSeconds {
+	if len(r.perSecond)-1 < windowSeconds {
 		r.WorstWindow = r.Whole
 	}
-	for _, x := range r.class {
+	for _, x := range r.perClass {
 		r.WorstClass = math.Min(r.WorstClass, x.share())
 	}
-	for _, x := range r.tenant {
+	for _, x := range r.perTenant {
 		r.WorstTenant = math.Min(r.WorstTenant, x.share())
 	}
 	r.G = 0.4*r.Whole + 0.3*r.WorstWindow + 0.2*r.WorstClass + 0.1*r.WorstTenant
@@ -182,12 +182,12 @@
 		{"delivered", share(r.Delivered)}, {"late", share(r.Late)}, {"refused", share(r.Refused)}, {"failed", share(r.Failed)}, {"lost", share(r.Lost)},
 		{"turned_away", share(r.TurnedAway)}, {"errors", share(r.Errors)}, {"timed_out", share(r.TimedOut)}, {"resets", share(r.Resets)},
 		{"unreached", share(r.Unreached)}, {"handshakes", share(r.Handshakes)}, {"fell", float64(r.Fell)}, {"broken", float64(r.Broken())},
-		{"ramp_past", one(r.RampFell > 0)}, {"ramp_broken", one(r.RampBroken > 0)}, {"ramp_peak", r.RampPeak},
-		{"plugin_asked", share(r.Asked)}, {"plugin_skipped", share(r.Skipped)}, {"p50_ms", r.P50Ms}, {"p99_ms", r.P99Ms}, {"events", float64(r.Events)},
+		{"ramp_past", indicator(r.RampCollapses > 0)}, {"ramp_broken", indicator(r.RampViolations > 0)}, {"ramp_peak", r.RampPeak},
+		{"plugin_asked", share(r.PluginCalls)}, {"plugin_skipped", share(r.PluginSkips)}, {"p50_ms", r.P50Ms}, {"p99_ms", r.P99Ms}, {"events", float64(r.Events)},
 	}
 }
 
-func one(holds bool) float64 {
+func indicator(holds bool) float64 {
 	if holds {
 		return 1
 	}
--- a/internal/emulate/rules/ramp.go
+++ b/internal/emulate/rules/ramp.go
@@ -12,41 +12,41 @@
 // couriers that had been told of the outage: a call of theirs had failed or been
 // refused there meanwhile.
 type Ramp struct {
-	fallTime time.Duration
-	dests    map[int32]*ramp
+	collapseTime time.Duration
+	dests        map[int32]*rampState
 }
 
-type ramp struct {
-	calls []rampCall // of the last fall time, oldest first
-	told  map[int32]bool
-	fell  bool
-	peak  float64
+type rampState struct {
+	calls     []rampCall // of the last fall time, oldest first
+	informed  map[int32]bool
+	collapsed bool
+	peak      float64
 }
 
 type rampCall struct {
-	at   time.Duration
-	told bool
+	at       time.Duration
+	informed bool
 }
 
 const (
-	chanceRoots = 2.0       // times the root of N, put down to chance
-	chanceCalls = 2.0       // and so many calls
-	toldShare   = 2.0 / 3.0 // of the calls of a fall, over which it is those couriers' doing
+	slackRoots    = 2.0       // times the root of N, put down to chance
+	slackCalls    = 2.0       // and so many calls
+	informedShare = 2.0 / 3.0 // of the calls of a fall, over which it is those couriers' doing
 )
 
 // NewRamp returns a counter over windows of the fall time.
 func NewRamp(fallTime time.Duration) *Ramp {
-	return &Ramp{fallTime: fallTime, dests: map[int32]*ramp{}}
+	return &Ramp{collapseTime: fallTime, dests: map[int32]*rampState{}}
 }
 
 // Bound is the most calls that a cold destination stands in the fall time where the
 // settings allow it n.
-func Bound(n float64) float64 { return n + chanceRoots*math.Sqrt(n) + chanceCalls }
+func Bound(n float64) float64 { return n + slackRoots*math.Sqrt(n) + slackCalls }
 
-func (r *Ramp) of(dest int32) *ramp {
+func (r *Ramp) state(dest int32) *rampState {
 	x := r.dests[dest]
 	if x == nil {
-		x = &ramp{told: map[int32]bool{}}
+		x = &rampState{informed: map[int32]bool{}}
 		r.dests[dest] = x
 	}
 	return x
@@ -54,21 +54,21 @@
 
 // Failed tells that a call or a probe of a courier has failed or been refused at a
 // destination that is in an outage or back from one.
-func (r *Ramp) Failed(courier, dest int32) { r.of(dest).told[courier] = true }
+func (r *Ramp) Failed(courier, dest int32) { r.state(dest).informed[courier] = true }
 
-// Forgot tells that a courier has begun anew with nothing: it has been told of no outage.
-func (r *Ramp) Forgot(courier int32) {
+// CourierReset tells that a courier has begun anew with nothing: it has been told of no outage.
+func (r *Ramp) CourierReset(courier int32) {
 	for _, x := range r.dests {
-		delete(x.told, courier)
+		delete(x.informed, courier)
 	}
 }
 
-// Warm tells that a destination is warm, or that an outage of it begins: what was told
+// Reset tells that a destination is warm, or that an outage of it begins: what was told
 // or counted before is of the past.
-func (r *Ramp) Warm(dest int32) {
+func (r *Ramp) Reset(dest int32) {
 	if x := r.dests[dest]; x != nil {
-		x.calls, x.fell = nil, false
-		clear(x.told)
+		x.calls, x.collapsed = nil, false
+		clear(x.informed)
 	}
 }
 
@@ -76,12 +76,12 @@
 // fall time. It tells whether it falls by it, and whether that breaks the rule. Once it
 // has fallen nothing counts until it is warm.
 func (r *Ramp) Call(now time.Duration, courier, dest int32, n float64) (falls, breaks bool) {
-	x := r.of(dest)
-	if x.fell {
+	x := r.state(dest)
+	if x.collapsed {
 		return false, false
 	}
-	x.calls = append(x.calls, rampCall{now, x.told[courier]})
-	for now-x.calls[0].at > r.fallTime {
+	x.calls = append(x.calls, rampCall{now, x.informed[courier]})
+	for now-x.calls[0].at > r.collapseTime {
 		x.calls = x.calls[1:]
 	}
 	x.peak = math.Max(x.peak, float64(len(x.calls))/Bound(n))
@@ -90,12 +90,12 @@
 	}
 	told := 0
 	for _, c := range x.calls {
-		if c.told {
+		if c.informed {
 			told++
 		}
 	}
-	x.fell = true
-	return true, float64(told) > toldShare*float64(len(x.calls))
+	x.collapsed = true
+	return true, float64(told) > informedShare*float64(len(x.calls))
 }
 
 // Peak is the most calls that any cold destination got in the fall time, as a multiple of
--- a/internal/emulate/rules/ramp_test.go
+++ b/internal/emulate/rules/ramp_test.go
@@ -11,9 +11,9 @@
 
 const ms = time.Millisecond
 
-// sent plays calls at these moments, all of couriers that were told or not, and returns
+// replay plays calls at these moments, all of couriers that were told or not, and returns
 // at which of them the destination falls; -1: at none.
-func sent(r *Ramp, n float64, told func(i int) bool, at ...time.Duration) (fell int, broken bool) {
+func replay(r *Ramp, n float64, told func(i int) bool, at ...time.Duration) (fell int, broken bool) {
 	fell = -1
 	for i, t := range at {
 		if told(i) {
@@ -29,8 +29,8 @@
 func all(int) bool  { return true }
 func none(int) bool { return false }
 
-// every returns n moments, so far apart.
-func every(n int, apart time.Duration) (at []time.Duration) {
+// spaced returns n moments, so far apart.
+func spaced(n int, apart time.Duration) (at []time.Duration) {
 	for i := range n {
 		at = append(at, time.Hour+time.Duration(i)*apart)
 	}
@@ -43,28 +43,28 @@
 		n    float64
 		most int // calls that it stands
 	}{{0, 2}, {0.25, 3}, {1, 5}, {4, 10}, {9, 17}, {10, 18}, {100, 122}} {
-		fell, _ := sent(NewRamp(1500*ms), tc.n, all, every(tc.most, ms)...)
+		fell, _ := replay(NewRamp(1500*ms), tc.n, all, spaced(tc.most, ms)...)
 		assert.Equal(t, -1, fell, "%v: as many as it stands", tc.n)
-		fell, broken := sent(NewRamp(1500*ms), tc.n, all, every(tc.most+1, ms)...)
+		fell, broken := replay(NewRamp(1500*ms), tc.n, all, spaced(tc.most+1, ms)...)
 		assert.Equal(t, tc.most, fell, "%v: one more", tc.n)
 		assert.True(t, broken)
-		fell, _ = sent(NewRamp(1500*ms), tc.n, all, every(50*tc.most, 1501*ms/time.Duration(tc.most))...)
+		fell, _ = replay(NewRamp(1500*ms), tc.n, all, spaced(50*tc.most, 1501*ms/time.Duration(tc.most))...)
 		assert.Equal(t, -1, fell, "%v: as many again and again", tc.n)
 	}
 	r := NewRamp(1500 * ms)
-	late := append(every(3, 0), time.Hour+1400*ms, time.Hour+1400*ms, time.Hour+1501*ms, time.Hour+1600*ms, time.Hour+1600*ms, time.Hour+1700*ms)
-	fell, _ := sent(r, 1, all, late...)
+	late := append(spaced(3, 0), time.Hour+1400*ms, time.Hour+1400*ms, time.Hour+1501*ms, time.Hour+1600*ms, time.Hour+1600*ms, time.Hour+1700*ms)
+	fell, _ := replay(r, 1, all, late...)
 	assert.Equal(t, 8, fell, "five in no window that begins with a multiple, six in one that slides")
 	assert.InDelta(t, 6.0/5, r.Peak(), 1e-9)
 	falls, _ := r.Call(time.Hour+1800*ms, 1, 1, 1)
 	assert.False(t, falls, "it is down")
-	r.Warm(1)
-	fell, _ = sent(r, 1, all, every(6, ms)...)
+	r.Reset(1)
+	fell, _ = replay(r, 1, all, spaced(6, ms)...)
 	assert.Equal(t, 5, fell, "another outage")
 }
 
 // It takes over two thirds of the calls from couriers that were told.
-func TestRampTold(t *testing.T) {
+func TestRampInformedShare(t *testing.T) {
 	for _, tc := range []struct {
 		told   func(i int) bool
 		broken bool
@@ -73,7 +73,7 @@
 		{func(i int) bool { return i < 4 }, false}, // two thirds of six
 		{func(i int) bool { return i < 5 }, true},
 	} {
-		fell, broken := sent(NewRamp(1500*ms), 1, tc.told, every(6, ms)...)
+		fell, broken := replay(NewRamp(1500*ms), 1, tc.told, spaced(6, ms)...)
 		assert.Equal(t, 5, fell)
 		assert.Equal(t, tc.broken, broken)
 	}
@@ -82,16 +82,16 @@
 		r.Failed(int32(i), 1)
 	}
 	r.Failed(0, 2)
-	r.Forgot(0)
-	r.Forgot(1)
+	r.CourierReset(0)
+	r.CourierReset(1)
 	for i := range 6 {
 		if falls, broken := r.Call(time.Hour, int32(i), 1, 1); falls {
 			assert.False(t, broken, "two of six have begun anew")
 			assert.Equal(t, 5, i)
 		}
 	}
-	r.Warm(1)
-	fell, broken := sent(r, 1, none, every(6, ms)...)
+	r.Reset(1)
+	fell, broken := replay(r, 1, none, spaced(6, ms)...)
 	assert.Equal(t, 5, fell)
 	assert.False(t, broken, "what was told of an outage before")
 }
@@ -115,7 +115,7 @@
 				want = i
 			}
 		}
-		fell, _ := sent(NewRamp(1500*ms), n, all, at...)
+		fell, _ := replay(NewRamp(1500*ms), n, all, at...)
 		if fell != want {
 			t.Fatalf("falls at %d, want %d", fell, want)
 		}
--- a/internal/emulate/scenario.go
+++ b/internal/emulate/scenario.go
@@ -187,10 +187,10 @@
 }
 
 //go:embed library/*.json
-var shipped embed.FS
+var libraryFiles embed.FS
 
 // Library is the scenarios that ship.
-var Library = library.Set{FS: shipped, Kind: "scenario"}
+var Library = library.Set{FS: libraryFiles, Kind: "scenario"}
 
 // Load reads a scenario: one of the library's by its name, or a file. What it
 // extends, and base before all, is read first; each overlay is merged into that
@@ -206,10 +206,10 @@
 // Text is the whole scenario as JSON, for those who change it further. Files' names
 // start from a folder.
 func Text(folder, name string, overlays ...string) ([]byte, error) {
-	text, err := merged([]byte("{}"), "base", folder, nil)
+	text, err := mergeScenario([]byte("{}"), "base", folder, nil)
 	for _, n := range append([]string{name}, overlays...) {
 		if err == nil && n != "base" {
-			text, err = merged(text, n, folder, nil)
+			text, err = mergeScenario(text, n, folder, nil)
 		}
 	}
 	return text, err
@@ -280,12 +280,12 @@
 	return nil
 }
 
-const extendsMost = 16
+const maxExtends = 16
 
-// merged merges a scenario, and what it extends before it, into text. from is the
+// mergeScenario merges a scenario, and what it extends before it, into text. from is the
 // folder in which a file's own names are looked for.
-func merged(text []byte, name, from string, seen []string) ([]byte, error) {
-	if slices.Contains(seen, name) || len(seen) > extendsMost {
+func mergeScenario(text []byte, name, from string, seen []string) ([]byte, error) {
+	if slices.Contains(seen, name) || len(seen) > maxExtends {
 		return nil, fmt.Errorf("scenario %s extends itself, by %s", name, strings.Join(seen, ", "))
 	}
 	b, from, err := Library.Read(name, from)
@@ -302,7 +302,7 @@
 		return nil, fmt.Errorf("scenario %s: %w", name, err)
 	}
 	for _, base := range own.Extends {
-		if text, err = merged(text, base, from, append(seen, name)); err != nil {
+		if text, err = mergeScenario(text, base, from, append(seen, name)); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -21,84 +21,84 @@
 	"snowjunction/internal/standin/partner"
 )
 
-type kind uint8
+type eventKind uint8
 
 const (
-	arrive   kind = iota // a message is due from the clients
-	taken                // a message reaches a courier
-	tick                 // a courier decides
-	reach                // a call reaches its partner
-	answer               // its answer reaches the courier
-	timeout              // it has run out of its time
-	timer                // a timer of the policy is due
-	told                 // a courier hears of an endpoint
-	drain                // an endpoint begins to drain
-	gone                 // it is gone
-	crash                // a courier dies
-	back                 // it is there again
-	sleep                // destinations may go to sleep
-	asked                // a plug-in has been asked about a message
-	spoken               // the directory answers a courier that began without it
-	look                 // time may change what a courier believes
-	learnDue             // what a courier has learnt may go to its disk
-	noted                // a note reaches a courier
+	clientArrival       eventKind = iota // a message is due from the clients
+	messageReceived                      // a message reaches a courier
+	courierTick                          // a courier decides
+	callReceived                         // a call reaches its partner
+	responseReceived                     // its answer reaches the courier
+	callTimeout                          // it has run out of its time
+	policyTimer                          // a timer of the policy is due
+	listingReceived                      // a courier hears of an endpoint
+	endpointDrain                        // an endpoint begins to drain
+	endpointRemoval                      // it is gone
+	courierCrash                         // a courier dies
+	courierRestart                       // it is there again
+	idleCheck                            // destinations may go to sleep
+	pluginDone                           // a plug-in has been asked about a message
+	directoryBack                        // the directory answers a courier that began without it
+	confidenceCheck                      // time may change what a courier believes
+	learnedStateDue                      // what a courier has learnt may go to its disk
+	peerMessageReceived                  // a note reaches a courier
 )
 
 // world is a run.
 type world struct {
-	s     *Scenario
-	q     queue
-	now   time.Duration
-	until time.Duration // messages come until then
+	scenario      *Scenario
+	queue         queue
+	now           time.Duration
+	arrivalsUntil time.Duration // messages come until then
 
 	// Chances are drawn apart: what is done about messages does not move when the
 	// next come, nor what becomes of them.
-	traffic, reaction, network, fate *rand.Rand
-
-	partners  []*place
-	endpoints []endpoint
-	couriers  []*courier
-	messages  []message
-	freed     []int32
-	calls     []call
-	freeCalls []int32
-	classes   []snowjunction.Class
-	quotas    []quota
-	weights   []float64 // of the partners that get traffic, summed up
-	pairs     []partition
-	check     *rules.Checker
-	ramp      *rules.Ramp
-	res       Result
-	serial    uint32
-	keys      uint64
-	notes     map[int32]snowjunction.PeerMessagesReceived // on their way
-	keyed     [][]keyed                                   // by partner: its open keys, those first that rest longest
+	trafficRNG, reactionRNG, networkRNG, faultRNG *rand.Rand
+
+	partners          []*partnerState
+	endpoints         []endpoint
+	couriers          []*courier
+	messages          []message
+	freeMessages      []int32
+	calls             []call
+	freeCalls         []int32
+	classes           []snowjunction.Class
+	quotas            []tenantQuota
+	cumulativeWeights []float64 // of the partners that get traffic, summed up
+	partitions        []partition
+	checker           *rules.Checker
+	ramp              *rules.Ramp
+	result            Result
+	lastSerial        uint32
+	lastKey           uint64
+	peerMessages      map[int32]snowjunction.PeerMessagesReceived // on their way
+	openKeys          [][]openKey                                 // by partner: its open keys, those first that rest longest
 }
 
-// place is a partner with where it stands in the world.
-type place struct {
+// partnerState is a partner with where it stands in the world.
+type partnerState struct {
 	*partner.Partner
-	no       int32
-	tenant   int
-	rate     float64 // of its messages at full load
-	eps      []int32
-	vanished []Span
-	parts    []part
-	fell     int
-	coming   int // calls on their way
+	number         int32
+	tenant         int
+	fullLoadRate   float64 // of its messages at full load
+	endpoints      []int32
+	unreachable    []Span
+	endpointFaults []endpointFault
+	collapses      int
+	incoming       int // calls on their way
 }
 
-// part is a fault of some of a partner's endpoints.
-type part struct {
+// endpointFault is a fault of some of a partner's endpoints.
+type endpointFault struct {
 	kind        partner.Kind
-	vanished    bool
+	unreachable bool
 	from, until time.Duration
-	calls       float64 // share of them; 0: all
-	eps         []int32
+	callShare   float64 // share of them; 0: all
+	endpoints   []int32
 }
 
-func (p *part) on(now time.Duration, ep int32) bool {
-	return now >= p.from && now < p.until && slices.Contains(p.eps, ep)
+func (p *endpointFault) active(now time.Duration, ep int32) bool {
+	return now >= p.from && now < p.until && slices.Contains(p.endpoints, ep)
 }
 
 type endpoint struct {
@@ -106,19 +106,19 @@
 	phase snowjunction.Phase // in truth
 	// Once it is gone: its address is used again, by somebody who says that it is not
 	// who was called, or does not.
-	reused, says bool
+	addressReused, saysMisdirected bool
 }
 
-// keyed is a key with messages to come, the next not before due.
-type keyed struct {
-	key  uint64
-	left int
-	due  time.Duration
+// openKey is a key with messages to come, the next not before due.
+type openKey struct {
+	key       uint64
+	remaining int
+	nextAt    time.Duration
 }
 
-type quota struct {
+type tenantQuota struct {
 	rate, tokens float64
-	at           time.Duration
+	refilledAt   time.Duration
 }
 
 type partition struct {
@@ -129,51 +129,51 @@
 
 // message is one try of a client's.
 type message struct {
-	gen      uint32
-	dest     int32
-	courier  int32
-	out      int32 // its call; -1: none
-	serial   uint32
-	class    uint8
-	tenant   uint8
-	tries    uint8 // of the client, before this
-	attempts uint8
-	open     bool
-	ran      bool
-	excess   bool
-	key      uint64
-	created  time.Duration // of the client's first try
-	deadline time.Duration
-	ranAt    time.Duration
+	generation   uint32
+	dest         int32
+	courier      int32
+	call         int32 // its call; -1: none
+	serial       uint32
+	class        uint8
+	tenant       uint8
+	clientTries  uint8 // of the client, before this
+	attempts     uint8
+	pending      bool
+	mayHaveRun   bool
+	overQuota    bool
+	key          uint64
+	created      time.Duration // of the client's first try
+	deadline     time.Duration
+	mayHaveRunAt time.Duration
 }
 
 type call struct {
-	gen      uint32
-	msg      int32
-	msgGen   uint32
-	courier  int32
-	endpoint int32
-	dest     int32
-	attempt  int
-	began    time.Duration
-	kept     time.Duration
-	reached  bool
-	apart    bool // its endpoint answers, not its partner
-	lost     bool // no answer comes, or the connection does not come up
-	refused  bool // the connection is refused
-	done     bool
-	answer   partner.Answer
+	generation        uint32
+	message           int32
+	messageGeneration uint32
+	courier           int32
+	endpoint          int32
+	dest              int32
+	attempt           int
+	startedAt         time.Duration
+	connIdle          time.Duration
+	reached           bool
+	endpointAnswers   bool // its endpoint answers, not its partner
+	lost              bool // no answer comes, or the connection does not come up
+	refused           bool // the connection is refused
+	done              bool
+	answer            partner.Answer
 }
 
 const (
-	handIn  = 800 * time.Microsecond // between client and courier
-	idleFor = 15 * time.Second       // of a connection
-	connect = 1500 * time.Millisecond
+	clientDelay     = 800 * time.Microsecond // between client and courier
+	connIdleTimeout = 15 * time.Second       // of a connection
+	connectTimeout  = 1500 * time.Millisecond
 )
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func draw(r *rand.Rand, x Range) float64 { return x[0] + (x[1]-x[0])*r.Float64() }
+func uniform(r *rand.Rand, x Range) float64 { return x[0] + (x[1]-x[0])*r.Float64() }
 
 // Options of a run.
 type Options struct {
@@ -183,53 +183,53 @@
 	// Change alters the settings that couriers get, for experiments.
 	Change func(*snowjunction.Settings)
 	// New makes a policy that has no name here; nil: Policy names one.
-	New func(s snowjunction.Settings, t policy.Truth) (policy.Policy, error)
+	New func(s snowjunction.Settings, t policy.GroundTruth) (policy.Policy, error)
 	// Progress, if it is set, hears now and then how far the run is.
 	Progress func(at, of time.Duration, events int)
 }
 
 // Run plays a scenario and returns what came of it.
 func Run(s *Scenario, o Options) (*Result, error) {
-	w, err := play(s, o)
+	w, err := simulate(s, o)
 	if err != nil {
 		return nil, err
 	}
-	return &w.res, nil
+	return &w.result, nil
 }
 
-func play(s *Scenario, o Options) (*world, error) {
+func simulate(s *Scenario, o Options) (*world, error) {
 	w := &world{
-		s: s, until: seconds(s.Seconds),
-		traffic: rand.New(rand.NewPCG(o.Seed, 1)), reaction: rand.New(rand.NewPCG(o.Seed, 5)),
-		network: rand.New(rand.NewPCG(o.Seed, 2)), fate: rand.New(rand.NewPCG(o.Seed, 3)),
+		scenario: s, arrivalsUntil: seconds(s.Seconds),
+		trafficRNG: rand.New(rand.NewPCG(o.Seed, 1)), reactionRNG: rand.New(rand.NewPCG(o.Seed, 5)),
+		networkRNG: rand.New(rand.NewPCG(o.Seed, 2)), faultRNG: rand.New(rand.NewPCG(o.Seed, 3)),
 	}
 	w.classes = []snowjunction.Class{
 		{Name: "order", Effect: snowjunction.Keyed, Window: 5 * time.Second, TargetLatency: 3 * time.Second, Deadline: 20 * time.Second, Value: 1, LateValueShare: 0.3, InOrder: true},
 		{Name: "status", Effect: snowjunction.Safe, TargetLatency: 1500 * time.Millisecond, Deadline: 8 * time.Second, Value: 2, LateValueShare: 0.1},
 	}
-	w.res = newResult(s, o, w.classes)
+	w.result = newResult(s, o, w.classes)
 	if o.Rules {
-		w.check = rules.New(rules.Config{
-			Classes:  []rules.Class{{Window: 5 * time.Second, InOrder: true}, {Again: true}},
-			Attempts: s.Settings.Attempts, Grace: time.Second, Rest: 100 * time.Millisecond,
-			Back: 1500 * time.Millisecond, Slack: 20*time.Millisecond + 2*seconds(s.TickMs/1000),
+		w.checker = rules.New(rules.Config{
+			Classes:  []rules.Class{{Window: 5 * time.Second, InOrder: true}, {Safe: true}},
+			Attempts: s.Settings.Attempts, DrainGrace: time.Second, OrderSettle: 100 * time.Millisecond,
+			RestartGrace: 1500 * time.Millisecond, ResultSlack: 20*time.Millisecond + 2*seconds(s.TickMs/1000),
 		})
 	}
 	w.ramp = rules.NewRamp(seconds(s.Partners.FallS))
-	w.notes = map[int32]snowjunction.PeerMessagesReceived{}
+	w.peerMessages = map[int32]snowjunction.PeerMessagesReceived{}
 	w.makePartners(o.Seed)
 	if err := w.makeCouriers(o); err != nil {
 		return nil, err
 	}
-	w.plan()
+	w.scheduleEvents()
 	w.run(o)
-	w.finish()
+	w.summarize()
 	return w, nil
 }
 
 // makePartners draws partners and their endpoints.
 func (w *world) makePartners(seed uint64) {
-	p := w.s.Partners
+	p := w.scenario.Partners
 	r := rand.New(rand.NewPCG(seed, 4))
 	active := p.Active
 	if active == 0 {
@@ -241,61 +241,61 @@
 		weights[i] = math.Pow(float64(i+1), -p.Skew)
 		total += weights[i]
 	}
-	tenants := make([]float64, len(w.s.Tenants)) // what of their share is given out
+	tenants := make([]float64, len(w.scenario.Tenants)) // what of their share is given out
 	for i := range p.Count {
-		rate := weights[i] / total * w.s.Load.Full
+		rate := weights[i] / total * w.scenario.Load.Full
 		span := time.Duration(0)
-		limit := math.Max(rate*draw(r, p.Headroom), p.LeastLimit)
+		limit := math.Max(rate*uniform(r, p.Headroom), p.LeastLimit)
 		if r.Float64() < p.Spans {
-			span = seconds(math.Round(2*draw(r, p.SpanS)) / 2)
+			span = seconds(math.Round(2*uniform(r, p.SpanS)) / 2)
 		}
-		capacity := limit * draw(r, p.Capacity)
+		capacity := limit * uniform(r, p.Capacity)
 		if r.Float64() >= p.Limited {
 			limit, span = 0, 0
 		}
 		f := partner.Profile{
 			Limit: limit, Span: span, Counting: r.Float64() < p.Counting, Tells: p.Tells, Report: r.Float64() < p.Reports,
-			Refresh: seconds(draw(r, p.RefreshMs) / 1000), Capacity: capacity, Latency: seconds(draw(r, p.LatencyMs) / 1000), LeastWait: seconds(draw(r, p.LeastWaitS)),
+			Refresh: seconds(uniform(r, p.RefreshMs) / 1000), Capacity: capacity, Latency: seconds(uniform(r, p.LatencyMs) / 1000), LeastWait: seconds(uniform(r, p.LeastWaitS)),
 			Queue: p.Queue, ColdShare: p.ColdShare, WarmUp: seconds(p.WarmS), FallMultiple: p.FallMultiple, FallTime: seconds(p.FallS), FallSlack: p.FallSlack, FallRoot: p.FallRoot,
 		}
-		x := &place{Partner: partner.New(f, r.Uint64()), no: int32(i), rate: rate}
+		x := &partnerState{Partner: partner.New(f, r.Uint64()), number: int32(i), fullLoadRate: rate}
 		x.Blind = true
 		if p.Errors > 0 {
 			x.Add(partner.Fault{Kind: partner.Error, Until: time.Duration(math.MaxInt64), Share: p.Errors})
 		}
 		for t := range tenants { // the tenant whose share is filled least
-			if tenants[t]/w.s.Tenants[t].Share < tenants[x.tenant]/w.s.Tenants[x.tenant].Share {
+			if tenants[t]/w.scenario.Tenants[t].Share < tenants[x.tenant]/w.scenario.Tenants[x.tenant].Share {
 				x.tenant = t
 			}
 		}
 		tenants[x.tenant] += rate
-		for range int(math.Round(draw(r, p.Endpoints))) {
-			x.eps = append(x.eps, int32(len(w.endpoints)))
+		for range int(math.Round(uniform(r, p.Endpoints))) {
+			x.endpoints = append(x.endpoints, int32(len(w.endpoints)))
 			w.endpoints = append(w.endpoints, endpoint{dest: int32(i), phase: snowjunction.Ready})
 		}
 		w.partners = append(w.partners, x)
 	}
 	sum := 0.0
 	for i := range active {
-		t := w.s.Tenants[w.partners[i].tenant]
+		t := w.scenario.Tenants[w.partners[i].tenant]
 		sum += weights[i] * math.Max(t.Over, 1)
-		w.weights = append(w.weights, sum)
+		w.cumulativeWeights = append(w.cumulativeWeights, sum)
 	}
-	for _, t := range w.s.Tenants {
-		w.quotas = append(w.quotas, quota{rate: t.Share * w.s.Load.Full, tokens: t.Share * w.s.Load.Full * 2})
+	for _, t := range w.scenario.Tenants {
+		w.quotas = append(w.quotas, tenantQuota{rate: t.Share * w.scenario.Load.Full, tokens: t.Share * w.scenario.Load.Full * 2})
 	}
-	w.keyed = make([][]keyed, p.Count)
+	w.openKeys = make([][]openKey, p.Count)
 }
 
 // settings are those of one courier.
 func (w *world) settings(seed uint64) snowjunction.Settings {
-	s, share := w.s, w.s.Load.Full/float64(w.s.Couriers)
+	s, share := w.scenario, w.scenario.Load.Full/float64(w.scenario.Couriers)
 	latency := (s.Partners.LatencyMs[0] + s.Partners.LatencyMs[1]) / 2000
 	out := snowjunction.Settings{
 		Seed: seed, Fleet: s.Couriers, Tick: seconds(s.TickMs / 1000), Zones: 1, Classes: w.classes,
 		Kinds: []snowjunction.Kind{{BundleMax: 1}}, Slots: s.Settings.Slots, MaxHeld: s.Settings.Held, MaxAttempts: s.Settings.Attempts,
 		OverQuotaValueShare: 0.05, Report: []snowjunction.ReportField{snowjunction.AllowanceLeft, snowjunction.LimitRate},
-		Cancelling: true, RetryAfter: true, MaxRetryAfter: 3 * time.Second, ConnIdle: idleFor, ConnectTimeout: connect, StreamsPerConn: 8,
+		Cancelling: true, RetryAfter: true, MaxRetryAfter: 3 * time.Second, ConnIdle: connIdleTimeout, ConnectTimeout: connectTimeout, StreamsPerConn: 8,
 		OrderSettle: 100 * time.Millisecond, DrainGrace: time.Second, AnswerSlack: 20 * time.Millisecond,
 		ColdShare: s.Partners.ColdShare, WarmUp: seconds(s.Partners.WarmS), CollapseMultiple: s.Partners.FallMultiple, CollapseTime: seconds(s.Partners.FallS),
 		Tuning: s.tuning(),
@@ -313,9 +313,9 @@
 }
 
 func (w *world) makeCouriers(o Options) error {
-	for no := range w.s.Couriers {
-		c := &courier{w: w, no: int32(no), o: o, seed: o.Seed*1000003 + uint64(no), used: map[int32]time.Duration{}}
-		c.view = make([]snowjunction.Phase, len(w.endpoints))
+	for no := range w.scenario.Couriers {
+		c := &courier{world: w, number: int32(no), options: o, seed: o.Seed*1000003 + uint64(no), warmConns: map[int32]time.Duration{}}
+		c.listedPhases = make([]snowjunction.Phase, len(w.endpoints))
 		w.couriers = append(w.couriers, c)
 		if err := c.start(); err != nil {
 			return err
@@ -324,13 +324,13 @@
 	return nil
 }
 
-// plan schedules what is to happen whatever is done.
-func (w *world) plan() {
-	for _, f := range w.s.Faults {
+// scheduleEvents schedules what is to happen whatever is done.
+func (w *world) scheduleEvents() {
+	for _, f := range w.scenario.Faults {
 		k, ok := map[string]partner.Kind{
 			"errors": partner.Error, "shut": partner.Shut, "silent": partner.Silent, "reset": partner.Reset, "slow": partner.Slow, "cut": partner.Cut,
 		}[f.Kind]
-		for _, i := range w.some(f.Share, len(w.partners)) {
+		for _, i := range w.sample(f.Share, len(w.partners)) {
 			x := w.partners[i]
 			spans := []Span{f.Span}
 			if f.FlapS > 0 {
@@ -341,16 +341,16 @@
 			}
 			for n, span := range spans {
 				if f.Endpoints > 0 {
-					struck := part{kind: k, vanished: !ok, from: seconds(span.At), until: seconds(span.At + span.For), calls: f.Calls}
-					for _, e := range w.some(f.Endpoints, len(x.eps)) {
-						struck.eps = append(struck.eps, x.eps[e])
+					struck := endpointFault{kind: k, unreachable: !ok, from: seconds(span.At), until: seconds(span.At + span.For), callShare: f.Calls}
+					for _, e := range w.sample(f.Endpoints, len(x.endpoints)) {
+						struck.endpoints = append(struck.endpoints, x.endpoints[e])
 					}
-					x.parts = append(x.parts, struck)
+					x.endpointFaults = append(x.endpointFaults, struck)
 					continue
 				}
 				cold := f.Cold && n == len(spans)-1
 				if !ok { // it vanishes: nothing reaches it
-					x.vanished = append(x.vanished, span)
+					x.unreachable = append(x.unreachable, span)
 					if cold {
 						x.Add(partner.Fault{Kind: partner.Silent, From: seconds(span.At), Until: seconds(span.At + span.For), Cold: true})
 					}
@@ -366,34 +366,34 @@
 			}
 		}
 	}
-	for _, p := range w.s.Network.Partitions {
+	for _, p := range w.scenario.Network.Partitions {
 		x := partition{seconds(p.At), seconds(p.At + p.For), make([]bool, len(w.partners)), make([]bool, len(w.couriers))}
-		for _, i := range w.some(p.Share, len(w.partners)) {
+		for _, i := range w.sample(p.Share, len(w.partners)) {
 			x.partner[i] = true
 		}
 		share := p.Couriers
 		if share == 0 {
 			share = 1
 		}
-		for _, i := range w.some(share, len(w.couriers)) {
+		for _, i := range w.sample(share, len(w.couriers)) {
 			x.courier[i] = true
 		}
-		w.pairs = append(w.pairs, x)
+		w.partitions = append(w.partitions, x)
 	}
-	for _, d := range w.s.Drains {
-		for _, i := range w.some(d.Share, len(w.endpoints)) {
-			w.q.push(event{at: seconds(d.At + d.Over*w.fate.Float64()), kind: drain, id: int32(i)})
+	for _, d := range w.scenario.Drains {
+		for _, i := range w.sample(d.Share, len(w.endpoints)) {
+			w.queue.push(event{at: seconds(d.At + d.Over*w.faultRNG.Float64()), kind: endpointDrain, id: int32(i)})
 		}
 	}
-	for _, i := range w.some(w.s.Directory.Stale, len(w.endpoints)) {
-		w.leaves(int32(i))
-		w.tell(int32(i), snowjunction.Gone)
+	for _, i := range w.sample(w.scenario.Directory.Stale, len(w.endpoints)) {
+		w.removeEndpoint(int32(i))
+		w.announce(int32(i), snowjunction.Gone)
 	}
-	for _, c := range w.s.Crashes {
-		which := w.some(c.Share, len(w.couriers))
+	for _, c := range w.scenario.Crashes {
+		which := w.sample(c.Share, len(w.couriers))
 		if c.Share == 0 {
 			which = which[:0]
-			which = append(which, w.fate.IntN(len(w.couriers)))
+			which = append(which, w.faultRNG.IntN(len(w.couriers)))
 		}
 		for n, i := range which {
 			at := seconds(c.At + c.Over*float64(n)/float64(len(which)))
@@ -401,19 +401,19 @@
 			if c.Journal {
 				gen = 1
 			}
-			w.q.push(event{at: at, kind: crash, who: int32(i), id: int32(c.Down * 1000), gen: gen})
+			w.queue.push(event{at: at, kind: courierCrash, target: int32(i), id: int32(c.Down * 1000), generation: gen})
 		}
 	}
-	w.q.push(event{at: w.nextArrival(), kind: arrive})
+	w.queue.push(event{at: w.nextArrival(), kind: clientArrival})
 }
 
-// some draws a share of n, in order; of a share over 0 at least one.
-func (w *world) some(share float64, n int) []int {
+// sample draws a share of n, in order; of a share over 0 at least one.
+func (w *world) sample(share float64, n int) []int {
 	k := int(math.Round(share * float64(n)))
 	if share > 0 {
 		k = max(k, 1)
 	}
-	list := w.fate.Perm(n)[:min(k, n)]
+	list := w.faultRNG.Perm(n)[:min(k, n)]
 	slices.Sort(list)
 	return list
 }
@@ -422,158 +422,160 @@
 const progressEvery = 1 << 16
 
 func (w *world) run(o Options) {
-	end := w.until + 25*time.Second // the last messages' deadlines are over by then
-	for len(w.q.heap) > 0 {
-		e := w.q.pop()
+	end := w.arrivalsUntil + 25*time.Second // the last messages' deadlines are over by then
+	for len(w.queue.events) > 0 {
+		e := w.queue.pop()
 		if e.at > end {
 			return
 		}
 		w.now = e.at
-		w.res.Events++
-		if o.Progress != nil && w.res.Events%progressEvery == 0 {
-			o.Progress(w.now, end, w.res.Events)
+		w.result.Events++
+		if o.Progress != nil && w.result.Events%progressEvery == 0 {
+			o.Progress(w.now, end, w.result.Events)
 		}
 		switch e.kind {
-		case arrive:
-			w.arrive()
-		case taken:
-			w.taken(e.id, e.gen)
-		case tick:
-			w.couriers[e.who].tick(uint32(e.id))
-		case reach:
-			w.partners[e.who].coming-- // its call may be over by now
-			w.reach(e.id, e.gen)
-		case answer:
-			w.answered(e.id, e.gen)
-		case timeout:
-			w.expired(e.id, e.gen)
-		case timer:
-			c := w.couriers[e.who]
-			if c.life == uint32(e.id) {
-				c.post(snowjunction.Timer{Token: uint64(e.gen)})
+		case clientArrival:
+			w.handleArrival()
+		case messageReceived:
+			w.acceptMessage(e.id, e.generation)
+		case courierTick:
+			w.couriers[e.target].tick(uint32(e.id))
+		case callReceived:
+			w.partners[e.target].incoming-- // its call may be over by now
+			w.handleCall(e.id, e.generation)
+		case responseReceived:
+			w.handleResponse(e.id, e.generation)
+		case callTimeout:
+			w.handleTimeout(e.id, e.generation)
+		case policyTimer:
+			c := w.couriers[e.target]
+			if c.run == uint32(e.id) {
+				c.post(snowjunction.Timer{Token: uint64(e.generation)})
 			}
-		case told:
-			w.couriers[e.who].hear(e.id, snowjunction.Phase(e.gen))
-		case noted:
-			w.couriers[e.who].post(w.notes[e.id])
-			delete(w.notes, e.id)
-		case drain:
-			w.drain(e.id)
-		case gone:
-			w.leaves(e.id)
-			w.tell(e.id, snowjunction.Gone)
-		case crash:
-			w.couriers[e.who].crash(e.gen == 1)
-			w.q.push(event{at: w.now + time.Duration(e.id)*time.Millisecond, kind: back, who: e.who})
-		case back:
-			if err := w.couriers[e.who].start(); err != nil {
+		case listingReceived:
+			w.couriers[e.target].handleListing(e.id, snowjunction.Phase(e.generation))
+		case peerMessageReceived:
+			w.couriers[e.target].post(w.peerMessages[e.id])
+			delete(w.peerMessages, e.id)
+		case endpointDrain:
+			w.drainEndpoint(e.id)
+		case endpointRemoval:
+			w.removeEndpoint(e.id)
+			w.announce(e.id, snowjunction.Gone)
+		case courierCrash:
+			w.couriers[e.target].crash(e.generation == 1)
+			w.queue.push(event{at: w.now + time.Duration(e.id)*time.Millisecond, kind: courierRestart, target: e.target})
+		case courierRestart:
+			if err := w.couriers[e.target].start(); err != nil {
 				panic(fmt.Sprintf("the policy was made once before: %v", err))
 			}
-		case asked:
-			w.couriers[e.who].asked(e.id, e.gen)
-		case sleep:
-			w.couriers[e.who].rest(uint32(e.id))
-		case spoken:
-			w.couriers[e.who].spoken(uint32(e.id))
-		case look:
-			if c := w.couriers[e.who]; c.life == uint32(e.id) {
-				c.look()
+		case pluginDone:
+			w.couriers[e.target].pluginAnswered(e.id, e.generation)
+		case idleCheck:
+			w.couriers[e.target].unloadDue(uint32(e.id))
+		case directoryBack:
+			w.couriers[e.target].directoryRecovered(uint32(e.id))
+		case confidenceCheck:
+			if c := w.couriers[e.target]; c.run == uint32(e.id) {
+				c.updateConfidence()
 			}
-		case learnDue:
-			w.couriers[e.who].learnNow(uint32(e.id))
+		case learnedStateDue:
+			w.couriers[e.target].inspectChanged(uint32(e.id))
 		}
 	}
 }
 
-// load counts a call that reaches a partner by what a cold one stands.
-func (w *world) load(p *place, courier int32) {
+// countRampCall counts a call that reaches a partner by what a cold one stands.
+func (w *world) countRampCall(p *partnerState, courier int32) {
 	allowed, cold := p.Cold(w.now)
 	if !cold {
 		if !p.Out(w.now) {
-			w.ramp.Warm(p.no)
+			w.ramp.Reset(p.number)
 		}
 		return
 	}
-	falls, breaks := w.ramp.Call(w.now, courier, p.no, allowed)
+	falls, breaks := w.ramp.Call(w.now, courier, p.number, allowed)
 	if falls {
-		w.res.RampFell++
+		w.result.RampCollapses++
 	}
 	if breaks {
-		w.res.RampBroken++
-		if w.check != nil {
-			w.check.Pushed(w.now, p.no)
+		w.result.RampViolations++
+		if w.checker != nil {
+			w.checker.CollapsedInRamp(w.now, p.number)
 		}
 	}
 }
 
-// failed tells the ramp's counter of a call that has failed in an outage or after it.
-func (w *world) failed(courier, dest int32) {
+// recordRampFailure tells the ramp's counter of a call that has failed in an outage or after it.
+func (w *world) recordRampFailure(courier, dest int32) {
 	p := w.partners[dest]
 	if _, cold := p.Cold(w.now); cold || p.Out(w.now) {
 		w.ramp.Failed(courier, dest)
 	}
 }
 
-// leaves is the end of an endpoint.
-func (w *world) leaves(id int32) {
+// removeEndpoint is the end of an endpoint.
+func (w *world) removeEndpoint(id int32) {
 	e := &w.endpoints[id]
 	e.phase = snowjunction.Gone
-	if reuse := w.s.Directory.Reuse; reuse > 0 {
-		e.reused, e.says = w.fate.Float64() < reuse, w.fate.Float64() < 0.5
+	if reuse := w.scenario.Directory.Reuse; reuse > 0 {
+		e.addressReused, e.saysMisdirected = w.faultRNG.Float64() < reuse, w.faultRNG.Float64() < 0.5
 	}
 }
 
-// drain begins the end of an endpoint, which another replaces.
-func (w *world) drain(id int32) {
+// drainEndpoint begins the end of an endpoint, which another replaces.
+func (w *world) drainEndpoint(id int32) {
 	e := &w.endpoints[id]
 	if e.phase != snowjunction.Ready {
 		return
 	}
 	e.phase = snowjunction.Draining
-	w.tell(id, snowjunction.Draining)
-	w.q.push(event{at: w.now + 8*time.Second, kind: gone, id: id})
+	w.announce(id, snowjunction.Draining)
+	w.queue.push(event{at: w.now + 8*time.Second, kind: endpointRemoval, id: id})
 	fresh := int32(len(w.endpoints))
 	dest := e.dest
 	w.endpoints = append(w.endpoints, endpoint{dest: dest, phase: snowjunction.Ready})
-	w.partners[dest].eps = append(w.partners[dest].eps, fresh)
+	w.partners[dest].endpoints = append(w.partners[dest].endpoints, fresh)
 	for _, c := range w.couriers {
-		c.view = append(c.view, snowjunction.Gone)
+		c.listedPhases = append(c.listedPhases, snowjunction.Gone)
 	}
-	w.tell(fresh, snowjunction.Ready)
+	w.announce(fresh, snowjunction.Ready)
 }
 
-// tell has the directory tell every courier, late, and later still while it is
+// announce has the directory tell every courier, late, and later still while it is
 // down.
-func (w *world) tell(id int32, p snowjunction.Phase) {
+func (w *world) announce(id int32, p snowjunction.Phase) {
 	for _, c := range w.couriers {
-		at := w.now + seconds(draw(w.fate, w.s.Directory.DelayS))
-		for _, d := range w.s.Directory.Down {
+		at := w.now + seconds(uniform(w.faultRNG, w.scenario.Directory.DelayS))
+		for _, d := range w.scenario.Directory.Down {
 			if at >= seconds(d.At) && at < seconds(d.At+d.For) {
-				at = seconds(d.At+d.For) + seconds(0.5*w.fate.Float64())
+				at = seconds(d.At+d.For) + seconds(0.5*w.faultRNG.Float64())
 			}
 		}
-		w.q.push(event{at: at, kind: told, who: c.no, id: id, gen: uint32(p)})
+		w.queue.push(event{at: at, kind: listingReceived, target: c.number, id: id, generation: uint32(p)})
 	}
 }
 
-// delay is of one way.
-func (w *world) delay() time.Duration { return seconds(draw(w.network, w.s.Network.DelayMs) / 1000) }
+// networkDelay is of one way.
+func (w *world) networkDelay() time.Duration {
+	return seconds(uniform(w.networkRNG, w.scenario.Network.DelayMs) / 1000)
+}
 
-// cut tells that nothing passes between a courier and an endpoint of a partner;
+// unreachable tells that nothing passes between a courier and an endpoint of a partner;
 // ep -1: any.
-func (w *world) cut(courier, dest, ep int32) bool {
-	for i := range w.partners[dest].parts {
-		if p := &w.partners[dest].parts[i]; p.vanished && p.on(w.now, ep) {
+func (w *world) unreachable(courier, dest, ep int32) bool {
+	for i := range w.partners[dest].endpointFaults {
+		if p := &w.partners[dest].endpointFaults[i]; p.unreachable && p.active(w.now, ep) {
 			return true
 		}
 	}
-	for _, s := range w.partners[dest].vanished {
+	for _, s := range w.partners[dest].unreachable {
 		if w.now >= seconds(s.At) && w.now < seconds(s.At+s.For) {
 			return true
 		}
 	}
-	for i := range w.pairs {
-		p := &w.pairs[i]
+	for i := range w.partitions {
+		p := &w.partitions[i]
 		if w.now >= p.from && w.now < p.until && p.partner[dest] && p.courier[courier] {
 			return true
 		}
@@ -583,22 +585,22 @@
 
 // Room and Works are the truth that an oracle sees.
 func (w *world) Room(d snowjunction.DestinationID, more int) (bool, time.Duration) {
-	if w.cut(0, int32(d), -1) {
+	if w.unreachable(0, int32(d), -1) {
 		return false, 100 * time.Millisecond
 	}
 	p := w.partners[d]
-	return p.Room(w.now, p.coming+more)
+	return p.Room(w.now, p.incoming+more)
 }
 
 // Works tells whether an endpoint would answer.
 func (w *world) Works(e snowjunction.EndpointID) bool {
 	id := int32(e) - 1
-	for i := range w.partners[w.endpoints[id].dest].parts {
-		if p := &w.partners[w.endpoints[id].dest].parts[i]; p.calls == 0 && p.on(w.now, id) {
+	for i := range w.partners[w.endpoints[id].dest].endpointFaults {
+		if p := &w.partners[w.endpoints[id].dest].endpointFaults[i]; p.callShare == 0 && p.active(w.now, id) {
 			return false
 		}
 	}
 	return w.endpoints[id].phase == snowjunction.Ready
 }
 
-var _ policy.Truth = (*world)(nil)
+var _ policy.GroundTruth = (*world)(nil)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -159,13 +159,13 @@
 	switch ev.Code {
 	case Start:
 		ev.Token = be.Uint64(b[3:])
-		ev.Data, err = slice(b[11:], tail, 1)
+		ev.Data, err = resolveTail(b[11:], tail, 1)
 	case Discovery:
 		ev.Token, ev.Kind, ev.Page = be.Uint64(b[3:]), b[11], be.Uint16(b[12:])
 	case Table:
 		ev.Who, ev.Page = 0, be.Uint16(b[1:])
 		var raw []byte
-		raw, err = slice(b[3:], tail, entrySize)
+		raw, err = resolveTail(b[3:], tail, entrySize)
 		for ; len(raw) >= entrySize; raw = raw[entrySize:] {
 			ev.Entries = append(ev.Entries, Entry{
 				Endpoint: be.Uint32(raw), Zone: be.Uint16(raw[4:]), Kind: raw[6],
@@ -186,16 +186,16 @@
 		ev.Req, ev.Endpoint, ev.Took = be.Uint32(b[3:]), be.Uint32(b[7:]), config.Millis(getF64(b[11:]))
 		ev.Finished, ev.Verdict, ev.Seq = b[19] != 0, be.Uint16(b[20:]), be.Uint16(b[22:])
 		ev.Wait = time.Duration(be.Uint32(b[24:])) * time.Millisecond
-		ev.Report, err = report(b[28:])
+		ev.Report, err = decodeReport(b[28:])
 	case Vanished:
 		ev.Req = be.Uint32(b[3:])
 	case Wake:
 		ev.Token = be.Uint64(b[3:])
 	case Pong:
 		ev.Endpoint, ev.Verdict, ev.Took = be.Uint32(b[3:]), be.Uint16(b[7:]), config.Millis(getF64(b[9:]))
-		ev.Report, err = report(b[17:])
+		ev.Report, err = decodeReport(b[17:])
 	case Inbox:
-		ev.Data, err = slice(b[7:], tail, 1)
+		ev.Data, err = resolveTail(b[7:], tail, 1)
 	case Teardown:
 	default:
 		err = fmt.Errorf("unknown event code %d", ev.Code)
@@ -203,8 +203,8 @@
 	return ev, err
 }
 
-// slice resolves a tail reference: offset and number of items.
-func slice(ref, tail []byte, item int) ([]byte, error) {
+// resolveTail resolves a tail reference: offset and number of items.
+func resolveTail(ref, tail []byte, item int) ([]byte, error) {
 	at, n := int(binary.BigEndian.Uint32(ref)), int(binary.BigEndian.Uint32(ref[4:]))
 	if n == 0 {
 		return nil, nil
@@ -215,7 +215,7 @@
 	return tail[at : at+n*item], nil
 }
 
-func report(b []byte) ([]float64, error) {
+func decodeReport(b []byte) ([]float64, error) {
 	n := int(b[0])
 	if n > 4 {
 		return nil, fmt.Errorf("load report of %d values", n)
@@ -229,9 +229,9 @@
 
 // Reply collects actions.
 type Reply struct {
-	count int
-	recs  []byte
-	tail  []byte
+	count   int
+	records []byte
+	tail    []byte
 }
 
 // Action is one record to be written; which fields count depends on Code.
@@ -278,16 +278,16 @@
 		be.PutUint32(b[7:], uint32(len(a.Text)))
 		r.tail = append(r.tail, a.Text...)
 	}
-	r.recs = append(r.recs, b[:]...)
+	r.records = append(r.records, b[:]...)
 	r.count++
 }
 
 // WriteTo writes the reply as one frame.
 func (r *Reply) WriteTo(w io.Writer) (int64, error) {
-	frame := make([]byte, replyHeader, replyHeader+len(r.recs)+len(r.tail))
+	frame := make([]byte, replyHeader, replyHeader+len(r.records)+len(r.tail))
 	binary.BigEndian.PutUint32(frame, uint32(r.count))
-	binary.BigEndian.PutUint32(frame[4:], uint32(replyHeader+len(r.recs)+len(r.tail)))
-	frame = append(append(frame, r.recs...), r.tail...)
+	binary.BigEndian.PutUint32(frame[4:], uint32(replyHeader+len(r.records)+len(r.tail)))
+	frame = append(append(frame, r.records...), r.tail...)
 	n, err := w.Write(frame)
 	if err != nil {
 		err = fmt.Errorf("write reply: %w", err)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// field writes values big-endian one after the other.
-func field(vals ...any) []byte {
+// encodeFields writes values big-endian one after the other.
+func encodeFields(vals ...any) []byte {
 	var b bytes.Buffer
 	for _, v := range vals {
 		if s, ok := v.(string); ok {
@@ -31,22 +31,22 @@
 		body = append(body, append(r, make([]byte, eventSize-len(r))...)...)
 	}
 	body = append(body, tail...)
-	return append(field(uint32(len(recs)), uint32(batchHeader+len(body)), clock), body...)
+	return append(encodeFields(uint32(len(recs)), uint32(batchHeader+len(body)), clock), body...)
 }
 
 func TestReadBatch(t *testing.T) {
-	entry := field(uint32(7), uint16(1), uint8(2), uint16(57), uint8(1), float32(1.5), float64(0))
+	entry := encodeFields(uint32(7), uint16(1), uint8(2), uint16(57), uint8(1), float32(1.5), float64(0))
 	b := frame(15600.25, append([]byte("{}"), entry...),
-		field(uint8(Start), uint16(3), uint64(99), uint32(0), uint32(2)),
-		field(uint8(Table), uint16(4), uint32(2), uint32(1)),
-		field(uint8(Discovery), uint16(3), uint64(41), uint8(Cached), uint16(4)),
-		field(uint8(Call), uint16(3), uint32(5), uint64(6), 240.0, uint16(3), uint8(2), uint16(1), float32(57), 12.0),
-		field(uint8(Outcome), uint16(3), uint32(5), uint32(7), 18.5, uint8(1), uint16(200), uint16(2), uint32(250),
+		encodeFields(uint8(Start), uint16(3), uint64(99), uint32(0), uint32(2)),
+		encodeFields(uint8(Table), uint16(4), uint32(2), uint32(1)),
+		encodeFields(uint8(Discovery), uint16(3), uint64(41), uint8(Cached), uint16(4)),
+		encodeFields(uint8(Call), uint16(3), uint32(5), uint64(6), 240.0, uint16(3), uint8(2), uint16(1), float32(57), 12.0),
+		encodeFields(uint8(Outcome), uint16(3), uint32(5), uint32(7), 18.5, uint8(1), uint16(200), uint16(2), uint32(250),
 			uint8(2), float32(0.5), float32(8)),
-		field(uint8(Pong), uint16(3), uint32(7), uint16(429), 1.5, uint8(0)),
-		field(uint8(Wake), uint16(3), uint64(77)),
-		field(uint8(Vanished), uint16(5), uint32(8)),
-		field(uint8(Teardown), uint16(3)),
+		encodeFields(uint8(Pong), uint16(3), uint32(7), uint16(429), 1.5, uint8(0)),
+		encodeFields(uint8(Wake), uint16(3), uint64(77)),
+		encodeFields(uint8(Vanished), uint16(5), uint32(8)),
+		encodeFields(uint8(Teardown), uint16(3)),
 	)
 	now, ev, err := ReadBatch(bytes.NewReader(b))
 	if err != nil {
@@ -81,8 +81,8 @@
 }
 
 func TestReadBatchErrors(t *testing.T) {
-	good := frame(1, []byte("tail"), field(uint8(Start), uint16(0), uint64(0), uint32(0), uint32(4)))
-	huge := field(uint32(1<<31), uint32(1<<31), 0.0)
+	good := frame(1, []byte("tail"), encodeFields(uint8(Start), uint16(0), uint64(0), uint32(0), uint32(4)))
+	huge := encodeFields(uint32(1<<31), uint32(1<<31), 0.0)
 	for _, tc := range []struct {
 		name string
 		in   []byte
@@ -90,16 +90,16 @@
 	}{
 		{"cut header", good[:9], "batch header"},
 		{"cut body", good[:40], "batch body"},
-		{"size under the header", field(uint32(0), uint32(3), 0.0), "frame of 3 bytes"},
+		{"size under the header", encodeFields(uint32(0), uint32(3), 0.0), "frame of 3 bytes"},
 		{"oversized", huge, "frame of"},
-		{"records that do not fit", field(uint32(9), uint32(64), 0.0), "9 records"},
-		{"unknown code", frame(1, nil, field(uint8(200))), "record 0: unknown event code 200"},
-		{"tail out of bounds", frame(1, []byte("x"), field(uint8(Start), uint16(0), uint64(0), uint32(0), uint32(2))),
+		{"records that do not fit", encodeFields(uint32(9), uint32(64), 0.0), "9 records"},
+		{"unknown code", frame(1, nil, encodeFields(uint8(200))), "record 0: unknown event code 200"},
+		{"tail out of bounds", frame(1, []byte("x"), encodeFields(uint8(Start), uint16(0), uint64(0), uint32(0), uint32(2))),
 			"outside the tail"},
-		{"table out of bounds", frame(1, make([]byte, 30), field(uint8(Table), uint16(0), uint32(0), uint32(2))),
+		{"table out of bounds", frame(1, make([]byte, 30), encodeFields(uint8(Table), uint16(0), uint32(0), uint32(2))),
 			"outside the tail"},
-		{"long report", frame(1, nil, append(append(field(uint8(Outcome)), make([]byte, 27)...), 9)), "report of 9"},
-		{"length without bytes", field(uint32(0), uint32(maxFrame), 0.0), "batch body"},
+		{"long report", frame(1, nil, append(append(encodeFields(uint8(Outcome)), make([]byte, 27)...), 9)), "report of 9"},
+		{"length without bytes", encodeFields(uint32(0), uint32(maxFrame), 0.0), "batch body"},
 	} {
 		_, _, err := ReadBatch(bytes.NewReader(tc.in))
 		if err == nil || !strings.Contains(err.Error(), tc.want) {
@@ -124,17 +124,17 @@
 	r.Add(Action{Code: Trace, Who: 5, Text: "two"})
 	r.Add(Action{Code: BailOut, Who: 5, Text: "bad"})
 	want := [][]byte{
-		pad(field(uint8(65), uint16(3), uint32(5), uint32(7), 80.0)),
-		pad(field(uint8(64), uint16(3), uint32(6), 250.5)),
-		pad(field(uint8(67), uint16(3), uint32(8))),
-		pad(field(uint8(74), uint16(3), uint32(8), uint16(2))),
-		pad(field(uint8(75), uint16(3), uint32(9))),
-		pad(field(uint8(71), uint16(3), uint64(77), 1000.0)),
-		pad(field(uint8(73), uint16(3), uint8(1))),
-		pad(field(uint8(72), uint16(5), uint32(0), uint32(3))),
-		pad(field(uint8(66), uint16(5), uint32(3), uint32(3))),
+		pad(encodeFields(uint8(65), uint16(3), uint32(5), uint32(7), 80.0)),
+		pad(encodeFields(uint8(64), uint16(3), uint32(6), 250.5)),
+		pad(encodeFields(uint8(67), uint16(3), uint32(8))),
+		pad(encodeFields(uint8(74), uint16(3), uint32(8), uint16(2))),
+		pad(encodeFields(uint8(75), uint16(3), uint32(9))),
+		pad(encodeFields(uint8(71), uint16(3), uint64(77), 1000.0)),
+		pad(encodeFields(uint8(73), uint16(3), uint8(1))),
+		pad(encodeFields(uint8(72), uint16(5), uint32(0), uint32(3))),
+		pad(encodeFields(uint8(66), uint16(5), uint32(3), uint32(3))),
 	}
-	whole := field(uint32(len(want)), uint32(replyHeader+len(want)*actionSize+6))
+	whole := encodeFields(uint32(len(want)), uint32(replyHeader+len(want)*actionSize+6))
 	whole = append(append(whole, bytes.Join(want, nil)...), "twobad"...)
 	var got bytes.Buffer
 	if _, err := r.WriteTo(&got); err != nil {
@@ -146,9 +146,9 @@
 }
 
 func FuzzReadBatch(f *testing.F) {
-	f.Add(frame(1, []byte("tail"), field(uint8(Start), uint16(0), uint64(0), uint32(0), uint32(4))))
-	f.Add(frame(2, nil, field(uint8(Call), uint16(3), uint32(5))))
-	f.Add(frame(2, make([]byte, 44), field(uint8(Table), uint16(3), uint32(0), uint32(2))))
+	f.Add(frame(1, []byte("tail"), encodeFields(uint8(Start), uint16(0), uint64(0), uint32(0), uint32(4))))
+	f.Add(frame(2, nil, encodeFields(uint8(Call), uint16(3), uint32(5))))
+	f.Add(frame(2, make([]byte, 44), encodeFields(uint8(Table), uint16(3), uint32(0), uint32(2))))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		_, events, err := ReadBatch(bytes.NewReader(b))
 		if err == nil && len(events)*eventSize+batchHeader > len(b) {
