--- a/internal/emulate/clients.go
+++ b/internal/emulate/clients.go
@@ -134,7 +134,8 @@
 	return k.key
 }
 
-// messageValue returns what a message earns if it is delivered within its target latency.
+// messageValue returns what a message earns if it is delivered within its target latency. A
+// message over its tenant's quota earns a twentieth of that.
 func (w *world) messageValue(m *message) float64 {
 	v := w.classes[m.class].Value
 	if m.overQuota {
--- a/internal/emulate/courier.go
+++ b/internal/emulate/courier.go
@@ -211,8 +211,8 @@
 }
 
 // tick passes the queued events to the policy and executes the returned actions.
-func (c *courier) tick(life uint32) {
-	if !c.up || !c.tickScheduled || life != c.run {
+func (c *courier) tick(run uint32) {
+	if !c.up || !c.tickScheduled || run != c.run {
 		return
 	}
 	w := c.world
@@ -394,6 +394,7 @@
 	return int32(len(w.calls) - 1)
 }
 
+// freeCall releases the slot of a call; its pending events no longer match the generation.
 func (w *world) freeCall(id int32) {
 	w.calls[id].generation++
 	w.freeCalls = append(w.freeCalls, id)
@@ -610,8 +611,8 @@
 
 // unloadDue asks the policy to unload the destination that has been idle long enough, if there
 // is one, and schedules the next check.
-func (c *courier) unloadDue(life uint32) {
-	if life != c.run || !c.up {
+func (c *courier) unloadDue(run uint32) {
+	if run != c.run || !c.up {
 		return
 	}
 	d, due, wait := c.idleTracker.Due(c.world.now - c.startedAt)
--- a/internal/emulate/kept.go
+++ b/internal/emulate/kept.go
@@ -105,22 +105,22 @@
 }
 
 // directoryRecovered handles the first directory response after an outage.
-func (c *courier) directoryRecovered(life uint32) {
-	if life != c.run || !c.up {
+func (c *courier) directoryRecovered(run uint32) {
+	if run != c.run || !c.up {
 		return
 	}
 	k := &c.saved
 	k.directorySeen = c.world.now
-	was := k.noList
+	hadNoList := k.noList
 	k.noList = false
-	if was && c.world.checker != nil {
+	if hadNoList && c.world.checker != nil {
 		for id := range c.listedPhases {
 			if c.listedPhases[id] != snowjunction.Gone {
 				c.world.checker.Listed(c.world.now, c.number, int32(id), c.world.endpoints[id].dest, c.listedPhases[id] == snowjunction.Ready)
 			}
 		}
 	}
-	if k.confidence != nil && k.confidence.DirectoryConfirmed(c.world.now) || was {
+	if k.confidence != nil && k.confidence.DirectoryConfirmed(c.world.now) || hadNoList {
 		c.resendList()
 	}
 }
@@ -129,7 +129,7 @@
 func (c *courier) resendList() {
 	var list []snowjunction.Endpoint
 	for id := range c.listedPhases {
-		if _, awake := c.loaded[c.world.endpoints[id].dest]; c.listedPhases[id] != snowjunction.Gone && (c.idleTracker == nil || awake) {
+		if _, loaded := c.loaded[c.world.endpoints[id].dest]; c.listedPhases[id] != snowjunction.Gone && (c.idleTracker == nil || loaded) {
 			list = append(list, c.listEntry(int32(id)))
 		}
 	}
@@ -153,6 +153,7 @@
 	return e
 }
 
+// endpointName returns the name by which package confidence knows an endpoint.
 func endpointName(id int32) string { return string([]byte{byte(id), byte(id >> 8), byte(id >> 16)}) }
 
 // recordEvidence updates the confidence in an endpoint by the outcome of a call. elsewhere means
@@ -197,14 +198,14 @@
 }
 
 // inspectChanged asks the policy for the state of the destinations that the picker selects.
-func (c *courier) inspectChanged(life uint32) {
+func (c *courier) inspectChanged(run uint32) {
 	k := &c.saved
-	if life != c.run || !c.up {
+	if run != c.run || !c.up {
 		return
 	}
 	k.pickScheduled = false
 	for _, d := range k.picker.Pick(k.journalWritten()) {
-		if _, awake := c.loaded[int32(d)]; c.idleTracker != nil && !awake {
+		if _, loaded := c.loaded[int32(d)]; c.idleTracker != nil && !loaded {
 			k.picker.HandleState(d, nil, time.Time{}, nil, learnedstate.Journal{})
 			continue
 		}
@@ -232,6 +233,7 @@
 // epoch is the wall-clock time at which a run begins.
 var epoch = time.UnixMilli(0)
 
+// snapshotOf returns the snapshot of a destination with the hashes of its endpoint names.
 func snapshotOf(s *snowjunction.DestinationSnapshot) *snapshot.Snapshot {
 	m := &snapshot.Snapshot{State: *s}
 	for _, e := range s.Endpoints {
@@ -248,37 +250,37 @@
 		return nil
 	}
 	now := w.now - c.startedAt
-	book := c.idleTracker
-	if book == nil {
+	tracker := c.idleTracker
+	if tracker == nil {
 		cfg := idlestate.Default(c.settings)
 		cfg.MaxBytes = 1 << 30
-		book = idlestate.New(cfg)
+		tracker = idlestate.New(cfg)
 	}
 	for _, d := range slices.Sorted(maps.Keys(k.learned)) {
 		r := k.learned[d]
 		age := w.now - r.At.Sub(epoch)
-		if !book.Restore(snowjunction.DestinationID(d), r.Snapshot, age, now) {
+		if !tracker.Restore(snowjunction.DestinationID(d), r.Snapshot, age, now) {
 			continue
 		}
 		w.result.RestoredDestinations++
 		if c.idleTracker == nil {
-			events = append(events, c.loadEvent(int32(d), book.Load(snowjunction.DestinationID(d), now)))
+			events = append(events, c.loadEvent(int32(d), tracker.Load(snowjunction.DestinationID(d), now)))
 		}
 	}
 	return events
 }
 
 // loadEvent returns the event that loads a destination into the policy.
-func (c *courier) loadEvent(d int32, got idlestate.Loaded) snowjunction.Load {
-	ev := snowjunction.Load{Destination: snowjunction.DestinationID(d), UnloadedFor: got.UnloadedFor, CautiousStart: got.Caution, Destinations: len(c.world.partners)}
+func (c *courier) loadEvent(d int32, loaded idlestate.Loaded) snowjunction.Load {
+	ev := snowjunction.Load{Destination: snowjunction.DestinationID(d), UnloadedFor: loaded.UnloadedFor, CautiousStart: loaded.Caution, Destinations: len(c.world.partners)}
 	for _, id := range c.world.partners[d].endpoints {
 		if c.listedPhases[id] == snowjunction.Ready && !c.saved.noList {
 			ev.Endpoints = append(ev.Endpoints, c.listEntry(id))
 		}
 	}
-	if got.Snapshot != nil {
-		ev.Snapshot = &got.Snapshot.State
-		for i, n := range got.Snapshot.Names {
+	if loaded.Snapshot != nil {
+		ev.Snapshot = &loaded.Snapshot.State
+		for i, n := range loaded.Snapshot.Names {
 			ev.Snapshot.Endpoints[i].ID = snowjunction.EndpointID(n)
 		}
 	}
--- a/internal/emulate/result.go
+++ b/internal/emulate/result.go
@@ -16,8 +16,8 @@
 	delivered messageResult = iota
 	refused
 	failed
-	lost // its courier crashed without a journal
-	resultCount
+	lost        // its courier crashed without a journal
+	resultCount // number of the results above
 )
 
 // Result holds the figures of a run.
@@ -44,7 +44,7 @@
 	Resets     int `json:"resets"`
 	Unreached  int `json:"unreached"`
 	Handshakes int `json:"handshakes"`
-	Fell       int `json:"fell"`
+	Fell       int `json:"fell"` // collapses of recovering partners
 	// Collapses of recovering partners after more than N + 2*sqrt(N) + 2 calls (rules.Ramp),
 	// those that violate the rule, and the maximum of the calls as a multiple of that bound.
 	RampCollapses  int     `json:"ramp_fell,omitempty"`
@@ -84,6 +84,7 @@
 // valueTotals sums the value of the messages requested and delivered.
 type valueTotals struct{ requested, earned float64 }
 
+// share returns the earned share of the requested value, or 1 if none was requested.
 func (a valueTotals) share() float64 {
 	if a.requested == 0 {
 		return 1
@@ -91,6 +92,7 @@
 	return a.earned / a.requested
 }
 
+// newResult returns an empty result for a run.
 func newResult(s *Scenario, o Options, classes []snowjunction.Class) Result {
 	return Result{
 		Scenario: s.Name, Policy: o.Policy, Seed: o.Seed, classes: classes, latency: latency.New(time.Minute, 2),
@@ -98,20 +100,22 @@
 	}
 }
 
-func (r *Result) addRequested(m *message, worth float64) {
+// addRequested counts a first try and its value.
+func (r *Result) addRequested(m *message, value float64) {
 	r.Tries++
-	r.perSecond[int(m.created/time.Second)].requested += worth
-	r.perClass[m.class].requested += worth
+	r.perSecond[int(m.created/time.Second)].requested += value
+	r.perClass[m.class].requested += value
 	if !m.overQuota { // only messages within the quota count for the tenant
-		r.perTenant[m.tenant].requested += worth
+		r.perTenant[m.tenant].requested += value
 	}
 }
 
-func (r *Result) addDelivered(m *message, worth float64, took time.Duration) {
-	r.perSecond[int(m.created/time.Second)].earned += worth
-	r.perClass[m.class].earned += worth
+// addDelivered counts the value of a delivery and the time since the first try.
+func (r *Result) addDelivered(m *message, value float64, took time.Duration) {
+	r.perSecond[int(m.created/time.Second)].earned += value
+	r.perClass[m.class].earned += value
 	if !m.overQuota {
-		r.perTenant[m.tenant].earned += worth
+		r.perTenant[m.tenant].earned += value
 	}
 	r.latency.Add(took)
 }
--- a/internal/emulate/rules/ramp.go
+++ b/internal/emulate/rules/ramp.go
@@ -36,8 +36,8 @@
 )
 
 // NewRamp returns a counter with a sliding window of the given length.
-func NewRamp(fallTime time.Duration) *Ramp {
-	return &Ramp{collapseTime: fallTime, dests: map[int32]*rampState{}}
+func NewRamp(collapseTime time.Duration) *Ramp {
+	return &Ramp{collapseTime: collapseTime, dests: map[int32]*rampState{}}
 }
 
 // Bound returns the maximum number of calls within the collapse time that a recovering
--- a/internal/emulate/rules/ramp_test.go
+++ b/internal/emulate/rules/ramp_test.go
@@ -19,8 +19,8 @@
 		if informed(i) {
 			r.Failed(int32(i), 1)
 		}
-		if falls, breaks := r.Call(t, int32(i), 1, n); falls {
-			collapsedAt, violated = i, breaks
+		if collapses, violates := r.Call(t, int32(i), 1, n); collapses {
+			collapsedAt, violated = i, violates
 		}
 	}
 	return collapsedAt, violated
@@ -43,24 +43,24 @@
 		n    float64
 		most int // calls without a collapse
 	}{{0, 2}, {0.25, 3}, {1, 5}, {4, 10}, {9, 17}, {10, 18}, {100, 122}} {
-		fell, _ := replay(NewRamp(1500*ms), tc.n, allInformed, spaced(tc.most, ms)...)
-		assert.Equal(t, -1, fell, "%v: calls at the bound", tc.n)
-		fell, broken := replay(NewRamp(1500*ms), tc.n, allInformed, spaced(tc.most+1, ms)...)
-		assert.Equal(t, tc.most, fell, "%v: one call over the bound", tc.n)
-		assert.True(t, broken)
-		fell, _ = replay(NewRamp(1500*ms), tc.n, allInformed, spaced(50*tc.most, 1501*ms/time.Duration(tc.most))...)
-		assert.Equal(t, -1, fell, "%v: calls at the bound in every window", tc.n)
+		collapsedAt, _ := replay(NewRamp(1500*ms), tc.n, allInformed, spaced(tc.most, ms)...)
+		assert.Equal(t, -1, collapsedAt, "%v: calls at the bound", tc.n)
+		collapsedAt, violated := replay(NewRamp(1500*ms), tc.n, allInformed, spaced(tc.most+1, ms)...)
+		assert.Equal(t, tc.most, collapsedAt, "%v: one call over the bound", tc.n)
+		assert.True(t, violated)
+		collapsedAt, _ = replay(NewRamp(1500*ms), tc.n, allInformed, spaced(50*tc.most, 1501*ms/time.Duration(tc.most))...)
+		assert.Equal(t, -1, collapsedAt, "%v: calls at the bound in every window", tc.n)
 	}
 	r := NewRamp(1500 * ms)
 	late := append(spaced(3, 0), time.Hour+1400*ms, time.Hour+1400*ms, time.Hour+1501*ms, time.Hour+1600*ms, time.Hour+1600*ms, time.Hour+1700*ms)
-	fell, _ := replay(r, 1, allInformed, late...)
-	assert.Equal(t, 8, fell, "the sixth call in a sliding window, though no aligned window has over five")
+	collapsedAt, _ := replay(r, 1, allInformed, late...)
+	assert.Equal(t, 8, collapsedAt, "the sixth call in a sliding window, though no aligned window has over five")
 	assert.InDelta(t, 6.0/5, r.Peak(), 1e-9)
-	falls, _ := r.Call(time.Hour+1800*ms, 1, 1, 1)
-	assert.False(t, falls, "the destination has collapsed already")
+	collapses, _ := r.Call(time.Hour+1800*ms, 1, 1, 1)
+	assert.False(t, collapses, "the destination has collapsed already")
 	r.Reset(1)
-	fell, _ = replay(r, 1, allInformed, spaced(6, ms)...)
-	assert.Equal(t, 5, fell, "collapse after another outage")
+	collapsedAt, _ = replay(r, 1, allInformed, spaced(6, ms)...)
+	assert.Equal(t, 5, collapsedAt, "collapse after another outage")
 }
 
 // A collapse violates the rule if over two thirds of its calls come from informed couriers.
@@ -73,8 +73,8 @@
 		{func(i int) bool { return i < 4 }, false}, // two thirds of six
 		{func(i int) bool { return i < 5 }, true},
 	} {
-		fell, broken := replay(NewRamp(1500*ms), 1, tc.told, spaced(6, ms)...)
-		assert.Equal(t, 5, fell)
+		collapsedAt, broken := replay(NewRamp(1500*ms), 1, tc.told, spaced(6, ms)...)
+		assert.Equal(t, 5, collapsedAt)
 		assert.Equal(t, tc.broken, broken)
 	}
 	r := NewRamp(1500 * ms)
@@ -85,14 +85,14 @@
 	r.CourierReset(0)
 	r.CourierReset(1)
 	for i := range 6 {
-		if falls, broken := r.Call(time.Hour, int32(i), 1, 1); falls {
+		if collapses, broken := r.Call(time.Hour, int32(i), 1, 1); collapses {
 			assert.False(t, broken, "two of six couriers have restarted without state")
 			assert.Equal(t, 5, i)
 		}
 	}
 	r.Reset(1)
-	fell, broken := replay(r, 1, noneInformed, spaced(6, ms)...)
-	assert.Equal(t, 5, fell)
+	collapsedAt, broken := replay(r, 1, noneInformed, spaced(6, ms)...)
+	assert.Equal(t, 5, collapsedAt)
 	assert.False(t, broken, "failures of an earlier outage do not count")
 }
 
@@ -116,9 +116,9 @@
 				want = i
 			}
 		}
-		fell, _ := replay(NewRamp(1500*ms), n, allInformed, at...)
-		if fell != want {
-			t.Fatalf("collapses at call %d, want %d", fell, want)
+		collapsedAt, _ := replay(NewRamp(1500*ms), n, allInformed, at...)
+		if collapsedAt != want {
+			t.Fatalf("collapses at call %d, want %d", collapsedAt, want)
 		}
 	})
 }
--- a/internal/emulate/rules/rules.go
+++ b/internal/emulate/rules/rules.go
@@ -20,13 +20,13 @@
 const (
 	SingleResult  Rule = "one end"     // each message has one final result, in time
 	SingleAttempt Rule = "one out"     // a message never has two attempts in flight
-	SafeRetry     Rule = "repeat"      // a message that may have run is retried only as its class allows
+	SafeRetry     Rule = "repeat"      // retries after a possible run only as the class allows
 	MaxAttempts   Rule = "attempts"    // no more attempts than configured
 	DrainGrace    Rule = "drain"       // no new call to a draining endpoint after the grace period
-	KeyOrder      Rule = "order"       // one message of a key at a time, in order, and not while an attempt may still run
+	KeyOrder      Rule = "order"       // messages of a key go one at a time, in order
 	RetryAfter    Rule = "wait"        // retry-after delays are respected
 	ColdCollapse  Rule = "cold"        // a recovering partner does not collapse under overload
-	RampCollapse  Rule = "cold ramp"   // nor because of couriers informed of its outage, beyond random variation (Ramp)
+	RampCollapse  Rule = "cold ramp"   // nor because of informed couriers (Ramp)
 	WrongEndpoint Rule = "wrong place" // only listed endpoints of its destination are called
 )
 
--- a/internal/emulate/scenario.go
+++ b/internal/emulate/scenario.go
@@ -134,9 +134,9 @@
 		Journal bool    `json:"journal"`
 	} `json:"crashes"`
 	Settings struct {
-		Slots     int     `json:"slots"`      // zero means derived from the load
-		Held      int     `json:"held"`       // zero means derived from the load
-		Attempts  int     `json:"attempts"`   //
+		Slots     int     `json:"slots"` // zero means derived from the load
+		Held      int     `json:"held"`  // zero means derived from the load
+		Attempts  int     `json:"attempts"`
 		SlotShare float64 `json:"slot_share"` // slots relative to those that full load keeps busy
 	} `json:"settings"`
 	// Kept selects what couriers keep on disk next to the journal.
@@ -268,7 +268,7 @@
 	}
 	switch {
 	case s.Partners.Endpoints[0] < 1:
-		return invalid("/partners/endpoints/0", "one at least is wanted")
+		return invalid("/partners/endpoints/0", "must be at least 1")
 	case s.Partners.LatencyMs[0] <= 0:
 		return invalid("/partners/latency_ms/0", "must be over 0")
 	case s.Partners.Active > s.Partners.Count:
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -65,7 +65,7 @@
 	freeCalls         []int32
 	classes           []snowjunction.Class
 	quotas            []tenantQuota
-	cumulativeWeights []float64 // cumulative weights of the partners that get traffic
+	cumulativeWeights []float64 // of the partners that get traffic
 	partitions        []partition
 	checker           *rules.Checker
 	ramp              *rules.Ramp
@@ -103,6 +103,7 @@
 	return now >= p.from && now < p.until && slices.Contains(p.endpoints, ep)
 }
 
+// endpoint is an endpoint of a partner.
 type endpoint struct {
 	dest  int32
 	phase snowjunction.Phase // the actual phase, which the directory announces with a delay
@@ -161,7 +162,7 @@
 	dest              int32
 	attempt           int
 	startedAt         time.Duration
-	connIdle          time.Duration
+	connIdle          time.Duration // how long its connection was idle; zero means a new connection
 	reached           bool
 	endpointAnswers   bool // its endpoint answers, and the partner does not see the call
 	lost              bool // no response arrives, or the connection is not established
@@ -518,7 +519,8 @@
 	}
 }
 
-// recordRampFailure reports a call that failed during an outage or the recovery to the ramp counter.
+// recordRampFailure reports a call that failed during an outage or the recovery to the ramp
+// counter.
 func (w *world) recordRampFailure(courier, dest int32) {
 	p := w.partners[dest]
 	if _, cold := p.Cold(w.now); cold || p.Out(w.now) {
