--- a/internal/emulate/clients.go
+++ b/internal/emulate/clients.go
@@ -10,8 +10,8 @@
 func (w *world) arrivalRate(at time.Duration) float64 {
 	l, t := &w.scenario.Load, at.Seconds()
 	r := l.Full * l.Level
-	if l.Wave > 0 {
-		r *= 1 + l.Wave*math.Sin(2*math.Pi*t/l.WaveS)
+	if l.WaveDepth > 0 {
+		r *= 1 + l.WaveDepth*math.Sin(2*math.Pi*t/l.WavePeriodS)
 	}
 	for _, j := range l.Jumps {
 		if t >= j.At && t < j.At+j.For {
@@ -24,7 +24,7 @@
 // maxArrivalRate returns an upper bound of arrivalRate, in messages per second.
 func (w *world) maxArrivalRate() float64 {
 	l := &w.scenario.Load
-	r := l.Full * l.Level * (1 + l.Wave)
+	r := l.Full * l.Level * (1 + l.WaveDepth)
 	times := 1.0
 	for _, j := range l.Jumps {
 		times = math.Max(times, j.Times)
@@ -47,18 +47,18 @@
 
 // meanArrivalSize returns the mean number of messages per arrival.
 func (w *world) meanArrivalSize() float64 {
-	if w.scenario.Load.Clumps <= 0 {
+	if w.scenario.Load.BurstShare <= 0 {
 		return 1
 	}
 	size := w.meanBurstSize()
-	share := w.scenario.Load.Clumps / size // approximate share of the arrivals
+	share := w.scenario.Load.BurstShare / size // approximate share of the arrivals
 	return 1 - share + share*size
 }
 
 // meanBurstSize returns the mean number of messages in a burst.
 func (w *world) meanBurstSize() float64 {
 	l := &w.scenario.Load
-	return math.Max(1, (l.ClumpS[0]+l.ClumpS[1])/2*l.Full*l.Level/float64(max(1, len(w.cumulativeWeights))))
+	return math.Max(1, (l.BurstSizeS[0]+l.BurstSizeS[1])/2*l.Full*l.Level/float64(max(1, len(w.cumulativeWeights))))
 }
 
 // handleArrival creates a message, or a burst of them, and schedules the next arrival.
@@ -68,8 +68,8 @@
 	}
 	dest := w.pickPartner()
 	n := 1
-	if w.scenario.Load.Clumps > 0 && w.trafficRNG.Float64() < w.scenario.Load.Clumps/w.meanBurstSize() {
-		n = max(1, int(math.Round(w.partners[dest].fullLoadRate*w.scenario.Load.Level*uniform(w.trafficRNG, w.scenario.Load.ClumpS))))
+	if w.scenario.Load.BurstShare > 0 && w.trafficRNG.Float64() < w.scenario.Load.BurstShare/w.meanBurstSize() {
+		n = max(1, int(math.Round(w.partners[dest].fullLoadRate*w.scenario.Load.Level*uniform(w.trafficRNG, w.scenario.Load.BurstSizeS))))
 	}
 	for range n {
 		w.createMessage(dest)
@@ -93,7 +93,7 @@
 // tenant's quota and submits it.
 func (w *world) createMessage(dest int32) {
 	class := 1
-	if w.trafficRNG.Float64() < w.scenario.Load.Orders {
+	if w.trafficRNG.Float64() < w.scenario.Load.OrderShare {
 		class = 0
 	}
 	m := message{
@@ -227,7 +227,7 @@
 		return
 	}
 	wait := seconds(uniform(w.reactionRNG, c.BackoffMs) / 1000 * math.Exp2(float64(m.clientTries)))
-	if after > 0 && w.reactionRNG.Float64() < c.Heeds {
+	if after > 0 && w.reactionRNG.Float64() < c.HonorRetryAfter {
 		wait = after
 	}
 	if at := w.now + wait + clientDelay; at < m.deadline {
--- a/internal/emulate/courier.go
+++ b/internal/emulate/courier.go
@@ -67,7 +67,7 @@
 	c.run++
 	c.seed += 7919
 	c.settings = w.settings(c.seed)
-	c.settings.Number, c.settings.PeerMessages = int(c.number), w.scenario.Network.Notes.DelayMs[1] > 0
+	c.settings.Number, c.settings.PeerMessages = int(c.number), w.scenario.Network.PeerMessages.DelayMs[1] > 0
 	if c.options.ChangeSettings != nil {
 		c.options.ChangeSettings(&c.settings)
 	}
@@ -254,7 +254,7 @@
 // sendPeerMessage schedules a message between couriers; it may be lost.
 func (w *world) sendPeerMessage(from int32, a snowjunction.SendPeerMessages) {
 	w.result.PeerMessages++
-	n := &w.scenario.Network.Notes
+	n := &w.scenario.Network.PeerMessages
 	for _, d := range n.Down {
 		if at := w.now; at >= seconds(d.At) && at < seconds(d.At+d.For) {
 			return
--- a/internal/emulate/scenario.go
+++ b/internal/emulate/scenario.go
@@ -32,45 +32,45 @@
 	Seconds  float64  `json:"seconds"`
 	Couriers int      `json:"couriers"`
 	TickMs   float64  `json:"tick_ms"`
-	Dormancy bool     `json:"dormancy"`
+	Dormancy bool     `json:"dormancy"` // couriers unload idle destinations
 	Partners struct {
-		Count        int     `json:"count"`
-		Active       int     `json:"active"` // partners that get traffic; zero means all
-		Endpoints    Range   `json:"endpoints"`
-		Skew         float64 `json:"skew"` // exponent of the popularity (Zipf's law)
-		Limited      float64 `json:"limited"`
-		Spans        float64 `json:"spans"` // share of the limits that count calls in a window
-		SpanS        Range   `json:"span_s"`
-		Counting     float64 `json:"counting"`
-		Tells        float64 `json:"tells"`
-		Reports      float64 `json:"reports"`
-		RefreshMs    Range   `json:"refresh_ms"`
-		LeastWaitS   Range   `json:"least_wait_s"` // minimum of the retry-after delay, whatever the limit
-		Headroom     Range   `json:"headroom"`     // limit relative to its calls at full load
-		LeastLimit   float64 `json:"least_limit"`
-		Capacity     Range   `json:"capacity"` // relative to the limit, or to its calls at full load
-		LatencyMs    Range   `json:"latency_ms"`
-		Queue        int     `json:"queue"`
-		Errors       float64 `json:"errors"`
-		ColdShare    float64 `json:"cold_share"`
-		WarmS        float64 `json:"warm_s"`
-		FallMultiple float64 `json:"fall_multiple"`
-		FallS        float64 `json:"fall_s"`
-		FallSlack    float64 `json:"fall_slack"` // calls
-		FallRoot     float64 `json:"fall_root"`  // added: this times the square root of the calls that the settings allow
+		Count             int     `json:"count"`
+		Active            int     `json:"active"` // partners that get traffic; zero means all
+		Endpoints         Range   `json:"endpoints"`
+		Skew              float64 `json:"skew"`     // exponent of the popularity (Zipf's law)
+		LimitedShare      float64 `json:"limited"`  // share of the partners that have a limit
+		WindowedShare     float64 `json:"spans"`    // share of the limits that count calls in a window
+		WindowS           Range   `json:"span_s"`   // length of that window
+		CountingShare     float64 `json:"counting"` // share of partners where refused calls use up the limit
+		RetryAfterShare   float64 `json:"tells"`    // share of the refusals with a retry-after delay
+		ReportShare       float64 `json:"reports"`  // share of the partners that report their limit
+		RefreshMs         Range   `json:"refresh_ms"`
+		MinRetryAfterS    Range   `json:"least_wait_s"` // minimum of the retry-after delay, whatever the limit
+		Headroom          Range   `json:"headroom"`     // limit relative to its calls at full load
+		MinLimit          float64 `json:"least_limit"`
+		Capacity          Range   `json:"capacity"` // relative to the limit, or to its calls at full load
+		LatencyMs         Range   `json:"latency_ms"`
+		Queue             int     `json:"queue"`
+		Errors            float64 `json:"errors"`
+		ColdShare         float64 `json:"cold_share"`    // share of the capacity at the start of the recovery
+		WarmUpS           float64 `json:"warm_s"`        // duration of the recovery
+		CollapseMultiple  float64 `json:"fall_multiple"` // multiple of its capacity at which it collapses
+		CollapseTimeS     float64 `json:"fall_s"`        // window in which calls count for a collapse
+		CollapseSlack     float64 `json:"fall_slack"`    // calls allowed in addition
+		CollapseRootSlack float64 `json:"fall_root"`     // further calls, times the root of those that the settings allow
 	} `json:"partners"`
 	Load struct {
-		Full   float64 `json:"full"`  // messages per second at full load, to which limits are relative
-		Level  float64 `json:"level"` // offered load, relative to Full
-		Wave   float64 `json:"wave"`  // relative amplitude of a slow sine wave
-		WaveS  float64 `json:"wave_s"`
-		Orders float64 `json:"orders"`
-		PerKey float64 `json:"per_key"` // mean number of messages per key
+		Full        float64 `json:"full"`    // messages per second at full load, to which limits are relative
+		Level       float64 `json:"level"`   // offered load, relative to Full
+		WaveDepth   float64 `json:"wave"`    // relative amplitude of a slow sine wave
+		WavePeriodS float64 `json:"wave_s"`  // period of that wave
+		OrderShare  float64 `json:"orders"`  // share of the messages that are orders with a key
+		PerKey      float64 `json:"per_key"` // mean number of messages per key
 		// KeyGapS is the mean time between two messages of a key.
-		KeyGapS float64 `json:"key_gap_s"`
-		Clumps  float64 `json:"clumps"`  // share of messages that arrive in bursts
-		ClumpS  Range   `json:"clump_s"` // size of a burst, in seconds of the partner's rate
-		Jumps   []struct {
+		KeyGapS    float64 `json:"key_gap_s"`
+		BurstShare float64 `json:"clumps"`  // share of messages that arrive in bursts
+		BurstSizeS Range   `json:"clump_s"` // size of a burst, in seconds of the partner's rate
+		Jumps      []struct {
 			Span
 			Times float64 `json:"times"`
 		} `json:"jumps"`
@@ -86,15 +86,15 @@
 		Over  float64 `json:"over"` // load it sends relative to its share; below one means one
 	} `json:"tenants"`
 	Clients struct {
-		Retries   float64 `json:"retries"`
-		Heeds     float64 `json:"heeds"`
-		BackoffMs Range   `json:"backoff_ms"`
+		Retries         float64 `json:"retries"`
+		HonorRetryAfter float64 `json:"heeds"` // share of the clients that respect the retry-after delay
+		BackoffMs       Range   `json:"backoff_ms"`
 	} `json:"clients"`
 	Network struct {
-		DelayMs   Range    `json:"delay_ms"`
-		Handshake float64  `json:"handshake"` // duration of a handshake, in round trips
-		Loss      float64  `json:"loss"`      // share of the calls that are lost
-		Notes     struct { // messages between couriers; disabled if there is no delay
+		DelayMs      Range    `json:"delay_ms"`
+		Handshake    float64  `json:"handshake"` // duration of a handshake, in round trips
+		Loss         float64  `json:"loss"`      // share of the calls that are lost
+		PeerMessages struct { // messages between couriers; disabled if there is no delay
 			DelayMs Range   `json:"delay_ms"`
 			Loss    float64 `json:"loss"`
 			Down    []Span  `json:"down"` // spans in which none arrives
@@ -106,20 +106,20 @@
 		} `json:"partitions"`
 	} `json:"network"`
 	Directory struct {
-		DelayS Range   `json:"delay_s"`
-		Down   []Span  `json:"down"`
-		Stale  float64 `json:"stale"` // share of the endpoints that are listed at the start but do not exist
-		Reuse  float64 `json:"reuse"` // share of the removed endpoints whose address another service uses
+		DelayS     Range   `json:"delay_s"`
+		Down       []Span  `json:"down"`
+		StaleShare float64 `json:"stale"` // share of the endpoints that are listed at the start but do not exist
+		ReuseShare float64 `json:"reuse"` // share of the removed endpoints whose address another service uses
 	} `json:"directory"`
 	Faults []struct {
 		Kind string `json:"kind"`
 		Span
-		Share     float64 `json:"share"`     // share of the partners
-		Endpoints float64 `json:"endpoints"` // share of each partner's endpoints; zero means all
-		Calls     float64 `json:"calls"`     // share of the calls; zero means all
-		Times     float64 `json:"times"`
-		Cold      bool    `json:"cold"`
-		FlapS     float64 `json:"flap_s"` // alternately on and off for this time; zero means always on
+		Share         float64 `json:"share"`     // share of the partners
+		Endpoints     float64 `json:"endpoints"` // share of each partner's endpoints; zero means all
+		Calls         float64 `json:"calls"`     // share of the calls; zero means all
+		Times         float64 `json:"times"`
+		Cold          bool    `json:"cold"`
+		FlapIntervalS float64 `json:"flap_s"` // alternately on and off for this time; zero means always on
 	} `json:"faults"`
 	Drains []struct {
 		At    float64 `json:"at_s"`
@@ -156,12 +156,12 @@
 	} `json:"plugin"`
 	// Tuning overrides constants of the module, for experiments.
 	Tuning struct {
-		LedgerRatio *float64 `json:"ledger_ratio"`
-		LedgerFloor *float64 `json:"ledger_floor"`
-		SlotsShare  *float64 `json:"slots_share"`
-		PaceStart   *float64 `json:"pace_start"`
-		PaceWoken   *float64 `json:"pace_woken"`
-		ColdSafety  *float64 `json:"cold_safety"`
+		LedgerRatio      *float64 `json:"ledger_ratio"`
+		LedgerFloor      *float64 `json:"ledger_floor"`
+		MaxSlotShare     *float64 `json:"slots_share"`
+		InitialPace      *float64 `json:"pace_start"`
+		PaceAfterLoad    *float64 `json:"pace_woken"`
+		ColdBudgetFactor *float64 `json:"cold_safety"`
 	} `json:"tuning"`
 }
 
@@ -172,8 +172,8 @@
 		to   *float64
 		from *float64
 	}{
-		{&t.RetryRatio, s.Tuning.LedgerRatio}, {&t.RetryFloor, s.Tuning.LedgerFloor}, {&t.MaxSlotShare, s.Tuning.SlotsShare},
-		{&t.InitialPace, s.Tuning.PaceStart}, {&t.PaceAfterLoad, s.Tuning.PaceWoken}, {&t.ColdBudgetFactor, s.Tuning.ColdSafety},
+		{&t.RetryRatio, s.Tuning.LedgerRatio}, {&t.RetryFloor, s.Tuning.LedgerFloor}, {&t.MaxSlotShare, s.Tuning.MaxSlotShare},
+		{&t.InitialPace, s.Tuning.InitialPace}, {&t.PaceAfterLoad, s.Tuning.PaceAfterLoad}, {&t.ColdBudgetFactor, s.Tuning.ColdBudgetFactor},
 	} {
 		if x.from != nil {
 			*x.to, changed = *x.from, true
@@ -234,17 +234,17 @@
 		r       Range
 	}{
 		{"/partners/endpoints", s.Partners.Endpoints},
-		{"/partners/span_s", s.Partners.SpanS},
+		{"/partners/span_s", s.Partners.WindowS},
 		{"/partners/refresh_ms", s.Partners.RefreshMs},
-		{"/partners/least_wait_s", s.Partners.LeastWaitS},
+		{"/partners/least_wait_s", s.Partners.MinRetryAfterS},
 		{"/partners/headroom", s.Partners.Headroom},
 		{"/partners/capacity", s.Partners.Capacity},
 		{"/partners/latency_ms", s.Partners.LatencyMs},
-		{"/load/clump_s", s.Load.ClumpS},
+		{"/load/clump_s", s.Load.BurstSizeS},
 		{"/plugin/call_ms", s.Plugin.CallMs},
 		{"/clients/backoff_ms", s.Clients.BackoffMs},
 		{"/network/delay_ms", s.Network.DelayMs},
-		{"/network/notes/delay_ms", s.Network.Notes.DelayMs},
+		{"/network/notes/delay_ms", s.Network.PeerMessages.DelayMs},
 		{"/directory/delay_s", s.Directory.DelayS},
 	} {
 		if x.r[0] > x.r[1] {
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -224,7 +224,7 @@
 			RestartGrace: 1500 * time.Millisecond, ResultSlack: 20*time.Millisecond + 2*seconds(s.TickMs/1000),
 		})
 	}
-	w.ramp = rules.NewRamp(seconds(s.Partners.FallS))
+	w.ramp = rules.NewRamp(seconds(s.Partners.CollapseTimeS))
 	w.peerMessages = map[int32]snowjunction.PeerMessagesReceived{}
 	w.makePartners(o.Seed)
 	if err := w.makeCouriers(o); err != nil {
@@ -254,18 +254,18 @@
 	for i := range p.Count {
 		rate := weights[i] / total * w.scenario.Load.Full
 		span := time.Duration(0)
-		limit := math.Max(rate*uniform(r, p.Headroom), p.LeastLimit)
-		if r.Float64() < p.Spans {
-			span = seconds(math.Round(2*uniform(r, p.SpanS)) / 2)
+		limit := math.Max(rate*uniform(r, p.Headroom), p.MinLimit)
+		if r.Float64() < p.WindowedShare {
+			span = seconds(math.Round(2*uniform(r, p.WindowS)) / 2)
 		}
 		capacity := limit * uniform(r, p.Capacity)
-		if r.Float64() >= p.Limited {
+		if r.Float64() >= p.LimitedShare {
 			limit, span = 0, 0
 		}
 		f := partner.Profile{
-			Limit: limit, Span: span, Counting: r.Float64() < p.Counting, Tells: p.Tells, Report: r.Float64() < p.Reports,
-			Refresh: seconds(uniform(r, p.RefreshMs) / 1000), Capacity: capacity, Latency: seconds(uniform(r, p.LatencyMs) / 1000), LeastWait: seconds(uniform(r, p.LeastWaitS)),
-			Queue: p.Queue, ColdShare: p.ColdShare, WarmUp: seconds(p.WarmS), FallMultiple: p.FallMultiple, FallTime: seconds(p.FallS), FallSlack: p.FallSlack, FallRoot: p.FallRoot,
+			Limit: limit, Span: span, Counting: r.Float64() < p.CountingShare, Tells: p.RetryAfterShare, Report: r.Float64() < p.ReportShare,
+			Refresh: seconds(uniform(r, p.RefreshMs) / 1000), Capacity: capacity, Latency: seconds(uniform(r, p.LatencyMs) / 1000), LeastWait: seconds(uniform(r, p.MinRetryAfterS)),
+			Queue: p.Queue, ColdShare: p.ColdShare, WarmUp: seconds(p.WarmUpS), FallMultiple: p.CollapseMultiple, FallTime: seconds(p.CollapseTimeS), FallSlack: p.CollapseSlack, FallRoot: p.CollapseRootSlack,
 		}
 		x := &partnerState{Partner: partner.New(f, r.Uint64()), number: int32(i), fullLoadRate: rate}
 		x.Blind = true
@@ -306,7 +306,7 @@
 		OverQuotaValueShare: 0.05, Report: []snowjunction.ReportField{snowjunction.AllowanceLeft, snowjunction.LimitRate},
 		Cancelling: true, RetryAfter: true, MaxRetryAfter: 3 * time.Second, ConnIdle: connIdleTimeout, ConnectTimeout: connectTimeout, StreamsPerConn: 8,
 		OrderSettle: 100 * time.Millisecond, DrainGrace: time.Second, AnswerSlack: 20 * time.Millisecond,
-		ColdShare: s.Partners.ColdShare, WarmUp: seconds(s.Partners.WarmS), CollapseMultiple: s.Partners.FallMultiple, CollapseTime: seconds(s.Partners.FallS),
+		ColdShare: s.Partners.ColdShare, WarmUp: seconds(s.Partners.WarmUpS), CollapseMultiple: s.Partners.CollapseMultiple, CollapseTime: seconds(s.Partners.CollapseTimeS),
 		Tuning: s.tuning(),
 	}
 	if out.Slots == 0 {
@@ -344,10 +344,10 @@
 		for _, i := range w.sample(f.Share, len(w.partners)) {
 			x := w.partners[i]
 			spans := []Span{f.Span}
-			if f.FlapS > 0 {
+			if f.FlapIntervalS > 0 {
 				spans = nil
-				for at := f.At; at < f.At+f.For; at += 2 * f.FlapS {
-					spans = append(spans, Span{at, math.Min(f.FlapS, f.At+f.For-at)})
+				for at := f.At; at < f.At+f.For; at += 2 * f.FlapIntervalS {
+					spans = append(spans, Span{at, math.Min(f.FlapIntervalS, f.At+f.For-at)})
 				}
 			}
 			for n, span := range spans {
@@ -396,7 +396,7 @@
 			w.queue.push(event{at: seconds(d.At + d.Over*w.faultRNG.Float64()), kind: endpointDrain, id: int32(i)})
 		}
 	}
-	for _, i := range w.sample(w.scenario.Directory.Stale, len(w.endpoints)) {
+	for _, i := range w.sample(w.scenario.Directory.StaleShare, len(w.endpoints)) {
 		w.removeEndpoint(int32(i))
 		w.announce(int32(i), snowjunction.Gone)
 	}
@@ -532,7 +532,7 @@
 func (w *world) removeEndpoint(id int32) {
 	e := &w.endpoints[id]
 	e.phase = snowjunction.Gone
-	if reuse := w.scenario.Directory.Reuse; reuse > 0 {
+	if reuse := w.scenario.Directory.ReuseShare; reuse > 0 {
 		e.addressReused, e.saysMisdirected = w.faultRNG.Float64() < reuse, w.faultRNG.Float64() < 0.5
 	}
 }
