--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -89,14 +89,14 @@
 		}
 	}
 	reply := &wire.Reply{}
-	for _, who := range h.order {
-		in := h.instances[who]
+	for _, instanceID := range h.order {
+		in := h.instances[instanceID]
 		in.active = false
 		if in.courier != nil {
-			in.handle(who, now, reply)
+			in.handle(instanceID, now, reply)
 		}
 		if in.failure != "" {
-			reply.Add(wire.Action{Code: wire.BailOut, Instance: who, Text: in.failure})
+			reply.Add(wire.Action{Code: wire.BailOut, Instance: instanceID, Text: in.failure})
 			in.courier, in.failure = nil, ""
 		}
 		in.events = in.events[:0]
@@ -105,28 +105,28 @@
 }
 
 // activate returns an instance, created if necessary, and marks it as part of the batch.
-func (h *host) activate(who uint16) *instance {
-	in := h.instances[who]
+func (h *host) activate(instanceID uint16) *instance {
+	in := h.instances[instanceID]
 	if in == nil {
 		in = &instance{}
-		h.instances[who] = in
+		h.instances[instanceID] = in
 	}
 	if !in.active {
 		in.active = true
-		h.order = append(h.order, who)
+		h.order = append(h.order, instanceID)
 	}
 	return in
 }
 
 // handle runs the module. A panic becomes the failure of the instance.
-func (in *instance) handle(who uint16, now time.Duration, reply *wire.Reply) {
+func (in *instance) handle(instanceID uint16, now time.Duration, reply *wire.Reply) {
 	defer func() {
 		if p := recover(); p != nil {
 			in.failure = fmt.Sprintf("panic: %v", p)
 		}
 	}()
 	for _, a := range in.courier.Handle(now, in.events) {
-		reply.Add(encode(who, a))
+		reply.Add(encode(instanceID, a))
 	}
 }
 
@@ -158,7 +158,7 @@
 }
 
 // translate converts an event of the wire protocol, or returns nil if the module has no use for it.
-func translate(ev wire.Event, pages map[uint16][]snowjunction.Endpoint) snowjunction.Event {
+func translate(ev wire.Event, lists map[uint16][]snowjunction.Endpoint) snowjunction.Event {
 	switch ev.Code {
 	case wire.Discovery:
 		kinds := []snowjunction.ListKind{
@@ -170,7 +170,7 @@
 		}
 		list := snowjunction.List{Kind: kinds[ev.Kind]}
 		if list.Kind != snowjunction.ListFailed {
-			list.Endpoints = pages[ev.ListNumber]
+			list.Endpoints = lists[ev.ListNumber]
 		}
 		return list
 	case wire.Call:
@@ -213,27 +213,27 @@
 }
 
 // encode converts an action to the wire protocol.
-func encode(who uint16, a snowjunction.Action) wire.Action {
+func encode(instanceID uint16, a snowjunction.Action) wire.Action {
 	switch a := a.(type) {
 	case snowjunction.Send:
-		return wire.Action{Code: wire.Assign, Instance: who, Request: uint32(a.Request),
+		return wire.Action{Code: wire.Assign, Instance: instanceID, Request: uint32(a.Request),
 			Endpoint: uint32(a.Endpoint), Delay: a.Timeout}
 	case snowjunction.Refuse:
-		return wire.Action{Code: wire.NotNow, Instance: who, Request: uint32(a.Request), Delay: a.RetryAfter}
+		return wire.Action{Code: wire.NotNow, Instance: instanceID, Request: uint32(a.Request), Delay: a.RetryAfter}
 	case snowjunction.Fail:
-		return wire.Action{Code: wire.Surrender, Instance: who, Request: uint32(a.Request)}
+		return wire.Action{Code: wire.Surrender, Instance: instanceID, Request: uint32(a.Request)}
 	case snowjunction.Cancel:
-		return wire.Action{Code: wire.Recall, Instance: who, Request: uint32(a.Request), Attempt: uint16(a.Attempt)}
+		return wire.Action{Code: wire.Recall, Instance: instanceID, Request: uint32(a.Request), Attempt: uint16(a.Attempt)}
 	case snowjunction.Probe:
-		return wire.Action{Code: wire.Sample, Instance: who, Endpoint: uint32(a.Endpoint)}
+		return wire.Action{Code: wire.Sample, Instance: instanceID, Endpoint: uint32(a.Endpoint)}
 	case snowjunction.CloseIdle:
-		return wire.Action{Code: wire.Disconnect, Instance: who, Endpoint: uint32(a.Endpoint)}
+		return wire.Action{Code: wire.Disconnect, Instance: instanceID, Endpoint: uint32(a.Endpoint)}
 	case snowjunction.Watch:
-		return wire.Action{Code: wire.KeepInformed, Instance: who}
+		return wire.Action{Code: wire.KeepInformed, Instance: instanceID}
 	case snowjunction.SetTimer:
-		return wire.Action{Code: wire.WakeAt, Instance: who, Token: a.Token, Delay: a.After}
+		return wire.Action{Code: wire.WakeAt, Instance: instanceID, Token: a.Token, Delay: a.After}
 	case snowjunction.Log:
-		return wire.Action{Code: wire.Trace, Instance: who, Text: a.Text}
+		return wire.Action{Code: wire.Trace, Instance: instanceID, Text: a.Text}
 	}
-	return wire.Action{Code: wire.BailOut, Instance: who, Text: fmt.Sprintf("unknown action %T", a)}
+	return wire.Action{Code: wire.BailOut, Instance: instanceID, Text: fmt.Sprintf("unknown action %T", a)}
 }
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -42,22 +42,22 @@
 	b.recs = append(b.recs, append(r.Bytes(), make([]byte, 48-r.Len())...)...)
 }
 
-func (b *batch) start(who uint16, settings string) {
-	b.rec(uint8(wire.Start), who, uint64(1), uint32(len(b.tail)), uint32(len(settings)))
+func (b *batch) start(instanceID uint16, settings string) {
+	b.rec(uint8(wire.Start), instanceID, uint64(1), uint32(len(b.tail)), uint32(len(settings)))
 	b.tail = append(b.tail, settings...)
 }
 
 // list sends an instance an endpoint list with endpoint 7 of destination 1.
-func (b *batch) list(who uint16) {
+func (b *batch) list(instanceID uint16) {
 	b.rec(uint8(wire.Table), uint16(0), uint32(len(b.tail)), uint32(1))
 	entry := make([]byte, 22)
 	entry[3], entry[8], entry[9] = 7, 1, 1
 	b.tail = append(b.tail, entry...)
-	b.rec(uint8(wire.Discovery), who, uint64(1), uint8(wire.Cached), uint16(0))
+	b.rec(uint8(wire.Discovery), instanceID, uint64(1), uint8(wire.Cached), uint16(0))
 }
 
-func (b *batch) call(who uint16, req uint32) {
-	b.rec(uint8(wire.Call), who, req, uint64(0), 10000.0, uint16(0), uint8(0), uint16(0), float32(1))
+func (b *batch) call(instanceID uint16, req uint32) {
+	b.rec(uint8(wire.Call), instanceID, req, uint64(0), 10000.0, uint16(0), uint8(0), uint16(0), float32(1))
 }
 
 func (b *batch) frame(ms float64) []byte {
@@ -73,9 +73,9 @@
 
 // action is the part of an action record that the tests compare.
 type action struct {
-	code byte
-	who  uint16
-	req  uint32
+	code     byte
+	instance uint16
+	req      uint32
 }
 
 // replies decodes the output of the adapter into frames of actions and the text of their tails.
@@ -102,7 +102,7 @@
 
 func contains(acts []action, want action) bool {
 	for _, a := range acts {
-		if a.code == want.code && a.who == want.who && (want.req == 0 || a.req == want.req) {
+		if a.code == want.code && a.instance == want.instance && (want.req == 0 || a.req == want.req) {
 			return true
 		}
 	}
@@ -205,7 +205,7 @@
 	b.list(2)
 	b.call(2, 42)
 	frames, text := runFrames(t, b.frame(5))
-	if !contains(frames[0], action{code: wire.BailOut, who: 1}) || !strings.Contains(text, "no classes") {
+	if !contains(frames[0], action{code: wire.BailOut, instance: 1}) || !strings.Contains(text, "no classes") {
 		t.Errorf("no BailOut that names the field: %v %q", frames[0], text)
 	}
 	if !contains(frames[0], action{wire.Assign, 2, 42}) {
@@ -243,17 +243,17 @@
 		return frames
 	}
 	together, _ := runFrames(t, framesFor(1, 2, 3)...)
-	for _, who := range []uint16{1, 2, 3} {
-		alone, _ := runFrames(t, framesFor(who)...)
+	for _, instanceID := range []uint16{1, 2, 3} {
+		alone, _ := runFrames(t, framesFor(instanceID)...)
 		for i := range alone {
-			var mine []action
+			var own []action
 			for _, a := range together[i] {
-				if a.who == who {
-					mine = append(mine, a)
+				if a.instance == instanceID {
+					own = append(own, a)
 				}
 			}
-			if fmt.Sprint(mine) != fmt.Sprint(alone[i]) {
-				t.Fatalf("instance %d, batch %d: %v together, %v alone", who, i, mine, alone[i])
+			if fmt.Sprint(own) != fmt.Sprint(alone[i]) {
+				t.Fatalf("instance %d, batch %d: %v together, %v alone", instanceID, i, own, alone[i])
 			}
 		}
 	}
@@ -268,7 +268,7 @@
 	b.start(1, validSettings)
 	b.list(1)
 	frames, _ := runFrames(t, a.frame(0), b.frame(5))
-	if contains(frames[1], action{code: wire.Assign, who: 1}) {
+	if contains(frames[1], action{code: wire.Assign, instance: 1}) {
 		t.Errorf("a request from before the restart was sent: %v", frames[1])
 	}
 }
--- a/internal/emulate/capacity_test.go
+++ b/internal/emulate/capacity_test.go
@@ -34,13 +34,13 @@
 			c.counts.announcements++
 			continue
 		}
-		far := make([]snowjunction.PeerMessage, len(t.Messages))
+		encoded := make([]snowjunction.PeerMessage, len(t.Messages))
 		for i, x := range t.Messages {
 			c.counts.count(x)
-			far[i] = x
-			far[i].Destination += 1_000_000 // encoded in as many bytes as most numbers of a large fleet
+			encoded[i] = x
+			encoded[i].Destination += 1_000_000 // encoded in as many bytes as most numbers of a large fleet
 		}
-		for _, b := range peermsg.Encode(far) {
+		for _, b := range peermsg.Encode(encoded) {
 			c.counts.datagrams++
 			c.counts.bytes += len(b)
 		}
--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -303,10 +303,10 @@
 // too late. With the quarantine, messages keep their order by key, and crashes of couriers lose no
 // message that waits for the plug-in.
 func TestHangingPlugin(t *testing.T) {
-	const busy = `{"load": {"full": 200}, "partners": {"errors": 0}, "crashes": [{"at_s": 20, "down_s": 1, "share": 1, "over_s": 3, "journal": true}]`
-	withBreaker := run(t, load(t, "plugin-hangs", busy+"}"), Options{Policy: "module"})
-	withoutBreaker := run(t, load(t, "plugin-hangs", busy+`, "plugin": {"breaker": false}}`), Options{Policy: "module"})
-	noPlugin := run(t, load(t, "plugin-hangs", busy+`, "plugin": {"budget_ms": 0}}`), Options{Policy: "module"})
+	const overlay = `{"load": {"full": 200}, "partners": {"errors": 0}, "crashes": [{"at_s": 20, "down_s": 1, "share": 1, "over_s": 3, "journal": true}]`
+	withBreaker := run(t, load(t, "plugin-hangs", overlay+"}"), Options{Policy: "module"})
+	withoutBreaker := run(t, load(t, "plugin-hangs", overlay+`, "plugin": {"breaker": false}}`), Options{Policy: "module"})
+	noPlugin := run(t, load(t, "plugin-hangs", overlay+`, "plugin": {"budget_ms": 0}}`), Options{Policy: "module"})
 	for _, r := range []*Result{withBreaker, noPlugin} {
 		assert.Zero(t, r.Broken(), "%+v", r.First)
 		assert.Zero(t, r.Lost)
@@ -322,10 +322,10 @@
 // At the end of a run no partner has a call in progress or in transit, whatever failed or
 // crashed during the run: each call that began has ended once.
 func TestEachCallEndsOnce(t *testing.T) {
-	const parts = `{"faults": [
+	const overlayOfFaults = `{"faults": [
 		{"kind": "errors", "at_s": 5, "for_s": 40, "share": 0.5, "endpoints": 0.5}, {"kind": "silent", "at_s": 5, "for_s": 40, "share": 0.5, "endpoints": 0.5}
 	], "crashes": [{"at_s": 10, "down_s": 1, "share": 1, "over_s": 20, "journal": true}], "load": {"full": 300}}`
-	for name, overlay := range map[string]string{"all-at-once": "{}", "quick-errors": parts, "flapping": "{}", "rolling-restart": "{}"} {
+	for name, overlay := range map[string]string{"all-at-once": "{}", "quick-errors": overlayOfFaults, "flapping": "{}", "rolling-restart": "{}"} {
 		w, err := simulate(load(t, name, overlay), Options{Policy: "module", Seed: 1})
 		require.NoError(t, err)
 		for _, p := range w.partners {
@@ -340,8 +340,8 @@
 func TestFleetSharesLimits(t *testing.T) {
 	const form, noPeerMessages = `{"seconds": 30%s}`, `, "network": {"notes": {"delay_ms": [0, 0]}}`
 	for name, tc := range map[string]struct {
-		overlay string
-		refused float64 // maximum share of the calls that are rejected
+		overlay  string
+		rejected float64 // maximum share of the calls that are rejected
 	}{
 		"overload":                       {`, "load": {"level": 1.3}`, 0.02},
 		"full":                           {``, 0.02},
@@ -356,7 +356,7 @@
 			t.Parallel()
 			r := run(t, load(t, "growing-fleet", fmt.Sprintf(form, tc.overlay)), Options{Policy: "module", Seed: 6})
 			assert.Zero(t, r.Broken(), "%+v", r.First)
-			assert.LessOrEqual(t, float64(r.TurnedAway), tc.refused*float64(r.Sends))
+			assert.LessOrEqual(t, float64(r.TurnedAway), tc.rejected*float64(r.Sends))
 			if name == "lost peer messages" || name == "partners and peers unreachable" { // the overlay of the case sets "network" already
 				return
 			}
@@ -374,9 +374,9 @@
 func TestNoCollapseDuringRecovery(t *testing.T) {
 	const restarts = `"crashes": [{"at_s": 22.5, "down_s": 1, "share": 0.3, "over_s": 4, "journal": true}], `
 	for _, tc := range []struct {
-		name, more   string
-		notes, limit bool
-		seeds        []uint64
+		name, more          string
+		peerMessages, limit bool
+		seeds               []uint64
 	}{
 		{"no peer messages", "", false, true, []uint64{3, 30}},
 		{"no peer messages, no reported limit", "", false, false, []uint64{21, 36}},
@@ -391,7 +391,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			overlay := `{"seconds": 34, ` + tc.more
-			if !tc.notes {
+			if !tc.peerMessages {
 				overlay += `"network": {"notes": {"delay_ms": [0, 0]}}, `
 			}
 			s := load(t, "cold-ramp", overlay+fmt.Sprintf(`"partners": {"reports": %v}}`, indicator(tc.limit)))
--- a/internal/emulate/rules/ramp_test.go
+++ b/internal/emulate/rules/ramp_test.go
@@ -40,15 +40,15 @@
 // The bound is N + 2*sqrt(N) + 2 calls in a sliding window, from any courier.
 func TestRampBound(t *testing.T) {
 	for _, tc := range []struct {
-		n    float64
-		most int // calls without a collapse
+		n        float64
+		maxCalls int // calls without a collapse
 	}{{0, 2}, {0.25, 3}, {1, 5}, {4, 10}, {9, 17}, {10, 18}, {100, 122}} {
-		collapsedAt, _ := replay(NewRamp(1500*ms), tc.n, allInformed, spaced(tc.most, ms)...)
+		collapsedAt, _ := replay(NewRamp(1500*ms), tc.n, allInformed, spaced(tc.maxCalls, ms)...)
 		assert.Equal(t, -1, collapsedAt, "%v: calls at the bound", tc.n)
-		collapsedAt, violated := replay(NewRamp(1500*ms), tc.n, allInformed, spaced(tc.most+1, ms)...)
-		assert.Equal(t, tc.most, collapsedAt, "%v: one call over the bound", tc.n)
+		collapsedAt, violated := replay(NewRamp(1500*ms), tc.n, allInformed, spaced(tc.maxCalls+1, ms)...)
+		assert.Equal(t, tc.maxCalls, collapsedAt, "%v: one call over the bound", tc.n)
 		assert.True(t, violated)
-		collapsedAt, _ = replay(NewRamp(1500*ms), tc.n, allInformed, spaced(50*tc.most, 1501*ms/time.Duration(tc.most))...)
+		collapsedAt, _ = replay(NewRamp(1500*ms), tc.n, allInformed, spaced(50*tc.maxCalls, 1501*ms/time.Duration(tc.maxCalls))...)
 		assert.Equal(t, -1, collapsedAt, "%v: calls at the bound in every window", tc.n)
 	}
 	r := NewRamp(1500 * ms)
@@ -66,16 +66,16 @@
 // A collapse violates the rule if over two thirds of its calls come from informed couriers.
 func TestRampInformedShare(t *testing.T) {
 	for _, tc := range []struct {
-		told   func(i int) bool
-		broken bool
+		informed func(i int) bool
+		violated bool
 	}{
 		{noneInformed, false}, {allInformed, true},
 		{func(i int) bool { return i < 4 }, false}, // two thirds of six
 		{func(i int) bool { return i < 5 }, true},
 	} {
-		collapsedAt, broken := replay(NewRamp(1500*ms), 1, tc.told, spaced(6, ms)...)
+		collapsedAt, broken := replay(NewRamp(1500*ms), 1, tc.informed, spaced(6, ms)...)
 		assert.Equal(t, 5, collapsedAt)
-		assert.Equal(t, tc.broken, broken)
+		assert.Equal(t, tc.violated, broken)
 	}
 	r := NewRamp(1500 * ms)
 	for i := range 6 {
