--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -1,10 +1,10 @@
-// Package deploy holds the documents that the push front serves by, for
-// programs that start a courier away from this folder.
+// Package deploy embeds the API descriptions of the push front, for programs that start a courier
+// outside this folder.
 package deploy
 
 import _ "embed"
 
-// The push front's descriptions.
+// OpenAPI and AsyncAPI are the descriptions of the push front's API.
 var (
 	//go:embed openapi.json
 	OpenAPI []byte
--- a/example/plugins-wasm/hints/main.go
+++ b/example/plugins-wasm/hints/main.go
@@ -1,11 +1,11 @@
 //go:build wasip1
 
-// A plug-in in Go, compiled to WebAssembly:
+// Command hints is an example of a plug-in in Go, compiled to WebAssembly:
 //
 //	GOOS=wasip1 GOARCH=wasm go build -buildmode=c-shared -o hints.wasm .
 //
-// It reads the wait that a partner tells in its answer's body, as in
-// {"busy":true,"free_in":"1500ms"}, and counts how often it has.
+// It reads the retry-after delay from the body of a partner's response, for example
+// {"busy":true,"free_in":"1500ms"}, and counts how often it found one.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	"unsafe"
 )
 
-// Memory that the host writes calls to, and answers lie in, until the next call.
+// call is the buffer that the host writes a call to. answer is the result, valid until the next call.
 var call, answer []byte
 
 //go:wasmexport alloc
@@ -37,13 +37,13 @@
 		Status int    `json:"status"`
 		Answer []byte `json:"answer"`
 	}
-	var said struct {
+	var response struct {
 		FreeIn string `json:"free_in"`
 	}
-	if json.Unmarshal(call[:size], &c) != nil || c.Status != 503 || json.Unmarshal(c.Answer, &said) != nil {
+	if json.Unmarshal(call[:size], &c) != nil || c.Status != 503 || json.Unmarshal(c.Answer, &response) != nil {
 		return 0
 	}
-	wait, err := time.ParseDuration(strings.TrimSpace(said.FreeIn))
+	wait, err := time.ParseDuration(strings.TrimSpace(response.FreeIn))
 	if err != nil {
 		return 0
 	}
@@ -53,10 +53,10 @@
 }
 
 func count() {
-	key, room := []byte("hints"), make([]byte, 20)
+	key, buffer := []byte("hints"), make([]byte, 20)
 	n := 0
-	if size := recall(unsafe.Pointer(&key[0]), int32(len(key)), unsafe.Pointer(&room[0]), int32(len(room))); size > 0 {
-		n, _ = strconv.Atoi(string(room[:size]))
+	if size := recall(unsafe.Pointer(&key[0]), int32(len(key)), unsafe.Pointer(&buffer[0]), int32(len(buffer))); size > 0 {
+		n, _ = strconv.Atoi(string(buffer[:size]))
 	}
 	value := []byte(strconv.Itoa(n + 1))
 	keep(unsafe.Pointer(&key[0]), int32(len(key)), unsafe.Pointer(&value[0]), int32(len(value)))
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,5 +1,5 @@
-// Command toy stands in for what surrounds a courier, for trying it out: one
-// partner system that takes every message, and the platform's agent.
+// Command toy simulates the environment of a courier, for trying it out: one partner system that
+// accepts every message, and the platform's agent.
 package main
 
 import (
@@ -14,25 +14,25 @@
 )
 
 func main() {
-	partner := flag.String("partner", "127.0.0.1:9001", "where the partner system listens")
-	agent := flag.String("agent", "127.0.0.1:9000", "where the platform's agent listens")
+	partner := flag.String("partner", "127.0.0.1:9001", "listen address of the partner system")
+	agent := flag.String("agent", "127.0.0.1:9000", "listen address of the platform's agent")
 	flag.Parse()
 
-	inbox := http.NewServeMux()
-	inbox.HandleFunc("POST /inbox", func(w http.ResponseWriter, r *http.Request) {
+	partnerMux := http.NewServeMux()
+	partnerMux.HandleFunc("POST /inbox", func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
 		fmt.Printf("partner: message %s: %q\n", r.Header.Get("X-Request-ID"), body)
 	})
-	platform := http.NewServeMux()
-	platform.HandleFunc("GET /discovery/hosts", func(w http.ResponseWriter, r *http.Request) {
+	agentMux := http.NewServeMux()
+	agentMux.HandleFunc("GET /discovery/hosts", func(w http.ResponseWriter, r *http.Request) {
 		list := map[string]any{"generation": 1, "reset": true, "instances": []any{map[string]any{
 			"instanceId": "toy", "hostPort": *partner, "zone": "here", "machineType": "toy", "cell": 1,
 			"lifecycle": "Ready", "weight": 1, "startedAtMs": 0,
 		}}}
-		if r.FormValue("after") == "1" { // nothing ever changes
+		if r.FormValue("after") == "1" { // a watch: the list never changes, so wait for the timeout
 			wait, _ := strconv.Atoi(r.FormValue("wait_ms"))
 			select {
 			case <-r.Context().Done():
@@ -44,7 +44,7 @@
 			log.Print(err)
 		}
 	})
-	platform.HandleFunc("POST /v1/outcomes", func(w http.ResponseWriter, r *http.Request) {
+	agentMux.HandleFunc("POST /v1/outcomes", func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
@@ -52,6 +52,6 @@
 		fmt.Printf("platform: %s", body)
 		w.WriteHeader(http.StatusNoContent)
 	})
-	go func() { log.Fatal(http.ListenAndServe(*partner, inbox)) }()
-	log.Fatal(http.ListenAndServe(*agent, platform))
+	go func() { log.Fatal(http.ListenAndServe(*partner, partnerMux)) }()
+	log.Fatal(http.ListenAndServe(*agent, agentMux))
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo is the newcomer's one command: stand-in partners with faults, a
-// directory and a courier, all on loopback, a few hundred messages over both
-// fronts, and an account of what became of each.
+// Package demo implements the demonstration command. It runs simulated partners with faults, a
+// directory and a courier on loopback, submits a few hundred messages over both fronts, and reports
+// the final results of all messages.
 package demo
 
 import (
@@ -19,26 +19,28 @@
 	"snowjunction/internal/standin/partner"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	Exe      string // the program, to be run as the courier
+	Exe      string // program to run as the courier
 	Messages int
-	Over     time.Duration // in which they are handed in
+	Over     time.Duration // period over which the messages are submitted
 	Seed     uint64
-	Out      io.Writer
+	Out      io.Writer // receives the report
 }
 
-// settleWithin is how long the last messages may take to end, and the courier to read the last
-// answers: an order lives for 20 s, and a busy machine takes its time.
-const settleWithin = 90 * time.Second
+// settleTimeout is the timeout for the last messages to get their final results and for the courier
+// to read the last responses. Messages of class order expire after 20 s; the rest is allowance for
+// a busy machine.
+const settleTimeout = 90 * time.Second
 
-// role is a partner with its part in the demonstration.
+// role is a partner and its name in the report.
 type role struct {
 	name string
 	spec standin.Spec
 }
 
-func cast(seed uint64) []role {
+// demoRoles returns the partners of the demonstration.
+func demoRoles(seed uint64) []role {
 	plain := partner.Profile{
 		Latency: 40 * time.Millisecond, Capacity: 60, Queue: 40, Tells: 0.8, Report: true, Refresh: 200 * time.Millisecond,
 		ColdShare: 0.2, WarmUp: 14 * time.Second, FallMultiple: 2, FallTime: 1500 * time.Millisecond,
@@ -69,8 +71,8 @@
 	return roles
 }
 
-// faults puts the script's faults on the partners, from a time on.
-func faults(f *standin.Farm, from time.Duration) error {
+// addFaults adds the faults of the demonstration to the partners. They start at the time from and last 3 s.
+func addFaults(f *standin.Farm, from time.Duration) error {
 	for destination, x := range map[uint32]partner.Fault{
 		5: {Kind: partner.Error, Share: 0.4},
 		6: {Kind: partner.Shut},
@@ -85,28 +87,28 @@
 	return nil
 }
 
-// Run plays the demonstration and prints its account. It returns an error if a
-// message has not exactly one end, or if a rule was broken.
+// Run runs the demonstration and prints the report. It returns an error if a message does not have
+// exactly one final result, or if a rule was violated.
 func Run(o Options) error {
 	dir, err := os.MkdirTemp("", "snowjunction-demo-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	roles := cast(o.Seed)
+	roles := demoRoles(o.Seed)
 	var specs []standin.Spec
 	for _, r := range roles {
 		specs = append(specs, r.spec)
 	}
-	kitchen, err := rig.NewKitchen(dir, specs)
+	environment, err := rig.NewKitchen(dir, specs)
 	if err != nil {
 		return err
 	}
-	defer kitchen.Close()
-	farm, directory := kitchen.Farm, kitchen.Directory
+	defer environment.Close()
+	farm, directory := environment.Farm, environment.Directory
 	farm.Keep()
 	courier, err := rig.Start(o.Exe, rig.Config{
-		Dir: dir, Discovery: directory.Addr(), Settings: rig.Large(32, 400, 100), MemoryMB: 64, Sockets: 512, Push: kitchen.Push,
+		Dir: dir, Discovery: directory.Addr(), Settings: rig.Large(32, 400, 100), MemoryMB: 64, Sockets: 512, Push: environment.Push,
 		Traced: true,
 	})
 	if err != nil {
@@ -115,22 +117,22 @@
 	defer courier.Kill()
 	fmt.Fprintf(o.Out, "courier on %s (RESP2) and %s (HTTP/2), %d partners, directory on %s\n",
 		courier.Addr, courier.Push, len(roles), directory.Addr())
-	for _, r := range roles { // one that stalls may hear a message again that it has: both classes allow it for so long
+	for _, r := range roles { // a stalled partner may receive a duplicate: both classes allow retries for this long
 		if err := farm.With(r.spec.Destination, func(p *partner.Partner) { p.Again = 5 * time.Second }); err != nil {
 			return err
 		}
 	}
-	if err := faults(farm, farm.Now()+o.Over/4); err != nil {
+	if err := addFaults(farm, farm.Now()+o.Over/4); err != nil {
 		return err
 	}
-	drained := time.AfterFunc(o.Over/2, func() { kitchen.Drain("p9-0") })
-	defer drained.Stop()
+	drainTimer := time.AfterFunc(o.Over/2, func() { environment.Drain("p9-0") })
+	defer drainTimer.Stop()
 	client := load.New(courier.Addr, courier.Push)
-	client.Within = settleWithin // what is unheard is so for good
+	client.Within = settleTimeout // a response that is missing after this never comes
 	defer client.Close()
-	handIn(client, o, len(roles))
-	kitchen.Settle(client, settleWithin)
-	waits, err := brokenWaits(farm, courier.Traces, settleWithin)
+	submitMessages(client, o, len(roles))
+	environment.Settle(client, settleTimeout)
+	waits, err := brokenWaits(farm, courier.Traces, settleTimeout)
 	if err != nil {
 		return err
 	}
@@ -139,12 +141,13 @@
 		return err
 	}
 	client.Overdue = farm.Overdue(traces)
-	return report(o.Out, roles, farm, client, kitchen.Delivered, directory.Notices(), waits)
+	return report(o.Out, roles, farm, client, environment.Delivered, directory.Notices(), waits)
 }
 
-// brokenWaits is what the courier has broken of the waits that it was told, by the order of what it
-// read and sent: how late either side sees of the other depends on the machine. An answer to an
-// attempt whose message has its end already may be on its way still.
+// brokenWaits returns the violations of retry-after delays, by the order in which the courier read
+// and sent: how late either side sees the other depends on the machine. It retries until all delays
+// have been read or the time within has passed, since the response to an attempt whose message
+// already has its final result may still be in transit.
 func brokenWaits(farm *standin.Farm, traces func() ([]standin.Trace, error), within time.Duration) ([]standin.BrokenWait, error) {
 	for limit := time.Now().Add(within); ; time.Sleep(200 * time.Millisecond) {
 		taken := farm.Taken()
@@ -160,10 +163,10 @@
 	}
 }
 
-// handIn plays the clients: half of the messages carry keys, each key's one
-// after another, and a few come as a clump. A refused one comes again once,
-// when it was told to.
-func handIn(client *load.Client, o Options, partners int) {
+// submitMessages simulates the clients. Half of the messages have ordering keys, each key's messages are
+// submitted one after another, and a few messages come in a burst. A rejected message is submitted
+// once more, after the requested delay.
+func submitMessages(client *load.Client, o Options, partners int) {
 	const lanes = 24
 	rng := rand.New(rand.NewPCG(o.Seed, 2))
 	var wg sync.WaitGroup
@@ -174,12 +177,13 @@
 		if lane < o.Messages%lanes {
 			count++
 		}
-		wg.Go(func() { handLane(client, o, plan, lane, count, partners) })
+		wg.Go(func() { submitLane(client, o, plan, lane, count, partners) })
 	}
 	wg.Wait()
 }
 
-func handLane(client *load.Client, o Options, plan *rand.Rand, lane, count, partners int) {
+// submitLane submits count messages to one partner, over one front and with at most one key.
+func submitLane(client *load.Client, o Options, plan *rand.Rand, lane, count, partners int) {
 	m := load.Message{Tenant: "town", Destination: uint32(lane%partners + 1), Push: lane%3 == 2}
 	m.Class, m.Left = "status", 8*time.Second
 	if lane%2 == 0 {
@@ -187,7 +191,7 @@
 	}
 	pause := o.Over / time.Duration(max(count, 1))
 	for n := range count {
-		if !(lane%8 == 0 && n > 0 && n < 6) { // the first of some lanes come at once
+		if !(lane%8 == 0 && n > 0 && n < 6) { // in some lanes the first messages come as a burst
 			time.Sleep(time.Duration(float64(pause) * (0.5 + plan.Float64())))
 		}
 		m.ID, m.Seq = fmt.Sprintf("m%d-%d", lane, n), uint64(2*n+1)
@@ -199,45 +203,46 @@
 	}
 }
 
+// report prints the results per partner and returns an error if any message or rule failed.
 func report(out io.Writer, roles []role, farm *standin.Farm, client *load.Client, delivered func(uint32, string) bool, notices map[string][]standin.Notice, waits []standin.BrokenWait) error {
-	w := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "partner\thanded in\ttaken\trefused\tfailed\tunheard\tdelivered\treturned\tgiven up\topen\tdoubled\toverdue\tcalls\tlate\tcopies\tout of order\tin a wait\tfell\tdrained")
-	var sum load.Ends
+	table := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
+	fmt.Fprintln(table, "partner\thanded in\ttaken\trefused\tfailed\tunheard\tdelivered\treturned\tgiven up\topen\tdoubled\toverdue\tcalls\tlate\tcopies\tout of order\tin a wait\tfell\tdrained")
+	var totalEnds load.Ends
 	row := func(name string, e load.Ends, n partner.Counts) {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", name, e.Handed, e.Taken, e.Refused,
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", name, e.Handed, e.Taken, e.Refused,
 			e.Failed, e.Unheard, e.Delivered, e.Returned, e.Given, e.Open, e.Doubled, e.Overdue, n.Calls, n.Late, n.Copies, n.OutOfOrder, n.InWait, n.Fell, n.Drained)
 	}
-	var all partner.Counts
+	var totalCounts partner.Counts
 	for _, r := range roles {
 		e := client.Account(delivered, notices, func(m load.Message) bool { return m.Destination == r.spec.Destination })
 		var n partner.Counts
 		if err := farm.With(r.spec.Destination, func(p *partner.Partner) { n = p.Counts }); err != nil {
 			return err
 		}
-		n.InWait = 0 // by the partner's clock: it counts what was on its way for long, too
+		n.InWait = 0 // replaced: by the partner's clock it also counts calls that were in transit for long
 		for _, x := range waits {
 			if x.Destination == r.spec.Destination {
 				n.InWait++
 			}
 		}
 		row(r.name, e, n)
-		sum.Add(e)
-		all.Add(n)
+		totalEnds.Add(e)
+		totalCounts.Add(n)
 	}
-	row("all", sum, all)
-	if err := w.Flush(); err != nil {
+	row("all", totalEnds, totalCounts)
+	if err := table.Flush(); err != nil {
 		return err
 	}
 	for _, x := range waits {
 		fmt.Fprintln(out, x)
 	}
 	switch {
-	case sum.Open+sum.Doubled+sum.Unheard > 0:
-		return fmt.Errorf("%d messages have no end, %d more than one, %d no answer", sum.Open, sum.Doubled, sum.Unheard)
-	case all.Broken() > 0:
-		return fmt.Errorf("%d times a rule was broken", all.Broken())
-	case sum.Delivered == 0:
-		return fmt.Errorf("nothing was delivered")
+	case totalEnds.Open+totalEnds.Doubled+totalEnds.Unheard > 0:
+		return fmt.Errorf("%d messages have no final result, %d more than one, %d no response", totalEnds.Open, totalEnds.Doubled, totalEnds.Unheard)
+	case totalCounts.Broken() > 0:
+		return fmt.Errorf("%d rule violations", totalCounts.Broken())
+	case totalEnds.Delivered == 0:
+		return fmt.Errorf("no message was delivered")
 	}
 	fmt.Fprintln(out, "every message has its one answer, and every one taken on its one end")
 	return nil
--- a/internal/openload/lane.go
+++ b/internal/openload/lane.go
@@ -12,25 +12,26 @@
 	"snowjunction/internal/standin/load"
 )
 
-// flight is a message on a connection.
-type flight struct {
-	shot
-	left time.Duration
+// inFlight is a message in flight on a connection.
+type inFlight struct {
+	timedMessage
+	sentAt time.Duration // when it was sent, from the start of the run
 }
 
-// fifo gives out what was put in, in order; taking from it copies little.
-type fifo[T any] struct {
+// queue is a queue. Removed items are compacted lazily, so that removal copies little.
+type queue[T any] struct {
 	items []T
 	head  int
 }
 
-func (q *fifo[T]) len() int { return len(q.items) - q.head }
+func (q *queue[T]) len() int { return len(q.items) - q.head }
 
-func (q *fifo[T]) all() []T { return q.items[q.head:] }
+func (q *queue[T]) all() []T { return q.items[q.head:] }
 
-func (q *fifo[T]) put(x T) { q.items = append(q.items, x) }
+func (q *queue[T]) push(x T) { q.items = append(q.items, x) }
 
-func (q *fifo[T]) drop(n int) {
+// remove removes the first n items.
+func (q *queue[T]) remove(n int) {
 	clear(q.items[q.head : q.head+n])
 	if q.head += n; q.head > len(q.items)/2 {
 		n := copy(q.items, q.items[q.head:])
@@ -39,127 +40,130 @@
 	}
 }
 
-// lane is one connection after another to a front. Messages wait in it, without
-// bound but that of the run, while the connection has no room: they stay due when
-// they were.
+// lane submits messages to a front over one connection, which it replaces when it is lost. Messages
+// wait in an unbounded queue while the connection has no room, and keep their due times.
 type lane struct {
-	addr  string
-	front Front
-	most  int // on the connection at once
-	clock func() time.Duration
-	heard func(load.Message, load.Verdict)
+	addr        string
+	front       Front
+	maxInFlight int // maximum number of messages in flight
+	now         func() time.Duration
+	onVerdict   func(load.Message, load.Verdict)
 
-	mu     sync.Mutex
-	rec    *record
-	queue  fifo[shot]
-	wake   chan struct{} // holds one if there is something to write
-	closed bool
-	conn   net.Conn
+	mu       sync.Mutex
+	stats    *statistics
+	queue    queue[timedMessage]
+	writable chan struct{} // signals that there may be something to write
+	stopped  bool
+	conn     net.Conn
 
-	out    fifo[flight]      // RESP2: in the order of their answers
-	h2     *h2.Conn          // HTTP/2
-	stream map[uint32]flight // HTTP/2
-	reader sync.WaitGroup
+	pipelined queue[inFlight]     // RESP2: in flight, in the order of the responses
+	h2        *h2.Conn            // HTTP/2: protocol state of the connection
+	streams   map[uint32]inFlight // HTTP/2: in flight, by stream ID
+	reader    sync.WaitGroup
 }
 
 func newLane(addr string, f Front, most int, clock func() time.Duration, heard func(load.Message, load.Verdict)) *lane {
-	return &lane{addr: addr, front: f, most: most, clock: clock, heard: heard, rec: newRecord(), wake: make(chan struct{}, 1), stream: map[uint32]flight{}}
+	return &lane{addr: addr, front: f, maxInFlight: most, now: clock, onVerdict: heard, stats: newStatistics(), writable: make(chan struct{}, 1), streams: map[uint32]inFlight{}}
 }
 
-func (l *lane) poke() {
+// signalWriter signals the writer.
+func (l *lane) signalWriter() {
 	select {
-	case l.wake <- struct{}{}:
+	case l.writable <- struct{}{}:
 	default:
 	}
 }
 
-// put queues a shot.
-func (l *lane) put(x shot) {
+// enqueue queues a message.
+func (l *lane) enqueue(x timedMessage) {
 	l.mu.Lock()
-	l.queue.put(x)
+	l.queue.push(x)
 	l.mu.Unlock()
-	l.poke()
+	l.signalWriter()
 }
 
-// idle tells that nothing waits and nothing is out.
-func (l *lane) idle() bool {
+// isIdle reports whether no message is queued or in flight.
+func (l *lane) isIdle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.queue.len() == 0 && l.out.len() == 0 && len(l.stream) == 0
+	return l.queue.len() == 0 && l.pipelined.len() == 0 && len(l.streams) == 0
 }
 
-// close gives up what is still there.
-func (l *lane) close() {
+// stop stops the lane. Messages still queued or in flight end without a response.
+func (l *lane) stop() {
 	l.mu.Lock()
-	l.closed = true
+	l.stopped = true
 	if l.conn != nil {
 		l.conn.Close()
 	}
 	l.mu.Unlock()
-	l.poke()
+	l.signalWriter()
 }
 
-func (l *lane) finished() bool {
+// isStopped reports whether the lane was closed.
+func (l *lane) isStopped() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.closed
+	return l.stopped
 }
 
 const (
-	dialWithin = 2 * time.Second
-	dialPause  = 50 * time.Millisecond // between two dials that failed
-	writeMost  = 64 << 10              // bytes, of one write
+	dialTimeout    = 2 * time.Second
+	dialRetryDelay = 50 * time.Millisecond // after a failed dial
+	maxWriteBytes  = 64 << 10              // threshold in bytes at which a write is not filled further
 )
 
-// run writes until it is closed.
+// run connects and writes until the lane is closed.
 func (l *lane) run() {
 	defer l.reader.Wait()
 	var buf []byte
-	for !l.finished() {
+	for !l.isStopped() {
 		if l.current() == nil && !l.dial() {
 			continue
 		}
-		<-l.wake
+		<-l.writable
 		for {
 			l.mu.Lock()
 			conn := l.conn
-			if conn != nil { // else the reader has dropped it: what is filled in now would be lost
-				buf = l.fill(buf[:0])
+			if conn != nil { // nil if the reader dropped it: messages filled in now would be lost
+				buf = l.appendWritable(buf[:0])
 			}
 			l.mu.Unlock()
 			if conn == nil || len(buf) == 0 {
 				break
 			}
 			if _, err := conn.Write(buf); err != nil {
-				l.drop(conn)
+				l.dropConn(conn)
 				break
 			}
 		}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.unheard()
+	l.failInFlight()
 	for _, x := range l.queue.all() {
-		l.end(flight{x, l.clock()}, load.Unheard)
+		l.finish(inFlight{x, l.now()}, load.Unheard)
 	}
-	l.queue.drop(l.queue.len())
+	l.queue.remove(l.queue.len())
 }
 
+// current returns the connection, or nil if there is none.
 func (l *lane) current() net.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conn
 }
 
+// dial opens a connection and starts its reader. It returns false if that failed.
 func (l *lane) dial() bool {
-	conn, err := net.DialTimeout("tcp", l.addr, dialWithin)
+	conn, err := net.DialTimeout("tcp", l.addr, dialTimeout)
 	if err != nil {
-		time.Sleep(dialPause)
+		time.Sleep(dialRetryDelay)
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closed {
+	if l.stopped {
 		conn.Close()
 		return false
 	}
@@ -167,13 +171,13 @@
 	if l.front == Push {
 		l.h2 = h2.NewClient(h2.Limits{Streams: 1, HeaderBytes: 16 << 10, Body: 64 << 10, Buffered: 1 << 20})
 	}
-	l.poke()
-	l.reader.Go(func() { l.read(conn) })
+	l.signalWriter()
+	l.reader.Go(func() { l.readResponses(conn) })
 	return true
 }
 
-// drop ends a connection, if it is still the lane's, with all that was out on it.
-func (l *lane) drop(conn net.Conn) {
+// dropConn closes a connection. If it is the current one, its messages in flight end without a response.
+func (l *lane) dropConn(conn net.Conn) {
 	conn.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -181,45 +185,46 @@
 		return
 	}
 	l.conn = nil
-	if !l.closed {
-		l.rec.broken++
+	if !l.stopped {
+		l.stats.lostConnections++
 	}
-	l.unheard()
-	l.poke()
+	l.failInFlight()
+	l.signalWriter()
 }
 
-// unheard ends all that is out without an answer.
-func (l *lane) unheard() {
-	for _, f := range l.out.all() {
-		l.end(f, load.Unheard)
+// failInFlight ends all messages in flight without a response.
+func (l *lane) failInFlight() {
+	for _, f := range l.pipelined.all() {
+		l.finish(f, load.Unheard)
 	}
-	for _, f := range l.stream {
-		l.end(f, load.Unheard)
+	for _, f := range l.streams {
+		l.finish(f, load.Unheard)
 	}
-	l.out.drop(l.out.len())
-	clear(l.stream)
+	l.pipelined.remove(l.pipelined.len())
+	clear(l.streams)
 }
 
-func (l *lane) end(f flight, v load.Verdict) {
-	l.rec.answer(l.front, v, f.at, f.left, l.clock())
-	if l.heard != nil {
-		l.heard(f.Message, v)
+// finish records the verdict on a message.
+func (l *lane) finish(f inFlight, v load.Verdict) {
+	l.stats.recordVerdict(l.front, v, f.dueAt, f.sentAt, l.now())
+	if l.onVerdict != nil {
+		l.onVerdict(f.Message, v)
 	}
 }
 
-// fill appends what may be written now.
-func (l *lane) fill(b []byte) []byte {
+// appendWritable appends the data that can be written now: queued messages as far as there is room, and frames.
+func (l *lane) appendWritable(b []byte) []byte {
 	n, now := 0, time.Now()
-	for waiting := l.queue.all(); n < len(waiting) && len(b) < writeMost; n++ {
-		f := flight{waiting[n], l.clock()}
+	for queued := l.queue.all(); n < len(queued) && len(b) < maxWriteBytes; n++ {
+		f := inFlight{queued[n], l.now()}
 		if l.front == Resp {
-			if l.out.len() >= l.most {
+			if l.pipelined.len() >= l.maxInFlight {
 				break
 			}
 			b = f.Command(b, now)
-			l.out.put(f)
+			l.pipelined.push(f)
 		} else {
-			if len(l.stream) >= l.most || l.h2 == nil || !l.h2.Room() {
+			if len(l.streams) >= l.maxInFlight || l.h2 == nil || !l.h2.Room() {
 				break
 			}
 			path, headers, body := f.Request(now)
@@ -234,20 +239,20 @@
 			if err != nil {
 				break
 			}
-			l.stream[id] = f
+			l.streams[id] = f
 		}
-		l.rec.left(f.at, f.left)
+		l.stats.recordSent(f.dueAt, f.sentAt)
 	}
-	l.queue.drop(n)
+	l.queue.remove(n)
 	if l.front == Push && l.h2 != nil {
 		b = append(b, l.h2.Output()...)
 	}
 	return b
 }
 
-// read takes a connection's answers until it ends.
-func (l *lane) read(conn net.Conn) {
-	defer l.drop(conn)
+// readResponses processes the responses on a connection until it ends.
+func (l *lane) readResponses(conn net.Conn) {
+	defer l.dropConn(conn)
 	if l.front == Push {
 		l.readPush(conn)
 		return
@@ -260,20 +265,21 @@
 		}
 		v, _ := load.Answer(strings.TrimSpace(line))
 		l.mu.Lock()
-		if l.conn != conn || l.out.len() == 0 {
+		if l.conn != conn || l.pipelined.len() == 0 {
 			l.mu.Unlock()
 			return
 		}
-		l.end(l.out.all()[0], v)
-		l.out.drop(1)
-		waiting := l.queue.len() > 0
+		l.finish(l.pipelined.all()[0], v)
+		l.pipelined.remove(1)
+		queued := l.queue.len() > 0
 		l.mu.Unlock()
-		if waiting {
-			l.poke()
+		if queued {
+			l.signalWriter()
 		}
 	}
 }
 
+// readPush processes the responses on an HTTP/2 connection until it ends.
 func (l *lane) readPush(conn net.Conn) {
 	b := make([]byte, 32<<10)
 	for {
@@ -287,28 +293,28 @@
 			return
 		}
 		events, err := l.h2.Feed(time.Now(), b[:n])
-		leaving := err != nil
+		done := err != nil
 		for _, e := range events {
 			switch e := e.(type) {
 			case h2.Message:
-				if f, ok := l.stream[e.Stream]; ok {
-					delete(l.stream, e.Stream)
+				if f, ok := l.streams[e.Stream]; ok {
+					delete(l.streams, e.Stream)
 					code, _ := strconv.Atoi(h2.Get(e.Fields, ":status"))
-					l.end(f, load.Status(code))
+					l.finish(f, load.Status(code))
 				}
 			case h2.Reset:
-				if f, ok := l.stream[e.Stream]; ok {
-					delete(l.stream, e.Stream)
-					l.end(f, load.Unheard)
+				if f, ok := l.streams[e.Stream]; ok {
+					delete(l.streams, e.Stream)
+					l.finish(f, load.Unheard)
 				}
 			case h2.Farewell:
-				leaving = leaving || len(l.stream) == 0
+				done = done || len(l.streams) == 0
 			}
 		}
-		leaving = leaving || l.h2.Left() && len(l.stream) == 0
+		done = done || l.h2.Left() && len(l.streams) == 0
 		l.mu.Unlock()
-		l.poke() // frames of its own may have to go, too
-		if leaving {
+		l.signalWriter() // protocol frames may have to be written, too
+		if done {
 			return
 		}
 	}
--- a/internal/openload/mix.go
+++ b/internal/openload/mix.go
@@ -1,11 +1,9 @@
-// Package openload hands messages to a courier at a stated rate, whatever it
-// answers and however late: an open loop on real sockets. Every latency is counted
-// from the time at which a message was due to leave, not from when it left, so that
-// a server that stalls is seen by all who would have come meanwhile (no coordinated
-// omission).
+// Package openload is an open-loop load generator over real sockets: it submits messages to a
+// courier at a given rate, independent of the courier's responses and their latency. Each latency is
+// measured from the time at which the message was due to be sent, not from when it was sent, so that
+// a stall of the server counts for all messages due during the stall (no coordinated omission).
 //
-// What comes when (mix.go) and what is made of the answers (record.go) do no I/O and
-// read no clock.
+// The generation of messages (mix.go) and the statistics (record.go) do no I/O and read no clock.
 package openload
 
 import (
@@ -18,22 +16,23 @@
 	"snowjunction/internal/standin/load"
 )
 
-// Mix is what is handed in.
+// Mix describes the messages to submit. Messages of class order are ordered by key and have an
+// idempotency key; all others are of class status.
 type Mix struct {
-	Rate     float64       // messages a second
-	For      time.Duration // so long
-	Even     bool          // at even distances; else a Poisson process
-	Push     float64       // share over HTTP/2, the rest over RESP2
-	Orders   float64       // share of class order, each key's one after another, with idempotency keys; the rest is status
-	PerKey   float64       // messages of a key, on the average
-	Keyed    float64       // share of the rest that carries an idempotency key, too
-	Skew     float64       // of the destinations' popularity, as in Zipf's law
-	Resp     []uint32      // destinations over RESP2
-	Pushed   []uint32      // over HTTP/2
+	Rate     float64       // messages per second
+	For      time.Duration // duration of the run
+	Even     bool          // constant intervals instead of a Poisson process
+	Push     float64       // share of messages over HTTP/2; the rest is sent over RESP2
+	Orders   float64       // share of messages of class order
+	PerKey   float64       // mean number of messages per ordering key
+	Keyed    float64       // share of status messages with an idempotency key
+	Skew     float64       // exponent of the Zipf distribution of destinations
+	Resp     []uint32      // destinations over RESP2, most popular first
+	Pushed   []uint32      // destinations over HTTP/2, most popular first
 	Tenant   string
-	Prefix   string // of message ids
+	Prefix   string // prefix of message IDs
 	Seed     uint64
-	Deadline time.Duration // of orders; of the rest two fifths of it
+	Deadline time.Duration // time to live of orders; status messages have two fifths of it
 }
 
 func (m *Mix) check() error {
@@ -42,93 +41,95 @@
 	case !(m.Rate > 0) || math.IsInf(m.Rate, 0):
 		return errors.New("the rate must be over 0")
 	case m.For <= 0:
-		return errors.New("the time must be over 0")
+		return errors.New("the run time must be greater than 0")
 	case !share(m.Push) || !share(m.Orders) || !share(m.Keyed):
-		return errors.New("shares are between 0 and 1")
+		return errors.New("shares must be between 0 and 1")
 	case m.PerKey < 1:
-		return errors.New("a key has one message at least")
+		return errors.New("the mean number of messages per key must be at least 1")
 	case m.Skew < 0:
-		return errors.New("the skew must not be under 0")
+		return errors.New("the skew must not be negative")
 	case m.Push < 1 && len(m.Resp) == 0, m.Push > 0 && len(m.Pushed) == 0:
-		return errors.New("a front has no destination")
+		return errors.New("a front in use has no destination")
 	}
 	return nil
 }
 
-// shot is a message with the time from the start at which it is due to leave.
-type shot struct {
-	at time.Duration
+// timedMessage is a message and the time, from the start of the run, at which it is due to be sent.
+type timedMessage struct {
+	dueAt time.Duration
 	load.Message
 }
 
-// source draws shots, one after another; the same seed draws the same.
-type source struct {
+// generator generates the messages of a mix in order of time. Equal seeds give equal messages.
+type generator struct {
 	Mix
-	rng     *rand.Rand
-	at      time.Duration
-	n       int
-	popular [2][]float64 // summed up, by front
-	keys    map[uint32]*keyed
-	serial  uint64
+	rng               *rand.Rand
+	nextAt            time.Duration
+	count             int
+	cumulativeWeights [2][]float64 // by front: cumulative weights of the destinations
+	currentKeys       map[uint32]*currentKey
+	lastKey           uint64
 }
 
-type keyed struct {
-	key, seq uint64
-	left     int
+// currentKey is the current ordering key of a destination.
+type currentKey struct {
+	key, seq  uint64
+	remaining int // messages until the next key
 }
 
-func newSource(m Mix) (*source, error) {
+func newGenerator(m Mix) (*generator, error) {
 	if err := m.check(); err != nil {
 		return nil, err
 	}
-	s := &source{Mix: m, rng: rand.New(rand.NewPCG(m.Seed, 0x10ad)), keys: map[uint32]*keyed{}}
+	s := &generator{Mix: m, rng: rand.New(rand.NewPCG(m.Seed, 0x10ad)), currentKeys: map[uint32]*currentKey{}}
 	for i, list := range [][]uint32{m.Resp, m.Pushed} {
 		sum := 0.0
 		for n := range list {
 			sum += math.Pow(float64(n+1), -m.Skew)
-			s.popular[i] = append(s.popular[i], sum)
+			s.cumulativeWeights[i] = append(s.cumulativeWeights[i], sum)
 		}
 	}
 	return s, nil
 }
 
-// next is the next shot; ok is false after the last.
-func (s *source) next() (x shot, ok bool) {
+// next returns the next message. ok is false after the last.
+func (s *generator) next() (x timedMessage, ok bool) {
 	if s.Even {
-		s.at = time.Duration(float64(s.n) / s.Rate * float64(time.Second))
+		s.nextAt = time.Duration(float64(s.count) / s.Rate * float64(time.Second))
 	} else {
-		s.at += time.Duration(s.rng.ExpFloat64() / s.Rate * float64(time.Second))
+		s.nextAt += time.Duration(s.rng.ExpFloat64() / s.Rate * float64(time.Second))
 	}
-	if s.at >= s.For {
+	if s.nextAt >= s.For {
 		return x, false
 	}
-	s.n++
-	x.at = s.at
-	x.ID = fmt.Sprintf("%s%d", s.Prefix, s.n)
+	s.count++
+	x.dueAt = s.nextAt
+	x.ID = fmt.Sprintf("%s%d", s.Prefix, s.count)
 	x.Tenant = s.Tenant
 	x.Message.Push = s.rng.Float64() < s.Push
-	x.Destination = s.pick(x.Message.Push)
+	x.Destination = s.pickDestination(x.Message.Push)
 	x.Keyed = s.rng.Float64() < s.Keyed
 	x.Class, x.Left = "status", s.Deadline*2/5
 	if s.rng.Float64() < s.Orders {
 		x.Class, x.Left, x.Keyed = "order", s.Deadline, true
-		k := s.keys[x.Destination]
-		if k == nil || k.left == 0 {
-			s.serial++
-			k = &keyed{key: s.serial, left: 1 + int(s.rng.ExpFloat64()*(s.PerKey-1))}
-			s.keys[x.Destination] = k
+		key := s.currentKeys[x.Destination]
+		if key == nil || key.remaining == 0 {
+			s.lastKey++
+			key = &currentKey{key: s.lastKey, remaining: 1 + int(s.rng.ExpFloat64()*(s.PerKey-1))}
+			s.currentKeys[x.Destination] = key
 		}
-		k.left--
-		k.seq++
-		x.Key, x.Seq = k.key, k.seq
+		key.remaining--
+		key.seq++
+		x.Key, x.Seq = key.key, key.seq
 	}
 	return x, true
 }
 
-func (s *source) pick(push bool) uint32 {
-	list, sums := s.Resp, s.popular[0]
+// pickDestination draws a destination of a front by popularity.
+func (s *generator) pickDestination(push bool) uint32 {
+	list, sums := s.Resp, s.cumulativeWeights[0]
 	if push {
-		list, sums = s.Pushed, s.popular[1]
+		list, sums = s.Pushed, s.cumulativeWeights[1]
 	}
 	at := s.rng.Float64() * sums[len(sums)-1]
 	for i, x := range sums {
--- a/internal/openload/openload_test.go
+++ b/internal/openload/openload_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func open(t *testing.T) *sink.Sink {
+func openSink(t *testing.T) *sink.Sink {
 	s, err := sink.New()
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
@@ -34,10 +34,9 @@
 	return Options{Mix: mix(), RespAddr: s.Resp, PushAddr: s.Push, Conns: 2, Pipeline: 16, Settle: time.Minute}
 }
 
-// Every message is answered once, over both fronts, in the order of its key, and
-// counted once.
-func TestEachOnce(t *testing.T) {
-	s := open(t)
+// Every message gets one response, over both fronts, and is counted once.
+func TestEachMessageCountedOnce(t *testing.T) {
+	s := openSink(t)
 	o := options(s)
 	var mu sync.Mutex
 	heard := map[string]int{}
@@ -63,20 +62,20 @@
 	for _, b := range r.Hist {
 		n += b.N
 	}
-	assert.Equal(t, sum, n, "the histogram has all of them")
+	assert.Equal(t, sum, n, "the histogram must contain all messages")
 }
 
-// A server that stalls is seen by all who were due meanwhile, also by those that
-// had not left: as an open loop must, and a closed one would not.
-func TestStallShows(t *testing.T) {
+// A stall of the server must count for all messages due during the stall, including those that could
+// not be sent. A closed loop would not count them.
+func TestStallCountsForAllDueMessages(t *testing.T) {
 	for _, share := range []float64{0, 1} {
-		s := open(t)
+		s := openSink(t)
 		o := options(s)
 		o.Even, o.Mix.Push = true, share
 		s.Hold()
-		var end time.Duration // of the stall
+		var end time.Duration // end of the stall
 		o.Progress = func(at time.Duration, due int) {
-			if due == 600 { // the last has been handed out
+			if due == 600 { // the last message has been passed to a lane
 				end = at
 				s.Release()
 			}
@@ -86,21 +85,21 @@
 		require.Len(t, r.Fronts, 1)
 		f := r.Fronts[0]
 		assert.Equal(t, 600, f.Taken)
-		// The one due in the middle of 300 ms has waited for what was left of it.
+		// The message due in the middle of the 300 ms waited for the rest of the stall.
 		assert.GreaterOrEqual(t, f.Latency.P50, 0.99*ms(end-151*time.Millisecond))
 		assert.GreaterOrEqual(t, f.Latency.Max, 0.99*ms(end-time.Millisecond))
-		assert.GreaterOrEqual(t, r.Lag.P50, 0.99*ms(end-170*time.Millisecond), "most could not leave: 32 were out")
-		assert.Less(t, f.Served.P50, f.Latency.P50, "who counts from when it left does not see it")
+		assert.GreaterOrEqual(t, r.Lag.P50, 0.99*ms(end-170*time.Millisecond), "most messages could not be sent, with 32 in flight")
+		assert.Less(t, f.Served.P50, f.Latency.P50, "latency measured from sending does not show the stall")
 	}
 }
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// Connections that are cut end what was out on them as unheard; the rest goes on
-// over new ones.
-func TestConnectionsCut(t *testing.T) {
+// When connections are lost, their messages in flight end as Unheard, and all others are sent over
+// new connections.
+func TestLostConnections(t *testing.T) {
 	for _, share := range []float64{0, 1} {
-		s := open(t)
+		s := openSink(t)
 		o := options(s)
 		o.Mix.Push = share
 		var once sync.Once
@@ -116,8 +115,8 @@
 	}
 }
 
-// With nobody there, and with one that never answers, all end as unheard.
-func TestNobody(t *testing.T) {
+// Without a server, and with a server that never responds, all messages end as Unheard.
+func TestNoServerAndNoResponses(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().String()
@@ -128,7 +127,7 @@
 	assert.Zero(t, r.Left)
 	assert.Equal(t, r.Due, r.Fronts[0].Unheard+r.Fronts[1].Unheard)
 
-	s := open(t)
+	s := openSink(t)
 	s.Hold()
 	o = options(s)
 	o.Settle = 0
@@ -138,9 +137,9 @@
 	assert.Positive(t, r.Left)
 }
 
-// A run that is ended reports on what it had handed out.
-func TestEnded(t *testing.T) {
-	s := open(t)
+// A cancelled run reports on the messages passed to lanes until then.
+func TestCancelledRun(t *testing.T) {
+	s := openSink(t)
 	o := options(s)
 	o.For = time.Hour
 	ctx, cancel := context.WithCancel(context.Background())
@@ -151,8 +150,8 @@
 	assert.Equal(t, int64(r.Due), r.Fronts[0].Latency.N+r.Fronts[1].Latency.N)
 }
 
-// What is drawn has the mix that was asked for, keys in order and distinct ids, and
-// the same seed draws the same.
+// The generated messages match the mix, have sequence numbers in order and distinct IDs, and are
+// equal for equal seeds.
 func TestMix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := mix()
@@ -161,21 +160,21 @@
 		m.Orders = rapid.SampledFrom([]float64{0, 0.6, 1}).Draw(t, "orders")
 		m.Even = rapid.Bool().Draw(t, "even")
 		m.Seed = rapid.Uint64().Draw(t, "seed")
-		a, err := newSource(m)
+		first, err := newGenerator(m)
 		require.NoError(t, err)
-		b, _ := newSource(m)
+		second, _ := newGenerator(m)
 		last, seqs, ids := time.Duration(0), map[uint64]uint64{}, map[string]bool{}
 		n, push, orders := 0.0, 0.0, 0.0
 		for {
-			x, ok := a.next()
-			y, _ := b.next()
+			x, ok := first.next()
+			y, _ := second.next()
 			assert.Equal(t, x, y)
 			if !ok {
 				break
 			}
-			assert.GreaterOrEqual(t, x.at, last)
+			assert.GreaterOrEqual(t, x.dueAt, last)
 			assert.False(t, ids[x.ID])
-			last, ids[x.ID] = x.at, true
+			last, ids[x.ID] = x.dueAt, true
 			n++
 			list := m.Resp
 			if x.Message.Push {
@@ -192,7 +191,7 @@
 				assert.Zero(t, x.Key)
 			}
 		}
-		within := func(got, want float64) { // six standard deviations
+		within := func(got, want float64) { // within six standard deviations
 			assert.InDelta(t, want, got, 6*math.Sqrt(max(want, 1)))
 		}
 		within(n, 600)
@@ -201,8 +200,8 @@
 	})
 }
 
-func TestMistakes(t *testing.T) {
-	s := open(t)
+func TestInvalidOptions(t *testing.T) {
+	s := openSink(t)
 	for want, change := range map[string]func(*Options){
 		"rate":        func(o *Options) { o.Rate = 0 },
 		"time":        func(o *Options) { o.For = 0 },
@@ -219,21 +218,20 @@
 	}
 }
 
-// What is taken from a queue comes in the order in which it was put in, however
-// puts and takes are mixed.
-func TestFifo(t *testing.T) {
+// The queue keeps the order of its items for any sequence of additions and removals.
+func TestQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var q fifo[int]
+		var q queue[int]
 		var model []int
 		for i := range 200 {
 			if n := rapid.IntRange(-4, 4).Draw(t, "n"); n >= 0 {
 				for k := range n {
-					q.put(i*10 + k)
+					q.push(i*10 + k)
 					model = append(model, i*10+k)
 				}
 			} else {
 				n = min(-n, len(model))
-				q.drop(n)
+				q.remove(n)
 				model = model[n:]
 			}
 			assert.Equal(t, len(model), q.len())
--- a/internal/openload/record.go
+++ b/internal/openload/record.go
@@ -10,22 +10,22 @@
 	"snowjunction/internal/standin/load"
 )
 
-// Front is a way into a courier.
+// Front is an interface through which a courier accepts messages.
 type Front int
 
 // The fronts.
 const (
 	Resp Front = iota
 	Push
-	fronts
+	frontCount
 )
 
 func (f Front) String() string { return [...]string{"RESP2", "HTTP/2"}[f] }
 
-// newTimes are durations up to ten minutes, to three digits.
-func newTimes() *latency.Histogram { return latency.New(10*time.Minute, 3) }
+// newHistogram returns a histogram of durations up to ten minutes with three significant digits.
+func newHistogram() *latency.Histogram { return latency.New(10*time.Minute, 3) }
 
-// Quantiles are of latencies in milliseconds.
+// Quantiles summarizes latencies in milliseconds.
 type Quantiles struct {
 	N    int64   `json:"n"`
 	Mean float64 `json:"mean_ms"`
@@ -40,83 +40,84 @@
 	return Quantiles{N: h.N(), Mean: h.Mean(), P50: h.Ms(50), P90: h.Ms(90), P99: h.Ms(99), P999: h.Ms(99.9), Max: h.Max()}
 }
 
-// record is what one lane has seen. Lanes have one each, and theirs are merged at
-// the end.
-type record struct {
-	verdicts [fronts][load.Unheard + 1]int
-	latency  [fronts]*latency.Histogram // from when a message was due, to its answer
-	served   [fronts]*latency.Histogram // from when it left, as a closed loop would measure
-	lag      *latency.Histogram         // from when it was due, to when it left
-	broken   int                        // connections that ended in between
+// statistics holds the statistics of one lane. The records of all lanes are merged at the end.
+type statistics struct {
+	verdicts        [frontCount][load.Unheard + 1]int
+	latency         [frontCount]*latency.Histogram // from due time to response
+	serviceTime     [frontCount]*latency.Histogram // from sending to response, as a closed loop would measure it
+	sendDelay       *latency.Histogram             // from due time to sending
+	lostConnections int                            // connections lost during the run
 }
 
-func newRecord() *record {
-	r := &record{lag: newTimes()}
-	for f := range fronts {
-		r.latency[f], r.served[f] = newTimes(), newTimes()
+func newStatistics() *statistics {
+	r := &statistics{sendDelay: newHistogram()}
+	for f := range frontCount {
+		r.latency[f], r.serviceTime[f] = newHistogram(), newHistogram()
 	}
 	return r
 }
 
-func (r *record) left(due, at time.Duration) { r.lag.Add(at - due) }
+// recordSent records that a message was sent.
+func (r *statistics) recordSent(due, at time.Duration) { r.sendDelay.Add(at - due) }
 
-func (r *record) answer(f Front, v load.Verdict, due, left, at time.Duration) {
+// recordVerdict records the verdict on a message that was sent at left and ended at the time at.
+func (r *statistics) recordVerdict(f Front, v load.Verdict, due, sentAt, at time.Duration) {
 	r.verdicts[f][v]++
 	r.latency[f].Add(at - due)
 	if v != load.Unheard {
-		r.served[f].Add(at - left)
+		r.serviceTime[f].Add(at - sentAt)
 	}
 }
 
-func (r *record) merge(x *record) {
-	for f := range fronts {
+func (r *statistics) merge(x *statistics) {
+	for f := range frontCount {
 		for v, n := range x.verdicts[f] {
 			r.verdicts[f][v] += n
 		}
 		r.latency[f].Merge(x.latency[f])
-		r.served[f].Merge(x.served[f])
+		r.serviceTime[f].Merge(x.serviceTime[f])
 	}
-	r.lag.Merge(x.lag)
-	r.broken += x.broken
+	r.sendDelay.Merge(x.sendDelay)
+	r.lostConnections += x.lostConnections
 }
 
-// FrontResult is what came of one front's messages.
+// FrontResult holds the results for the messages of one front.
 type FrontResult struct {
 	Front   string    `json:"front"`
 	Taken   int       `json:"taken"`
 	Refused int       `json:"refused"`
 	Failed  int       `json:"failed"`
-	Unheard int       `json:"unheard"` // no answer
-	Latency Quantiles `json:"latency"` // from when they were due; of those unheard, until they were given up
-	Served  Quantiles `json:"served"`  // from when they left
+	Unheard int       `json:"unheard"` // no response
+	Latency Quantiles `json:"latency"` // from due time to response, or until a message without response was abandoned
+	Served  Quantiles `json:"served"`  // from sending to response
 }
 
-// Result is what came of a run.
+// Result holds the results of a run.
 type Result struct {
-	Rate    float64          `json:"rate"` // wanted, a second
+	Rate    float64          `json:"rate"` // requested messages per second
 	Seconds float64          `json:"seconds"`
 	Due     int              `json:"due"`
 	Left    int              `json:"left"`
 	Broken  int              `json:"connections_broken"`
-	Lag     Quantiles        `json:"lag"`       // from due to left
-	Pace    Quantiles        `json:"pace"`      // from due to handed to a connection: the loader's own delay
-	Achieve float64          `json:"left_rate"` // left a second
+	Lag     Quantiles        `json:"lag"`       // from due time to sending
+	Pace    Quantiles        `json:"pace"`      // from due time to hand-over to a connection: the generator's own delay
+	Achieve float64          `json:"left_rate"` // messages sent per second
 	Fronts  []FrontResult    `json:"fronts"`
-	Hist    []latency.Bucket `json:"histogram"` // of latency, all fronts
+	Hist    []latency.Bucket `json:"histogram"` // of the latencies of all fronts
 }
 
-func (r *record) result(m Mix, due int, pace *latency.Histogram, took time.Duration) *Result {
+func (r *statistics) result(m Mix, due int, pace *latency.Histogram, elapsed time.Duration) *Result {
 	out := &Result{
-		Rate: m.Rate, Seconds: m.For.Seconds(), Due: due, Left: int(r.lag.N()), Broken: r.broken,
-		Lag: quantiles(r.lag), Pace: quantiles(pace), Achieve: float64(r.lag.N()) / took.Seconds(),
+		Rate: m.Rate, Seconds: m.For.Seconds(), Due: due, Left: int(r.sendDelay.N()), Broken: r.lostConnections,
+		Lag: quantiles(r.sendDelay), Pace: quantiles(pace), Achieve: float64(r.sendDelay.N()) / elapsed.Seconds(),
 	}
-	all := newTimes()
-	for f := range fronts {
+	all := newHistogram()
+	for f := range frontCount {
 		v := r.verdicts[f]
 		if x := quantiles(r.latency[f]); x.N > 0 {
 			out.Fronts = append(out.Fronts, FrontResult{
 				Front: f.String(), Taken: v[load.Taken], Refused: v[load.Refused], Failed: v[load.Failed], Unheard: v[load.Unheard],
-				Latency: x, Served: quantiles(r.served[f]),
+				Latency: x, Served: quantiles(r.serviceTime[f]),
 			})
 		}
 		all.Merge(r.latency[f])
@@ -125,15 +126,15 @@
 	return out
 }
 
-// KeptPace tells that the loader itself was hardly ever late: what it reports is
-// the courier's doing.
-func (r *Result) KeptPace() bool { return r.Pace.P99 <= paceMost }
+// KeptPace reports whether the load generator itself kept up with the rate, so that the reported
+// latencies are the courier's.
+func (r *Result) KeptPace() bool { return r.Pace.P99 <= maxPaceMs }
 
-// paceMost is how late, in milliseconds, one in a hundred may be handed to its
-// connection.
-const paceMost = 10
+// maxPaceMs is the maximum 99th percentile, in milliseconds, of the delay with which messages are
+// handed over to connections.
+const maxPaceMs = 10
 
-// Print prints the result for a person.
+// Print writes the result as a table and a histogram in text form.
 func (r *Result) Print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "front\ttaken\trefused\tfailed\tunheard\tmean ms\tp50\tp90\tp99\tp99.9\tmost\tserved p50\tp99\t")
@@ -145,7 +146,7 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d due in %.1f s (%.0f a second), %d left (%.0f a second); left late by p50 %.2f, p99 %.2f, most %.1f ms; %d connections broken\n",
+	fmt.Fprintf(out, "%d due in %.1f s (%.0f per second), %d sent (%.0f per second); send delay p50 %.2f, p99 %.2f, max %.1f ms; %d connections lost\n",
 		r.Due, r.Seconds, r.Rate, r.Left, r.Achieve, r.Lag.P50, r.Lag.P99, r.Lag.Max, r.Broken)
 	for _, b := range r.Hist {
 		if b.N > 0 {
@@ -153,7 +154,7 @@
 		}
 	}
 	if !r.KeptPace() {
-		fmt.Fprintf(out, "the loader fell behind by itself: p99 %.2f ms\n", r.Pace.P99)
+		fmt.Fprintf(out, "the load generator itself was late: p99 %.2f ms\n", r.Pace.P99)
 	}
 	return nil
 }
--- a/internal/openload/run.go
+++ b/internal/openload/run.go
@@ -10,33 +10,33 @@
 	"snowjunction/internal/standin/load"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	Mix
 	RespAddr, PushAddr string
-	Conns              int           // to each front
-	Pipeline           int           // messages on a connection at once
-	Settle             time.Duration // how long answers may still come after the last message
-	// Heard, if it is set, hears of each message's verdict; it may be called by
-	// several goroutines at once.
+	Conns              int           // connections to each front
+	Pipeline           int           // maximum number of messages in flight on a connection
+	Settle             time.Duration // how long to wait for responses after the last message
+	// Heard, if not nil, is called with the verdict on each message. Calls may be concurrent.
 	Heard func(load.Message, load.Verdict)
-	// Progress, if it is set, hears now and then what has been handed out.
+	// Progress, if not nil, is called about once a second and at the end with the elapsed time and
+	// the number of messages passed to connections.
 	Progress func(at time.Duration, due int)
 }
 
-// Run plays the mix and returns what came of it. Ended early by the context, it
-// reports on what was handed out until then.
+// Run submits the messages of the mix and returns the results. If ctx is cancelled, the results
+// cover the messages that were passed to connections until then.
 func Run(ctx context.Context, o Options) (*Result, error) {
-	s, err := newSource(o.Mix)
+	s, err := newGenerator(o.Mix)
 	if err != nil {
 		return nil, err
 	}
 	if o.Conns < 1 || o.Pipeline < 1 {
-		return nil, errors.New("one connection, and one message on it, are the least")
+		return nil, errors.New("at least one connection and one message per connection are required")
 	}
 	begun := time.Now()
 	clock := func() time.Duration { return time.Since(begun) }
-	var lanes [fronts][]*lane
+	var lanes [frontCount][]*lane
 	var wg sync.WaitGroup
 	for f, addr := range [...]string{o.RespAddr, o.PushAddr} {
 		if f == int(Push) && o.Mix.Push == 0 || f == int(Resp) && o.Mix.Push == 1 {
@@ -48,48 +48,48 @@
 			wg.Go(l.run)
 		}
 	}
-	due, pace := handOut(ctx, s, lanes, clock, o.Progress)
-	took := clock()
-	settle(ctx, lanes, o.Settle)
-	rec := newRecord()
+	dispatched, pace := dispatch(ctx, s, lanes, clock, o.Progress)
+	elapsed := clock()
+	awaitResponses(ctx, lanes, o.Settle)
+	total := newStatistics()
 	for _, x := range lanes {
 		for _, l := range x {
-			l.close()
+			l.stop()
 		}
 	}
 	wg.Wait()
 	for _, x := range lanes {
 		for _, l := range x {
-			rec.merge(l.rec)
+			total.merge(l.stats)
 		}
 	}
-	return rec.result(o.Mix, due, pace, took), nil
+	return total.result(o.Mix, dispatched, pace, elapsed), nil
 }
 
-// handOut gives each message to a connection when it is due: those of a key always
-// to the same, the others to one after another.
-func handOut(ctx context.Context, s *source, lanes [fronts][]*lane, clock func() time.Duration, progress func(time.Duration, int)) (due int, pace *latency.Histogram) {
-	pace = newTimes()
-	next, told := 0, time.Duration(0)
-	for x, ok := s.next(); ok && ctx.Err() == nil; x, ok = s.next() {
-		for now := clock(); now < x.at; now = clock() {
-			if progress != nil && now-told > time.Second {
-				told = now
+// dispatch passes each message to a lane when it is due. Messages of a key always go to the same
+// lane, others to the lanes in turn. pace is the delay between due time and hand-over.
+func dispatch(ctx context.Context, source *generator, lanes [frontCount][]*lane, clock func() time.Duration, progress func(time.Duration, int)) (due int, pace *latency.Histogram) {
+	pace = newHistogram()
+	nextLane, reportedAt := 0, time.Duration(0)
+	for x, ok := source.next(); ok && ctx.Err() == nil; x, ok = source.next() {
+		for now := clock(); now < x.dueAt; now = clock() {
+			if progress != nil && now-reportedAt > time.Second {
+				reportedAt = now
 				progress(now, due)
 			}
-			time.Sleep(x.at - now)
+			time.Sleep(x.dueAt - now)
 		}
 		f := Resp
 		if x.Message.Push {
 			f = Push
 		}
-		n := next
+		n := nextLane
 		if x.Key != 0 {
 			n = int(x.Key % uint64(len(lanes[f])))
 		}
-		next++
-		lanes[f][n%len(lanes[f])].put(x)
-		pace.Add(clock() - x.at)
+		nextLane++
+		lanes[f][n%len(lanes[f])].enqueue(x)
+		pace.Add(clock() - x.dueAt)
 		due++
 	}
 	if progress != nil {
@@ -98,25 +98,25 @@
 	return due, pace
 }
 
-// settle waits until every answer has come, or for so long.
-func settle(ctx context.Context, lanes [fronts][]*lane, within time.Duration) {
-	limit := time.NewTimer(within)
-	defer limit.Stop()
-	look := time.NewTicker(5 * time.Millisecond)
-	defer look.Stop()
+// awaitResponses waits until all responses have arrived, for the time within, or until ctx is cancelled.
+func awaitResponses(ctx context.Context, lanes [frontCount][]*lane, within time.Duration) {
+	timeout := time.NewTimer(within)
+	defer timeout.Stop()
+	poll := time.NewTicker(5 * time.Millisecond)
+	defer poll.Stop()
 	for {
 		busy := false
 		for _, x := range lanes {
 			for _, l := range x {
-				busy = busy || !l.idle()
+				busy = busy || !l.isIdle()
 			}
 		}
 		if !busy {
 			return
 		}
 		select {
-		case <-look.C:
-		case <-limit.C:
+		case <-poll.C:
+		case <-timeout.C:
 			return
 		case <-ctx.Done():
 			return
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -2,8 +2,8 @@
 
 import "maps"
 
-// Member are settings as the courier of that number in a fleet of so many is told them,
-// with its zone among so many; it may tell the others notes.
+// Member returns a copy of the settings s for one courier of a fleet: its number, the fleet's size,
+// its zone and all zones. The courier is allowed to send peer messages.
 func Member(s map[string]any, number, fleet, zone int, zones []string) map[string]any {
 	s = maps.Clone(s)
 	limits := maps.Clone(s["limits"].(map[string]any))
--- a/internal/rig/kitchen.go
+++ b/internal/rig/kitchen.go
@@ -8,16 +8,16 @@
 	"snowjunction/internal/standin/partner"
 )
 
-// Kitchen is what a courier serves: partners, those that speak HTTP/2 behind the
-// push front, the others listed by a directory.
+// Kitchen simulates the environment of a courier: partners and a directory. Partners with HTTP/2
+// are targets of the push front; the directory lists the others.
 type Kitchen struct {
 	Farm      *standin.Farm
 	Directory *standin.Directory
 	Listed    []standin.Instance
-	Push      map[string]any // the push front's file
+	Push      map[string]any // configuration file of the push front
 }
 
-// NewKitchen opens it; the push front's documents go into dir.
+// NewKitchen starts the partners and the directory. It writes the push front's documents to dir.
 func NewKitchen(dir string, specs []standin.Spec) (*Kitchen, error) {
 	farm, err := standin.NewFarm(specs)
 	if err != nil {
@@ -42,8 +42,8 @@
 	return k, nil
 }
 
-// Drain has the directory tell that an endpoint drains; the farm minds what it
-// gets after that.
+// Drain makes the directory announce that an endpoint is draining. The farm counts the calls that
+// the endpoint receives after that.
 func (k *Kitchen) Drain(name string) {
 	for _, x := range k.Listed {
 		if x.InstanceID == name {
@@ -54,20 +54,20 @@
 	}
 }
 
-// Delivered tells whether a message has been delivered.
+// Delivered reports whether a message has been delivered.
 func (k *Kitchen) Delivered(destination uint32, id string) (seen bool) {
 	_ = k.Farm.With(destination, func(p *partner.Partner) { seen = p.Seen(id) })
 	return seen
 }
 
-// Counts sums up what all partners have seen.
+// Counts returns the sum of the counters of all partners.
 func (k *Kitchen) Counts() (n partner.Counts) {
 	k.Farm.Each(func(_ uint32, p *partner.Partner) { n.Add(p.Counts) })
 	return n
 }
 
-// Settle waits until every message that a client has handed in and that was taken
-// on has its end, or for so long, and returns the account.
+// Settle waits until every accepted message of a client has a final result, or for the time
+// within, and returns the counts of results.
 func (k *Kitchen) Settle(client *load.Client, within time.Duration) load.Ends {
 	for limit := time.Now().Add(within); ; time.Sleep(200 * time.Millisecond) {
 		e := client.Account(k.Delivered, k.Directory.Notices(), nil)
@@ -77,7 +77,7 @@
 	}
 }
 
-// Close ends it.
+// Close stops the directory and the partners.
 func (k *Kitchen) Close() {
 	k.Directory.Close()
 	k.Farm.Close()
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -1,6 +1,5 @@
-// Package rig starts the courier as a process of its own, with a configuration
-// made for the occasion, and reads what it tells of itself: for demonstrations,
-// measurements and tests.
+// Package rig starts the courier as a separate process with a generated configuration and reads its
+// log and its counters. It is used by the demonstration, by measurements and by tests.
 package rig
 
 import (
@@ -23,13 +22,14 @@
 	"snowjunction/internal/standin"
 )
 
-// Settings are those of a small deployment: class order is keyed and in order,
-// class status safe. They are in the platform's form.
+// Settings returns the settings of a small deployment in the platform's format: messages of class
+// order have an idempotency key and are delivered in order, those of class status are safe to
+// repeat.
 func Settings() map[string]any {
-	class := func(name, semantics string, inOrder bool, aim, deadline, worth float64) map[string]any {
+	class := func(name, semantics string, inOrder bool, targetMs, deadlineMs, value float64) map[string]any {
 		return map[string]any{
-			"name": name, "semantics": semantics, "key-scope": "all", "in-order": inOrder, "promise-ms": aim,
-			"deadline-ms": deadline, "importance": worth, "late-share": 0.3, "window-ms": 5000,
+			"name": name, "semantics": semantics, "key-scope": "all", "in-order": inOrder, "promise-ms": targetMs,
+			"deadline-ms": deadlineMs, "importance": value, "late-share": 0.3, "window-ms": 5000,
 		}
 	}
 	return map[string]any{
@@ -49,8 +49,8 @@
 	}
 }
 
-// Large are Settings with so many slots, messages held, and messages a second in
-// the one tenant's quota.
+// Large returns Settings with the given maximum number of concurrent calls (slots), maximum number
+// of messages held, and quota of the only tenant in messages per second.
 func Large(slots, held int, quota float64) map[string]any {
 	s := Settings()
 	s["family-info"].(map[string]any)["max-calls"] = slots
@@ -59,63 +59,63 @@
 	return s
 }
 
-// Config is what a courier is started with.
+// Config is the configuration of a courier to start.
 type Config struct {
-	Dir       string // where its files go; it must exist
-	Discovery string
+	Dir       string // existing folder for the courier's files
+	Discovery string // address of the directory
 	Settings  map[string]any
 	MemoryMB  int
 	Sockets   int
-	DiskMB    float64            // 0: 3
-	Known     []standin.Instance // nil: no list is known at the start
-	Push      map[string]any     // the push front's file; nil: off
-	Idle      map[string]any     // the file for idle destinations; nil: its defaults
-	Plugins   map[string]any     // the plug-ins' file; nil: none
-
-	OperatorDirectory map[string]any // the directory's file; nil: its defaults
-	Partitions        map[string]any // the file of partitions; nil: off
-	Listen            string         // where clients reach it; "": a port that is free
-	Console           bool           // it has a second address
-
-	Peers  []string // the fleet's addresses for notes, by number; nil: no notes
-	Number int      // this courier's, in the settings too
-	Seed   uint64   // 0: one that is always the same
-	Traced bool     // it logs at level debug, and what befalls messages is kept
+	DiskMB    float64            // 0 means 3
+	Known     []standin.Instance // directory list known at the start; nil means none
+	Push      map[string]any     // configuration file of the push front; nil disables it
+	Idle      map[string]any     // configuration file for idle destinations; nil means the defaults
+	Plugins   map[string]any     // configuration file for plug-ins; nil means none
+
+	OperatorDirectory map[string]any // configuration file of the directory; nil means the defaults
+	Partitions        map[string]any // configuration file of partitions; nil disables them
+	Listen            string         // address of the RESP2 front; "" means a free port on loopback
+	Console           bool           // listens on a second address for operators
+
+	Peers  []string // peer message addresses of the fleet, by courier number; nil disables them
+	Number int      // number of this courier, also in the settings
+	Seed   uint64   // 0 means a fixed seed
+	Traced bool     // logs at level debug and keeps the traces of messages
 }
 
-// Courier is a running courier.
+// Courier is a running courier process.
 type Courier struct {
-	Addr, Push string    // where its fronts listen
-	Console    string    // its second address; "": none
-	Begun      time.Time // its process
-
-	exe     string
-	env     []string
-	console bool
-	traced  bool
-	second  chan string
-
-	cmd    *exec.Cmd
-	mu     sync.Mutex
-	tail   []string
-	traces []standin.Trace
-	counts chan map[string]any
-	up     chan map[string]any
-	ready  chan map[string]any
-
-	replaced chan map[string]any
-	again    chan map[string]any
-	exited   chan error
+	Addr, Push string    // addresses of its fronts
+	Console    string    // second address; "" means none
+	Begun      time.Time // start of the process
+
+	exe         string
+	env         []string
+	hasConsole  bool
+	traced      bool
+	consoleAddr chan string
+
+	cmd      *exec.Cmd
+	mu       sync.Mutex
+	tail     []string
+	traces   []standin.Trace
+	counters chan map[string]any
+	started  chan map[string]any
+	ready    chan map[string]any
+
+	pluginsReloaded chan map[string]any
+	configReloaded  chan map[string]any
+	exited          chan error
 }
 
 const (
-	// startWithin ends what hangs, as scenario.Limit does: it tells nothing of how long a start takes.
-	startWithin = 90 * time.Second
-	tailMost    = 50
+	// startTimeout is a timeout for hangs, like scenario.Limit. It is no bound on the start time.
+	startTimeout = 90 * time.Second
+	maxTailLines = 50 // log lines
 )
 
-// Start starts the program at exe as a courier. An error holds the last lines
-// of its log.
+// Start starts the program at exe as a courier and waits until it listens. An error contains the
+// last lines of its log.
 func Start(exe string, cfg Config) (*Courier, error) {
 	state := filepath.Join(cfg.Dir, "state")
 	if err := os.MkdirAll(state, 0o700); err != nil {
@@ -132,15 +132,15 @@
 	if cfg.Seed == 0 {
 		cfg.Seed = 0x8c1f30d27a5be964
 	}
-	whole := map[string]any{
+	config := map[string]any{
 		"name": fmt.Sprintf("n%d", cfg.Number), "listen": "127.0.0.1:0", "discovery": cfg.Discovery, "seed": fmt.Sprintf("%016x", cfg.Seed),
 		"limits": map[string]any{"memory_mb": cfg.MemoryMB, "sockets": cfg.Sockets, "disk_mb": 3}, "settings": cfg.Settings,
 	}
 	if cfg.Known != nil {
-		whole["known"] = map[string]any{"generation": 1, "reset": true, "instances": cfg.Known}
+		config["known"] = map[string]any{"generation": 1, "reset": true, "instances": cfg.Known}
 	}
 	if cfg.DiskMB > 0 {
-		whole["limits"].(map[string]any)["disk_mb"] = cfg.DiskMB
+		config["limits"].(map[string]any)["disk_mb"] = cfg.DiskMB
 	}
 	if cfg.Push == nil {
 		cfg.Push = map[string]any{}
@@ -158,74 +158,76 @@
 		cfg.Partitions = map[string]any{}
 	}
 	if cfg.Listen != "" {
-		whole["listen"] = cfg.Listen
+		config["listen"] = cfg.Listen
 	}
 	if cfg.Peers != nil {
-		whole["peers"], whole["peer_listen"] = cfg.Peers, cfg.Peers[cfg.Number]
+		config["peers"], config["peer_listen"] = cfg.Peers, cfg.Peers[cfg.Number]
 	}
 	if cfg.Console {
-		whole["console"] = "127.0.0.1:0"
-	}
-	config, err := write("config.json", whole)
-	push, err2 := write("push.json", cfg.Push)
-	idle, err3 := write("idle.json", cfg.Idle)
-	plugins, err4 := write("plugins.json", cfg.Plugins)
-	directory, err5 := write("directory.json", cfg.OperatorDirectory)
-	partitions, err6 := write("partitions.json", cfg.Partitions)
+		config["console"] = "127.0.0.1:0"
+	}
+	configPath, err := write("config.json", config)
+	pushPath, err2 := write("push.json", cfg.Push)
+	idlePath, err3 := write("idle.json", cfg.Idle)
+	pluginsPath, err4 := write("plugins.json", cfg.Plugins)
+	directoryPath, err5 := write("directory.json", cfg.OperatorDirectory)
+	partitionsPath, err6 := write("partitions.json", cfg.Partitions)
 	if err := errors.Join(err, err2, err3, err4, err5, err6); err != nil {
 		return nil, err
 	}
-	env := append(os.Environ(), "GW_CONFIG="+config, "GW_STATE="+state, "SNOWJUNCTION_PUSH="+push, "SNOWJUNCTION_IDLE="+idle,
-		"SNOWJUNCTION_PLUGINS="+plugins, "SNOWJUNCTION_DIRECTORY="+directory, "SNOWJUNCTION_PARTITIONS="+partitions)
+	env := append(os.Environ(), "GW_CONFIG="+configPath, "GW_STATE="+state, "SNOWJUNCTION_PUSH="+pushPath, "SNOWJUNCTION_IDLE="+idlePath,
+		"SNOWJUNCTION_PLUGINS="+pluginsPath, "SNOWJUNCTION_DIRECTORY="+directoryPath, "SNOWJUNCTION_PARTITIONS="+partitionsPath)
 	if cfg.Traced {
 		env = append(env, "SNOWJUNCTION_LOG_LEVEL=debug")
 	}
 	return launch(exe, env, cfg.Console, cfg.Traced)
 }
 
-// Beside starts a second process of the same courier, over the same folder.
-func (c *Courier) Beside() (*Courier, error) { return launch(c.exe, c.env, c.console, c.traced) }
+// Beside starts a second process of the same courier with the same state folder.
+func (c *Courier) Beside() (*Courier, error) { return launch(c.exe, c.env, c.hasConsole, c.traced) }
 
+// launch starts the process and waits until it listens.
 func launch(exe string, env []string, console, traced bool) (*Courier, error) {
-	c := &Courier{
-		cmd: exec.Command(exe, "run", "--log-format=json"), counts: make(chan map[string]any, 16),
-		up: make(chan map[string]any, 1), ready: make(chan map[string]any, 1), replaced: make(chan map[string]any, 1), again: make(chan map[string]any, 1), exited: make(chan error, 1),
-		exe: exe, env: env, console: console, traced: traced, second: make(chan string, 1),
+	courier := &Courier{
+		cmd: exec.Command(exe, "run", "--log-format=json"), counters: make(chan map[string]any, 16),
+		started: make(chan map[string]any, 1), ready: make(chan map[string]any, 1), pluginsReloaded: make(chan map[string]any, 1), configReloaded: make(chan map[string]any, 1), exited: make(chan error, 1),
+		exe: exe, env: env, hasConsole: console, traced: traced, consoleAddr: make(chan string, 1),
 	}
-	c.cmd.Env = env
-	out, err := c.cmd.StderrPipe()
+	courier.cmd.Env = env
+	out, err := courier.cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
-	c.Begun = time.Now()
-	if err := c.cmd.Start(); err != nil {
+	courier.Begun = time.Now()
+	if err := courier.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go c.read(out)
+	go courier.readLog(out)
 	select {
-	case line := <-c.up:
-		c.Addr, _ = line["listen"].(string)
-		c.Push, _ = line["push"].(string)
+	case line := <-courier.started:
+		courier.Addr, _ = line["listen"].(string)
+		courier.Push, _ = line["push"].(string)
 		if console {
-			c.Console = <-c.second // the next line
+			courier.Console = <-courier.consoleAddr // logged right after "started"
 		}
-		return c, nil
-	case err := <-c.exited:
-		return nil, fmt.Errorf("the courier did not start: %v\n%s", err, c.Tail())
-	case <-time.After(startWithin):
-		_ = c.cmd.Process.Kill()
-		return nil, fmt.Errorf("the courier did not start in %v\n%s", startWithin, c.Tail())
+		return courier, nil
+	case err := <-courier.exited:
+		return nil, fmt.Errorf("the courier did not start: %v\n%s", err, courier.Tail())
+	case <-time.After(startTimeout):
+		_ = courier.cmd.Process.Kill()
+		return nil, fmt.Errorf("the courier did not start within %v\n%s", startTimeout, courier.Tail())
 	}
 }
 
-func (c *Courier) read(out io.Reader) {
+// readLog parses the log of the process and passes on the lines of interest.
+func (c *Courier) readLog(out io.Reader) {
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
 		text := lines.Text()
 		c.mu.Lock()
 		c.tail = append(c.tail, text)
-		c.tail = c.tail[max(0, len(c.tail)-tailMost):]
+		c.tail = c.tail[max(0, len(c.tail)-maxTailLines):]
 		c.mu.Unlock()
 		var line map[string]any
 		if json.Unmarshal([]byte(text), &line) != nil {
@@ -234,8 +236,8 @@
 		switch line["msg"] {
 		case "started":
 			select {
-			case c.up <- line:
-			default: // it owns its folder again
+			case c.started <- line:
+			default: // logged again when the process takes over its folder again
 			}
 		case "ready":
 			select {
@@ -245,17 +247,17 @@
 		case "second address":
 			at, _ := line["listen"].(string)
 			select {
-			case c.second <- at:
+			case c.consoleAddr <- at:
 			default:
 			}
 		case "plug-ins replaced", "plug-ins not replaced":
 			select {
-			case c.replaced <- line:
+			case c.pluginsReloaded <- line:
 			default:
 			}
 		case "configuration read again", "configuration not read again":
 			select {
-			case c.again <- line:
+			case c.configReloaded <- line:
 			default:
 			}
 		case standin.TraceLeaves, standin.TraceTold, standin.TraceAttempt, standin.TraceEnd:
@@ -273,7 +275,7 @@
 			}
 		case "counters", "ended":
 			select {
-			case c.counts <- line:
+			case c.counters <- line:
 			default:
 			}
 		}
@@ -281,25 +283,25 @@
 	c.exited <- c.cmd.Wait()
 }
 
-// Ready waits until it says that it is ready, and returns that line.
+// Ready waits until the courier logs that it is ready, and returns that line.
 func (c *Courier) Ready() (map[string]any, error) {
 	select {
 	case line := <-c.ready:
 		return line, nil
-	case <-time.After(startWithin):
-		return nil, fmt.Errorf("the courier is not ready in %v\n%s", startWithin, c.Tail())
+	case <-time.After(startTimeout):
+		return nil, fmt.Errorf("the courier was not ready within %v\n%s", startTimeout, c.Tail())
 	}
 }
 
-// Tail is the last lines of its log.
+// Tail returns the last lines of the log.
 func (c *Courier) Tail() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return strings.Join(c.tail, "\n")
 }
 
-// Traces asks for its counters, so that what has come about before is there, and returns what it
-// has logged of messages, in its order.
+// Traces returns the traces of messages in the courier's log, in order. It first requests the
+// counters, so that all earlier log lines have been read.
 func (c *Courier) Traces() ([]standin.Trace, error) {
 	if _, err := c.Counters(false); err != nil {
 		return nil, err
@@ -309,8 +311,8 @@
 	return slices.Clone(c.traces), nil
 }
 
-// Counters asks for its counters; collect has it collect its garbage before, so
-// that its heap and resident memory tell what is in use.
+// Counters requests the courier's counters. If collect is set, the courier collects garbage first,
+// so that its heap and resident memory show only what is in use.
 func (c *Courier) Counters(collect bool) (map[string]any, error) {
 	s := syscall.SIGUSR1
 	if collect {
@@ -320,14 +322,14 @@
 		return nil, err
 	}
 	select {
-	case line := <-c.counts:
+	case line := <-c.counters:
 		return line, nil
-	case <-time.After(startWithin):
-		return nil, fmt.Errorf("the courier tells no counters\n%s", c.Tail())
+	case <-time.After(startTimeout):
+		return nil, fmt.Errorf("the courier did not log its counters\n%s", c.Tail())
 	}
 }
 
-// Number is a number in what Counters returns, by its path.
+// Number returns the number at a path in the result of Counters, or 0 if there is none.
 func Number(line map[string]any, path ...string) float64 {
 	var v any = line
 	for _, key := range path {
@@ -338,56 +340,57 @@
 	return n
 }
 
-// Resident is its resident memory in bytes.
+// Resident returns the resident memory of the process in bytes.
 func (c *Courier) Resident() (int64, error) { return Resident(c.cmd.Process.Pid) }
 
-// Reload sends SIGHUP and waits until the plug-ins have been replaced.
+// Reload sends SIGHUP and waits until the plug-ins have been replaced. It fails if they were not.
 func (c *Courier) Reload() error {
 	if err := c.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		return err
 	}
 	select {
-	case line := <-c.replaced:
+	case line := <-c.pluginsReloaded:
 		if line["msg"] != "plug-ins replaced" {
 			return fmt.Errorf("%v: %v", line["msg"], line["err"])
 		}
 		return nil
-	case <-time.After(startWithin):
-		return fmt.Errorf("the plug-ins are not replaced\n%s", c.Tail())
+	case <-time.After(startTimeout):
+		return fmt.Errorf("timeout while waiting for the plug-ins to be replaced\n%s", c.Tail())
 	}
 }
 
-// Hup sends SIGHUP and waits until the files have been read again. An error says why none of them
-// changes anything.
+// Hup sends SIGHUP and waits until the configuration files have been reloaded. An error contains
+// the reason why the courier rejected them.
 func (c *Courier) Hup() error {
 	if err := c.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		return err
 	}
 	select {
-	case line := <-c.again:
+	case line := <-c.configReloaded:
 		if line["msg"] != "configuration read again" {
 			return fmt.Errorf("%v: %v", line["msg"], line["err"])
 		}
 		return nil
-	case <-time.After(startWithin):
-		return fmt.Errorf("the files are not read again\n%s", c.Tail())
+	case <-time.After(startTimeout):
+		return fmt.Errorf("timeout while waiting for the configuration to be reloaded\n%s", c.Tail())
 	}
 }
 
-// Pause stops it in its tracks, and returns once none of its threads runs. Resume has it go on.
+// Pause stops the process with SIGSTOP and returns once all of its threads are stopped.
 func (c *Courier) Pause() error {
 	if err := c.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	for limit := time.Now().Add(startWithin); time.Now().Before(limit); time.Sleep(time.Millisecond) {
-		if c.stopped() {
+	for limit := time.Now().Add(startTimeout); time.Now().Before(limit); time.Sleep(time.Millisecond) {
+		if c.allThreadsStopped() {
 			return nil
 		}
 	}
-	return errors.New("it does not stop")
+	return errors.New("the courier did not stop after SIGSTOP")
 }
 
-func (c *Courier) stopped() bool {
+// allThreadsStopped reports whether all threads of the process are stopped.
+func (c *Courier) allThreadsStopped() bool {
 	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", c.cmd.Process.Pid))
 	for _, path := range tasks {
 		b, _ := os.ReadFile(path)
@@ -399,10 +402,10 @@
 	return len(tasks) > 0
 }
 
-// Resume has it go on.
+// Resume continues the process after Pause.
 func (c *Courier) Resume() error { return c.cmd.Process.Signal(syscall.SIGCONT) }
 
-// Resident is the resident memory of a process in bytes.
+// Resident returns the resident memory of a process in bytes.
 func Resident(pid int) (int64, error) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -414,16 +417,16 @@
 			return kb << 10, err
 		}
 	}
-	return 0, errors.New("no VmRSS")
+	return 0, errors.New("no VmRSS line in the process status")
 }
 
-// Descriptors is how many it holds; 0: it has ended.
+// Descriptors returns the number of open file descriptors, or 0 if the process has ended.
 func (c *Courier) Descriptors() int {
 	list, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
 	return len(list)
 }
 
-// CPU is the time that its threads have run.
+// CPU returns the CPU time of all running threads of the process.
 func (c *Courier) CPU() (total time.Duration, err error) {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", c.cmd.Process.Pid))
 	if err != nil {
@@ -442,25 +445,25 @@
 	return total, nil
 }
 
-// Kill ends it as SIGKILL does.
+// Kill ends the process with SIGKILL and waits for it.
 func (c *Courier) Kill() {
 	_ = c.cmd.Process.Kill()
 	<-c.exited
 }
 
-// Stop ends it in order and returns how it ended.
+// Stop ends the process with SIGTERM and returns its exit error.
 func (c *Courier) Stop() error {
 	_ = c.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case err := <-c.exited:
 		return err
-	case <-time.After(startWithin):
+	case <-time.After(startTimeout):
 		_ = c.cmd.Process.Kill()
-		return errors.New("the courier did not end when told to")
+		return errors.New("the courier did not end after SIGTERM")
 	}
 }
 
-// PushFile makes the push front's file, with its documents beside it.
+// PushFile returns the configuration file of the push front and writes its documents to dir.
 func PushFile(dir string, targets []standin.Instance) (map[string]any, error) {
 	for name, text := range map[string][]byte{"openapi.json": deploy.OpenAPI, "asyncapi.json": deploy.AsyncAPI} {
 		if err := os.WriteFile(filepath.Join(dir, name), text, 0o600); err != nil {
--- a/internal/scenario/courier.go
+++ b/internal/scenario/courier.go
@@ -22,37 +22,37 @@
 	"snowjunction/internal/rig"
 )
 
-// RunAs tells the test binary of the courier's command to be the courier.
+// RunAs is the environment variable that makes the test binary of the courier's command run as the
+// courier.
 const RunAs = "RUN_COURIER"
 
-// Target is an entry of the courier's list.
+// Target is an entry of the directory list in the courier's configuration.
 type Target struct {
 	Name, Addr string
 	Cell       int
 }
 
-// Courier is the program under test: a process of its own, with a folder that
-// outlasts it. Its steps are: wait kill, term, hup, start, exit, and any
-// text, which is then awaited in the log.
+// Courier is the program under test: a separate process with a state folder that persists across
+// restarts. Its steps are kill, term, hup, start and exit. Any other text is awaited in the log.
 type Courier struct {
 	Play     *Play
 	Settings map[string]any
 	Limits   map[string]any
 	Targets  []Target
 	Env      []string
-	Peers    map[string]any // of the configuration, to reach other couriers
-	Patience time.Duration  // for a line of the log; 0: Limit
+	Peers    map[string]any // settings for peer messages, merged into the configuration
+	Patience time.Duration  // timeout for a log line; 0 means Limit
 
-	dir, state string
-	cmd        *exec.Cmd
-	exited     chan error
-	mu         sync.Mutex
-	log        bytes.Buffer
-	grown      chan struct{}
-	read       int // of the log, by Await
+	dir, stateDir string
+	cmd           *exec.Cmd
+	exited        chan error
+	mu            sync.Mutex
+	log           bytes.Buffer
+	logGrown      chan struct{}
+	logRead       int // bytes of the log consumed by Await
 }
 
-// NewCourier prepares a courier that reaches discovery, a server of the play.
+// NewCourier prepares a courier whose directory is the server discovery of a new play.
 func NewCourier(t *testing.T, targets ...Target) *Courier {
 	p := New(t)
 	p.Server("discovery")
@@ -60,12 +60,12 @@
 		Play: p, Settings: rig.Settings(), Targets: targets, dir: t.TempDir(),
 		Limits: map[string]any{"memory_mb": 192, "sockets": 1024, "disk_mb": 3},
 	}
-	// Of a stand-in that says nothing nobody asks again within a test: what waits for news does
-	// so for as long as the grace lets it.
+	// The simulated directory does not answer. A request to it waits as long as this grace time allows,
+	// so with a long one the courier sends no further request within a test.
 	c.Settings["contract"].(map[string]any)["stop-sending-within-ms"] = 60000
-	c.state = filepath.Join(c.dir, "state")
-	require.NoError(t, os.Mkdir(c.state, 0o700))
-	p.On("courier", c.step)
+	c.stateDir = filepath.Join(c.dir, "state")
+	require.NoError(t, os.Mkdir(c.stateDir, 0o700))
+	p.On("courier", c.runStep)
 	t.Cleanup(func() {
 		c.Stop(syscall.SIGKILL)
 		if t.Failed() {
@@ -75,8 +75,8 @@
 	return c
 }
 
-// Unhurried gives the classes times that a test's steps do not reach on a busy machine: no call,
-// message or window ends while a scenario waits for its next event.
+// Unhurried sets the times of all classes to Limit, so that no call, message or window expires on a
+// busy machine while a script waits for its next event.
 func (c *Courier) Unhurried() {
 	for _, class := range c.Settings["classes"].([]any) {
 		for _, name := range []string{"promise-ms", "deadline-ms", "window-ms"} {
@@ -85,14 +85,14 @@
 	}
 }
 
-// Beside prepares a second process of the same courier, over the same folder and with the same
-// configuration; its steps are the THING's of that name.
+// Beside prepares a second process of the same courier with the same state folder and configuration.
+// Scripts refer to it by name.
 func (c *Courier) Beside(name string) *Courier {
 	n := &Courier{
 		Play: c.Play, Settings: c.Settings, Limits: c.Limits, Targets: c.Targets, Env: c.Env, Peers: c.Peers,
-		dir: c.dir, state: c.state,
+		dir: c.dir, stateDir: c.stateDir,
 	}
-	c.Play.On(name, n.step)
+	c.Play.On(name, n.runStep)
 	c.Play.T.Cleanup(func() {
 		n.Stop(syscall.SIGKILL)
 		if c.Play.T.Failed() {
@@ -102,13 +102,14 @@
 	return n
 }
 
-// Dir is a folder of the courier's, beside the one that lasts.
+// Dir returns the folder of the courier's configuration.
 func (c *Courier) Dir() string { return c.dir }
 
-// State is the folder that lasts.
-func (c *Courier) State() string { return c.state }
+// State returns the courier's state folder.
+func (c *Courier) State() string { return c.stateDir }
 
-func (c *Courier) step(word string) error {
+// runStep executes the step of a script line.
+func (c *Courier) runStep(word string) error {
 	switch word {
 	case "start":
 		return c.Start()
@@ -119,14 +120,13 @@
 	case "hup":
 		return c.reconfigure()
 	case "exit":
-		return c.wait()
+		return c.waitForExit()
 	}
 	_, err := c.Await(regexp.QuoteMeta(word))
 	return err
 }
 
-// reconfigure writes the configuration anew, with what the test has changed,
-// and tells the courier.
+// reconfigure writes the configuration with the test's changes and sends SIGHUP.
 func (c *Courier) reconfigure() error {
 	if _, err := c.Config(); err != nil {
 		return err
@@ -143,13 +143,13 @@
 			"lifecycle": "Ready", "weight": 1, "startedAtMs": 0,
 		})
 	}
-	whole := map[string]any{
-		"name": "n0", "listen": "127.0.0.1:0", "discovery": c.Play.names["discovery"], "seed": "8c1f30d27a5be964",
+	config := map[string]any{
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": c.Play.variables["discovery"], "seed": "8c1f30d27a5be964",
 		"limits": c.Limits, "settings": c.Settings,
 		"known": map[string]any{"generation": 1, "reset": true, "instances": instances},
 	}
-	maps.Copy(whole, c.Peers)
-	b, err := json.Marshal(whole)
+	maps.Copy(config, c.Peers)
+	b, err := json.Marshal(config)
 	if err != nil {
 		return "", err
 	}
@@ -157,8 +157,8 @@
 	return path, os.WriteFile(path, b, 0o600)
 }
 
-// Start starts the courier and names where it listens: $client and, with the
-// push front on, $push.
+// Start starts the courier and defines the addresses of its fronts as $client and, if the push
+// front is enabled, $push.
 func (c *Courier) Start() error {
 	if err := c.Launch(); err != nil {
 		return err
@@ -172,14 +172,14 @@
 	return nil
 }
 
-// Launch starts the process and does not wait for what becomes of it.
+// Launch starts the process without waiting until it is up.
 func (c *Courier) Launch() error {
 	path, err := c.Config()
 	if err != nil {
 		return err
 	}
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(append(os.Environ(), RunAs+"=1", "GW_CONFIG="+path, "GW_STATE="+c.state), c.Env...)
+	cmd.Env = append(append(os.Environ(), RunAs+"=1", "GW_CONFIG="+path, "GW_STATE="+c.stateDir), c.Env...)
 	out, err := cmd.StderrPipe()
 	if err != nil {
 		return err
@@ -187,11 +187,11 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	exited, grown := make(chan error, 1), make(chan struct{}, 1)
+	exited, logGrown := make(chan error, 1), make(chan struct{}, 1)
 	c.mu.Lock()
-	c.cmd, c.exited, c.grown = cmd, exited, grown
+	c.cmd, c.exited, c.logGrown = cmd, exited, logGrown
 	c.log.Reset()
-	c.read = 0
+	c.logRead = 0
 	c.mu.Unlock()
 	go func() {
 		lines := bufio.NewReader(out)
@@ -204,43 +204,43 @@
 				break
 			}
 			select {
-			case grown <- struct{}{}:
+			case logGrown <- struct{}{}:
 			default:
 			}
 		}
 		exited <- cmd.Wait()
-		close(grown)
+		close(logGrown)
 	}()
 	return nil
 }
 
-// Await waits for a match in the log, after the last one awaited.
+// Await waits for a match of pattern in the log after the previous match and returns its submatches.
 func (c *Courier) Await(pattern string) ([]string, error) {
 	re := regexp.MustCompile(pattern)
 	limit := time.After(cmp.Or(c.Patience, Limit))
 	for open := true; ; {
 		c.mu.Lock()
-		text := c.log.String()[c.read:]
+		text := c.log.String()[c.logRead:]
 		loc, m := re.FindStringIndex(text), re.FindStringSubmatch(text)
 		if m != nil {
-			c.read += loc[1]
+			c.logRead += loc[1]
 		}
 		c.mu.Unlock()
 		if m != nil {
 			return m, nil
 		}
 		if !open {
-			return nil, fmt.Errorf("the courier ended; no %q in its log", pattern)
+			return nil, fmt.Errorf("the courier ended without %q in its log", pattern)
 		}
 		select {
-		case _, open = <-c.grown:
+		case _, open = <-c.logGrown:
 		case <-limit:
-			return nil, fmt.Errorf("no %q in the log", pattern)
+			return nil, fmt.Errorf("timeout while waiting for %q in the log", pattern)
 		}
 	}
 }
 
-// Log is what the running courier has logged.
+// Log returns the log of the running courier.
 func (c *Courier) Log() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -250,17 +250,18 @@
 // Signal sends the courier a signal.
 func (c *Courier) Signal(s syscall.Signal) error { return c.cmd.Process.Signal(s) }
 
-// Stop ends the courier by a signal and waits for it.
+// Stop sends a signal to end the courier and waits for its end. It does nothing if it is not running.
 func (c *Courier) Stop(s syscall.Signal) error {
 	if c.cmd == nil {
 		return nil
 	}
 	_ = c.cmd.Process.Signal(s)
-	_ = c.wait()
+	_ = c.waitForExit()
 	return nil
 }
 
-func (c *Courier) wait() error {
+// waitForExit waits until the process ends and returns its exit error.
+func (c *Courier) waitForExit() error {
 	if c.cmd == nil {
 		return nil
 	}
@@ -269,6 +270,6 @@
 		c.cmd = nil
 		return err
 	case <-time.After(Limit):
-		return fmt.Errorf("the courier does not end")
+		return fmt.Errorf("the courier did not end in time")
 	}
 }
--- a/internal/scenario/h2.go
+++ b/internal/scenario/h2.go
@@ -12,35 +12,36 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// h2 is one end of an HTTP/2 connection, on x/net's framing: an independent
-// peer of the courier's own. Its lines are
+// h2Conn is one end of an HTTP/2 connection. It uses the framing of x/net, an implementation independent
+// of the courier's own. Its lines are
 //
 //	ADDRESS h2dial WHO, SERVER h2accept WHO
 //	WHO send "STREAM METHOD PATH NAME=VALUE ... |BODY"      a request
 //	WHO send "STREAM STATUS NAME=VALUE ... |BODY"           a response
-//	WHO send "HEAD STREAM STATUS NAME=VALUE ..."            one that goes on
+//	WHO send "HEAD STREAM STATUS NAME=VALUE ..."            a response whose stream stays open
 //	WHO send "RST STREAM CODE" or "GOAWAY STREAM" or "PING" or "SETTINGS STREAMS"
-//	WHO expect ...                 the same forms: the next that comes, with at
-//	                               least the headers named and just that body
+//	WHO expect ...                 in the same formats: the next message or frame must match, with
+//	                               at least the named headers and exactly that body
 //
-// SETTINGS, WINDOW_UPDATE and acknowledgements are seen to unasked.
-type h2 struct {
-	conn    net.Conn
-	framer  *http2.Framer
-	enc     *hpack.Encoder
-	block   bytes.Buffer
-	partial map[uint32]*message
+// SETTINGS, WINDOW_UPDATE and acknowledgements are handled automatically.
+type h2Conn struct {
+	conn       net.Conn
+	framer     *http2.Framer
+	encoder    *hpack.Encoder
+	block      bytes.Buffer
+	incomplete map[uint32]*message
 }
 
+// message is a request or response that is being received.
 type message struct {
 	fields map[string]string
 	body   string
 }
 
-func newH2(c net.Conn, server bool) (*h2, error) {
-	a := &h2{conn: c, framer: http2.NewFramer(c, c), partial: map[uint32]*message{}}
+func newH2(c net.Conn, server bool) (*h2Conn, error) {
+	a := &h2Conn{conn: c, framer: http2.NewFramer(c, c), incomplete: map[uint32]*message{}}
 	a.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-	a.enc = hpack.NewEncoder(&a.block)
+	a.encoder = hpack.NewEncoder(&a.block)
 	if server {
 		preface := make([]byte, len(http2.ClientPreface))
 		for n := 0; n < len(preface); {
@@ -51,7 +52,7 @@
 			n += m
 		}
 		if string(preface) != http2.ClientPreface {
-			return nil, fmt.Errorf("no preface but %q", preface)
+			return nil, fmt.Errorf("got %q instead of the client preface", preface)
 		}
 	} else if _, err := c.Write([]byte(http2.ClientPreface)); err != nil {
 		return nil, err
@@ -59,15 +60,15 @@
 	return a, a.framer.WriteSettings()
 }
 
-func (a *h2) close() error { return a.conn.Close() }
+func (a *h2Conn) close() error { return a.conn.Close() }
 
-func (a *h2) send(text string) error {
+func (a *h2Conn) send(text string) error {
 	head, body, hasBody := strings.Cut(text, "|")
 	words := strings.Fields(head)
 	switch words[0] {
 	case "PING":
 		return a.framer.WritePing(false, [8]byte{})
-	case "SETTINGS": // the most streams that the other side may open
+	case "SETTINGS": // maximum number of streams that the peer may open
 		n, err := strconv.ParseUint(words[1], 10, 31)
 		if err != nil {
 			return err
@@ -86,10 +87,10 @@
 				return a.framer.WriteRSTStream(uint32(stream), code)
 			}
 		}
-		return fmt.Errorf("no error code %s", words[2])
+		return fmt.Errorf("unknown error code %s", words[2])
 	}
-	goesOn := words[0] == "HEAD"
-	if goesOn {
+	staysOpen := words[0] == "HEAD"
+	if staysOpen {
 		words = words[1:]
 	}
 	stream, err := strconv.ParseUint(words[0], 10, 31)
@@ -106,12 +107,12 @@
 	}
 	a.block.Reset()
 	for i := 0; i < len(fields); i += 2 {
-		if err := a.enc.WriteField(hpack.HeaderField{Name: fields[i], Value: fields[i+1]}); err != nil {
+		if err := a.encoder.WriteField(hpack.HeaderField{Name: fields[i], Value: fields[i+1]}); err != nil {
 			return err
 		}
 	}
 	err = a.framer.WriteHeaders(http2.HeadersFrameParam{
-		StreamID: uint32(stream), BlockFragment: a.block.Bytes(), EndHeaders: true, EndStream: !hasBody && !goesOn,
+		StreamID: uint32(stream), BlockFragment: a.block.Bytes(), EndHeaders: true, EndStream: !hasBody && !staysOpen,
 	})
 	if err == nil && hasBody {
 		err = a.framer.WriteData(uint32(stream), true, []byte(body))
@@ -119,11 +120,11 @@
 	return err
 }
 
-func (a *h2) expect(want string) error {
+func (a *h2Conn) expect(want string) error {
 	if want == "EOF" {
 		got, err := a.next()
 		if err == nil {
-			return fmt.Errorf("got %s and no end", got)
+			return fmt.Errorf("got %s instead of the end of the connection", got)
 		}
 		return nil
 	}
@@ -146,8 +147,8 @@
 	return nil
 }
 
-// next renders what comes next, in the form of the lines.
-func (a *h2) next() (string, error) {
+// next returns the next message or frame in the format of the script lines.
+func (a *h2Conn) next() (string, error) {
 	for {
 		f, err := a.framer.ReadFrame()
 		if err != nil {
@@ -172,20 +173,21 @@
 			for _, h := range f.Fields {
 				m.fields[h.Name] = h.Value
 			}
-			a.partial[stream], ended = m, f.StreamEnded()
+			a.incomplete[stream], ended = m, f.StreamEnded()
 		case *http2.DataFrame:
-			if m := a.partial[stream]; m != nil {
+			if m := a.incomplete[stream]; m != nil {
 				m.body += string(f.Data())
 			}
 			ended = f.StreamEnded()
 		}
-		if m := a.partial[stream]; ended && m != nil {
-			delete(a.partial, stream)
+		if m := a.incomplete[stream]; ended && m != nil {
+			delete(a.incomplete, stream)
 			return m.render(stream), nil
 		}
 	}
 }
 
+// render formats the message like a script line, with sorted headers.
 func (m *message) render(stream uint32) string {
 	words := []string{fmt.Sprint(stream)}
 	for _, name := range []string{":status", ":method", ":path"} {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,18 +1,18 @@
-// Package scenario is the language of the network tests and their one helper.
+// Package scenario runs the scripts of the network tests.
 //
-// A scenario is lines of: who, what, and an argument.
+// Each line of a script names an actor, an action and an argument:
 //
-//	SERVER accept WHO      the next connection to a stand-in server is WHO's
-//	ADDRESS dial WHO       WHO connects to an address that Let has named
-//	WHO send TEXT          TEXT is quoted as in Go
-//	WHO expect TEXT        the next bytes are TEXT; "...TEXT" skips up to it
-//	WHO expect EOF         the connection ends, with nothing before
+//	SERVER accept WHO      accepts the next connection to a simulated server and names it WHO
+//	ADDRESS dial WHO       connects to an address defined with Let and names the connection WHO
+//	WHO send TEXT          sends TEXT, which may be quoted as in Go
+//	WHO expect TEXT        the next bytes must be TEXT; "...TEXT" skips everything before it
+//	WHO expect EOF         the connection must end without further data
 //	WHO close
-//	ADDRESS h2dial WHO     the same over HTTP/2, and SERVER h2accept WHO: see h2
-//	THING wait WORD        a step that the test has named with On
+//	ADDRESS h2dial WHO     as dial, over HTTP/2, like SERVER h2accept WHO; see h2
+//	THING wait WORD        runs a step that the test defined with On
 //
-// $name stands for what Let has named. Nothing waits for a time to pass: every
-// line waits for its event, and only a failure runs into the limit.
+// $name is replaced by the value defined with Let. No line waits for a fixed time: each waits for its
+// event, and fails if the event does not occur within Limit.
 package scenario
 
 import (
@@ -28,27 +28,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Limit is how long an event may fail to come before its test fails.
+// Limit is the timeout for an event, after which the test fails.
 const Limit = 90 * time.Second
 
-// Play runs scenarios.
+// Play runs scripts. It owns their servers, connections and variables.
 type Play struct {
-	T       *testing.T
-	names   map[string]string
-	servers map[string]net.Listener
-	conns   map[string]actor
-	steps   map[string]func(word string) error
+	T         *testing.T
+	variables map[string]string
+	servers   map[string]net.Listener
+	conns     map[string]actor
+	steps     map[string]func(word string) error
 }
 
-// New returns a play without actors.
+// New returns a play without servers and connections.
 func New(t *testing.T) *Play {
 	return &Play{
-		T: t, names: map[string]string{}, servers: map[string]net.Listener{},
+		T: t, variables: map[string]string{}, servers: map[string]net.Listener{},
 		conns: map[string]actor{}, steps: map[string]func(string) error{},
 	}
 }
 
-// Server opens a stand-in server and names its address.
+// Server starts a listener on loopback, defines its address under name, and returns the address.
 func (p *Play) Server(name string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(p.T, err)
@@ -58,31 +58,31 @@
 	return l.Addr().String()
 }
 
-// Listener is a stand-in server's, for a test that serves it by other means.
+// Listener returns the listener of a server, for tests that accept its connections themselves.
 func (p *Play) Listener(name string) net.Listener { return p.servers[name] }
 
-// Let names a value.
-func (p *Play) Let(name, value string) { p.names[name] = value }
+// Let defines a variable.
+func (p *Play) Let(name, value string) { p.variables[name] = value }
 
-// Name is what Let has named.
-func (p *Play) Name(name string) string { return p.names[name] }
+// Name returns the value of a variable.
+func (p *Play) Name(name string) string { return p.variables[name] }
 
-// On names a step: THING wait WORD calls it with WORD.
+// On defines a step: the line THING wait WORD calls it with WORD.
 func (p *Play) On(thing string, step func(word string) error) { p.steps[thing] = step }
 
-// Run plays a scenario.
+// Run executes a script. The first line that fails ends the test.
 func (p *Play) Run(script string) {
 	p.T.Helper()
 	for i, line := range strings.Split(script, "\n") {
 		if line = strings.TrimSpace(line); line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		err := p.line(line)
+		err := p.runLine(line)
 		require.NoError(p.T, err, "line %d: %s", i+1, line)
 	}
 }
 
-func (p *Play) line(line string) error {
+func (p *Play) runLine(line string) error {
 	who, rest, _ := strings.Cut(line, " ")
 	verb, arg, _ := strings.Cut(strings.TrimSpace(rest), " ")
 	if arg = strings.TrimSpace(arg); strings.HasPrefix(arg, `"`) {
@@ -92,32 +92,32 @@
 		}
 		arg = text
 	}
-	for name, value := range p.names {
+	for name, value := range p.variables {
 		arg = strings.ReplaceAll(arg, "$"+name, value)
 	}
 	switch verb {
 	case "wait":
 		if p.steps[who] == nil {
-			return fmt.Errorf("nothing is named %s", who)
+			return fmt.Errorf("no step is defined for %s", who)
 		}
 		return p.steps[who](arg)
 	case "accept", "h2accept":
 		l, ok := p.servers[who].(*net.TCPListener)
 		if !ok {
-			return fmt.Errorf("no server %s", who)
+			return fmt.Errorf("unknown server %s", who)
 		}
 		if err := l.SetDeadline(time.Now().Add(Limit)); err != nil {
 			return err
 		}
 		c, err := l.Accept()
-		return p.join(arg, c, err, verb)
+		return p.register(arg, c, err, verb)
 	case "dial", "h2dial":
-		c, err := net.DialTimeout("tcp", p.names[who], Limit)
-		return p.join(arg, c, err, verb)
+		c, err := net.DialTimeout("tcp", p.variables[who], Limit)
+		return p.register(arg, c, err, verb)
 	}
 	a := p.conns[who]
 	if a == nil {
-		return fmt.Errorf("no connection of %s", who)
+		return fmt.Errorf("unknown connection %s", who)
 	}
 	switch verb {
 	case "send":
@@ -127,10 +127,11 @@
 	case "close":
 		return a.close()
 	}
-	return fmt.Errorf("no verb %s", verb)
+	return fmt.Errorf("unknown action %s", verb)
 }
 
-func (p *Play) join(who string, c net.Conn, err error, verb string) error {
+// register registers a connection under a name, unless err is set.
+func (p *Play) register(who string, c net.Conn, err error, verb string) error {
 	if err != nil {
 		return err
 	}
@@ -138,7 +139,7 @@
 	if err := c.SetDeadline(time.Now().Add(Limit)); err != nil {
 		return err
 	}
-	p.conns[who] = &stream{conn: c}
+	p.conns[who] = &plainConn{conn: c}
 	if strings.HasPrefix(verb, "h2") {
 		p.conns[who], err = newH2(c, verb == "h2accept")
 	}
@@ -152,46 +153,47 @@
 	close() error
 }
 
-// stream is a plain one, with what has come and is not yet expected.
-type stream struct {
-	conn net.Conn
-	got  []byte
+// plainConn is an end of a plain TCP connection, with the data received but not yet expected.
+type plainConn struct {
+	conn     net.Conn
+	received []byte
 }
 
-func (a *stream) send(text string) error {
+func (a *plainConn) send(text string) error {
 	_, err := a.conn.Write([]byte(text))
 	return err
 }
 
-func (a *stream) close() error { return a.conn.Close() }
+func (a *plainConn) close() error { return a.conn.Close() }
 
-func (a *stream) expect(text string) error {
+func (a *plainConn) expect(text string) error {
 	if text == "EOF" {
-		if err := a.more(); err == nil || len(a.got) > 0 {
-			return fmt.Errorf("got %q and no end", a.got)
+		if err := a.readMore(); err == nil || len(a.received) > 0 {
+			return fmt.Errorf("got %q instead of the end of the connection", a.received)
 		}
 		return nil
 	}
 	skip := strings.HasPrefix(text, "...")
 	want := []byte(strings.TrimPrefix(text, "..."))
 	for {
-		if at := bytes.Index(a.got, want); at >= 0 && (skip || at == 0) {
-			a.got = a.got[at+len(want):]
+		if at := bytes.Index(a.received, want); at >= 0 && (skip || at == 0) {
+			a.received = a.received[at+len(want):]
 			return nil
 		}
-		if !skip && !bytes.HasPrefix(want, a.got) {
-			return fmt.Errorf("got %q", a.got)
+		if !skip && !bytes.HasPrefix(want, a.received) {
+			return fmt.Errorf("got %q", a.received)
 		}
-		if err := a.more(); err != nil {
-			return fmt.Errorf("got %q, then %w", a.got, err)
+		if err := a.readMore(); err != nil {
+			return fmt.Errorf("got %q, then %w", a.received, err)
 		}
 	}
 }
 
-func (a *stream) more() error {
+// readMore reads further data.
+func (a *plainConn) readMore() error {
 	b := make([]byte, 16<<10)
 	n, err := a.conn.Read(b)
-	a.got = append(a.got, b[:n]...)
+	a.received = append(a.received, b[:n]...)
 	if n > 0 {
 		return nil
 	}
--- a/internal/standin/capacity_test.go
+++ b/internal/standin/capacity_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The bytes that entries take on the wire, in the form of the protocol's page.
-func BenchmarkListOnTheWire(b *testing.B) {
+// Measures the encoded size of an entry of the list and of a change, in the protocol's format.
+func BenchmarkEncodedList(b *testing.B) {
 	entry := func(i int) Instance {
 		return Instance{
 			InstanceID: fmt.Sprintf("s-%08x", uint32(i)*0x9e3779b1), HostPort: fmt.Sprintf("10.%d.%d.%d:6379", i>>16&255, i>>8&255, i&255),
@@ -20,8 +20,8 @@
 	}
 	whole, one := 0, 0
 	for b.Loop() {
-		whole = len(d.answer(0, false, parts{}))
-		one = len(d.answer(41, true, parts{}))
+		whole = len(d.encodeAnswer(0, false, partitionFilter{}))
+		one = len(d.encodeAnswer(41, true, partitionFilter{}))
 	}
 	b.ReportMetric(float64(whole)/n, "B/entry")
 	b.ReportMetric(float64(one), "B/change")
--- a/internal/standin/directory.go
+++ b/internal/standin/directory.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Instance is an entry of the list that a directory tells.
+// Instance is an entry of the directory's list.
 type Instance struct {
 	InstanceID  string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
@@ -26,7 +26,7 @@
 	StartedAtMs int64   `json:"startedAtMs"`
 }
 
-// List puts endpoints in the directory's form, all Ready.
+// List returns the endpoints as directory entries, all with lifecycle Ready.
 func List(ends []Endpoint) []Instance {
 	var out []Instance
 	for _, e := range ends {
@@ -38,60 +38,60 @@
 	return out
 }
 
-// Directory lists endpoints and takes notices, by the platform's protocol.
+// Directory serves a list of endpoints and receives notices, with the platform's protocol.
 type Directory struct {
-	mu         sync.Mutex
-	server     *http.Server
-	addr       string
-	generation uint64
-	list       []Instance
-	at         map[string]int // place in list by name
-	changes    []change       // the youngest at the end
-	dropped    int            // changes before those
-	indexes    []*index       // by number of partitions, the last used first
-	ignores    bool           // parameters that name partitions
-	floor      uint64         // changes since then are known
-	grown      chan struct{}  // closed at each change
-	raw        []byte         // what is answered instead, if anything
-	down       bool
-	heard      uint64 // the generation that a watch has named last
-	notices    map[string][]Notice
-	told       int
-	started    sync.WaitGroup
-	watched    func(from string, generation uint64, concerns func(destination uint32) bool)
-	texts      map[textKey][]byte // answers at textsAt
-	textsAt    uint64
-	textsSize  int // bytes of those that are not the whole list
-	traffic    traffic
+	mu                sync.Mutex
+	server            *http.Server
+	addr              string
+	generation        uint64
+	list              []Instance
+	positions         map[string]int    // position in list by instance ID
+	changes           []change          // oldest first
+	discardedChanges  int               // number of older changes that were discarded
+	indexes           []*partitionIndex // one per number of partitions, the most recently used first
+	ignoresPartitions bool              // ignores the request parameters that name partitions
+	oldestKnown       uint64            // all changes after this generation are kept
+	changed           chan struct{}     // closed at each change
+	fixedResponse     []byte            // response to every request instead of the list; nil means none
+	silent            bool
+	lastWatched       uint64 // highest generation named by a watch
+	notices           map[string][]Notice
+	noticesReceived   int
+	serving           sync.WaitGroup
+	onWatch           func(from string, generation uint64, concerns func(destination uint32) bool)
+	cache             map[cacheKey][]byte // cached responses of generation cacheGeneration
+	cacheGeneration   uint64
+	cacheBytes        int // bytes of the cached responses other than the whole list
+	traffic           trafficCounter
 }
 
-// textKey tells answers of one generation apart.
-type textKey struct {
+// cacheKey identifies a cached response of one generation.
+type cacheKey struct {
 	full  bool
 	after uint64
-	parts string // of which partitions; empty: of all
+	parts string // the partitions, as text; empty means all
 }
 
-// textsMost bounds the bytes of answers that are kept besides the whole list.
-const textsMost = 16 << 20
+// maxCacheBytes limits the bytes of cached responses, not counting the whole list.
+const maxCacheBytes = 16 << 20
 
+// change is a changed entry, with the previous state of the entry.
 type change struct {
-	generation uint64
-	instance   Instance
-	was        uint32 // the cell that its entry had
-	had        bool   // it was listed
+	generation   uint64
+	instance     Instance
+	previousCell uint32 // valid if wasListed
+	wasListed    bool   // whether the entry was listed before
 }
 
-// Notice is an end that is no delivery.
+// Notice reports a final result other than a delivery.
 type Notice struct {
 	ID      string `json:"id"`
 	State   string `json:"state"`
 	AfterMs int64  `json:"after_ms"`
 }
 
-// changesMost is how many changes are kept: who has missed more gets the whole
-// list.
-const changesMost = 1 << 17
+// maxChanges is the number of changes kept. A client that has missed more receives the whole list.
+const maxChanges = 1 << 17
 
 // NewDirectory starts a directory on a loopback address.
 func NewDirectory(list []Instance) (*Directory, error) {
@@ -99,121 +99,123 @@
 	if err != nil {
 		return nil, fmt.Errorf("open the directory: %w", err)
 	}
-	d := &Directory{addr: l.Addr().String(), grown: make(chan struct{}), notices: map[string][]Notice{}}
+	d := &Directory{addr: l.Addr().String(), changed: make(chan struct{}), notices: map[string][]Notice{}}
 	d.Replace(list)
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /discovery/hosts", d.hosts)
-	mux.HandleFunc("POST /v1/outcomes", d.outcomes)
-	d.server = &http.Server{Handler: mux, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 5 * time.Second, ConnContext: behind}
-	d.started.Go(func() { _ = d.server.Serve(d.traffic.listen(l)) })
+	mux.HandleFunc("GET /discovery/hosts", d.handleHosts)
+	mux.HandleFunc("POST /v1/outcomes", d.handleOutcomes)
+	d.server = &http.Server{Handler: mux, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 5 * time.Second, ConnContext: withDoor}
+	d.serving.Go(func() { _ = d.server.Serve(d.traffic.countBytes(l)) })
 	return d, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the directory listens on.
 func (d *Directory) Addr() string { return d.addr }
 
-// Close ends it.
+// Close stops the directory and closes its connections.
 func (d *Directory) Close() {
 	_ = d.server.Close()
-	d.started.Wait()
+	d.serving.Wait()
 }
 
-// Replace puts another list in the place of the one told: watchers get it whole.
+// Replace replaces the list and returns the new generation. Watchers receive the whole list.
 func (d *Directory) Replace(list []Instance) uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.list, d.at, d.changes = append([]Instance(nil), list...), map[string]int{}, nil
-	d.dropped, d.indexes = 0, nil
+	d.list, d.positions, d.changes = append([]Instance(nil), list...), map[string]int{}, nil
+	d.discardedChanges, d.indexes = 0, nil
 	for i, x := range d.list {
-		d.at[x.InstanceID] = i
+		d.positions[x.InstanceID] = i
 	}
 	d.generation++
-	d.floor = d.generation
-	d.wake()
+	d.oldestKnown = d.generation
+	d.notifyWatchers()
 	return d.generation
 }
 
-// Change tells changed entries; those that are Gone leave the list.
+// Change publishes changed entries as one generation, which it returns. Entries with lifecycle Gone
+// are removed from the list.
 func (d *Directory) Change(entries ...Instance) uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.generation++
 	for _, x := range entries {
-		i, ok := d.at[x.InstanceID]
-		c := change{generation: d.generation, instance: x, had: ok}
+		i, ok := d.positions[x.InstanceID]
+		c := change{generation: d.generation, instance: x, wasListed: ok}
 		if ok {
-			c.was = d.list[i].Cell
+			c.previousCell = d.list[i].Cell
 		}
 		switch {
 		case x.Lifecycle == "Gone" && ok:
 			last := len(d.list) - 1
 			for _, n := range d.indexes {
-				n.take(c.was, i, d.list[last].Cell)
+				n.remove(c.previousCell, i, d.list[last].Cell)
 			}
 			d.list[i] = d.list[last]
-			d.at[d.list[i].InstanceID] = i
+			d.positions[d.list[i].InstanceID] = i
 			d.list = d.list[:last]
-			delete(d.at, x.InstanceID)
+			delete(d.positions, x.InstanceID)
 		case x.Lifecycle == "Gone":
 		case ok:
 			for _, n := range d.indexes {
-				n.move(c.was, x.Cell, i)
+				n.move(c.previousCell, x.Cell, i)
 			}
 			d.list[i] = x
 		default:
 			for _, n := range d.indexes {
 				n.add(x.Cell, len(d.list))
 			}
-			d.at[x.InstanceID] = len(d.list)
+			d.positions[x.InstanceID] = len(d.list)
 			d.list = append(d.list, x)
 		}
 		for _, n := range d.indexes {
-			n.change(c, d.dropped+len(d.changes))
+			n.recordChange(c, d.discardedChanges+len(d.changes))
 		}
 		d.changes = append(d.changes, c)
 	}
-	if over := len(d.changes) - changesMost; over > 0 {
-		d.floor = d.changes[over-1].generation
-		for _, c := range d.changes[:over] {
+	if excess := len(d.changes) - maxChanges; excess > 0 {
+		d.oldestKnown = d.changes[excess-1].generation
+		for _, c := range d.changes[:excess] {
 			for _, n := range d.indexes {
-				n.drop(c)
+				n.discardChange(c)
 			}
 		}
-		d.changes, d.dropped = append([]change(nil), d.changes[over:]...), d.dropped+over
+		d.changes, d.discardedChanges = append([]change(nil), d.changes[excess:]...), d.discardedChanges+excess
 	}
-	d.wake()
+	d.notifyWatchers()
 	return d.generation
 }
 
-// Say has every answer be this text, until it is nil again.
+// Say makes raw the response to every request, until Say is called with nil.
 func (d *Directory) Say(raw []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.raw = raw
-	d.wake()
+	d.fixedResponse = raw
+	d.notifyWatchers()
 }
 
-// Down has it stay silent, and take notices all the same.
+// Down makes the directory leave requests for the list unanswered. It still receives notices.
 func (d *Directory) Down(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.down = down
-	d.wake()
+	d.silent = down
+	d.notifyWatchers()
 }
 
-func (d *Directory) wake() {
-	close(d.grown)
-	d.grown = make(chan struct{})
+// notifyWatchers wakes up the pending watches.
+func (d *Directory) notifyWatchers() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// Heard is the youngest generation that a courier has said it holds.
+// Heard returns the highest generation that a courier has named in a watch.
 func (d *Directory) Heard() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.heard
+	return d.lastWatched
 }
 
-// Notices are the ends told, by message.
+// Notices returns the notices received, by message ID.
 func (d *Directory) Notices() map[string][]Notice {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -224,15 +226,16 @@
 	return out
 }
 
-func (d *Directory) hosts(w http.ResponseWriter, r *http.Request) {
+// handleHosts handles requests for the list, including long polls (watches).
+func (d *Directory) handleHosts(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	d.mu.Lock()
-	ignores := d.ignores
+	ignores := d.ignoresPartitions
 	d.mu.Unlock()
-	var of parts
+	var filter partitionFilter
 	if !ignores {
 		var err error
-		if of, err = askedParts(q); err != nil {
+		if filter, err = parsePartitionFilter(q); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
@@ -246,104 +249,105 @@
 		defer t.Stop()
 		timeout = t.C
 		d.mu.Lock()
-		d.heard = max(d.heard, after)
-		watched := d.watched
+		d.lastWatched = max(d.lastWatched, after)
+		onWatch := d.onWatch
 		d.mu.Unlock()
-		if watched != nil {
-			watched(from(r), after, of.concerns)
+		if onWatch != nil {
+			onWatch(connectionName(r), after, filter.covers)
 		}
 	}
 	d.traffic.calls.Add(1)
-	asked(r, watching)
-	for late := false; ; {
+	countRequest(r, watching)
+	for expired := false; ; {
 		d.mu.Lock()
-		grown, down, raw := d.grown, d.down, d.raw
+		changed, silent, fixed := d.changed, d.silent, d.fixedResponse
 		var text []byte
-		if !down && raw == nil && (!watching || late || d.differs(after, of)) {
-			begun := time.Now()
-			text = d.answer(after, watching, of)
-			d.traffic.answering.Add(int64(time.Since(begun)))
+		if !silent && fixed == nil && (!watching || expired || d.hasNews(after, filter)) {
+			startedAt := time.Now()
+			text = d.encodeAnswer(after, watching, filter)
+			d.traffic.answering.Add(int64(time.Since(startedAt)))
 		}
 		d.mu.Unlock()
-		if raw != nil && !down {
-			text = raw
+		if fixed != nil && !silent {
+			text = fixed
 		}
 		if text != nil {
 			w.Header().Set("Content-Type", "application/json")
 			w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-			begun := time.Now()
+			startedAt := time.Now()
 			_, _ = w.Write(text)
-			d.traffic.answering.Add(int64(time.Since(begun)))
+			d.traffic.answering.Add(int64(time.Since(startedAt)))
 			return
 		}
 		select {
-		case <-grown:
+		case <-changed:
 		case <-timeout:
-			late, timeout = true, nil
+			expired, timeout = true, nil
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// differs tells whether a watch from a generation on is answered at once.
-func (d *Directory) differs(after uint64, of parts) bool {
-	if of.partitions == 0 || after < d.floor || after > d.generation {
+// hasNews reports whether there is something to send to a watch of a client at generation after.
+func (d *Directory) hasNews(after uint64, filter partitionFilter) bool {
+	if filter.partitions == 0 || after < d.oldestKnown || after > d.generation {
 		return after != d.generation
 	}
-	return d.news(of, after)
+	return d.changedSince(filter, after)
 }
 
-// answer is what is newer than a generation, or everything.
-func (d *Directory) answer(after uint64, watching bool, of parts) []byte {
-	full := !watching || after < d.floor || after > d.generation
-	key := textKey{full: full, parts: of.text}
+// encodeAnswer returns the encoded changes since generation after, or the whole list if those are
+// not kept or the request is not a watch.
+func (d *Directory) encodeAnswer(after uint64, watching bool, filter partitionFilter) []byte {
+	full := !watching || after < d.oldestKnown || after > d.generation
+	key := cacheKey{full: full, parts: filter.key}
 	if !full {
 		key.after = after
 	}
-	if d.textsAt != d.generation {
-		d.texts, d.textsAt, d.textsSize = map[textKey][]byte{}, d.generation, 0
+	if d.cacheGeneration != d.generation {
+		d.cache, d.cacheGeneration, d.cacheBytes = map[cacheKey][]byte{}, d.generation, 0
 	}
-	if b, ok := d.texts[key]; ok {
+	if b, ok := d.cache[key]; ok {
 		return b
 	}
 	list := []Instance{}
 	switch {
-	case full && of.partitions > 0:
-		list = d.part(of)
+	case full && filter.partitions > 0:
+		list = d.entriesOf(filter)
 	case full:
 		list = d.list
-	case of.partitions > 0:
-		list = youngest(d.changesOf(of, after))
+	case filter.partitions > 0:
+		list = lastChanges(d.changesOf(filter, after))
 	default:
 		for _, c := range d.changes {
 			if c.generation > after {
 				list = append(list, c.instance)
 			}
 		}
-		list = youngest(list)
+		list = lastChanges(list)
 	}
-	said := map[string]any{"generation": d.generation, "reset": full, "instances": list}
-	if of.partitions > 0 {
-		said["partitions"] = of.partitions
+	response := map[string]any{"generation": d.generation, "reset": full, "instances": list}
+	if filter.partitions > 0 {
+		response["partitions"] = filter.partitions
 	}
-	b, _ := json.Marshal(said)
-	whole := textKey{full: true}
-	if key != whole {
-		if d.textsSize += len(b); d.textsSize > textsMost {
-			kept, ok := d.texts[whole]
-			d.texts, d.textsSize = map[textKey][]byte{}, len(b)
+	b, _ := json.Marshal(response)
+	wholeList := cacheKey{full: true}
+	if key != wholeList {
+		if d.cacheBytes += len(b); d.cacheBytes > maxCacheBytes {
+			kept, ok := d.cache[wholeList]
+			d.cache, d.cacheBytes = map[cacheKey][]byte{}, len(b)
 			if ok {
-				d.texts[whole] = kept
+				d.cache[wholeList] = kept
 			}
 		}
 	}
-	d.texts[key] = b
+	d.cache[key] = b
 	return b
 }
 
-// youngest keeps the last change of each entry, in order.
-func youngest(list []Instance) []Instance {
+// lastChanges returns the last change of each entry, in order.
+func lastChanges(list []Instance) []Instance {
 	last := map[string]int{}
 	for i, x := range list {
 		last[x.InstanceID] = i
@@ -357,7 +361,8 @@
 	return out
 }
 
-func (d *Directory) outcomes(w http.ResponseWriter, r *http.Request) {
+// handleOutcomes receives notices, one JSON object per line.
+func (d *Directory) handleOutcomes(w http.ResponseWriter, r *http.Request) {
 	lines := bufio.NewScanner(io.LimitReader(r.Body, 1<<20))
 	var notices []Notice
 	for lines.Scan() {
@@ -366,7 +371,7 @@
 		}
 		var n Notice
 		if err := json.Unmarshal(lines.Bytes(), &n); err != nil || n.ID == "" {
-			http.Error(w, "a notice cannot be read", http.StatusBadRequest)
+			http.Error(w, "malformed notice", http.StatusBadRequest)
 			return
 		}
 		notices = append(notices, n)
@@ -374,7 +379,7 @@
 	d.mu.Lock()
 	for _, n := range notices {
 		d.notices[n.ID] = append(d.notices[n.ID], n)
-		d.told++
+		d.noticesReceived++
 	}
 	d.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/standin/farm.go
+++ b/internal/standin/farm.go
@@ -1,7 +1,7 @@
-// Package standin plays what a courier serves, on loopback addresses: partner
-// systems over HTTP/1.1 and HTTP/2, and the directory that lists them and takes
-// notices, by the platform's protocol. What a partner does is decided by package
-// partner; here are the sockets.
+// Package standin simulates the environment of a courier on loopback addresses: partner systems
+// over HTTP/1.1 and HTTP/2, and the directory that lists them and receives notices with the
+// platform's protocol. Package partner models the behavior of a partner; this package adds the
+// sockets.
 package standin
 
 import (
@@ -20,16 +20,16 @@
 	"snowjunction/internal/standin/partner"
 )
 
-// Spec is one partner of a farm.
+// Spec describes one partner of a farm.
 type Spec struct {
 	Destination uint32
 	Endpoints   int
-	HTTP2       bool // over HTTP/2 with prior knowledge; else HTTP/1.1
+	HTTP2       bool // HTTP/2 with prior knowledge instead of HTTP/1.1
 	Profile     partner.Profile
 	Seed        uint64
 }
 
-// Endpoint is where a partner can be called.
+// Endpoint is an address of a partner.
 type Endpoint struct {
 	Name        string
 	Addr        string
@@ -37,60 +37,60 @@
 	HTTP2       bool
 }
 
-// Farm is partners on sockets. Its clock begins with it.
+// Farm serves simulated partners on sockets. Its clock starts with it.
 type Farm struct {
-	begun   time.Time
-	server  *http.Server
-	byDest  map[uint32]*host
-	byAddr  map[string]*host
-	ends    []Endpoint
-	wg      sync.WaitGroup
-	closing chan struct{}
-
-	mu     sync.Mutex
-	drains map[string]time.Time // by address: since when
-	calls  map[string]int       // by address
-	opened map[string]net.Listener
-	taken  []Taken
-	keeps  bool     // every call that is taken
-	shaped []string // X-Kitchen and the query of the last call that had them
+	startedAt          time.Time
+	server             *http.Server
+	hostsByDestination map[uint32]*host
+	hostsByAddr        map[string]*host
+	endpoints          []Endpoint
+	wg                 sync.WaitGroup
+	closing            chan struct{}
+
+	mu              sync.Mutex
+	drainingSince   map[string]time.Time // by address: when draining was announced
+	callsByAddr     map[string]int       // by address
+	listeners       map[string]net.Listener
+	recordedCalls   []Taken
+	recordsCalls    bool     // whether calls are recorded in taken
+	lastKitchenCall []string // X-Kitchen header and query of the last call with that header
 }
 
-// host is a partner with the lock that its connections share.
+// host is a partner and the lock that serializes its calls.
 type host struct {
 	mu          sync.Mutex
-	p           *partner.Partner
+	partner     *partner.Partner
 	destination uint32
 }
 
-// Taken is a call as a partner has taken it.
+// Taken is a recorded call to a partner.
 type Taken struct {
 	Destination uint32
 	ID          string
-	At          time.Duration // of the farm
-	Wait        time.Duration // that its answer tells; 0: none
+	At          time.Duration // by the farm's clock
+	Wait        time.Duration // retry-after delay in the response; 0 means none
 }
 
-// Keep has the farm keep every call that its partners take from now on.
+// Keep makes the farm record every call to its partners from now on.
 func (f *Farm) Keep() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.keeps = true
+	f.recordsCalls = true
 }
 
-// Taken are the calls that were kept: those of a partner in the order in which it took them.
+// Taken returns the recorded calls. Those to a partner are in the order in which it processed them.
 func (f *Farm) Taken() []Taken {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.taken)
+	return slices.Clone(f.recordedCalls)
 }
 
-// NewFarm opens the partners' endpoints. An error names the first that cannot
-// be opened; none is open then.
+// NewFarm opens the partners' endpoints. An error names the first endpoint that could not be
+// opened; all others are closed again.
 func NewFarm(specs []Spec) (*Farm, error) {
 	f := &Farm{
-		calls: map[string]int{}, opened: map[string]net.Listener{},
-		begun: time.Now(), byDest: map[uint32]*host{}, byAddr: map[string]*host{}, closing: make(chan struct{}),
+		callsByAddr: map[string]int{}, listeners: map[string]net.Listener{},
+		startedAt: time.Now(), hostsByDestination: map[uint32]*host{}, hostsByAddr: map[string]*host{}, closing: make(chan struct{}),
 	}
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
@@ -101,8 +101,8 @@
 	}
 	var listeners []net.Listener
 	for _, s := range specs {
-		h := &host{p: partner.New(s.Profile, s.Seed), destination: s.Destination}
-		f.byDest[s.Destination] = h
+		h := &host{partner: partner.New(s.Profile, s.Seed), destination: s.Destination}
+		f.hostsByDestination[s.Destination] = h
 		for i := range s.Endpoints {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -113,9 +113,9 @@
 			}
 			listeners = append(listeners, l)
 			addr := l.Addr().String()
-			f.byAddr[addr] = h
-			f.opened[addr] = l
-			f.ends = append(f.ends, Endpoint{
+			f.hostsByAddr[addr] = h
+			f.listeners[addr] = l
+			f.endpoints = append(f.endpoints, Endpoint{
 				Name: fmt.Sprintf("p%d-%d", s.Destination, i), Addr: addr, Destination: s.Destination, HTTP2: s.HTTP2,
 			})
 		}
@@ -126,42 +126,42 @@
 	return f, nil
 }
 
-// Endpoints are all of the farm's, partner by partner.
-func (f *Farm) Endpoints() []Endpoint { return f.ends }
+// Endpoints returns all endpoints of the farm, grouped by partner.
+func (f *Farm) Endpoints() []Endpoint { return f.endpoints }
 
-// Now is the farm's time: that of its partners' faults.
-func (f *Farm) Now() time.Duration { return time.Since(f.begun) }
+// Now returns the time by the farm's clock, which its partners' faults use.
+func (f *Farm) Now() time.Duration { return time.Since(f.startedAt) }
 
-// With calls do with the partner of a destination, while it takes no call.
-func (f *Farm) With(destination uint32, do func(p *partner.Partner)) error {
-	h := f.byDest[destination]
+// With calls do with the partner of a destination, which processes no call meanwhile.
+func (f *Farm) With(destination uint32, visit func(p *partner.Partner)) error {
+	h := f.hostsByDestination[destination]
 	if h == nil {
 		return fmt.Errorf("no partner has number %d", destination)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	do(h.p)
+	visit(h.partner)
 	return nil
 }
 
-// Each calls do with every partner in turn.
-func (f *Farm) Each(do func(destination uint32, p *partner.Partner)) {
-	for d, h := range f.byDest {
+// Each calls do with every partner, one at a time.
+func (f *Farm) Each(visit func(destination uint32, p *partner.Partner)) {
+	for d, h := range f.hostsByDestination {
 		h.mu.Lock()
-		do(d, h.p)
+		visit(d, h.partner)
 		h.mu.Unlock()
 	}
 }
 
-// Calls is how many calls the endpoint of that name has got.
+// Calls returns the number of calls that the named endpoint has received.
 func (f *Farm) Calls(name string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.calls[f.addr(name)]
+	return f.callsByAddr[f.addr(name)]
 }
 
 func (f *Farm) addr(name string) string {
-	for _, e := range f.ends {
+	for _, e := range f.endpoints {
 		if e.Name == name {
 			return e.Addr
 		}
@@ -169,70 +169,70 @@
 	return ""
 }
 
-// Remove closes the endpoint of that name for good: new connections to it fail.
+// Remove closes the named endpoint permanently: new connections to it fail.
 func (f *Farm) Remove(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if l := f.opened[f.addr(name)]; l != nil {
+	if l := f.listeners[f.addr(name)]; l != nil {
 		l.Close()
 	}
 }
 
-// Give has the partner of another destination answer at the endpoint of that name, as
-// where an address is used again.
+// Give makes the partner of another destination answer at the named endpoint, as if the address
+// had been reassigned.
 func (f *Farm) Give(name string, destination uint32) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.byAddr[f.addr(name)] = f.byDest[destination]
+	f.hostsByAddr[f.addr(name)] = f.hostsByDestination[destination]
 }
 
-// Drains notes that an endpoint's draining is told now.
+// Drains records that the draining of an endpoint is announced now.
 func (f *Farm) Drains(addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.drains == nil {
-		f.drains = map[string]time.Time{}
+	if f.drainingSince == nil {
+		f.drainingSince = map[string]time.Time{}
 	}
-	f.drains[addr] = time.Now()
+	f.drainingSince[addr] = time.Now()
 }
 
-// drained tells whether an endpoint should get nothing any more.
+// drained reports whether an endpoint should no longer receive calls.
 func (f *Farm) drained(addr string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at, ok := f.drains[addr]
+	at, ok := f.drainingSince[addr]
 	return ok && time.Since(at) > drainGrace
 }
 
-// drainGrace is how long calls to an endpoint that drains are let through.
+// drainGrace is how long calls to a draining endpoint are still allowed.
 const drainGrace = time.Second
 
-// LastShaped is the header X-Kitchen and the query of the last call that had that
-// header.
+// LastShaped returns the X-Kitchen header and the query of the last call with that header, which a
+// plug-in has set.
 func (f *Farm) LastShaped() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.shaped
+	return f.lastKitchenCall
 }
 
-// Close ends all connections and waits for the listeners' ends.
+// Close closes all connections and listeners and waits until the listeners have stopped.
 func (f *Farm) Close() {
 	close(f.closing)
 	_ = f.server.Close()
 	f.wg.Wait()
 }
 
-// bodyMost is the platform's bound.
-const bodyMost = 64 << 10
+// maxBodyBytes is the platform's maximum size of a message body in bytes.
+const maxBodyBytes = 64 << 10
 
-// Body is a message's body that tells a partner of its key, its place among those
-// of the key and when it is late, so that it can mind all that.
+// Body returns a message body that contains the ordering key, the sequence number within the key
+// and the deadline, so that a simulated partner can check them.
 func Body(key, seq uint64, due time.Time) []byte {
 	return fmt.Appendf(nil, "%016x %d %d message", key, seq, due.UnixMilli())
 }
 
-// call reads what Body has written; another body tells nothing.
-func (f *Farm) call(id string, body []byte) partner.Call {
+// parseCall parses a body made by Body. For any other body only the ID is set.
+func (f *Farm) parseCall(id string, body []byte) partner.Call {
 	c := partner.Call{ID: id}
 	words := strings.Fields(string(body[:min(len(body), 80)]))
 	if len(words) < 3 {
@@ -242,53 +242,54 @@
 	seq, err2 := strconv.ParseUint(words[1], 10, 64)
 	due, err3 := strconv.ParseInt(words[2], 10, 64)
 	if err == nil && err2 == nil && err3 == nil {
-		c.Key, c.Seq, c.Due = key, seq, max(time.UnixMilli(due).Sub(f.begun), 1)
+		c.Key, c.Seq, c.Due = key, seq, max(time.UnixMilli(due).Sub(f.startedAt), 1)
 	}
 	return c
 }
 
+// serve handles a call over HTTP.
 func (f *Farm) serve(w http.ResponseWriter, r *http.Request) {
 	addr, _ := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	f.mu.Lock()
-	f.calls[addr.String()]++
-	h := f.byAddr[addr.String()]
+	f.callsByAddr[addr.String()]++
+	h := f.hostsByAddr[addr.String()]
 	f.mu.Unlock()
 	id := r.Header.Get("X-Request-Id")
 	if h == nil || r.Method != http.MethodPost || r.URL.Path != "/inbox" || id == "" {
-		http.Error(w, "no such thing", http.StatusBadRequest)
+		http.Error(w, "expected POST /inbox with an X-Request-ID header", http.StatusBadRequest)
 		return
 	}
 	if k := r.Header.Get("X-Kitchen"); k != "" {
 		f.mu.Lock()
-		f.shaped = []string{k, r.URL.RawQuery}
+		f.lastKitchenCall = []string{k, r.URL.RawQuery}
 		f.mu.Unlock()
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, bodyMost+1))
-	if err != nil || len(body) > bodyMost {
-		http.Error(w, "too big", http.StatusBadRequest)
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
+	if err != nil || len(body) > maxBodyBytes {
+		http.Error(w, "the body is too large", http.StatusBadRequest)
 		return
 	}
-	a, end := f.begin(h, id, body, f.drained(addr.String()))
+	a, end := f.beginCall(h, id, body, f.drained(addr.String()))
 	written := false
 	defer func() { end(written) }()
 	if a.Status == 0 && !a.Reset {
-		f.wait(r.Context(), time.Hour)
+		f.sleep(r.Context(), time.Hour)
 		panic(http.ErrAbortHandler)
 	}
-	if !f.wait(r.Context(), a.After) {
+	if !f.sleep(r.Context(), a.After) {
 		panic(http.ErrAbortHandler)
 	}
 	if a.Reset {
-		end(false) // before its caller can know: what the caller does next comes after it
+		end(false) // ends the call before the caller sees the reset, so that the caller's next call comes after it
 		end = func(bool) {}
-		f.reset(w)
+		f.resetConnection(w)
 		panic(http.ErrAbortHandler)
 	}
 	if a.Limit > 0 {
-		w.Header().Set(headerLoad, load(a))
+		w.Header().Set(loadHeader, formatLoad(a))
 	}
 	if a.Status == http.StatusTooManyRequests {
-		w.Header().Set(headerWait, wait(a))
+		w.Header().Set(retryAfterHeader, formatRetryAfter(a))
 	}
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(a.Status)
@@ -296,61 +297,60 @@
 }
 
 const (
-	headerLoad = "X-Server-Load"
-	headerWait = "X-RateLimit-Wait-Ms"
+	loadHeader       = "X-Server-Load"
+	retryAfterHeader = "X-RateLimit-Wait-Ms"
 )
 
-func load(a partner.Answer) string { return fmt.Sprintf("x0=%.3f,x1=%g", a.Left, a.Limit) }
+func formatLoad(a partner.Answer) string { return fmt.Sprintf("x0=%.3f,x1=%g", a.Left, a.Limit) }
 
-func wait(a partner.Answer) string { return strconv.FormatInt(a.Wait.Milliseconds(), 10) }
+func formatRetryAfter(a partner.Answer) string { return strconv.FormatInt(a.Wait.Milliseconds(), 10) }
 
-// Header is what an answer's header says where it goes over no wire; "": it has none of
-// that name.
+// Header returns a header of an answer that is not sent over HTTP, or "" if it has no such header.
 func Header(a partner.Answer, name string) string {
 	switch {
-	case name == headerLoad && a.Limit > 0:
-		return load(a)
-	case name == headerWait && a.Status == http.StatusTooManyRequests:
-		return wait(a)
+	case name == loadHeader && a.Limit > 0:
+		return formatLoad(a)
+	case name == retryAfterHeader && a.Status == http.StatusTooManyRequests:
+		return formatRetryAfter(a)
 	}
 	return ""
 }
 
-func (f *Farm) begin(h *host, id string, body []byte, drained bool) (a partner.Answer, end func(delivered bool)) {
-	c := f.call(id, body)
+// beginCall passes a call to a partner. The caller must call end once, as for Begin.
+func (f *Farm) beginCall(h *host, id string, body []byte, draining bool) (a partner.Answer, end func(delivered bool)) {
+	c := f.parseCall(id, body)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := f.Now()
-	a = h.p.Begin(now, c)
+	a = h.partner.Begin(now, c)
 	f.mu.Lock()
-	if f.keeps {
-		f.taken = append(f.taken, Taken{Destination: h.destination, ID: id, At: now, Wait: a.Wait})
+	if f.recordsCalls {
+		f.recordedCalls = append(f.recordedCalls, Taken{Destination: h.destination, ID: id, At: now, Wait: a.Wait})
 	}
 	f.mu.Unlock()
-	if drained {
-		h.p.Counts.Drained++
+	if draining {
+		h.partner.Counts.Drained++
 	}
 	return a, func(delivered bool) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.p.End(f.Now(), c, delivered)
+		h.partner.End(f.Now(), c, delivered)
 	}
 }
 
-// Begin has the partner of a destination take a call that comes over no wire. end is to be
-// called once the answer has been given, or given up.
+// Begin passes a call to the partner of a destination without a network connection. The caller
+// must call end once the answer has been used or abandoned.
 func (f *Farm) Begin(destination uint32, id string, body []byte) (a partner.Answer, end func(delivered bool), err error) {
-	h := f.byDest[destination]
+	h := f.hostsByDestination[destination]
 	if h == nil {
 		return a, nil, fmt.Errorf("no partner has number %d", destination)
 	}
-	a, end = f.begin(h, id, body, false)
+	a, end = f.beginCall(h, id, body, false)
 	return a, end, nil
 }
 
-// wait returns false where the caller gives up, or the farm closes, before d
-// has passed.
-func (f *Farm) wait(ctx context.Context, d time.Duration) bool {
+// sleep waits for d. It returns false if the caller gave up or the farm was closed before.
+func (f *Farm) sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -362,9 +362,9 @@
 	return false
 }
 
-// reset breaks an HTTP/1.1 connection; over HTTP/2 aborting the handler resets
-// the stream.
-func (f *Farm) reset(w http.ResponseWriter) {
+// resetConnection resets an HTTP/1.1 connection. Over HTTP/2 it does nothing, since aborting the handler
+// resets the stream.
+func (f *Farm) resetConnection(w http.ResponseWriter) {
 	hj, ok := w.(http.Hijacker)
 	if !ok {
 		return
--- a/internal/standin/farm_test.go
+++ b/internal/standin/farm_test.go
@@ -17,15 +17,15 @@
 	"snowjunction/internal/standin/partner"
 )
 
-func farm(t *testing.T, specs ...Spec) *Farm {
+func newTestFarm(t *testing.T, specs ...Spec) *Farm {
 	f, err := NewFarm(specs)
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
 	return f
 }
 
-// client speaks one version of HTTP, the second with prior knowledge.
-func client(t *testing.T, two bool) *http.Client {
+// newTestClient returns a client for HTTP/1.1 or, if two, for HTTP/2 with prior knowledge.
+func newTestClient(t *testing.T, two bool) *http.Client {
 	var p http.Protocols
 	p.SetHTTP1(!two)
 	p.SetUnencryptedHTTP2(two)
@@ -47,12 +47,12 @@
 	return a, err
 }
 
-// Both versions of HTTP meet the same partner, whose endpoints share its limit.
+// Calls over both HTTP versions reach the same partner, whose endpoints share its limit.
 func TestFarm(t *testing.T) {
-	f := farm(t, Spec{Destination: 4, Endpoints: 2, Profile: partner.Profile{Limit: 3.0 / 4096, Span: 4096 * time.Second, Tells: 1, Report: true}})
+	f := newTestFarm(t, Spec{Destination: 4, Endpoints: 2, Profile: partner.Profile{Limit: 3.0 / 4096, Span: 4096 * time.Second, Tells: 1, Report: true}})
 	ends := f.Endpoints()
 	require.Len(t, ends, 2)
-	for i, c := range []*http.Client{client(t, false), client(t, true), client(t, false), client(t, true)} {
+	for i, c := range []*http.Client{newTestClient(t, false), newTestClient(t, true), newTestClient(t, false), newTestClient(t, true)} {
 		a, err := call(t, c, ends[i%2].Addr, fmt.Sprint(i), Body(9, uint64(i+1), time.Now().Add(time.Hour)))
 		require.NoError(t, err)
 		if i < 3 {
@@ -70,60 +70,62 @@
 	assert.Equal(t, []bool{true, false, false}, r.Seen)
 }
 
-// A broken connection is one in both versions, and nothing is delivered then.
-func TestFarmBreaks(t *testing.T) {
-	f := farm(t, Spec{Destination: 1, Endpoints: 1})
+// A reset fault breaks the call in both HTTP versions, and nothing is delivered.
+func TestFarmResetsConnections(t *testing.T) {
+	f := newTestFarm(t, Spec{Destination: 1, Endpoints: 1})
 	require.Empty(t, f.Obey(Order{Do: "fault", From: 1, Fault: partner.Reset, For: time.Hour}).Error)
 	for i, two := range []bool{false, true} {
-		_, err := call(t, client(t, two), f.Endpoints()[0].Addr, fmt.Sprint(i), nil)
+		_, err := call(t, newTestClient(t, two), f.Endpoints()[0].Addr, fmt.Sprint(i), nil)
 		assert.Error(t, err)
 	}
 	r := f.Obey(Order{Do: "stats"})
 	assert.Equal(t, [2]int{2, 0}, [2]int{r.Counts[1].Calls, r.Counts[1].Delivered})
-	assert.NotEmpty(t, f.Obey(Order{Do: "chill", From: 7}).Error, "no such partner")
+	assert.NotEmpty(t, f.Obey(Order{Do: "chill", From: 7}).Error, "unknown destination")
 	assert.NotEmpty(t, f.Obey(Order{Do: "dance"}).Error)
 }
 
-// answering is an answer over HTTP/1.1, connected its connection, which tells when it is closed.
+// answering is an HTTP/1.1 response writer over connected, a connection that reports its close.
 type (
-	answering struct {
+	hijackableWriter struct {
 		http.ResponseWriter
-		connected
+		closeReporter
 	}
-	connected struct {
+	closeReporter struct {
 		net.Conn
 		closed func()
 	}
 )
 
-func (a answering) Write([]byte) (int, error)                    { return 0, net.ErrClosed }
-func (a answering) Hijack() (net.Conn, *bufio.ReadWriter, error) { return a.connected, nil, nil }
-func (c connected) Close() error                                 { c.closed(); return nil }
+func (a hijackableWriter) Write([]byte) (int, error) { return 0, net.ErrClosed }
+func (a hijackableWriter) Hijack() (net.Conn, *bufio.ReadWriter, error) {
+	return a.closeReporter, nil, nil
+}
+func (c closeReporter) Close() error { c.closed(); return nil }
 
-// A call is over before its caller can know that its connection is broken: the next of its
-// key, sent once it knows, runs beside nothing.
-func TestFarmEndsCallsBeforeItBreaks(t *testing.T) {
-	f := farm(t, Spec{Destination: 1, Endpoints: 1})
+// A call must end before its connection is reset. Otherwise the caller's next call of the same key
+// can arrive before the end and wrongly count as concurrent.
+func TestFarmEndsCallBeforeReset(t *testing.T) {
+	f := newTestFarm(t, Spec{Destination: 1, Endpoints: 1})
 	f.Obey(Order{Do: "fault", From: 1, Fault: partner.Reset, For: time.Hour})
 	addr, err := net.ResolveTCPAddr("tcp", f.Endpoints()[0].Addr)
 	require.NoError(t, err)
 	r := httptest.NewRequestWithContext(context.WithValue(t.Context(), http.LocalAddrContextKey, addr), http.MethodPost, "/inbox", nil)
 	r.Header.Set("X-Request-ID", "a")
-	under := func() (n int) {
+	inFlight := func() (n int) {
 		require.NoError(t, f.With(1, func(p *partner.Partner) { n = p.Under() }))
 		return n
 	}
-	breaks := 0
+	closes := 0
 	assert.PanicsWithValue(t, http.ErrAbortHandler, func() {
-		f.serve(answering{connected: connected{closed: func() { breaks++; assert.Zero(t, under()) }}}, r)
+		f.serve(hijackableWriter{closeReporter: closeReporter{closed: func() { closes++; assert.Zero(t, inFlight()) }}}, r)
 	})
-	assert.Equal(t, 1, breaks)
-	assert.Zero(t, under(), "and it has ended once")
+	assert.Equal(t, 1, closes)
+	assert.Zero(t, inFlight(), "the call must have ended exactly once")
 }
 
-// A partner that is silent holds the call until its caller gives up.
-func TestFarmIsSilent(t *testing.T) {
-	f := farm(t, Spec{Destination: 1, Endpoints: 1})
+// A silent partner keeps the call open until its caller gives up.
+func TestFarmSilentPartner(t *testing.T) {
+	f := newTestFarm(t, Spec{Destination: 1, Endpoints: 1})
 	f.Obey(Order{Do: "fault", From: 1, Fault: partner.Silent, For: time.Hour})
 	ctx, cancel := context.WithCancel(context.Background())
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.Endpoints()[0].Addr+"/inbox", nil)
@@ -131,7 +133,7 @@
 	r.Header.Set("X-Request-ID", "a")
 	done := make(chan error, 1)
 	go func() {
-		a, err := client(t, false).Do(r)
+		a, err := newTestClient(t, false).Do(r)
 		if err == nil {
 			a.Body.Close()
 		}
@@ -142,7 +144,7 @@
 	}
 	select {
 	case err := <-done:
-		t.Fatalf("an answer: %v", err)
+		t.Fatalf("unexpected response: %v", err)
 	default:
 	}
 	cancel()
@@ -166,14 +168,14 @@
 	}
 }
 
-// The directory tells the whole list, then what changes, and the whole list to
-// whoever has missed too much.
+// The directory sends the whole list first and changes afterwards, and the whole list again to a
+// client that has missed too many changes.
 func TestDirectory(t *testing.T) {
 	list := List([]Endpoint{{"a", "127.0.0.1:1", 1, false}, {"b", "127.0.0.1:2", 1, false}})
 	d, err := NewDirectory(list)
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
-	c, url := client(t, false), "http://"+d.Addr()+"/discovery/hosts"
+	c, url := newTestClient(t, false), "http://"+d.Addr()+"/discovery/hosts"
 	assert.Contains(t, get(t, c, url), `"generation":1`)
 	gone := list[0]
 	gone.Lifecycle = "Gone"
@@ -185,12 +187,12 @@
 	assert.Contains(t, text, `"generation":3`)
 	assert.Contains(t, text, `"reset":false`)
 	assert.Equal(t, 1, strings.Count(text, `"instanceId":"a"`))
-	assert.NotContains(t, get(t, c, url), `"instanceId":"a"`, "it has left the list")
+	assert.NotContains(t, get(t, c, url), `"instanceId":"a"`, "a removed entry must not be listed")
 	assert.EqualValues(t, 1, d.Heard())
-	assert.Contains(t, get(t, c, url+"?after=3&wait_ms=1"), `"instances":[]`, "nothing has changed")
-	assert.Contains(t, get(t, c, url+"?after=99&wait_ms=1"), `"reset":true`, "another directory's generation")
+	assert.Contains(t, get(t, c, url+"?after=3&wait_ms=1"), `"instances":[]`, "no changes since generation 3")
+	assert.Contains(t, get(t, c, url+"?after=99&wait_ms=1"), `"reset":true`, "a generation of another directory")
 	waiting := make(chan string, 1)
-	go func() { waiting <- get(t, client(t, false), url+"?after=3&wait_ms=20000") }()
+	go func() { waiting <- get(t, newTestClient(t, false), url+"?after=3&wait_ms=20000") }()
 	for d.Heard() < 3 {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -1,6 +1,5 @@
-// Package load hands messages to a courier over both its fronts and keeps the
-// record against which their ends are held: each that was taken on must have
-// exactly one.
+// Package load submits messages to a courier over both its fronts and records the responses, so
+// that the final results can be checked: each accepted message must have exactly one.
 package load
 
 import (
@@ -21,43 +20,43 @@
 	"snowjunction/internal/standin"
 )
 
-// Message is one to be handed in.
+// Message is a message to submit.
 type Message struct {
 	ID, Class, Tenant string
 	Destination       uint32
-	Key, Seq          uint64 // Key 0: none
-	Keyed             bool   // it carries an idempotency key
-	Left              time.Duration
-	Push              bool // over HTTP/2, else RESP2
+	Key, Seq          uint64        // ordering key and sequence number; key 0 means none
+	Keyed             bool          // whether it carries an idempotency key
+	Left              time.Duration // time to live
+	Push              bool          // submitted over HTTP/2 instead of RESP2
 }
 
-// Verdict is what the courier answered.
+// Verdict is the courier's response to a submission.
 type Verdict int
 
-// The verdicts.
+// The responses.
 const (
 	Taken Verdict = iota
 	Refused
-	Failed  // answered with anything else
-	Unheard // no answer: whether it was taken is not known
+	Failed  // any other response
+	Unheard // no response: whether the message was accepted is unknown
 )
 
-// Client hands messages in. It may be used by many goroutines.
+// Client submits messages. It is safe for concurrent use.
 type Client struct {
-	// Within is how long it waits for an answer; 0: 5 s.
+	// Within is the timeout for a response. Zero means 5 s.
 	Within time.Duration
-	// Overdue tells whether a message that is delivered was told as failed rightly, as its time was
-	// over first; nil: none was.
+	// Overdue reports whether a delivered message was also rightly reported as failed, because its
+	// deadline passed first. Nil means that no message was.
 	Overdue func(dest uint32, id string) bool
 
 	addr, push string
 	http       *http.Client
 
-	mu    sync.Mutex
-	idle  []*conn
-	Sent  []Message
-	Heard map[string]Verdict
-	ended map[string]string // by id: ends that the push front has told; it forgets them
+	mu          sync.Mutex
+	idle        []*conn
+	Sent        []Message
+	Heard       map[string]Verdict // by message ID
+	finalStates map[string]string  // by message ID: final states read from the push front, which expires them
 }
 
 type conn struct {
@@ -65,24 +64,24 @@
 	r *bufio.Reader
 }
 
-// New returns a client of the courier whose fronts listen at these addresses;
-// push may be "".
+// New returns a client of the courier whose RESP2 front listens at addr and whose push front
+// listens at push, which may be empty.
 func New(addr, push string) *Client {
 	var p http.Protocols
 	p.SetUnencryptedHTTP2(true)
 	return &Client{
-		addr: addr, push: push, Heard: map[string]Verdict{}, ended: map[string]string{},
+		addr: addr, push: push, Heard: map[string]Verdict{}, finalStates: map[string]string{},
 		http: &http.Client{Transport: &http.Transport{Protocols: &p}},
 	}
 }
 
-// answerWithin is how long a client waits for an answer; the platform's clients
-// wait 400 ms, this one tells late from never.
-const answerWithin = 5 * time.Second
+// defaultTimeout is the default timeout for a response. The platform's clients wait 400 ms; this one
+// waits longer, to distinguish a late response from a missing one.
+const defaultTimeout = 5 * time.Second
 
-func (c *Client) within() time.Duration { return cmp.Or(c.Within, answerWithin) }
+func (c *Client) timeout() time.Duration { return cmp.Or(c.Within, defaultTimeout) }
 
-// Close ends the client's connections.
+// Close closes the client's connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,14 +92,14 @@
 	c.http.CloseIdleConnections()
 }
 
-// Add hands a message in and returns what was answered, and with Refused after
-// how long to come back.
+// Add submits a message and returns the courier's response and, for Refused, the delay before a
+// retry. An error means that no response came (Unheard).
 func (c *Client) Add(m Message) (Verdict, time.Duration, error) {
-	add := c.resp
+	submit := c.submitRESP
 	if m.Push {
-		add = c.post
+		submit = c.submitPush
 	}
-	v, after, err := add(m)
+	v, retryAfter, err := submit(m)
 	if err != nil {
 		v = Unheard
 	}
@@ -108,12 +107,12 @@
 	defer c.mu.Unlock()
 	c.Sent = append(c.Sent, m)
 	c.Heard[m.ID] = v
-	return v, after, err
+	return v, retryAfter, err
 }
 
 func (m Message) body(now time.Time) []byte { return standin.Body(m.Key, m.Seq, now.Add(m.Left)) }
 
-// Command appends the message as a command of the platform's front (RESP2).
+// Command appends the message as a RESP2 command of the platform's front.
 func (m Message) Command(b []byte, now time.Time) []byte {
 	names := fmt.Sprintf("c=%s,t=%s,d=%d,dest=%d", m.Class, m.Tenant, m.Left.Milliseconds(), m.Destination)
 	if m.Keyed {
@@ -128,8 +127,8 @@
 	return b
 }
 
-// Request is the message as a request of the push front: its path, what its headers
-// say, by name, and its body.
+// Request returns the message as a request to the push front: the path, the headers as pairs of
+// name and value, and the body.
 func (m Message) Request(now time.Time) (path string, headers [][2]string, body []byte) {
 	headers = [][2]string{
 		{"ttl", strconv.Itoa(max(int(m.Left/time.Second), 1))}, {"message-id", m.ID}, {"message-class", m.Class}, {"tenant", m.Tenant},
@@ -143,28 +142,28 @@
 	return fmt.Sprintf("/push/%d", m.Destination), headers, m.body(now)
 }
 
-func (c *Client) resp(m Message) (v Verdict, after time.Duration, err error) {
+func (c *Client) submitRESP(m Message) (v Verdict, retryAfter time.Duration, err error) {
 	command := m.Command(nil, time.Now())
 	for used := true; used; {
 		var k *conn
-		if k, used, err = c.take(); err != nil {
+		if k, used, err = c.acquire(); err != nil {
 			return Unheard, 0, err
 		}
 		var line string
-		if line, err = k.ask(command, c.within()); err == nil {
-			c.give(k)
-			v, after = Answer(line)
-			return v, after, nil
+		if line, err = k.roundTrip(command, c.timeout()); err == nil {
+			c.release(k)
+			v, retryAfter = Answer(line)
+			return v, retryAfter, nil
 		}
 		k.Close()
-		// The courier may end a connection between requests: one that crosses
-		// that goes once more, on another.
+		// The courier may close an idle connection between requests: a request that races with
+		// the close is sent again on another connection.
 	}
 	return Unheard, 0, err
 }
 
-func (k *conn) ask(b []byte, within time.Duration) (string, error) {
-	_ = k.SetDeadline(time.Now().Add(within))
+func (k *conn) roundTrip(b []byte, timeout time.Duration) (string, error) {
+	_ = k.SetDeadline(time.Now().Add(timeout))
 	if _, err := k.Write(b); err != nil {
 		return "", err
 	}
@@ -172,8 +171,8 @@
 	return strings.TrimSpace(line), err
 }
 
-// Answer reads a line of the platform's front: the verdict, and with Refused after
-// how long to come back.
+// Answer parses a response line of the platform's front into a verdict and, for Refused, the
+// delay before a retry.
 func Answer(line string) (Verdict, time.Duration) {
 	switch {
 	case strings.HasPrefix(line, "+"):
@@ -185,7 +184,7 @@
 	return Failed, 0
 }
 
-// Status is what a status of the push front says.
+// Status returns the verdict for an HTTP status of the push front.
 func Status(code int) Verdict {
 	switch code {
 	case http.StatusCreated:
@@ -196,8 +195,8 @@
 	return Failed
 }
 
-// take returns a connection, and whether it has been used before.
-func (c *Client) take() (*conn, bool, error) {
+// acquire returns an idle or a new connection, and whether it has been used before.
+func (c *Client) acquire() (*conn, bool, error) {
 	c.mu.Lock()
 	if n := len(c.idle); n > 0 {
 		k := c.idle[n-1]
@@ -206,21 +205,21 @@
 		return k, true, nil
 	}
 	c.mu.Unlock()
-	k, err := net.DialTimeout("tcp", c.addr, c.within())
+	k, err := net.DialTimeout("tcp", c.addr, c.timeout())
 	if err != nil {
 		return nil, false, err
 	}
 	return &conn{Conn: k, r: bufio.NewReader(k)}, false, nil
 }
 
-func (c *Client) give(k *conn) {
+func (c *Client) release(k *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = append(c.idle, k)
 }
 
-func (c *Client) post(m Message) (Verdict, time.Duration, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), c.within())
+func (c *Client) submitPush(m Message) (Verdict, time.Duration, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), c.timeout())
 	defer cancel()
 	path, headers, body := m.Request(time.Now())
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.push+path, bytes.NewReader(body))
@@ -244,10 +243,10 @@
 	return v, time.Duration(wait) * time.Second, nil
 }
 
-// pushState is what the push front tells of a message's life; "": nothing.
+// pushState queries the push front for the state of a message. It returns "" if there is none.
 func (c *Client) pushState(id string) (state string) {
 	c.mu.Lock()
-	state = c.ended[id]
+	state = c.finalStates[id]
 	c.mu.Unlock()
 	if state != "" {
 		return state
@@ -255,11 +254,11 @@
 	defer func() {
 		if state != "" && state != "taken" {
 			c.mu.Lock()
-			c.ended[id] = state
+			c.finalStates[id] = state
 			c.mu.Unlock()
 		}
 	}()
-	ctx, cancel := context.WithTimeout(context.Background(), c.within())
+	ctx, cancel := context.WithTimeout(context.Background(), c.timeout())
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.push+"/message/"+id, nil)
 	if err != nil {
@@ -277,16 +276,16 @@
 	return body.State
 }
 
-// Ends is the account of what became of the messages.
+// Ends counts messages by the response to their submission and by their final result.
 type Ends struct {
 	Handed, Taken, Refused, Failed, Unheard int
-	Delivered, Returned, Given              int // ends of those taken; Given: failed by notice
-	Open                                    int // taken and without an end
-	Doubled                                 int // taken and with more than one
-	Overdue                                 int // of Given: delivered as well, too late
+	Delivered, Returned, Given              int // final results of accepted messages; Given: reported as failed
+	Open                                    int // accepted, without a final result
+	Doubled                                 int // accepted, with more than one final result
+	Overdue                                 int // of Given: also delivered, after the deadline
 }
 
-// Add sums up.
+// Add adds the counters of x.
 func (e *Ends) Add(x Ends) {
 	for _, p := range []struct {
 		to *int
@@ -300,23 +299,23 @@
 	}
 }
 
-// Account holds every message handed in against its ends: delivered tells
-// whether a partner has delivered it, notices are the directory's. Messages that
-// keep fits are counted; nil: all.
-func (c *Client) Account(delivered func(dest uint32, id string) bool, notices map[string][]standin.Notice, keep func(Message) bool) (e Ends) {
+// Account compares every submitted message with its final results: delivered reports whether a
+// partner received the message, and notices are those that the directory received. Only messages
+// for which filter returns true are counted; a nil filter selects all.
+func (c *Client) Account(delivered func(dest uint32, id string) bool, notices map[string][]standin.Notice, filter func(Message) bool) (e Ends) {
 	c.mu.Lock()
 	sent := append([]Message(nil), c.Sent...)
-	heard := map[string]Verdict{}
+	verdicts := map[string]Verdict{}
 	for id, v := range c.Heard {
-		heard[id] = v
+		verdicts[id] = v
 	}
 	c.mu.Unlock()
 	for _, m := range sent {
-		if keep != nil && !keep(m) {
+		if filter != nil && !filter(m) {
 			continue
 		}
 		e.Handed++
-		switch heard[m.ID] {
+		switch verdicts[m.ID] {
 		case Refused:
 			e.Refused++
 			continue
@@ -328,8 +327,8 @@
 			continue
 		}
 		e.Taken++
-		done := delivered(m.Destination, m.ID)
-		state, torn := "", false
+		wasDelivered := delivered(m.Destination, m.ID)
+		state, contradictory := "", false
 		if m.Push {
 			if s := c.pushState(m.ID); s == "failed" || s == "returned" {
 				state = s
@@ -338,17 +337,17 @@
 			state = n[0].State
 			for _, x := range n[1:] {
 				if x.State != state {
-					torn = true
+					contradictory = true
 				}
 			}
 		}
 		switch {
-		case !torn && done && state == "failed" && c.Overdue != nil && c.Overdue(m.Destination, m.ID):
+		case !contradictory && wasDelivered && state == "failed" && c.Overdue != nil && c.Overdue(m.Destination, m.ID):
 			e.Given++
 			e.Overdue++
-		case torn || done && state != "":
+		case contradictory || wasDelivered && state != "":
 			e.Doubled++
-		case done:
+		case wasDelivered:
 			e.Delivered++
 		case state == "returned":
 			e.Returned++
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -8,8 +8,8 @@
 	"snowjunction/internal/standin"
 )
 
-// The account must see what it is there for: a message without an end, one with
-// two, and ends that contradict each other.
+// Account must detect a message without a final result, a message with two, and results that
+// contradict each other.
 func TestAccount(t *testing.T) {
 	c := New("", "")
 	for id, v := range map[string]Verdict{
--- a/internal/standin/partitions.go
+++ b/internal/standin/partitions.go
@@ -11,34 +11,35 @@
 	"snowjunction/internal/partition"
 )
 
-// errParts wraps what is wrong with the partitions that an ask names.
-var errParts = errors.New("invalid partitions")
+// errInvalidPartitions reports invalid partitions in a request.
+var errInvalidPartitions = errors.New("invalid partitions")
 
-// indexesMost is for how many numbers of partitions there are indexes: a fleet that changes its
-// number has two for a while.
-const indexesMost = 2
+// maxIndexes is the number of indexes kept, one per number of partitions. A fleet uses two numbers
+// while it changes from one to the other.
+const maxIndexes = 2
 
-// parts is what an ask is restricted to; of zero partitions it is not.
-type parts struct {
+// partitionFilter restricts a request to partitions. The zero value means no restriction.
+type partitionFilter struct {
 	partitions int
-	of         []int // in order, each once
-	text       string
+	numbers    []int  // sorted, without duplicates
+	key        string // unambiguous form for cache keys
 }
 
-// askedParts reads the parameters. Its errors wrap errParts.
-func askedParts(q url.Values) (p parts, err error) {
+// parsePartitionFilter parses the request parameters partitions and of. Its errors wrap
+// errInvalidPartitions.
+func parsePartitionFilter(q url.Values) (p partitionFilter, err error) {
 	if !q.Has("partitions") && !q.Has("of") {
-		return parts{}, nil
+		return partitionFilter{}, nil
 	}
-	bad := func(format string, args ...any) (parts, error) {
-		return parts{}, fmt.Errorf("%w: %s", errParts, fmt.Sprintf(format, args...))
+	bad := func(format string, args ...any) (partitionFilter, error) {
+		return partitionFilter{}, fmt.Errorf("%w: %s", errInvalidPartitions, fmt.Sprintf(format, args...))
 	}
 	if len(q["partitions"]) != 1 || len(q["of"]) != 1 {
-		return bad("partitions and of come together, once")
+		return bad("the parameters partitions and of must both occur exactly once")
 	}
 	n, err := strconv.ParseUint(q.Get("partitions"), 10, 32)
 	if err != nil || n < 1 || n > partition.MaxPartitions {
-		return bad("%q partitions are not between 1 and %d", q.Get("partitions"), partition.MaxPartitions)
+		return bad("the number of partitions %q is not between 1 and %d", q.Get("partitions"), partition.MaxPartitions)
 	}
 	p.partitions = int(n)
 	for text := range strings.SplitSeq(q.Get("of"), ",") {
@@ -46,160 +47,161 @@
 			break
 		}
 		x, err := strconv.ParseUint(text, 10, 32)
-		if err != nil || x >= n || len(p.of) >= partition.MaxPartitions {
-			return bad("%q is none of %d", text, n)
+		if err != nil || x >= n || len(p.numbers) >= partition.MaxPartitions {
+			return bad("%q is not one of %d partitions", text, n)
 		}
-		p.of = append(p.of, int(x))
+		p.numbers = append(p.numbers, int(x))
 	}
-	slices.Sort(p.of)
-	p.of = slices.Compact(p.of)
-	p.text = fmt.Sprint(p.partitions, p.of)
+	slices.Sort(p.numbers)
+	p.numbers = slices.Compact(p.numbers)
+	p.key = fmt.Sprint(p.partitions, p.numbers)
 	return p, nil
 }
 
-// concerns tells whether a destination is of the partitions.
-func (p parts) concerns(destination uint32) bool {
+// covers reports whether a destination belongs to the partitions.
+func (p partitionFilter) covers(destination uint32) bool {
 	if p.partitions == 0 {
 		return true
 	}
-	_, found := slices.BinarySearch(p.of, partition.Of(destination, p.partitions))
+	_, found := slices.BinarySearch(p.numbers, partition.Of(destination, p.partitions))
 	return found
 }
 
-// index finds what is listed and what has changed by partition, without a walk of the list.
-type index struct {
-	partitions int
-	listed     [][]int32 // by partition: places in the list
-	slot       []int32   // by place in the list: where its partition has it
-	changed    [][]int   // by partition: numbers of changes, the youngest at the end
-	last       []uint64  // by partition: the generation of its last change that is known
+// partitionIndex finds the entries and the changes of a partition without a scan of the list.
+type partitionIndex struct {
+	partitions  int
+	positions   [][]int32 // by partition: positions in the list
+	slots       []int32   // by position in the list: index in the positions of its partition
+	changes     [][]int   // by partition: numbers of its changes, oldest first
+	lastChanged []uint64  // by partition: generation of its last known change
 }
 
-func (x *index) of(cell uint32) int { return partition.Of(cell, x.partitions) }
+func (x *partitionIndex) partitionOf(cell uint32) int { return partition.Of(cell, x.partitions) }
 
-// index returns the one for so many partitions, made now if need be.
-func (d *Directory) index(partitions int) *index {
+// index returns the index for a number of partitions, and builds it if necessary.
+func (d *Directory) index(partitions int) *partitionIndex {
 	for i, x := range d.indexes {
 		if x.partitions == partitions {
-			copy(d.indexes[1:], d.indexes[:i]) // the last used comes first
+			copy(d.indexes[1:], d.indexes[:i]) // moves the index to the front
 			d.indexes[0] = x
 			return x
 		}
 	}
-	x := &index{partitions: partitions, listed: make([][]int32, partitions), changed: make([][]int, partitions), last: make([]uint64, partitions)}
+	x := &partitionIndex{partitions: partitions, positions: make([][]int32, partitions), changes: make([][]int, partitions), lastChanged: make([]uint64, partitions)}
 	for i, e := range d.list {
 		x.add(e.Cell, i)
 	}
 	for i, c := range d.changes {
-		x.change(c, d.dropped+i)
+		x.recordChange(c, d.discardedChanges+i)
 	}
 	d.indexes = slices.Insert(d.indexes, 0, x)
-	d.indexes = d.indexes[:min(len(d.indexes), indexesMost)]
+	d.indexes = d.indexes[:min(len(d.indexes), maxIndexes)]
 	return x
 }
 
-// add tells that an entry stands at the end of the list.
-func (x *index) add(cell uint32, place int) {
-	p := x.of(cell)
-	x.slot = append(x.slot, int32(len(x.listed[p])))
-	x.listed[p] = append(x.listed[p], int32(place))
+// add records an entry that was appended to the list.
+func (x *partitionIndex) add(cell uint32, position int) {
+	p := x.partitionOf(cell)
+	x.slots = append(x.slots, int32(len(x.positions[p])))
+	x.positions[p] = append(x.positions[p], int32(position))
 }
 
-// take tells that an entry leaves its place, which the entry at the end of the list, of another
-// cell perhaps, takes.
-func (x *index) take(cell uint32, place int, endCell uint32) {
-	x.unlink(cell, place)
-	if end := len(x.slot) - 1; end != place {
-		x.listed[x.of(endCell)][x.slot[end]] = int32(place)
-		x.slot[place] = x.slot[end]
+// remove records that the entry at a position was removed and replaced by the last entry of the list,
+// whose cell is endCell.
+func (x *partitionIndex) remove(cell uint32, position int, endCell uint32) {
+	x.unlink(cell, position)
+	if end := len(x.slots) - 1; end != position {
+		x.positions[x.partitionOf(endCell)][x.slots[end]] = int32(position)
+		x.slots[position] = x.slots[end]
 	}
-	x.slot = x.slot[:len(x.slot)-1]
+	x.slots = x.slots[:len(x.slots)-1]
 }
 
-// unlink takes a place out of its partition.
-func (x *index) unlink(cell uint32, place int) {
-	p := x.of(cell)
-	at, end := x.slot[place], len(x.listed[p])-1
-	x.listed[p][at] = x.listed[p][end]
-	x.slot[x.listed[p][at]] = at
-	x.listed[p] = x.listed[p][:end]
+// unlink removes a position from its partition.
+func (x *partitionIndex) unlink(cell uint32, position int) {
+	p := x.partitionOf(cell)
+	at, end := x.slots[position], len(x.positions[p])-1
+	x.positions[p][at] = x.positions[p][end]
+	x.slots[x.positions[p][at]] = at
+	x.positions[p] = x.positions[p][:end]
 }
 
-// move tells that the entry at a place is of another cell now.
-func (x *index) move(from, to uint32, place int) {
-	if x.of(from) == x.of(to) {
+// move records that the entry at a position belongs to another cell now.
+func (x *partitionIndex) move(from, to uint32, position int) {
+	if x.partitionOf(from) == x.partitionOf(to) {
 		return
 	}
-	x.unlink(from, place)
-	p := x.of(to)
-	x.slot[place] = int32(len(x.listed[p]))
-	x.listed[p] = append(x.listed[p], int32(place))
+	x.unlink(from, position)
+	p := x.partitionOf(to)
+	x.slots[position] = int32(len(x.positions[p]))
+	x.positions[p] = append(x.positions[p], int32(position))
 }
 
-// concerns yields the partitions of a change: that of its cell, and of the one that its entry had.
-func (x *index) concerns(c change) (out []int) {
-	if !c.had || c.instance.Lifecycle != "Gone" { // an entry that is gone need not say of which cell
-		out = append(out, x.of(c.instance.Cell))
+// affected returns the partitions of a change: those of the present and of the previous cell.
+func (x *partitionIndex) affected(c change) (out []int) {
+	if !c.wasListed || c.instance.Lifecycle != "Gone" { // a removed entry need not name its cell
+		out = append(out, x.partitionOf(c.instance.Cell))
 	}
-	if p := x.of(c.was); c.had && !slices.Contains(out, p) {
+	if p := x.partitionOf(c.previousCell); c.wasListed && !slices.Contains(out, p) {
 		out = append(out, p)
 	}
 	return out
 }
 
-func (x *index) change(c change, number int) {
-	for _, p := range x.concerns(c) {
-		x.changed[p] = append(x.changed[p], number)
-		x.last[p] = c.generation
+// recordChange records a change under its number.
+func (x *partitionIndex) recordChange(c change, number int) {
+	for _, p := range x.affected(c) {
+		x.changes[p] = append(x.changes[p], number)
+		x.lastChanged[p] = c.generation
 	}
 }
 
-// drop tells that the oldest change is not known any more.
-func (x *index) drop(c change) {
-	for _, p := range x.concerns(c) {
-		x.changed[p] = x.changed[p][1:]
+// discardChange removes the oldest change, which is no longer kept.
+func (x *partitionIndex) discardChange(c change) {
+	for _, p := range x.affected(c) {
+		x.changes[p] = x.changes[p][1:]
 	}
 }
 
-// news tells whether something has changed in partitions since a generation.
-func (d *Directory) news(p parts, after uint64) bool {
-	x := d.index(p.partitions)
-	return slices.ContainsFunc(p.of, func(n int) bool { return x.last[n] > after })
+// changedSince reports whether something has changed in the partitions since a generation.
+func (d *Directory) changedSince(filter partitionFilter, after uint64) bool {
+	x := d.index(filter.partitions)
+	return slices.ContainsFunc(filter.numbers, func(n int) bool { return x.lastChanged[n] > after })
 }
 
-// part is the list of partitions.
-func (d *Directory) part(p parts) []Instance {
-	x, out := d.index(p.partitions), []Instance{}
-	for _, n := range p.of {
-		for _, at := range x.listed[n] {
+// entriesOf returns the entries of the partitions.
+func (d *Directory) entriesOf(filter partitionFilter) []Instance {
+	x, out := d.index(filter.partitions), []Instance{}
+	for _, n := range filter.numbers {
+		for _, at := range x.positions[n] {
 			out = append(out, d.list[at])
 		}
 	}
 	return out
 }
 
-// changesOf are the changes of partitions since a generation, in order.
-func (d *Directory) changesOf(p parts, after uint64) (out []Instance) {
-	x := d.index(p.partitions)
+// changesOf returns the changes in the partitions since a generation, in order.
+func (d *Directory) changesOf(filter partitionFilter, after uint64) (out []Instance) {
+	x := d.index(filter.partitions)
 	var numbers []int
-	for _, n := range p.of {
-		all := x.changed[n]
-		for i := len(all) - 1; i >= 0 && d.changes[all[i]-d.dropped].generation > after; i-- {
+	for _, n := range filter.numbers {
+		all := x.changes[n]
+		for i := len(all) - 1; i >= 0 && d.changes[all[i]-d.discardedChanges].generation > after; i-- {
 			numbers = append(numbers, all[i])
 		}
 	}
 	slices.Sort(numbers)
-	for _, n := range slices.Compact(numbers) { // one that moves concerns two
-		out = append(out, d.changes[n-d.dropped].instance)
+	for _, n := range slices.Compact(numbers) { // an entry that moves affects two partitions
+		out = append(out, d.changes[n-d.discardedChanges].instance)
 	}
 	return out
 }
 
-// KnowPartitions has the directory understand the parameters that restrict an ask to partitions,
-// as it does at first, or ignore them.
-func (d *Directory) KnowPartitions(know bool) {
+// KnowPartitions sets whether the directory supports the request parameters that name partitions.
+// Initially it does; otherwise it ignores them.
+func (d *Directory) KnowPartitions(supported bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ignores = !know
-	d.wake()
+	d.ignoresPartitions = !supported
+	d.notifyWatchers()
 }
--- a/internal/standin/partitions_test.go
+++ b/internal/standin/partitions_test.go
@@ -17,34 +17,34 @@
 	"snowjunction/internal/partition"
 )
 
-type told struct {
+type directoryAnswer struct {
 	Generation uint64     `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Partitions int        `json:"partitions"`
 	Instances  []Instance `json:"instances"`
 }
 
-func read(t require.TestingT, text []byte) (a told) {
+func decodeAnswer(t require.TestingT, text []byte) (a directoryAnswer) {
 	require.NoError(t, json.Unmarshal(text, &a))
 	return a
 }
 
-func parameters(t require.TestingT, partitions int, of []int) parts {
+func newFilter(t require.TestingT, partitions int, of []int) partitionFilter {
 	var text []string
 	for _, p := range of {
 		text = append(text, fmt.Sprint(p))
 	}
-	p, err := askedParts(url.Values{"partitions": {fmt.Sprint(partitions)}, "of": {strings.Join(text, ",")}})
+	p, err := parsePartitionFilter(url.Values{"partitions": {fmt.Sprint(partitions)}, "of": {strings.Join(text, ",")}})
 	require.NoError(t, err)
 	return p
 }
 
-// Whatever changes, an ask for partitions is told what a walk of the whole list and of all changes
-// finds; an index made before the changes says the same as one made after them.
-func TestPartsAreThoseOfTheWhole(t *testing.T) {
+// After any changes, a request for partitions returns what a scan of the whole list and of all
+// changes finds. An index built before the changes gives the same result as one built after them.
+func TestPartitionFilterMatchesFullScan(t *testing.T) {
 	const partitions = 5
 	rapid.Check(t, func(t *rapid.T) {
-		d := &Directory{grown: make(chan struct{})}
+		d := &Directory{changed: make(chan struct{})}
 		instance := func(t *rapid.T) Instance {
 			return Instance{
 				InstanceID: rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}).Draw(t, "name"),
@@ -52,11 +52,11 @@
 			}
 		}
 		d.Replace(nil)
-		cells := []map[string]uint32{{}, {}} // by generation, and then by name
+		cells := []map[string]uint32{{}, {}} // by generation, then by instance ID
 		var changes []change
 		for range rapid.IntRange(0, 30).Draw(t, "changes") {
 			if rapid.IntRange(0, 9).Draw(t, "asks") == 0 {
-				d.news(parameters(t, partitions, nil), 0) // an index is made
+				d.changedSince(newFilter(t, partitions, nil), 0) // builds the index
 			}
 			x, at := instance(t), map[string]uint32{}
 			for name, cell := range cells[len(cells)-1] {
@@ -71,8 +71,8 @@
 		}
 		of := rapid.SliceOfNDistinct(rapid.IntRange(0, partitions-1), 0, partitions, rapid.ID).Draw(t, "of")
 		in := func(cell uint32) bool { return slices.Contains(of, partition.Of(cell, partitions)) }
-		p := parameters(t, partitions, of)
-		whole := read(t, d.answer(0, false, p))
+		p := newFilter(t, partitions, of)
+		whole := decodeAnswer(t, d.encodeAnswer(0, false, p))
 		assert.Equal(t, [3]any{d.generation, true, partitions}, [3]any{whole.Generation, whole.Reset, whole.Partitions})
 		var want []Instance
 		for _, x := range d.list {
@@ -82,41 +82,41 @@
 		}
 		assert.ElementsMatch(t, want, whole.Instances)
 		after := rapid.Uint64Range(1, d.generation).Draw(t, "after")
-		var heard []Instance
+		var expected []Instance
 		for _, c := range changes {
 			gone := c.instance.Lifecycle == "Gone"
-			if c.generation > after && (c.had && in(c.was) || !(c.had && gone) && in(c.instance.Cell)) {
-				heard = append(heard, c.instance)
+			if c.generation > after && (c.wasListed && in(c.previousCell) || !(c.wasListed && gone) && in(c.instance.Cell)) {
+				expected = append(expected, c.instance)
 			}
 		}
-		assert.Equal(t, len(heard) > 0, d.differs(after, p))
-		assert.Equal(t, youngest(heard), read(t, d.answer(after, true, p)).Instances)
+		assert.Equal(t, len(expected) > 0, d.hasNews(after, p))
+		assert.Equal(t, lastChanges(expected), decodeAnswer(t, d.encodeAnswer(after, true, p)).Instances)
 	})
 }
 
-// Changes beyond those that are kept are forgotten in the indexes too.
-func TestOldChangesAreForgotten(t *testing.T) {
-	d := &Directory{grown: make(chan struct{})}
+// Discarded changes are removed from the indexes too.
+func TestOldChangesAreDiscardedFromIndexes(t *testing.T) {
+	d := &Directory{changed: make(chan struct{})}
 	d.Replace(nil)
-	p := parameters(t, 2, []int{0, 1})
-	d.news(p, 0)
+	p := newFilter(t, 2, []int{0, 1})
+	d.changedSince(p, 0)
 	var all []Instance
-	for i := range changesMost {
+	for i := range maxChanges {
 		all = append(all, Instance{InstanceID: "a", Cell: uint32(i % 3), Lifecycle: "Ready"})
 	}
 	d.Change(all...)
 	d.Change(all[:3]...)
 	kept := 0
-	for _, n := range d.indexes[0].changed {
+	for _, n := range d.indexes[0].changes {
 		kept += len(n)
 	}
-	assert.LessOrEqual(t, kept, 2*changesMost, "a change concerns two partitions at the most")
-	assert.Equal(t, slices.Min([]int{d.indexes[0].changed[0][0], d.indexes[0].changed[1][0]}), d.dropped)
-	assert.Len(t, read(t, d.answer(2, true, p)).Instances, 1)
-	assert.True(t, read(t, d.answer(1, true, p)).Reset)
+	assert.LessOrEqual(t, kept, 2*maxChanges, "a change affects at most two partitions")
+	assert.Equal(t, slices.Min([]int{d.indexes[0].changes[0][0], d.indexes[0].changes[1][0]}), d.discardedChanges)
+	assert.Len(t, decodeAnswer(t, d.encodeAnswer(2, true, p)).Instances, 1)
+	assert.True(t, decodeAnswer(t, d.encodeAnswer(1, true, p)).Reset)
 }
 
-// A watch of partitions is answered once something in them has changed, and at its wait's end.
+// A watch of partitions returns when one of them has changed, or at its timeout.
 func TestWatchOfPartitions(t *testing.T) {
 	const partitions = 64
 	own, other := uint32(1), uint32(2)
@@ -127,34 +127,34 @@
 	t.Cleanup(d.Close)
 	base := "http://" + d.Addr() + "/discovery/hosts"
 	of := fmt.Sprintf("partitions=%d&of=%d", partitions, partition.Of(own, partitions))
-	c := client(t, false)
+	c := newTestClient(t, false)
 	assert.NotContains(t, get(t, c, base+"?"+of), `"instanceId":"b"`)
 	assert.Contains(t, get(t, c, base+"?"+of), `"partitions":64`)
 	assert.NotContains(t, get(t, c, base), `"partitions"`)
-	assert.Contains(t, get(t, c, base+"?partitions=64&of="), `"instances":[]`, "who owns nothing asks for nothing")
+	assert.Contains(t, get(t, c, base+"?partitions=64&of="), `"instances":[]`, "a courier without partitions receives an empty list")
 
 	waiting := make(chan string, 1)
-	go func() { waiting <- get(t, client(t, false), base+"?after=1&wait_ms=20000&"+of) }()
+	go func() { waiting <- get(t, newTestClient(t, false), base+"?after=1&wait_ms=20000&"+of) }()
 	for d.Heard() < 1 {
 		time.Sleep(time.Millisecond)
 	}
 	list[1].Lifecycle = "Terminating"
 	d.Change(list[1])
-	assert.Contains(t, get(t, c, base+"?after=1&wait_ms=1&"+of), `"generation":2,"instances":[],"partitions":64`, "at its wait's end")
+	assert.Contains(t, get(t, c, base+"?after=1&wait_ms=1&"+of), `"generation":2,"instances":[],"partitions":64`, "at the timeout")
 	select {
 	case text := <-waiting:
-		t.Fatalf("answered by another partition's change: %s", text)
+		t.Fatalf("the watch returned for a change in another partition: %s", text)
 	default:
 	}
-	list[0].Cell = other // it leaves the partition, which has to hear of it
+	list[0].Cell = other // the entry leaves the partition, whose watchers must be notified
 	d.Change(list[0])
 	assert.Contains(t, <-waiting, `"instanceId":"a"`)
 
-	assert.Contains(t, get(t, c, base+"?after=9&wait_ms=20000&"+of), `"reset":true`, "another directory's generation")
+	assert.Contains(t, get(t, c, base+"?after=9&wait_ms=20000&"+of), `"reset":true`, "a generation of another directory")
 	d.KnowPartitions(false)
 	assert.Contains(t, get(t, c, base+"?"+of), `"instanceId":"b"`)
 	assert.NotContains(t, get(t, c, base+"?"+of), `"partitions"`)
-	assert.Contains(t, get(t, c, base+"?partitions=x&of=y"), "200 ", "it does not look")
+	assert.Contains(t, get(t, c, base+"?partitions=x&of=y"), "200 ", "ignored parameters are not validated")
 	d.KnowPartitions(true)
 	for _, bad := range []string{
 		"partitions=64", "of=1", "partitions=0&of=", "partitions=65537&of=1", "partitions=x&of=1", "partitions=64&of=64",
@@ -165,40 +165,40 @@
 	}
 }
 
-// Answers that are kept are told apart by what was asked, and are bounded.
-func TestAnswersKeptAreBounded(t *testing.T) {
-	d := &Directory{grown: make(chan struct{})}
+// Cached responses are separate for each request, and their total size is limited.
+func TestResponseCacheIsBounded(t *testing.T) {
+	d := &Directory{changed: make(chan struct{})}
 	var list []Instance
 	for i := range 2000 {
 		list = append(list, Instance{InstanceID: fmt.Sprint(i), HostPort: strings.Repeat("x", 1000), Cell: uint32(i), Lifecycle: "Ready"})
 	}
 	d.Replace(list)
-	whole := d.answer(0, false, parts{})
+	whole := d.encodeAnswer(0, false, partitionFilter{})
 	for n := range 40 {
-		a := read(t, d.answer(0, false, parameters(t, 40, []int{n, (n + 1) % 40})))
+		a := decodeAnswer(t, d.encodeAnswer(0, false, newFilter(t, 40, []int{n, (n + 1) % 40})))
 		for _, x := range a.Instances {
 			require.Contains(t, []int{n, (n + 1) % 40}, partition.Of(x.Cell, 40))
 		}
-		d.answer(0, false, parameters(t, 50+n, []int{n})) // other numbers of partitions
-		d.answer(uint64(n), true, parts{})
+		d.encodeAnswer(0, false, newFilter(t, 50+n, []int{n})) // with other numbers of partitions
+		d.encodeAnswer(uint64(n), true, partitionFilter{})
 		size := -len(whole)
-		for _, b := range d.texts {
+		for _, b := range d.cache {
 			size += len(b)
 		}
-		require.LessOrEqual(t, size, textsMost)
-		require.LessOrEqual(t, len(d.indexes), indexesMost)
+		require.LessOrEqual(t, size, maxCacheBytes)
+		require.LessOrEqual(t, len(d.indexes), maxIndexes)
 	}
-	assert.Same(t, &whole[0], &d.answer(0, false, parts{})[0], "the whole list stays")
+	assert.Same(t, &whole[0], &d.encodeAnswer(0, false, partitionFilter{})[0], "the whole list stays cached")
 }
 
-// The bytes of one courier's part at a start, and of what it is told when it starts again ten
-// minutes later, as they come with their head over a connection.
-func BenchmarkPartOnTheWire(b *testing.B) {
+// Measures the bytes of the response, header included, that a courier receives at its first start
+// and at a restart ten minutes later, and the bytes of its request.
+func BenchmarkEncodedPartitions(b *testing.B) {
 	const (
 		couriers, regions, copies = 3400, 3, 1
 		destinations, each        = 1_300_000, 2
 		partitions                = 16384
-		changes                   = 3300 * 10 / (24 * 60) // in ten minutes
+		changes                   = 3300 * 10 / (24 * 60) // in 10 minutes, at 3300 a day
 		sampled                   = 200
 	)
 	var members []partition.Member
@@ -229,7 +229,7 @@
 		sent, got := d.traffic.out.Load(), d.traffic.in.Load()
 		a, err := c.Get(fmt.Sprintf("http://%s/discovery/hosts?%spartitions=%d&of=%s", d.Addr(), watch, partitions, strings.Join(of, ",")))
 		require.NoError(b, err)
-		require.NoError(b, json.NewDecoder(a.Body).Decode(&told{}))
+		require.NoError(b, json.NewDecoder(a.Body).Decode(&directoryAnswer{}))
 		_ = a.Body.Close()
 		return int(d.traffic.out.Load() - sent), int(d.traffic.in.Load() - got)
 	}
