--- a/internal/standin/partner/partner.go
+++ b/internal/standin/partner/partner.go
@@ -1,7 +1,7 @@
-// Package partner is a model of a partner system: a destination with a limit, a
-// queue and a pace, faults that a script puts on it, and a record of what it was
-// sent. It does no I/O, reads no clock and starts no goroutine: whoever plays it
-// on sockets or in simulated time hands times in.
+// Package partner models a partner system: a destination with a rate limit, a queue, a capacity,
+// scripted faults and a record of the calls that it received. The model does no I/O, reads no
+// clock and starts no goroutine. The caller passes in all times, which are durations since the
+// start of the caller's clock; this allows use over sockets and in simulated time.
 package partner
 
 import (
@@ -11,150 +11,150 @@
 	"time"
 )
 
-// Profile is how a partner is when nothing is wrong with it.
+// Profile describes the normal behavior of a partner, without faults.
 type Profile struct {
-	Limit     float64       // calls a second from all couriers; 0: none
-	Span      time.Duration // the limit is a count in each such span; 0: a plain rate
-	Counting  bool          // refused calls use up the limit too
-	Tells     float64       // share of its refusals that tell how long to wait
-	Report    bool          // it tells its limit and what is left of it
-	Refresh   time.Duration // how old a report may be
-	LeastWait time.Duration // told waits are at least so long
-
-	Capacity float64       // calls a second that it can serve; 0: any number
-	Latency  time.Duration // of a call that has the partner to itself
-	Queue    int           // calls that may be under way; 0: any number
-
-	ColdShare    float64       // part of its capacity that it has when it comes back
-	WarmUp       time.Duration // it has all of it after this
-	FallMultiple float64       // sent more than this many times what it can do then
-	FallTime     time.Duration // for this long, it falls over and stays down
-	FallSlack    float64       // calls beyond that, as a burst may be under way; 0: one
-	FallRoot     float64       // times the root of that besides
+	Limit     float64       // rate limit for all couriers together, in calls per second; 0 means no limit
+	Span      time.Duration // length of the limit's fixed windows; 0 means a token bucket
+	Counting  bool          // whether rejected calls count against the limit
+	Tells     float64       // share of the rejections that carry a retry-after delay
+	Report    bool          // whether responses report the limit and the remaining share of it
+	Refresh   time.Duration // maximum age of a report
+	LeastWait time.Duration // minimum retry-after delay
+
+	Capacity float64       // calls per second that it can serve; 0 means unlimited
+	Latency  time.Duration // of a call without contention
+	Queue    int           // maximum concurrent calls; 0 means unlimited
+
+	ColdShare    float64       // share of the capacity available right after recovery
+	WarmUp       time.Duration // time after recovery until the full capacity is available
+	FallMultiple float64       // overload threshold while cold, as a multiple of the present capacity
+	FallTime     time.Duration // sliding window in which the overload is measured; the collapse is permanent
+	FallSlack    float64       // calls allowed beyond the threshold, since a burst may be in flight; 0 means one
+	FallRoot     float64       // further calls allowed, as a multiple of the square root of the threshold
 }
 
 // Kind is a kind of fault.
 type Kind int
 
-// The faults. Error, Shut, Reset and Silent act on a share of the calls; Slow
-// stretches the time that calls take.
+// The kinds of fault. Error, Shut, Reset and Silent affect a share of the calls; Slow increases
+// the latency of all calls.
 const (
-	Error  Kind = iota // a quick error: the call may have run
-	Shut               // turned away, perhaps told until when
-	Reset              // the connection breaks once the call is read
-	Silent             // no answer
+	Error  Kind = iota // status 500 after a short delay; the call may have run
+	Shut               // rejected, possibly with a retry-after delay until the end of the fault
+	Reset              // the connection is reset after the call has been read
+	Silent             // no response
 	Slow
-	Cut // the limit is lower
+	Cut // the rate limit is reduced
 )
 
-// Fault is what goes wrong from one time to another. A partner may have any
-// number at once: each call meets them in their order, and the first that acts
-// decides, but for Slow and Cut ones, which all act.
+// Fault is a failure mode in force between two times. A partner may have several at once: they
+// are evaluated in the order in which they were added, and the first that applies to a call
+// decides its response. Slow and Cut faults are cumulative instead.
 type Fault struct {
 	Kind        Kind
 	From, Until time.Duration
-	Share       float64 // of the calls; 0: all of them
-	Times       float64 // Slow: so many times as long; Cut: so much of the limit
-	Cold        bool    // the partner comes back cold from it
+	Share       float64 // share of the calls affected; 0 means all
+	Times       float64 // factor on the latency (Slow) or on the limit (Cut)
+	Cold        bool    // the partner recovers cold from the fault, with reduced capacity
 }
 
-// Call is what a partner is sent.
+// Call is a delivery attempt that a partner receives.
 type Call struct {
 	ID  string
-	Key uint64        // messages of one key come one at a time, in order; 0: none
-	Seq uint64        // the place of this one among those of its key
-	Due time.Duration // delivered after this it is late; 0: never
+	Key uint64        // ordering key: its messages come one at a time and in order; 0 means no key
+	Seq uint64        // sequence number within the key
+	Due time.Duration // deadline, after which a delivery counts as late; 0 means no deadline
 }
 
-// Answer is what becomes of a call.
+// Answer is a partner's response to a call.
 type Answer struct {
-	Status int           // as in HTTP; 0: none ever comes
-	Reset  bool          // the connection breaks
-	After  time.Duration // when it comes
-	Wait   time.Duration // with 429: the told wait
-	Left   float64       // share of the limit that is left
-	Limit  float64       // in calls a second; 0: no report
+	Status int           // HTTP status; 0 means that no response is ever sent
+	Reset  bool          // the connection is reset
+	After  time.Duration // delay before the response
+	Wait   time.Duration // retry-after delay of a response with status 429
+	Left   float64       // reported share of the limit that remains
+	Limit  float64       // reported limit in calls per second; 0 means no report
 }
 
-// Counts are what a partner has seen.
+// Counts holds a partner's counters.
 type Counts struct {
 	Calls, Delivered, Refused, Failed int
-	Late                              int     // of those delivered
-	Copies                            int     // calls with a message that it had delivered, or has under way
-	OutOfOrder                        int     // calls of a key that overtook another, or ran beside it
-	InWait                            int     // calls sent though a wait that it had told was not over
-	Peak                              float64 // most calls, as a multiple of what the limit allowed then
+	Late                              int     // deliveries after their deadline
+	Copies                            int     // calls with a message that was delivered already or is in flight
+	OutOfOrder                        int     // calls that overtook another of their key or ran concurrently with it
+	InWait                            int     // calls that arrived during a retry-after delay
+	Peak                              float64 // highest call count in a window, as a multiple of what the limit allowed
 	Over                              int     // calls beyond the limit
-	Fell                              int     // times that it has fallen over
-	Drained                           int     // calls to an endpoint over a second after it was told to drain
+	Fell                              int     // collapses under overload
+	Drained                           int     // calls to an endpoint more than a second after it was listed as draining
 }
 
-// Add sums up; of the peaks the highest stands.
+// Add adds the counters of x. Peak becomes the higher of the two.
 func (n *Counts) Add(x Counts) {
 	n.Calls, n.Delivered, n.Refused, n.Failed = n.Calls+x.Calls, n.Delivered+x.Delivered, n.Refused+x.Refused, n.Failed+x.Failed
 	n.Late, n.Copies, n.OutOfOrder, n.InWait = n.Late+x.Late, n.Copies+x.Copies, n.OutOfOrder+x.OutOfOrder, n.InWait+x.InWait
 	n.Over, n.Fell, n.Drained, n.Peak = n.Over+x.Over, n.Fell+x.Fell, n.Drained+x.Drained, max(n.Peak, x.Peak)
 }
 
-// Broken is how often its caller has broken a rule that it can see.
+// Broken returns the number of rule violations by the caller that the partner can detect.
 func (n Counts) Broken() int { return n.Copies + n.OutOfOrder + n.InWait + n.Fell + n.Drained }
 
-// Partner is one partner system.
+// Partner simulates one partner system. It is not safe for concurrent use.
 type Partner struct {
 	Profile Profile
 	Counts  Counts
-	Blind   bool // it does not mind copies and order: whoever plays it does
-	// Again is how long after a call the same message may come once more: what a
-	// sender gave up on may have run, and it may not know. 0: never.
-	Again  time.Duration
-	rng    *rand.Rand
-	faults []Fault
-	whole  float64 // limit that faults cut; 0: none has
-
-	tokens    float64
-	filled    time.Duration
-	span      int64
-	inSpan    int             // calls that the limit counts
-	sent      int             // all calls in the span
-	arrived   []time.Duration // calls of late, for Peak
-	work      []time.Duration // calls of late that cost work, for falling over
-	busy      time.Duration   // its server is busy until then
-	under     int             // calls under way
-	coldSince time.Duration
-	cold      bool
-	down      bool
-	told      time.Duration // the wait told last ends then
-	toldAt    time.Duration
-	report    Answer
-	reportAt  time.Duration
-	reported  bool
-
-	seen  map[string]bool // ids under way, and true once delivered
-	late  map[string]bool // ids delivered late
-	began map[string]time.Duration
-	turns map[uint64]turn
+	Blind   bool // duplicates and ordering are not checked here, since the caller checks them
+	// Again is how long after a call a duplicate of its message is allowed: an attempt that the
+	// sender abandoned may have run without its knowledge. Zero means never.
+	Again      time.Duration
+	rng        *rand.Rand
+	faults     []Fault
+	uncutLimit float64 // the limit without Cut faults; 0 until the first Cut fault
+
+	tokens           float64         // in the token bucket
+	refilledAt       time.Duration   // time of the last refill
+	window           int64           // number of the current fixed window
+	windowCalls      int             // calls in the window that count against the limit
+	windowArrivals   int             // all calls in the window
+	recentArrivals   []time.Duration // arrival times of recent calls, for Peak
+	recentWork       []time.Duration // arrival times of recent calls that used capacity, to detect overload
+	busyUntil        time.Duration   // the simulated server is busy until then
+	inFlight         int             // calls in flight
+	coldSince        time.Duration
+	cold             bool
+	collapsed        bool
+	retryAfterUntil  time.Duration // end of the latest retry-after delay
+	retryAfterSentAt time.Duration // when that delay was sent
+	report           Answer
+	reportAt         time.Duration
+	reported         bool
+
+	deliveredByID map[string]bool // by message ID: false while in flight, true once delivered
+	deliveredLate map[string]bool // IDs of messages delivered late
+	startedAt     map[string]time.Duration
+	keys          map[uint64]keyState // by ordering key
 }
 
-type turn struct {
-	last uint64 // place of the last one that began
-	out  int
+type keyState struct {
+	lastSeq  uint64 // highest sequence number that has started
+	inFlight int    // calls in flight
 }
 
-// New returns a partner whose chances are drawn from seed.
+// New returns a partner that draws its random numbers from seed.
 func New(p Profile, seed uint64) *Partner {
 	return &Partner{
-		Profile: p, rng: rand.New(rand.NewPCG(seed, 0x5fa9)), seen: map[string]bool{}, late: map[string]bool{}, began: map[string]time.Duration{}, turns: map[uint64]turn{},
+		Profile: p, rng: rand.New(rand.NewPCG(seed, 0x5fa9)), deliveredByID: map[string]bool{}, deliveredLate: map[string]bool{}, startedAt: map[string]time.Duration{}, keys: map[uint64]keyState{},
 	}
 }
 
-// Add puts a fault on it.
+// Add adds a fault.
 func (p *Partner) Add(f Fault) { p.faults = append(p.faults, f) }
 
-// Chill has it come back cold at a time: what it can do grows from then on.
+// Chill makes the partner cold at the given time. Its capacity grows linearly from then on.
 func (p *Partner) Chill(now time.Duration) { p.cold, p.coldSince = true, now }
 
-// present is the share of its capacity that it has now.
-func (p *Partner) present(now time.Duration) float64 {
+// capacityShare returns the share of the capacity that is available now.
+func (p *Partner) capacityShare(now time.Duration) float64 {
 	for _, f := range p.faults {
 		if f.Cold && now >= f.Until && (!p.cold || f.Until > p.coldSince) && now-f.Until < p.Profile.WarmUp {
 			p.cold, p.coldSince = true, f.Until
@@ -163,59 +163,61 @@
 	if !p.cold || p.Profile.WarmUp <= 0 || now-p.coldSince >= p.Profile.WarmUp {
 		return 1
 	}
-	gone := float64(now-p.coldSince) / float64(p.Profile.WarmUp)
-	return p.Profile.ColdShare + (1-p.Profile.ColdShare)*math.Max(gone, 0)
+	elapsed := float64(now-p.coldSince) / float64(p.Profile.WarmUp)
+	return p.Profile.ColdShare + (1-p.Profile.ColdShare)*math.Max(elapsed, 0)
 }
 
-// most is how many calls the limit lets through in its span, and how long that
-// is. A plain rate holds half a second of calls, one at least, beside
-// what comes in in a second.
-func (p *Partner) most() (float64, time.Duration) {
+// windowLimit returns the number of calls that the limit allows in a window, and the window's length. A
+// token bucket allows its burst, half a second of calls and at least one, on top of the calls of
+// a second.
+func (p *Partner) windowLimit() (float64, time.Duration) {
 	if p.Profile.Span > 0 {
 		return math.Max(1, math.Floor(p.Profile.Limit*p.Profile.Span.Seconds())), p.Profile.Span
 	}
 	return p.Profile.Limit + p.burst(), time.Second
 }
 
-// rate is what the limit comes to in calls a second: a count is a whole number.
-func (p *Partner) rate() float64 {
+// effectiveLimit returns the limit in calls per second as enforced: the count of a fixed window is
+// rounded down.
+func (p *Partner) effectiveLimit() float64 {
 	if p.Profile.Span > 0 {
-		most, span := p.most()
+		most, span := p.windowLimit()
 		return most / span.Seconds()
 	}
 	return p.Profile.Limit
 }
 
+// burst returns the size of the token bucket.
 func (p *Partner) burst() float64 { return math.Max(1, p.Profile.Limit/2) }
 
-// Begin takes a call and says what becomes of it. End must be called once the
-// answer has been given, or given up.
+// Begin accepts a call and returns the response to it. The caller must call End once the
+// response has been sent or abandoned.
 func (p *Partner) Begin(now time.Duration, c Call) Answer {
 	p.Counts.Calls++
-	p.under++
-	p.trim(now)
-	p.mind(now, c)
-	over := p.count(now)
+	p.inFlight++
+	p.applyCuts(now)
+	p.checkObligations(now, c)
+	over := p.countAgainstLimit(now)
 	answer := p.answer(now, c, over)
 	if p.Profile.Report && p.Profile.Limit > 0 && answer.Status != 0 {
 		if !p.reported || now-p.reportAt >= p.Profile.Refresh {
 			p.reported, p.reportAt = true, now
-			p.report = Answer{Left: p.left(now), Limit: p.rate()}
+			p.report = Answer{Left: p.remainingShare(now), Limit: p.effectiveLimit()}
 		}
 		answer.Left, answer.Limit = p.report.Left, p.report.Limit
 	}
 	return answer
 }
 
-// trim has the limit follow the faults that cut it.
-func (p *Partner) trim(now time.Duration) {
+// applyCuts applies the Cut faults in force to the limit.
+func (p *Partner) applyCuts(now time.Duration) {
 	if !slices.ContainsFunc(p.faults, func(f Fault) bool { return f.Kind == Cut }) {
 		return
 	}
-	if p.whole == 0 {
-		p.whole = p.Profile.Limit
+	if p.uncutLimit == 0 {
+		p.uncutLimit = p.Profile.Limit
 	}
-	p.Profile.Limit = p.whole
+	p.Profile.Limit = p.uncutLimit
 	for _, f := range p.faults {
 		if f.Kind == Cut && now >= f.From && now < f.Until {
 			p.Profile.Limit *= f.Times
@@ -223,67 +225,68 @@
 	}
 }
 
-// mind checks what the sender owes: no copy, order by key, told waits.
-func (p *Partner) mind(now time.Duration, c Call) {
+// checkObligations checks the sender's obligations: no duplicates, ordering by key, and retry-after
+// delays.
+func (p *Partner) checkObligations(now time.Duration, c Call) {
 	if p.Blind {
 		return
 	}
-	again := false
-	if _, ok := p.seen[c.ID]; ok {
-		if again = now-p.began[c.ID] < p.Again; !again {
+	allowedDuplicate := false
+	if _, ok := p.deliveredByID[c.ID]; ok {
+		if allowedDuplicate = now-p.startedAt[c.ID] < p.Again; !allowedDuplicate {
 			p.Counts.Copies++
 		}
 	} else {
-		p.seen[c.ID] = false
+		p.deliveredByID[c.ID] = false
 		if p.Again > 0 {
-			p.began[c.ID] = now
+			p.startedAt[c.ID] = now
 		}
 	}
 	if c.Key != 0 {
-		t := p.turns[c.Key]
-		if !again && t.out > 0 || c.Seq < t.last {
+		key := p.keys[c.Key]
+		if !allowedDuplicate && key.inFlight > 0 || c.Seq < key.lastSeq {
 			p.Counts.OutOfOrder++
 		}
-		t.last, t.out = max(t.last, c.Seq), t.out+1
-		p.turns[c.Key] = t
+		key.lastSeq, key.inFlight = max(key.lastSeq, c.Seq), key.inFlight+1
+		p.keys[c.Key] = key
 	}
-	if now < p.told && now >= p.toldAt+toldGrace {
+	if now < p.retryAfterUntil && now >= p.retryAfterSentAt+retryAfterGrace {
 		p.Counts.InWait++
 	}
 }
 
-// toldGrace is how long calls that were on their way may arrive in a wait.
-const toldGrace = 100 * time.Millisecond
+// retryAfterGrace allows for calls that were in flight when the retry-after delay was sent.
+const retryAfterGrace = 100 * time.Millisecond
 
-// count books a call against the limit and tells whether it is beyond it.
-func (p *Partner) count(now time.Duration) (over bool) {
+// countAgainstLimit counts a call against the limit and reports whether it exceeds the limit.
+func (p *Partner) countAgainstLimit(now time.Duration) (over bool) {
 	if p.Profile.Limit <= 0 {
 		return false
 	}
-	most, span := p.most()
+	most, span := p.windowLimit()
 	if p.Profile.Span > 0 {
-		if n := int64(now / span); n != p.span {
-			p.span, p.inSpan, p.sent = n, 0, 0
+		if n := int64(now / span); n != p.window {
+			p.window, p.windowCalls, p.windowArrivals = n, 0, 0
 		}
-		p.sent++
-		over = float64(p.inSpan) >= most
+		p.windowArrivals++
+		over = float64(p.windowCalls) >= most
 		if !over || p.Profile.Counting {
-			p.inSpan++
+			p.windowCalls++
 		}
-		p.Counts.Peak = math.Max(p.Counts.Peak, float64(p.sent)/most)
+		p.Counts.Peak = math.Max(p.Counts.Peak, float64(p.windowArrivals)/most)
 	} else {
-		if p.filled == 0 {
+		if p.refilledAt == 0 {
 			p.tokens = p.burst()
 		} else {
-			p.tokens = math.Min(p.tokens+(now-p.filled).Seconds()*p.Profile.Limit, p.burst())
+			p.tokens = math.Min(p.tokens+(now-p.refilledAt).Seconds()*p.Profile.Limit, p.burst())
 		}
-		p.filled = max(now, 1)
+		p.refilledAt = max(now, 1)
 		over = p.tokens < 1
 		if !over || p.Profile.Counting {
 			p.tokens = math.Max(p.tokens-1, -p.burst())
 		}
-		p.arrived = append(recent(p.arrived, now-span), now)
-		p.Counts.Peak = math.Max(p.Counts.Peak, float64(len(p.arrived))/math.Floor(most))
+		p.recentArrivals = append(since(p.recentArrivals, now-span), now)
+		p.Counts.Peak = math.Max(p.Counts.Peak, float64(len(p.recentArrivals))/math.Floor(most))
 	}
 	if over {
 		p.Counts.Over++
@@ -291,19 +294,20 @@
 	return over
 }
 
-// left is the share of the limit that is left.
-func (p *Partner) left(now time.Duration) float64 {
+// remainingShare returns the remaining share of the limit.
+func (p *Partner) remainingShare(now time.Duration) float64 {
 	if p.Profile.Span > 0 {
-		most, span := p.most()
-		if int64(now/span) != p.span {
+		most, span := p.windowLimit()
+		if int64(now/span) != p.window {
 			return 1
 		}
-		return math.Max(0, 1-float64(p.inSpan)/most)
+		return math.Max(0, 1-float64(p.windowCalls)/most)
 	}
 	return math.Max(0, p.tokens/p.burst())
 }
 
-func recent(list []time.Duration, from time.Duration) []time.Duration {
+// since returns the times in the sorted list that are not before from.
+func since(list []time.Duration, from time.Duration) []time.Duration {
 	n := 0
 	for n < len(list) && list[n] < from {
 		n++
@@ -311,6 +315,7 @@
 	return list[n:]
 }
 
+// answer decides the response to a call: faults first, then the limit, the queue and the capacity.
 func (p *Partner) answer(now time.Duration, c Call, over bool) Answer {
 	slow := 1.0
 	for _, f := range p.faults {
@@ -329,7 +334,7 @@
 			p.Counts.Failed++
 			return Answer{Status: 500, After: p.Profile.Latency / 4}
 		case Shut:
-			return p.refuse(now, f.Until)
+			return p.reject(now, f.Until)
 		case Reset:
 			p.Counts.Failed++
 			return Answer{Reset: true, After: p.Profile.Latency / 4}
@@ -338,77 +343,78 @@
 			return Answer{}
 		}
 	}
-	if p.down {
+	if p.collapsed {
 		p.Counts.Failed++
 		return Answer{}
 	}
-	p.strain(now)
+	p.checkOverload(now)
 	switch {
 	case over && p.Profile.Span > 0:
-		return p.refuse(now, time.Duration(p.span+1)*p.Profile.Span)
+		return p.reject(now, time.Duration(p.window+1)*p.Profile.Span)
 	case over:
-		return p.refuse(now, now+time.Duration((1-p.tokens)/p.Profile.Limit*float64(time.Second)))
-	case p.Profile.Queue > 0 && p.under > p.Profile.Queue:
-		return p.refuse(now, 0)
+		return p.reject(now, now+time.Duration((1-p.tokens)/p.Profile.Limit*float64(time.Second)))
+	case p.Profile.Queue > 0 && p.inFlight > p.Profile.Queue:
+		return p.reject(now, 0)
 	}
-	took := time.Duration(float64(p.Profile.Latency) * slow)
+	duration := time.Duration(float64(p.Profile.Latency) * slow)
 	if p.Profile.Capacity > 0 {
-		each := time.Duration(float64(time.Second) / (p.Profile.Capacity * p.present(now)) * slow)
-		p.busy = max(p.busy, now) + each
-		took = max(took, p.busy-now)
+		perCall := time.Duration(float64(time.Second) / (p.Profile.Capacity * p.capacityShare(now)) * slow)
+		p.busyUntil = max(p.busyUntil, now) + perCall
+		duration = max(duration, p.busyUntil-now)
 	}
-	return Answer{Status: 200, After: took}
+	return Answer{Status: 200, After: duration}
 }
 
-// Cold is how many calls it is allowed in the fall time while it is back from an outage
-// and not warm yet; false: it is not.
+// Cold returns the number of calls that the partner withstands per FallTime while it recovers
+// from an outage. cold is false if the partner is warm, down or in an outage.
 func (p *Partner) Cold(now time.Duration) (allowed float64, cold bool) {
 	f := p.Profile
-	share := p.present(now)
-	if f.FallMultiple <= 0 || f.Capacity <= 0 || share >= 1 || p.down || p.Out(now) {
+	share := p.capacityShare(now)
+	if f.FallMultiple <= 0 || f.Capacity <= 0 || share >= 1 || p.collapsed || p.Out(now) {
 		return 0, false
 	}
 	return f.FallMultiple * share * f.Capacity * f.FallTime.Seconds(), true
 }
 
-// Out tells that it is in an outage from which it comes back cold, or has fallen.
+// Out reports whether the partner is in an outage from which it recovers cold, or has collapsed.
 func (p *Partner) Out(now time.Duration) bool {
-	return p.down || slices.ContainsFunc(p.faults, func(f Fault) bool { return f.Cold && now >= f.From && now < f.Until })
+	return p.collapsed || slices.ContainsFunc(p.faults, func(f Fault) bool { return f.Cold && now >= f.From && now < f.Until })
 }
 
-// strain lets it fall over where it is sent far more than it can do, cold.
-func (p *Partner) strain(now time.Duration) {
+// checkOverload makes a cold partner collapse if it receives far more calls than it can serve.
+func (p *Partner) checkOverload(now time.Duration) {
 	f := p.Profile
-	if f.FallMultiple <= 0 || f.Capacity <= 0 || p.present(now) >= 1 {
-		p.work = p.work[:0]
+	if f.FallMultiple <= 0 || f.Capacity <= 0 || p.capacityShare(now) >= 1 {
+		p.recentWork = p.recentWork[:0]
 		return
 	}
-	p.work = append(recent(p.work, now-f.FallTime), now)
-	allowed := f.FallMultiple * p.present(now) * f.Capacity * f.FallTime.Seconds()
-	if float64(len(p.work)) > allowed+math.Max(f.FallSlack+f.FallRoot*math.Sqrt(allowed), 1) {
-		p.down = true
+	p.recentWork = append(since(p.recentWork, now-f.FallTime), now)
+	allowed := f.FallMultiple * p.capacityShare(now) * f.Capacity * f.FallTime.Seconds()
+	if float64(len(p.recentWork)) > allowed+math.Max(f.FallSlack+f.FallRoot*math.Sqrt(allowed), 1) {
+		p.collapsed = true
 		p.Counts.Fell++
 	}
 }
 
-// Room tells whether a call would be served if it came now, after so many that are
-// on their way, and if not when one may be: for whoever may know.
-func (p *Partner) Room(now time.Duration, coming int) (ok bool, wait time.Duration) {
+// Room reports whether a call that arrives now, after inTransit others, would be served. If
+// not, it returns a delay after which one may be. It is meant for callers that may read the
+// partner's internal state, such as an optimal baseline.
+func (p *Partner) Room(now time.Duration, inTransit int) (ok bool, wait time.Duration) {
 	for _, f := range p.faults {
 		if now >= f.From && now < f.Until && f.Kind != Slow && f.Kind != Cut && f.Share == 0 {
 			return false, f.Until - now
 		}
 	}
 	switch {
-	case p.down:
+	case p.collapsed:
 		return false, time.Hour
-	case p.Profile.Queue > 0 && p.under+coming >= p.Profile.Queue:
+	case p.Profile.Queue > 0 && p.inFlight+inTransit >= p.Profile.Queue:
 		return false, p.Profile.Latency / 4
 	}
 	if p.Profile.FallMultiple > 0 && p.Profile.Capacity > 0 {
-		if share := p.present(now); share < 1 {
-			n := 1 + coming
-			for _, at := range p.work {
+		if share := p.capacityShare(now); share < 1 {
+			n := 1 + inTransit
+			for _, at := range p.recentWork {
 				if at >= now-p.Profile.FallTime {
 					n++
 				}
@@ -421,75 +427,74 @@
 	if p.Profile.Limit <= 0 {
 		return true, 0
 	}
-	most, span := p.most()
+	most, span := p.windowLimit()
 	if p.Profile.Span > 0 {
-		n, taken := int64(now/span), 0
-		if n == p.span {
-			taken = p.inSpan
+		n, counted := int64(now/span), 0
+		if n == p.window {
+			counted = p.windowCalls
 		}
-		if float64(taken+coming) >= most {
+		if float64(counted+inTransit) >= most {
 			return false, time.Duration(n+1)*span - now
 		}
 		return true, 0
 	}
 	tokens := p.burst()
-	if p.filled > 0 {
-		tokens = math.Min(p.tokens+(now-p.filled).Seconds()*p.Profile.Limit, tokens)
+	if p.refilledAt > 0 {
+		tokens = math.Min(p.tokens+(now-p.refilledAt).Seconds()*p.Profile.Limit, tokens)
 	}
-	if tokens -= float64(coming); tokens < 1 {
+	if tokens -= float64(inTransit); tokens < 1 {
 		return false, time.Duration((1 - tokens) / p.Profile.Limit * float64(time.Second))
 	}
 	return true, 0
 }
 
-// refuse turns a call away, with the time at which there is room if that is
-// known and told.
-func (p *Partner) refuse(now, until time.Duration) Answer {
+// reject rejects a call. If the end of the condition is known (until is after now), a share of
+// the rejections given by Profile.Tells carries it as a retry-after delay.
+func (p *Partner) reject(now, until time.Duration) Answer {
 	p.Counts.Refused++
 	if until > now && p.rng.Float64() < p.Profile.Tells {
 		wait := max(until-now+time.Millisecond-1, p.Profile.LeastWait).Truncate(time.Millisecond)
-		if now+wait > p.told {
-			p.told, p.toldAt = now+wait, now
+		if now+wait > p.retryAfterUntil {
+			p.retryAfterUntil, p.retryAfterSentAt = now+wait, now
 		}
 		return Answer{Status: 429, Wait: wait, After: p.Profile.Latency / 8}
 	}
 	return Answer{Status: 503, After: p.Profile.Latency / 8}
 }
 
-// End tells that a call is over. It is delivered where its answer, with status
-// 200, has been written.
+// End records the end of a call. delivered is whether a response with status 200 was written.
 func (p *Partner) End(now time.Duration, c Call, delivered bool) {
-	p.under--
+	p.inFlight--
 	if p.Blind {
 		if delivered {
 			p.Counts.Delivered++
 		}
 		return
 	}
-	if t, ok := p.turns[c.Key]; ok && c.Key != 0 {
-		t.out--
-		p.turns[c.Key] = t
+	if t, ok := p.keys[c.Key]; ok && c.Key != 0 {
+		t.inFlight--
+		p.keys[c.Key] = t
 	}
 	switch {
 	case delivered:
-		if !p.seen[c.ID] {
+		if !p.deliveredByID[c.ID] {
 			p.Counts.Delivered++
 			if c.Due > 0 && now > c.Due {
 				p.Counts.Late++
-				p.late[c.ID] = true
+				p.deliveredLate[c.ID] = true
 			}
 		}
-		p.seen[c.ID] = true
-	case !p.seen[c.ID]:
-		delete(p.seen, c.ID)
+		p.deliveredByID[c.ID] = true
+	case !p.deliveredByID[c.ID]:
+		delete(p.deliveredByID, c.ID)
 	}
 }
 
-// Under is how many calls are under way.
-func (p *Partner) Under() int { return p.under }
+// Under returns the number of calls in flight.
+func (p *Partner) Under() int { return p.inFlight }
 
-// Late tells whether a message has been delivered when its time was over.
-func (p *Partner) Late(id string) bool { return p.late[id] }
+// Late reports whether a message was delivered after its deadline.
+func (p *Partner) Late(id string) bool { return p.deliveredLate[id] }
 
-// Seen tells whether a message has been delivered.
-func (p *Partner) Seen(id string) bool { return p.seen[id] }
+// Seen reports whether a message has been delivered.
+func (p *Partner) Seen(id string) bool { return p.deliveredByID[id] }
--- a/internal/standin/partner/partner_test.go
+++ b/internal/standin/partner/partner_test.go
@@ -17,9 +17,9 @@
 	return a
 }
 
-// A count in a span refuses what is beyond it and lets calls through again at
-// the next span; the peak is told against what it allows.
-func TestCountInASpan(t *testing.T) {
+// A limit over fixed windows rejects calls beyond its count and accepts calls again in the next
+// window. The peak is relative to the allowed count.
+func TestFixedWindowLimit(t *testing.T) {
 	p := New(Profile{Limit: 2, Span: time.Second, Tells: 1, Latency: 80 * ms, Report: true}, 1)
 	assert.Equal(t, 200, begin(p, 100*ms, "a").Status)
 	a := begin(p, 200*ms, "b")
@@ -31,9 +31,9 @@
 	assert.Equal(t, Counts{Calls: 4, Delivered: 3, Refused: 1, Peak: 1.5, Over: 1}, p.Counts)
 }
 
-// Where refused calls use up the limit, who goes on calling gets nothing, and
+// If rejected calls count against the limit, a client that keeps calling gets nothing through, and
 // the peak shows it.
-func TestRefusedCallsCount(t *testing.T) {
+func TestRejectedCallsCountAgainstLimit(t *testing.T) {
 	p := New(Profile{Limit: 2, Span: time.Second, Counting: true}, 1)
 	for i := range 6 {
 		begin(p, time.Duration(i)*10*ms, strconv.Itoa(i))
@@ -42,16 +42,16 @@
 	assert.Equal(t, 4, p.Counts.Refused)
 }
 
-func TestPlainRate(t *testing.T) {
+func TestTokenBucketLimit(t *testing.T) {
 	p := New(Profile{Limit: 4, Latency: ms}, 1)
-	for i := range 40 { // 5 a second for eight seconds
+	for i := range 40 { // 5 calls per second for 8 seconds
 		begin(p, time.Duration(i)*200*ms, strconv.Itoa(i))
 	}
 	assert.InDelta(t, 33, p.Counts.Delivered, 1)
 	assert.GreaterOrEqual(t, p.Counts.Peak, 1.0)
 }
 
-// Faults act in their order, on their share and in their time, and compose.
+// Faults apply in order, to their share of the calls and during their time, and they combine.
 func TestFaults(t *testing.T) {
 	p := New(Profile{Latency: 80 * ms, Tells: 1}, 7)
 	p.Add(Fault{Kind: Slow, From: 0, Until: time.Hour, Times: 3})
@@ -67,31 +67,31 @@
 	assert.InDelta(t, 100, errors, 25)
 	shut := begin(p, 2500*ms, "b")
 	assert.Equal(t, 429, shut.Status)
-	assert.Equal(t, 500*ms, shut.Wait, "until it opens")
+	assert.Equal(t, 500*ms, shut.Wait, "until the fault ends")
 	assert.Equal(t, 200, begin(p, 3*time.Second, "b").Status)
 	p.Add(Fault{Kind: Silent, From: 0, Until: time.Hour})
 	assert.Zero(t, begin(p, 4*time.Second, "c").Status)
 }
 
-// A partner that is back and cold bears what it can do then, and falls over
-// when it is sent far more.
-func TestFallsOverCold(t *testing.T) {
+// A cold partner withstands the load that matches its present capacity and collapses under far
+// more.
+func TestColdPartnerCollapsesUnderOverload(t *testing.T) {
 	profile := Profile{Capacity: 10, Latency: 10 * ms, ColdShare: 0.2, WarmUp: 14 * time.Second, FallMultiple: 2, FallTime: 1500 * ms}
-	calm, hasty := New(profile, 1), New(profile, 1)
-	for _, p := range []*Partner{calm, hasty} {
+	moderate, excessive := New(profile, 1), New(profile, 1)
+	for _, p := range []*Partner{moderate, excessive} {
 		p.Add(Fault{Kind: Silent, From: 0, Until: time.Second, Cold: true})
 	}
 	for i := range 20 {
-		begin(calm, time.Second+time.Duration(i)*500*ms, strconv.Itoa(i))
-		begin(hasty, time.Second+time.Duration(i)*50*ms, strconv.Itoa(i))
+		begin(moderate, time.Second+time.Duration(i)*500*ms, strconv.Itoa(i))
+		begin(excessive, time.Second+time.Duration(i)*50*ms, strconv.Itoa(i))
 	}
-	assert.Zero(t, calm.Counts.Fell)
-	assert.Equal(t, 1, hasty.Counts.Fell)
-	assert.Zero(t, begin(hasty, time.Minute, "x").Status, "it stays down")
+	assert.Zero(t, moderate.Counts.Fell)
+	assert.Equal(t, 1, excessive.Counts.Fell)
+	assert.Zero(t, begin(excessive, time.Minute, "x").Status, "a collapsed partner stays down")
 }
 
-// What the sender owes is counted where it is broken, and only there.
-func TestRulesOfTheSender(t *testing.T) {
+// Each violation of a sender's obligation is counted, and nothing else is.
+func TestSenderViolations(t *testing.T) {
 	p := New(Profile{Tells: 1, Limit: 1, Span: time.Second}, 1)
 	a, b := Call{ID: "a", Key: 9, Seq: 1}, Call{ID: "b", Key: 9, Seq: 2}
 	p.Begin(0, a)
@@ -99,17 +99,17 @@
 	p.Begin(time.Second, b)
 	p.End(time.Second+ms, b, true)
 	assert.Zero(t, p.Counts.OutOfOrder+p.Counts.Copies+p.Counts.InWait)
-	p.Begin(1500*ms, a) // a copy, before its time, and refused with a wait
+	p.Begin(1500*ms, a) // a duplicate, out of order, rejected with a retry-after delay
 	assert.Equal(t, [3]int{1, 1, 0}, [3]int{p.Counts.Copies, p.Counts.OutOfOrder, p.Counts.InWait})
 	p.Begin(1550*ms, Call{ID: "c"})
-	assert.Zero(t, p.Counts.InWait, "it was on its way")
+	assert.Zero(t, p.Counts.InWait, "a call in flight when the delay was sent does not count")
 	p.Begin(1700*ms, Call{ID: "d", Key: 9, Seq: 3})
 	assert.Equal(t, 1, p.Counts.InWait)
-	assert.Equal(t, 2, p.Counts.OutOfOrder, "beside one that is out")
+	assert.Equal(t, 2, p.Counts.OutOfOrder, "concurrent with another call of its key")
 }
 
-// What was given up on may come again for a while, in its place of the key's order.
-func TestAgainForAWhile(t *testing.T) {
+// A duplicate of an abandoned attempt is allowed for a limited time, in the order of its key.
+func TestDuplicateOfAbandonedAttemptAllowed(t *testing.T) {
 	p := New(Profile{}, 1)
 	p.Again = time.Second
 	a := Call{ID: "a", Key: 9, Seq: 1}
@@ -121,8 +121,8 @@
 	assert.Equal(t, [2]int{1, 2}, [2]int{p.Counts.Copies, p.Counts.OutOfOrder})
 }
 
-// A call whose answer was never written may come again; one that is out may not,
-// and lateness is told by what the call says of its time.
+// A call whose response was never written may be repeated, one in flight may not. Lateness is
+// determined by the deadline in the call.
 func TestDeliveredOnceWritten(t *testing.T) {
 	p := New(Profile{}, 1)
 	a := Call{ID: "a", Due: time.Second}
@@ -142,13 +142,14 @@
 	assert.False(t, p.Late("b"))
 }
 
-// Back from an outage it stands what is allowed and, where its profile says so, what is put
-// down to chance; it tells what is allowed as long as it is cold and has not fallen.
-func TestFallsBeyondChance(t *testing.T) {
+// After an outage a partner withstands the allowed number of calls plus the slack of its profile
+// (FallSlack and FallRoot). Cold returns the allowed number while the partner is cold and has not
+// collapsed.
+func TestCollapseBeyondSlack(t *testing.T) {
 	const back = 10 * time.Second
 	for _, tc := range []struct {
 		slack, root float64
-		most        int // calls that it stands, of 9 allowed
+		most        int // calls that it withstands, with 9 allowed
 	}{{0, 0, 10}, {4, 0, 13}, {2, 2, 17}} {
 		p := New(Profile{
 			Capacity: 15, ColdShare: 0.2, WarmUp: 1000 * time.Hour, FallMultiple: 2, FallTime: 1500 * time.Millisecond, FallSlack: tc.slack, FallRoot: tc.root,
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -14,46 +14,46 @@
 	"snowjunction/internal/standin/partner"
 )
 
-// Population draws the partners of a farm.
+// Population generates the partners of a farm at random.
 type Population struct {
-	Partners  int     `default:"20" help:"How many partners."`
-	Endpoints int     `default:"2" help:"Endpoints of each; every one is a listening socket."`
-	First     uint32  `default:"1" help:"Number of the first partner's destination."`
-	HTTP2     float64 `default:"0" name:"http2" help:"Share of partners that speak HTTP/2, 0 to 1."`
-	Seed      uint64  `default:"1" help:"Decides limits, paces and latencies."`
-	Directory bool    `default:"true" negatable:"" help:"Serve a directory that lists them."`
+	Partners  int     `default:"20" help:"Number of partners."`
+	Endpoints int     `default:"2" help:"Endpoints per partner; each is a listening socket."`
+	First     uint32  `default:"1" help:"Destination number of the first partner."`
+	HTTP2     float64 `default:"0" name:"http2" help:"Share of the partners that use HTTP/2, from 0 to 1."`
+	Seed      uint64  `default:"1" help:"Seed for the random limits, capacities and latencies."`
+	Directory bool    `default:"true" negatable:"" help:"Serve a directory that lists the endpoints."`
 }
 
-// Specs draws them: limits of 2 to 5 calls a second, as a plain rate or a count
-// in spans of 1 or 2 s, calls of 60 to 340 ms, three times the limit in capacity.
+// Specs generates the partners: limits of 2 to 5 calls per second, as a token bucket or over fixed
+// windows of 1 or 2 s, latencies of 60 to 340 ms, and a capacity of three times the limit.
 func (p Population) Specs() []Spec {
 	var specs []Spec
 	for i := range p.Partners {
 		rng := rand.New(rand.NewPCG(p.Seed, uint64(p.First)+uint64(i)))
-		f := partner.Profile{
+		profile := partner.Profile{
 			Limit: 2 + 3*rng.Float64(), Counting: rng.Float64() < 0.5, Tells: 0.5 + 0.4*rng.Float64(), Report: true,
 			Refresh: time.Duration(120+530*rng.Float64()) * time.Millisecond,
 			Latency: time.Duration(60+280*rng.Float64()) * time.Millisecond,
 			Queue:   32, ColdShare: 0.2, WarmUp: 14 * time.Second, FallMultiple: 2, FallTime: 1500 * time.Millisecond,
 		}
-		f.Span = []time.Duration{0, time.Second, 2 * time.Second}[rng.IntN(3)]
-		f.Capacity = 3 * f.Limit
+		profile.Span = []time.Duration{0, time.Second, 2 * time.Second}[rng.IntN(3)]
+		profile.Capacity = 3 * profile.Limit
 		specs = append(specs, Spec{
-			Destination: p.First + uint32(i), Endpoints: p.Endpoints, HTTP2: rng.Float64() < p.HTTP2, Profile: f,
+			Destination: p.First + uint32(i), Endpoints: p.Endpoints, HTTP2: rng.Float64() < p.HTTP2, Profile: profile,
 			Seed: rng.Uint64(),
 		})
 	}
 	return specs
 }
 
-// Order is a line that tells a farm what to do, as JSON. From and To number
-// destinations, both included; To 0: only From.
+// Order is a command to a farm, a line of JSON. It applies to the destinations from From to To,
+// both included; To 0 means only From.
 type Order struct {
 	Do       string  `json:"do"` // list, stats, seen, limit, chill, reset or fault
 	From, To uint32  `json:",omitempty"`
-	Factor   float64 `json:",omitempty"` // limit: times its present value
+	Factor   float64 `json:",omitempty"` // limit: factor on the present limit
 
-	Fault partner.Kind  `json:",omitempty"` // fault: from now on
+	Fault partner.Kind  `json:",omitempty"` // fault: starts now
 	For   time.Duration `json:",omitempty"`
 	Share float64       `json:",omitempty"`
 	Times float64       `json:",omitempty"`
@@ -62,23 +62,23 @@
 	IDs []Ask `json:",omitempty"` // seen
 }
 
-// Ask names a message and its destination.
+// Ask identifies a message by its destination and ID.
 type Ask struct {
 	Destination uint32
 	ID          string
 }
 
-// Reply is the line that answers an Order.
+// Reply is the response to an Order, a line of JSON.
 type Reply struct {
 	Error     string                    `json:",omitempty"`
 	Directory string                    `json:",omitempty"`
 	Endpoints []Endpoint                `json:",omitempty"`
 	Limits    map[uint32]float64        `json:",omitempty"` // stats
-	Counts    map[uint32]partner.Counts `json:",omitempty"` // stats: of those that were called
+	Counts    map[uint32]partner.Counts `json:",omitempty"` // stats: of the partners that were called
 	Seen      []bool                    `json:",omitempty"`
 }
 
-// Obey carries an order out.
+// Obey executes an order.
 func (f *Farm) Obey(o Order) (r Reply) {
 	each := func(do func(d uint32, p *partner.Partner)) {
 		for d := o.From; d <= max(o.From, o.To); d++ {
@@ -119,30 +119,31 @@
 			})
 		})
 	default:
-		r.Error = fmt.Sprintf("no order %q", o.Do)
+		r.Error = fmt.Sprintf("unknown order %q", o.Do)
 	}
 	return r
 }
 
-// Serve opens a farm and, if wanted, a directory, says where on out, and obeys
-// orders that come on in, a line each, until that ends or a signal comes.
+// Serve opens a farm and, if configured, a directory. It writes the directory's address to out and
+// then executes the orders read from in, one per line, until the input ends or SIGTERM or SIGINT
+// arrives.
 func Serve(p Population, in io.Reader, out io.Writer) error {
 	farm, err := NewFarm(p.Specs())
 	if err != nil {
 		return err
 	}
 	defer farm.Close()
-	say := json.NewEncoder(out)
-	hello := Reply{}
+	encoder := json.NewEncoder(out)
+	greeting := Reply{}
 	if p.Directory {
 		d, err := NewDirectory(List(farm.Endpoints()))
 		if err != nil {
 			return err
 		}
 		defer d.Close()
-		hello.Directory = d.Addr()
+		greeting.Directory = d.Addr()
 	}
-	if err := say.Encode(hello); err != nil {
+	if err := encoder.Encode(greeting); err != nil {
 		return err
 	}
 	signals := make(chan os.Signal, 1)
@@ -172,7 +173,7 @@
 			} else {
 				r = farm.Obey(o)
 			}
-			if err := say.Encode(r); err != nil {
+			if err := encoder.Encode(r); err != nil {
 				return err
 			}
 		}
--- a/internal/standin/sink/sink.go
+++ b/internal/standin/sink/sink.go
@@ -1,6 +1,5 @@
-// Package sink is a stand-in for a courier that takes every message at once and
-// forgets it, over both fronts: what a loader can do is measured against it. It can
-// be told to hold its answers back.
+// Package sink simulates a courier that accepts and discards every message at once, over both
+// fronts, to measure the capacity of a load generator. Responses can be held back.
 package sink
 
 import (
@@ -12,25 +11,25 @@
 	"snowjunction/internal/proto/resp"
 )
 
-// Sink is a running one.
+// Sink is a running simulated courier.
 type Sink struct {
-	Resp, Push string // where it listens
+	Resp, Push string // addresses of the fronts
 
 	listeners []net.Listener
 	mu        sync.Mutex
-	held      chan struct{} // closed when answers may go; nil: they may
+	hold      chan struct{} // closed by Release; nil while responses are not held
 	conns     map[net.Conn]bool
-	taken     int
+	accepted  int
 	wg        sync.WaitGroup
 }
 
-// New opens one on loopback.
+// New starts a sink on loopback addresses.
 func New() (*Sink, error) {
 	s := &Sink{conns: map[net.Conn]bool{}}
 	for _, x := range []struct {
 		addr  *string
 		serve func(net.Conn)
-	}{{&s.Resp, s.resp}, {&s.Push, s.push}} {
+	}{{&s.Resp, s.serveRESP}, {&s.Push, s.servePush}} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			s.Close()
@@ -43,26 +42,26 @@
 	return s, nil
 }
 
-// Hold has answers wait until Release.
+// Hold delays all responses until Release.
 func (s *Sink) Hold() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.held == nil {
-		s.held = make(chan struct{})
+	if s.hold == nil {
+		s.hold = make(chan struct{})
 	}
 }
 
-// Release lets answers go.
+// Release sends the responses held back by Hold.
 func (s *Sink) Release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.held != nil {
-		close(s.held)
-		s.held = nil
+	if s.hold != nil {
+		close(s.hold)
+		s.hold = nil
 	}
 }
 
-// Cut ends all connections.
+// Cut closes all connections.
 func (s *Sink) Cut() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,14 +70,14 @@
 	}
 }
 
-// Taken is how many messages it has answered.
+// Taken returns the number of messages accepted.
 func (s *Sink) Taken() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.taken
+	return s.accepted
 }
 
-// Close ends it.
+// Close stops the sink and closes its connections.
 func (s *Sink) Close() {
 	for _, l := range s.listeners {
 		l.Close()
@@ -109,20 +108,20 @@
 	}
 }
 
-// answer waits while answers are held and counts them.
-func (s *Sink) answer(n int) {
+// waitAndCount waits while responses are held, then counts n accepted messages.
+func (s *Sink) waitAndCount(n int) {
 	s.mu.Lock()
-	held := s.held
+	hold := s.hold
 	s.mu.Unlock()
-	if held != nil {
-		<-held
+	if hold != nil {
+		<-hold
 	}
 	s.mu.Lock()
-	s.taken += n
+	s.accepted += n
 	s.mu.Unlock()
 }
 
-func (s *Sink) resp(c net.Conn) {
+func (s *Sink) serveRESP(c net.Conn) {
 	var p resp.Parser
 	b := make([]byte, 64<<10)
 	var out []byte
@@ -143,14 +142,14 @@
 			}
 			out = append(out, "+OK\r\n"...)
 		}
-		s.answer(n)
+		s.waitAndCount(n)
 		if _, err := c.Write(out); err != nil {
 			return
 		}
 	}
 }
 
-func (s *Sink) push(c net.Conn) {
+func (s *Sink) servePush(c net.Conn) {
 	p := h2.NewServer(h2.Limits{Streams: 256, HeaderBytes: 16 << 10, Body: 64 << 10, Buffered: 4 << 20})
 	b := make([]byte, 64<<10)
 	created := []h2.Field{{Name: ":status", Value: "201"}}
@@ -171,7 +170,7 @@
 			}
 		}
 		if n > 0 {
-			s.answer(n)
+			s.waitAndCount(n)
 		}
 		if _, err := c.Write(p.Output()); err != nil {
 			return
--- a/internal/standin/traffic.go
+++ b/internal/standin/traffic.go
@@ -10,57 +10,58 @@
 	"unsafe"
 )
 
-// nameBytes are those of an entry in the table of names.
-const nameBytes = 32
+// mapEntryBytes is the memory of an entry in the map of positions by name.
+const mapEntryBytes = 32
 
-// Traffic is what a directory has exchanged with its watchers.
+// Traffic counts what a directory has exchanged with its clients.
 type Traffic struct {
-	Calls     int64         // asks for the list
+	Calls     int64         // requests for the list
 	In, Out   int64         // bytes over its connections, notices included
-	Answering time.Duration // in which answers were made and written, of all its goroutines
-	Bytes     int           // of the list, and of the answers made of it as it stands
+	Answering time.Duration // time spent building and writing responses, summed over all goroutines
+	Bytes     int           // memory of the list and of the cached responses
 }
 
-type traffic struct{ calls, in, out, answering atomic.Int64 }
+type trafficCounter struct{ calls, in, out, answering atomic.Int64 }
 
-// listen has what goes over a listener's connections counted.
-func (t *traffic) listen(l net.Listener) net.Listener { return countedListener{l, t} }
+// countBytes wraps a listener so that the bytes over its connections are counted.
+func (t *trafficCounter) countBytes(l net.Listener) net.Listener { return countedListener{l, t} }
 
 type countedListener struct {
 	net.Listener
-	t *traffic
+	counter *trafficCounter
 }
 
-// Accept waits for the next connection.
+// Accept returns the next connection, with its bytes counted.
 func (l countedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{c, l.t}, nil
+	return countedConn{c, l.counter}, nil
 }
 
 type countedConn struct {
 	net.Conn
-	t *traffic
+	counter *trafficCounter
 }
 
-// Read counts what comes.
+// Read counts the bytes received.
 func (c countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.t.in.Add(int64(n))
+	c.counter.in.Add(int64(n))
 	return n, err
 }
 
-// Write counts what goes, before whoever reads it can ask.
+// Write counts the bytes sent. It counts them before the write, so that the count includes them once
+// the peer has received them.
 func (c countedConn) Write(b []byte) (int, error) {
-	c.t.out.Add(int64(len(b)))
+	c.counter.out.Add(int64(len(b)))
 	n, err := c.Conn.Write(b)
-	c.t.out.Add(int64(n - len(b)))
+	c.counter.out.Add(int64(n - len(b)))
 	return n, err
 }
 
-// Traffic tells what has gone to and fro since the directory was opened.
+// Traffic returns the traffic since the directory was started.
 func (d *Directory) Traffic() Traffic {
 	t := Traffic{
 		Calls: d.traffic.calls.Load(), In: d.traffic.in.Load(), Out: d.traffic.out.Load(),
@@ -69,57 +70,59 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, x := range d.list {
-		t.Bytes += int(unsafe.Sizeof(x)) + len(x.InstanceID) + len(x.HostPort) + nameBytes
+		t.Bytes += int(unsafe.Sizeof(x)) + len(x.InstanceID) + len(x.HostPort) + mapEntryBytes
 	}
-	for _, b := range d.texts {
+	for _, b := range d.cache {
 		t.Bytes += len(b)
 	}
 	return t
 }
 
-// Watched has f told of each watch: which connection it comes from, which generation is held there,
-// and which destinations it is about. It may be called by many goroutines at once.
-func (d *Directory) Watched(f func(from string, generation uint64, concerns func(destination uint32) bool)) {
+// Watched sets a function to be called for each watch request with the connection that it came
+// over, the generation that the client has, and a function that reports whether the watch covers a
+// destination. onWatch may be called concurrently.
+func (d *Directory) Watched(onWatch func(from string, generation uint64, concerns func(destination uint32) bool)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.watched = f
+	d.onWatch = onWatch
 }
 
-// Door is another address of a directory, for one watcher whose traffic is to be told apart.
+// Door is an additional address of a directory for a single client, whose traffic is counted
+// separately.
 type Door struct {
-	Addr    string
-	traffic traffic
-	before  atomic.Int64 // bytes out before its watcher's start
-	start   atomic.Int64 // bytes out when the first watch came that was no first ask; -1: not yet
+	Addr            string
+	traffic         trafficCounter
+	sentBeforeStart atomic.Int64 // bytes sent before the client's last start
+	sentAtStart     atomic.Int64 // bytes sent at the first watch after the client's first request; -1 until then
 }
 
-// Door opens one. It is closed with the directory.
+// Door opens an additional address. It is closed with the directory.
 func (d *Directory) Door() (*Door, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("open a door of the directory: %w", err)
+		return nil, fmt.Errorf("open an additional address of the directory: %w", err)
 	}
 	x := &Door{Addr: l.Addr().String()}
-	x.start.Store(-1)
-	d.started.Go(func() { _ = d.server.Serve(doorListener{x.traffic.listen(d.traffic.listen(l)), x}) })
+	x.sentAtStart.Store(-1)
+	d.serving.Go(func() { _ = d.server.Serve(doorListener{x.traffic.countBytes(d.traffic.countBytes(l)), x}) })
 	return x, nil
 }
 
-// Again tells that its watcher, which is not there, will start again.
+// Again prepares for a restart of the client, which must not be connected.
 func (x *Door) Again() {
 	x.traffic.calls.Store(0)
-	x.start.Store(-1)
-	x.before.Store(x.traffic.out.Load())
+	x.sentAtStart.Store(-1)
+	x.sentBeforeStart.Store(x.traffic.out.Load())
 }
 
-// Started is how many bytes have gone through it at its watcher's last start: until the watch that
-// follows the first answer, or up to now.
+// Started returns the number of bytes sent for the client's last start: up to the watch that
+// follows the first response, or up to now.
 func (x *Door) Started() int64 {
-	n := x.start.Load()
+	n := x.sentAtStart.Load()
 	if n < 0 {
 		n = x.traffic.out.Load()
 	}
-	return n - x.before.Load()
+	return n - x.sentBeforeStart.Load()
 }
 
 type doorListener struct {
@@ -132,7 +135,7 @@
 	door *Door
 }
 
-// Accept waits for the next connection.
+// Accept returns the next connection, marked with its door.
 func (l doorListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -141,26 +144,26 @@
 	return doorConn{c, l.door}, nil
 }
 
-type doorKey struct{}
+type doorContextKey struct{}
 
-// behind has a request tell through which door it has come.
-func behind(ctx context.Context, c net.Conn) context.Context {
+// withDoor adds the door of a connection to the context of its requests.
+func withDoor(ctx context.Context, c net.Conn) context.Context {
 	if x, ok := c.(doorConn); ok {
-		return context.WithValue(ctx, doorKey{}, x.door)
+		return context.WithValue(ctx, doorContextKey{}, x.door)
 	}
 	return ctx
 }
 
-// asked notes an ask for the list at the door that it has come through, if any.
-func asked(r *http.Request, watching bool) {
-	if x, ok := r.Context().Value(doorKey{}).(*Door); ok && x.traffic.calls.Add(1) > 1 && watching {
-		x.start.CompareAndSwap(-1, x.traffic.out.Load())
+// countRequest counts a request for the list at its door, if it came through one.
+func countRequest(r *http.Request, watching bool) {
+	if x, ok := r.Context().Value(doorContextKey{}).(*Door); ok && x.traffic.calls.Add(1) > 1 && watching {
+		x.sentAtStart.CompareAndSwap(-1, x.traffic.out.Load())
 	}
 }
 
-// from names the connection of a request: by its other side alone it could be mistaken for one
-// through another door.
-func from(r *http.Request) string {
+// connectionName names the connection of a request by both addresses: the remote address alone may
+// be equal for connections through two doors.
+func connectionName(r *http.Request) string {
 	at, _ := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	if at == nil {
 		return r.RemoteAddr
--- a/internal/standin/traffic_test.go
+++ b/internal/standin/traffic_test.go
@@ -13,16 +13,16 @@
 	"snowjunction/internal/standin/partner"
 )
 
-// A call that comes over no wire meets the same partner as one that does.
-func TestCallWithoutWire(t *testing.T) {
-	f := farm(t, Spec{Destination: 4, Endpoints: 1, Profile: partner.Profile{Limit: 1.0 / 4096, Span: 1 << 42, Tells: 1, Report: true}})
+// A call without a network connection reaches the same partner as one over HTTP.
+func TestCallWithoutConnection(t *testing.T) {
+	f := newTestFarm(t, Spec{Destination: 4, Endpoints: 1, Profile: partner.Profile{Limit: 1.0 / 4096, Span: 1 << 42, Tells: 1, Report: true}})
 	a, end, err := f.Begin(4, "a", nil)
 	require.NoError(t, err)
 	end(a.Status == 200)
-	b, err := call(t, client(t, false), f.Endpoints()[0].Addr, "b", nil)
+	b, err := call(t, newTestClient(t, false), f.Endpoints()[0].Addr, "b", nil)
 	require.NoError(t, err)
 	assert.Equal(t, 200, a.Status)
-	assert.Equal(t, 429, b.StatusCode, "the first has used the limit up")
+	assert.Equal(t, 429, b.StatusCode, "the first call has used up the limit")
 	c, end, err := f.Begin(4, "c", nil)
 	require.NoError(t, err)
 	end(false)
@@ -35,38 +35,38 @@
 	assert.Error(t, err)
 }
 
-// A directory counts what it exchanges, and tells of each watch.
+// A directory counts its traffic and reports each watch.
 func TestDirectoryTraffic(t *testing.T) {
 	d, err := NewDirectory(List([]Endpoint{{"a", "127.0.0.1:1", 1, false}}))
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
-	held := make(chan uint64, 4)
-	concerned := make(chan []bool, 4)
+	generations := make(chan uint64, 4)
+	covered := make(chan []bool, 4)
 	d.Watched(func(_ string, generation uint64, concerns func(uint32) bool) {
-		held <- generation
-		concerned <- []bool{concerns(1), concerns(2)}
+		generations <- generation
+		covered <- []bool{concerns(1), concerns(2)}
 	})
-	c, url := client(t, false), "http://"+d.Addr()+"/discovery/hosts"
+	c, url := newTestClient(t, false), "http://"+d.Addr()+"/discovery/hosts"
 	first, second := get(t, c, url), get(t, c, url)
-	assert.Equal(t, first, second, "made once")
+	assert.Equal(t, first, second, "the response is cached")
 	n := d.Traffic()
 	assert.EqualValues(t, 2, n.Calls)
 	assert.Greater(t, n.Out, int64(2*len(first)-8))
 	assert.Positive(t, n.In)
 	assert.Greater(t, n.Bytes, len(first)-4)
 	get(t, c, url+"?after=1&wait_ms=1")
-	assert.EqualValues(t, 1, <-held)
-	assert.Equal(t, []bool{true, true}, <-concerned)
+	assert.EqualValues(t, 1, <-generations)
+	assert.Equal(t, []bool{true, true}, <-covered)
 	get(t, c, fmt.Sprintf("%s?after=1&wait_ms=1&partitions=1000&of=%d", url, partition.Of(2, 1000)))
-	assert.EqualValues(t, 1, <-held)
-	assert.Equal(t, []bool{false, true}, <-concerned, "it reads the other's partition")
+	assert.EqualValues(t, 1, <-generations)
+	assert.Equal(t, []bool{false, true}, <-covered, "the watch covers only the other destination's partition")
 	x := List([]Endpoint{{"b", "127.0.0.1:2", 2, false}})[0]
 	d.Change(x)
-	assert.Contains(t, get(t, c, url), `"instanceId":"b"`, "an answer of another generation is made anew")
+	assert.Contains(t, get(t, c, url), `"instanceId":"b"`, "a new generation invalidates the cached response")
 }
 
-// Watches from one address through two doors are of two connections.
-func TestDoorsApart(t *testing.T) {
+// Watches from one local address through two doors are reported as two connections.
+func TestDoorsAreSeparateConnections(t *testing.T) {
 	d, err := NewDirectory(nil)
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
@@ -89,16 +89,16 @@
 	assert.NotEqual(t, <-seen, <-seen)
 }
 
-// What goes through a door counts there, and for the directory; its watcher's start ends with the
-// watch that follows the first answer.
-func TestDoor(t *testing.T) {
+// Traffic through a door is counted at the door and at the directory. The start of the door's client
+// ends with the watch that follows the first response.
+func TestDoorTraffic(t *testing.T) {
 	d, err := NewDirectory(List([]Endpoint{{"a", "127.0.0.1:1", 1, false}}))
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
-	for _, first := range []string{"", "?after=1&wait_ms=1"} { // one has kept nothing, the other a list
+	for _, first := range []string{"", "?after=1&wait_ms=1"} { // a client without and with a stored list
 		door, err := d.Door()
 		require.NoError(t, err)
-		c, url := client(t, false), "http://"+door.Addr+"/discovery/hosts"
+		c, url := newTestClient(t, false), "http://"+door.Addr+"/discovery/hosts"
 		assert.Zero(t, door.Started())
 		before := d.Traffic().Out
 		text := get(t, c, url+first)
@@ -106,10 +106,10 @@
 		assert.Greater(t, started, int64(len(text)))
 		assert.Equal(t, d.Traffic().Out-before, started)
 		get(t, c, "http://"+d.Addr()+"/discovery/hosts")
-		assert.Equal(t, started, door.Started(), "another's")
+		assert.Equal(t, started, door.Started(), "traffic of other clients does not count")
 		for range 3 {
 			get(t, c, url+"?after=1&wait_ms=1")
-			assert.Equal(t, started, door.Started(), "later ones are not its start's")
+			assert.Equal(t, started, door.Started(), "later watches do not count")
 		}
 		door.Again()
 		assert.Zero(t, door.Started())
@@ -117,6 +117,6 @@
 		again := door.Started()
 		assert.Positive(t, again)
 		get(t, c, url)
-		assert.Greater(t, door.Started(), again, "no watch has followed yet")
+		assert.Greater(t, door.Started(), again, "the start continues until a watch follows")
 	}
 }
--- a/internal/standin/waits.go
+++ b/internal/standin/waits.go
@@ -9,27 +9,27 @@
 	"snowjunction/internal/standin/partner"
 )
 
-// Trace is what a courier has logged, at level debug, of something that befell a message.
+// Trace is an event of a message from a courier's log at level debug.
 type Trace struct {
 	What    string // TraceLeaves, TraceTold, TraceAttempt or TraceEnd
 	ID      string
-	Outcome string        // of an attempt that is over; of an end, how the message ends
-	Left    time.Duration // at an end: what is left of the message's time
+	Outcome string        // outcome of an attempt, or the final result of the message
+	Left    time.Duration // with TraceEnd: time left until the message's deadline
 }
 
-// What traces tell of.
+// The kinds of trace. The values are log messages of the daemon.
 const (
-	TraceLeaves  = "leaves"       // a call has left
-	TraceTold    = "told to wait" // its answer, with a wait, has been read
-	TraceAttempt = "attempt"      // it is over
-	TraceEnd     = "end"          // the message is
+	TraceLeaves  = "leaves"       // an attempt was sent
+	TraceTold    = "told to wait" // its response, with a retry-after delay, was read
+	TraceAttempt = "attempt"      // the attempt ended
+	TraceEnd     = "end"          // the message has its final result
 )
 
-var traced = regexp.MustCompile(`(?m)^.*msg=(leaves|"told to wait"|attempt|end) .*?id=(\S+) (?:.*outcome=(\S+)|.* as=(\S+) left_ms=(\S+))?.*$`)
+var tracePattern = regexp.MustCompile(`(?m)^.*msg=(leaves|"told to wait"|attempt|end) .*?id=(\S+) (?:.*outcome=(\S+)|.* as=(\S+) left_ms=(\S+))?.*$`)
 
-// Traces are those in a courier's log of the form text, in their order.
+// Traces returns the traces in a courier's log of format text, in their order.
 func Traces(log string) (list []Trace) {
-	for _, m := range traced.FindAllStringSubmatch(log, -1) {
+	for _, m := range tracePattern.FindAllStringSubmatch(log, -1) {
 		t := Trace{What: m[1], ID: m[2], Outcome: m[3] + m[4]}
 		ms, _ := strconv.Atoi(m[5])
 		t.Left = time.Duration(ms) * time.Millisecond
@@ -41,95 +41,98 @@
 	return list
 }
 
-// BrokenWait is a call that was sent in a told wait, or a told wait that nobody has read.
+// BrokenWait is a call that was sent during a retry-after delay, or a retry-after delay that the
+// courier has not read.
 type BrokenWait struct {
 	Destination uint32
 	Why         string
-	Unread      bool // so far: the courier may read it yet
+	Unread      bool // the delay has not been read yet, but may still be
 }
 
 func (b BrokenWait) String() string { return fmt.Sprintf("destination %d: %s", b.Destination, b.Why) }
 
-// BrokenWaits names the calls that left though the courier had read that their partner wants none
-// for a while. What a partner sees late may have left before: it is held against the order of the
-// courier's own lines, which is that of its decisions, whatever time either side takes. No wait of
-// a partner's may go unread, but where its attempt was given up.
-func BrokenWaits(taken []Taken, traces []Trace) (wrong []BrokenWait) {
-	left, told, unread := map[string][]int{}, map[string][]int{}, map[string]int{} // places among the traces, by id
+// BrokenWaits returns the calls that the courier sent after it had read a retry-after delay of
+// their partner. A call that a partner sees late may have been sent before: the check therefore
+// uses the order of the courier's own log lines, which is that of its decisions and does not depend
+// on how long either side takes. Every retry-after delay must be read, unless its attempt was
+// abandoned.
+func BrokenWaits(taken []Taken, traces []Trace) (broken []BrokenWait) {
+	sentAt, readAt, abandoned := map[string][]int{}, map[string][]int{}, map[string]int{} // positions in traces, by message ID
 	for at, t := range traces {
 		switch t.What {
 		case TraceLeaves:
-			left[t.ID] = append(left[t.ID], at)
+			sentAt[t.ID] = append(sentAt[t.ID], at)
 		case TraceTold:
-			told[t.ID] = append(told[t.ID], at)
+			readAt[t.ID] = append(readAt[t.ID], at)
 		case TraceAttempt:
 			if t.Outcome == "timed_out" || t.Outcome == "cancelled" {
-				unread[t.ID]++
+				abandoned[t.ID]++
 			}
 		}
 	}
 	type wait struct {
 		until time.Duration
-		read  int // its trace's place
+		read  int // position of its trace
 	}
-	waits, came, refused := map[uint32][]wait{}, map[string]int{}, map[string]int{}
+	waits, arrivals, rejections := map[uint32][]wait{}, map[string]int{}, map[string]int{}
 	for _, c := range taken {
-		came[c.ID]++
+		arrivals[c.ID]++
 		for _, w := range waits[c.Destination] {
 			before := 0
-			for _, at := range left[c.ID] {
+			for _, at := range sentAt[c.ID] {
 				if at < w.read {
 					before++
 				}
 			}
-			if c.At < w.until && came[c.ID] > before {
-				wrong = append(wrong, BrokenWait{
-					Destination: c.Destination, Why: fmt.Sprintf("%s at %v, call %d, in a wait until %v", c.ID, c.At, came[c.ID], w.until),
+			if c.At < w.until && arrivals[c.ID] > before {
+				broken = append(broken, BrokenWait{
+					Destination: c.Destination, Why: fmt.Sprintf("%s at %v, call %d, during a retry-after delay until %v", c.ID, c.At, arrivals[c.ID], w.until),
 				})
 			}
 		}
 		if c.Wait == 0 {
 			continue
 		}
-		n := refused[c.ID]
-		refused[c.ID]++
+		n := rejections[c.ID]
+		rejections[c.ID]++
 		switch {
-		case n < len(told[c.ID]):
-			waits[c.Destination] = append(waits[c.Destination], wait{c.At + c.Wait, told[c.ID][n]})
-		case unread[c.ID] == 0:
-			wrong = append(wrong, BrokenWait{
-				Destination: c.Destination, Why: fmt.Sprintf("the wait told to %s at %v is not read", c.ID, c.At), Unread: true,
+		case n < len(readAt[c.ID]):
+			waits[c.Destination] = append(waits[c.Destination], wait{c.At + c.Wait, readAt[c.ID][n]})
+		case abandoned[c.ID] == 0:
+			broken = append(broken, BrokenWait{
+				Destination: c.Destination, Why: fmt.Sprintf("the retry-after delay sent for %s at %v was not read", c.ID, c.At), Unread: true,
 			})
 		}
 	}
-	return wrong
+	return broken
 }
 
-// overdueLeft is how much of a message's time may be left, by the courier's clock, when it is over for
-// its client (core's handInSlack).
-const overdueLeft = 10 * time.Millisecond
+// expiredSlack is the time left, by the courier's clock, below which a message counts as expired for
+// its client (submitSlack of package core).
+const expiredSlack = 10 * time.Millisecond
 
-// Overdue tells which messages of a partner's that are delivered were rightly told as failed: their
-// time was over when that was told, their one end, and the partner gave its answer, or the courier heard
-// it, only then. One that was told as failed before, or whose answer was there before, is none.
+// Overdue returns a function that reports whether a delivered message was rightly reported as
+// failed: failed was its only final result, its deadline had passed at that time, and the partner
+// sent its response, or the courier read it, only afterwards. A message that was reported as failed
+// before its deadline, or whose response was read before, does not qualify.
 func (f *Farm) Overdue(traces []Trace) func(destination uint32, id string) bool {
-	ends, told, heard, before := map[string]int{}, map[string]bool{}, map[string]bool{}, map[string]bool{}
+	finals, expired, readLate, readInTime := map[string]int{}, map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, t := range traces {
 		switch {
 		case t.What == TraceEnd:
-			ends[t.ID]++
-			told[t.ID] = t.Outcome == "failed" && t.Left < overdueLeft
-		case t.What == TraceAttempt && t.Outcome == "ok": // an answer that comes too late is traced behind the end
-			heard[t.ID] = ends[t.ID] > 0
-			before[t.ID] = before[t.ID] || ends[t.ID] == 0
+			finals[t.ID]++
+			expired[t.ID] = t.Outcome == "failed" && t.Left < expiredSlack
+		case t.What == TraceAttempt && t.Outcome == "ok": // for a late response it follows TraceEnd
+			readLate[t.ID] = finals[t.ID] > 0
+			readInTime[t.ID] = readInTime[t.ID] || finals[t.ID] == 0
 		}
 	}
-	return func(destination uint32, id string) (over bool) {
-		if ends[id] != 1 || !told[id] || before[id] {
+	return func(destination uint32, id string) (overdue bool) {
+		if finals[id] != 1 || !expired[id] || readInTime[id] {
 			return false
 		}
 		late := false
 		_ = f.With(destination, func(p *partner.Partner) { late = p.Late(id) })
-		return late || heard[id]
+		return late || readLate[id]
 	}
 }
--- a/internal/standin/waits_test.go
+++ b/internal/standin/waits_test.go
@@ -11,8 +11,9 @@
 	"snowjunction/internal/standin/partner"
 )
 
-// The check itself: a call that left before the wait was read may come at any time, one that left
-// after it may not, nor the refused message again; a wait that nobody reads is told of.
+// A call that was sent before the retry-after delay was read may arrive at any time. A call sent
+// after it, including a retry of the rejected message, is reported, and so is a delay that was never
+// read.
 func TestBrokenWaits(t *testing.T) {
 	line := func(what, id, more string) string {
 		return "time=x level=DEBUG msg=" + what + " courier=n0 id=" + id + " dest=5" + more + "\n"
@@ -25,15 +26,15 @@
 	}
 	b := line("leaves", "b", "")
 	assert.Empty(t, BrokenWaits(taken, log(b+"X")))
-	assert.Equal(t, []BrokenWait{{5, "b at 1m0s, call 1, in a wait until 1h0m0.000000001s", false}}, BrokenWaits(taken, log("X"+b)))
-	assert.Len(t, BrokenWaits(append(taken, Taken{Destination: 5, ID: "a", At: time.Minute}), log(b+"X", line("leaves", "a", ""))), 1, "again")
+	assert.Equal(t, []BrokenWait{{5, "b at 1m0s, call 1, during a retry-after delay until 1h0m0.000000001s", false}}, BrokenWaits(taken, log("X"+b)))
+	assert.Len(t, BrokenWaits(append(taken, Taken{Destination: 5, ID: "a", At: time.Minute}), log(b+"X", line("leaves", "a", ""))), 1, "retry of the rejected message")
 	assert.Empty(t, BrokenWaits(append(taken, Taken{Destination: 5, ID: "a", At: 2 * time.Hour}), log(b+"X", line("leaves", "a", ""))))
-	assert.Equal(t, []BrokenWait{{5, "the wait told to a at 1ns is not read", true}}, BrokenWaits(taken, log(b)))
-	assert.Empty(t, BrokenWaits(taken, log(b, line("attempt", "a", " class=status outcome=timed_out took_ms=1"))), "given up")
+	assert.Equal(t, []BrokenWait{{5, "the retry-after delay sent for a at 1ns was not read", true}}, BrokenWaits(taken, log(b)))
+	assert.Empty(t, BrokenWaits(taken, log(b, line("attempt", "a", " class=status outcome=timed_out took_ms=1"))), "the attempt was abandoned")
 	assert.Len(t, BrokenWaits(taken, log(b, line("attempt", "a", " class=status outcome=full took_ms=1"))), 1)
 }
 
-// Each form of line is read for what it is, in its order; other lines are none.
+// Each kind of trace is parsed, in order; other log lines are ignored.
 func TestTraces(t *testing.T) {
 	assert.Equal(t, []Trace{{TraceLeaves, "a", "", 0}, {TraceTold, "a", "", 0}, {TraceAttempt, "a", "full", 0}, {TraceEnd, "a", "failed", -4 * time.Millisecond}}, Traces(
 		"time=x level=DEBUG msg=leaves courier=n0 id=a dest=5\n"+
@@ -43,7 +44,7 @@
 			"time=x level=DEBUG msg=end courier=n0 id=a key=\"\" ran=true dest=2 class=status attempts=1 as=failed left_ms=-4 after_ms=0 held=46\n"))
 }
 
-// What is told as failed and delivered is overdue only where its time was over first.
+// A message that was reported as failed and also delivered is overdue only if its deadline passed first.
 func TestOverdue(t *testing.T) {
 	f, err := NewFarm([]Spec{{Destination: 5}})
 	require.NoError(t, err)
@@ -66,14 +67,14 @@
 	}{
 		{"late", []Trace{attempt("late", "timed_out"), end("late", "failed", -1)}, true},
 		{"late", []Trace{end("late", "failed", 9), attempt("late", "timed_out")}, true},
-		{"late", []Trace{end("late", "failed", 10), attempt("late", "timed_out")}, false}, // told too early
+		{"late", []Trace{end("late", "failed", 10), attempt("late", "timed_out")}, false}, // reported too early
 		{"late", []Trace{end("late", "returned", -1)}, false},
-		{"late", []Trace{end("late", "failed", -1), end("late", "failed", -1)}, false}, // twice
+		{"late", []Trace{end("late", "failed", -1), end("late", "failed", -1)}, false}, // reported twice
 		{"late", []Trace{end("other", "failed", -1)}, false},
 		{"late", nil, false},
-		{"in time", []Trace{end("in time", "failed", 9), attempt("in time", "ok")}, true}, // heard too late
+		{"in time", []Trace{end("in time", "failed", 9), attempt("in time", "ok")}, true}, // the response was read too late
 		{"in time", []Trace{end("in time", "failed", 900), attempt("in time", "ok")}, false},
-		{"in time", []Trace{attempt("in time", "ok"), end("in time", "failed", -1)}, false}, // it was there
+		{"in time", []Trace{attempt("in time", "ok"), end("in time", "failed", -1)}, false}, // the response was read before
 		{"in time", []Trace{attempt("in time", "timed_out"), end("in time", "failed", -1)}, false},
 	} {
 		assert.Equal(t, tc.want, f.Overdue(tc.traces)(5, tc.id), "%+v", tc)
