--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -53,16 +53,16 @@
 		return p
 	}
 	roles := []role{
-		{"quiet, HTTP/1.1", standin.Spec{Endpoints: 2, Profile: plain}},
-		{"quiet, HTTP/2", standin.Spec{Endpoints: 2, HTTP2: true, Profile: plain}},
-		{"6 a second", standin.Spec{Endpoints: 1, Profile: with(func(p *partner.Profile) { p.Limit = 6 })}},
-		{"8 in each second", standin.Spec{Endpoints: 2, HTTP2: true, Profile: with(func(p *partner.Profile) {
+		{"no faults, HTTP/1.1", standin.Spec{Endpoints: 2, Profile: plain}},
+		{"no faults, HTTP/2", standin.Spec{Endpoints: 2, HTTP2: true, Profile: plain}},
+		{"limit of 6 per second", standin.Spec{Endpoints: 1, Profile: with(func(p *partner.Profile) { p.Limit = 6 })}},
+		{"limit of 8 in each second", standin.Spec{Endpoints: 2, HTTP2: true, Profile: with(func(p *partner.Profile) {
 			p.Limit, p.Span, p.Counting = 8, time.Second, true
 		})}},
-		{"quick errors for 3 s", standin.Spec{Endpoints: 2, Profile: plain}},
-		{"shut for 3 s", standin.Spec{Endpoints: 2, HTTP2: true, Profile: plain}},
+		{"errors for 3 s", standin.Spec{Endpoints: 2, Profile: plain}},
+		{"rejects for 3 s", standin.Spec{Endpoints: 2, HTTP2: true, Profile: plain}},
 		{"resets for 3 s", standin.Spec{Endpoints: 2, Profile: plain}},
-		{"silent for 3 s, back cold", standin.Spec{Endpoints: 1, Profile: plain}},
+		{"silent for 3 s, recovers cold", standin.Spec{Endpoints: 1, Profile: plain}},
 		{"one endpoint drained", standin.Spec{Endpoints: 2, Profile: plain}},
 	}
 	for i := range roles {
@@ -163,9 +163,9 @@
 	}
 }
 
-// submitMessages simulates the clients. Half of the messages have ordering keys, each key's messages are
-// submitted one after another, and a few messages come in a burst. A rejected message is submitted
-// once more, after the requested delay.
+// submitMessages simulates the clients. Half of the messages have ordering keys, each key's messages
+// are submitted one after another, and a few messages come in a burst. A rejected message is
+// submitted once more, after the requested delay.
 func submitMessages(client *load.Client, o Options, partners int) {
 	const lanes = 24
 	rng := rand.New(rand.NewPCG(o.Seed, 2))
@@ -206,7 +206,7 @@
 // report prints the results per partner and returns an error if any message or rule failed.
 func report(out io.Writer, roles []role, farm *standin.Farm, client *load.Client, delivered func(uint32, string) bool, notices map[string][]standin.Notice, waits []standin.BrokenWait) error {
 	table := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
-	fmt.Fprintln(table, "partner\thanded in\ttaken\trefused\tfailed\tunheard\tdelivered\treturned\tgiven up\topen\tdoubled\toverdue\tcalls\tlate\tcopies\tout of order\tin a wait\tfell\tdrained")
+	fmt.Fprintln(table, "partner\tsubmitted\taccepted\trejected\terrors\tno response\tdelivered\treturned\tfailed\tno result\tmany results\toverdue\tcalls\tlate\tduplicates\tout of order\tduring retry-after\tcollapses\tafter drain")
 	var totalEnds load.Ends
 	row := func(name string, e load.Ends, n partner.Counts) {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", name, e.Handed, e.Taken, e.Refused,
--- a/internal/openload/lane.go
+++ b/internal/openload/lane.go
@@ -15,10 +15,10 @@
 // inFlight is a message in flight on a connection.
 type inFlight struct {
 	timedMessage
-	sentAt time.Duration // when it was sent, from the start of the run
+	sentAt time.Duration // since the start of the run
 }
 
-// queue is a queue. Removed items are compacted lazily, so that removal copies little.
+// queue is a FIFO queue. Removed items are compacted lazily, so that removal copies little.
 type queue[T any] struct {
 	items []T
 	head  int
@@ -45,7 +45,7 @@
 type lane struct {
 	addr        string
 	front       Front
-	maxInFlight int // maximum number of messages in flight
+	maxInFlight int // messages
 	now         func() time.Duration
 	onVerdict   func(load.Message, load.Verdict)
 
@@ -62,11 +62,11 @@
 	reader    sync.WaitGroup
 }
 
-func newLane(addr string, f Front, most int, clock func() time.Duration, heard func(load.Message, load.Verdict)) *lane {
-	return &lane{addr: addr, front: f, maxInFlight: most, now: clock, onVerdict: heard, stats: newStatistics(), writable: make(chan struct{}, 1), streams: map[uint32]inFlight{}}
+func newLane(addr string, front Front, maxInFlight int, now func() time.Duration, onVerdict func(load.Message, load.Verdict)) *lane {
+	return &lane{addr: addr, front: front, maxInFlight: maxInFlight, now: now, onVerdict: onVerdict, stats: newStatistics(), writable: make(chan struct{}, 1), streams: map[uint32]inFlight{}}
 }
 
-// signalWriter signals the writer.
+// signalWriter wakes up the writer without blocking.
 func (l *lane) signalWriter() {
 	select {
 	case l.writable <- struct{}{}:
@@ -74,7 +74,7 @@
 	}
 }
 
-// enqueue queues a message.
+// enqueue adds a message to the queue and wakes up the writer.
 func (l *lane) enqueue(x timedMessage) {
 	l.mu.Lock()
 	l.queue.push(x)
@@ -89,7 +89,7 @@
 	return l.queue.len() == 0 && l.pipelined.len() == 0 && len(l.streams) == 0
 }
 
-// stop stops the lane. Messages still queued or in flight end without a response.
+// stop ends the lane. Messages still queued or in flight end without a response.
 func (l *lane) stop() {
 	l.mu.Lock()
 	l.stopped = true
@@ -100,7 +100,7 @@
 	l.signalWriter()
 }
 
-// isStopped reports whether the lane was closed.
+// isStopped reports whether stop was called.
 func (l *lane) isStopped() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,7 +113,7 @@
 	maxWriteBytes  = 64 << 10              // threshold in bytes at which a write is not filled further
 )
 
-// run connects and writes until the lane is closed.
+// run connects and writes until the lane is stopped.
 func (l *lane) run() {
 	defer l.reader.Wait()
 	var buf []byte
@@ -176,7 +176,8 @@
 	return true
 }
 
-// dropConn closes a connection. If it is the current one, its messages in flight end without a response.
+// dropConn closes a connection. If it is the current one, its messages in flight end without a
+// response.
 func (l *lane) dropConn(conn net.Conn) {
 	conn.Close()
 	l.mu.Lock()
@@ -212,7 +213,8 @@
 	}
 }
 
-// appendWritable appends the data that can be written now: queued messages as far as there is room, and frames.
+// appendWritable appends the data that can be written now: queued messages as far as there is room,
+// and HTTP/2 frames.
 func (l *lane) appendWritable(b []byte) []byte {
 	n, now := 0, time.Now()
 	for queued := l.queue.all(); n < len(queued) && len(b) < maxWriteBytes; n++ {
--- a/internal/openload/mix.go
+++ b/internal/openload/mix.go
@@ -82,9 +82,9 @@
 		return nil, err
 	}
 	s := &generator{Mix: m, rng: rand.New(rand.NewPCG(m.Seed, 0x10ad)), currentKeys: map[uint32]*currentKey{}}
-	for i, list := range [][]uint32{m.Resp, m.Pushed} {
+	for i, destinations := range [][]uint32{m.Resp, m.Pushed} {
 		sum := 0.0
-		for n := range list {
+		for n := range destinations {
 			sum += math.Pow(float64(n+1), -m.Skew)
 			s.cumulativeWeights[i] = append(s.cumulativeWeights[i], sum)
 		}
@@ -127,15 +127,15 @@
 
 // pickDestination draws a destination of a front by popularity.
 func (s *generator) pickDestination(push bool) uint32 {
-	list, sums := s.Resp, s.cumulativeWeights[0]
+	destinations, weights := s.Resp, s.cumulativeWeights[0]
 	if push {
-		list, sums = s.Pushed, s.cumulativeWeights[1]
+		destinations, weights = s.Pushed, s.cumulativeWeights[1]
 	}
-	at := s.rng.Float64() * sums[len(sums)-1]
-	for i, x := range sums {
+	at := s.rng.Float64() * weights[len(weights)-1]
+	for i, x := range weights {
 		if at < x {
-			return list[i]
+			return destinations[i]
 		}
 	}
-	return list[len(list)-1]
+	return destinations[len(destinations)-1]
 }
--- a/internal/openload/openload_test.go
+++ b/internal/openload/openload_test.go
@@ -30,8 +30,8 @@
 	return s
 }
 
-func options(s *sink.Sink) Options {
-	return Options{Mix: mix(), RespAddr: s.Resp, PushAddr: s.Push, Conns: 2, Pipeline: 16, Settle: time.Minute}
+func options(server *sink.Sink) Options {
+	return Options{Mix: mix(), RespAddr: server.Resp, PushAddr: server.Push, Conns: 2, Pipeline: 16, Settle: time.Minute}
 }
 
 // Every message gets one response, over both fronts, and is counted once.
@@ -48,18 +48,18 @@
 	}
 	r, err := Run(context.Background(), o)
 	require.NoError(t, err)
-	assert.Equal(t, r.Due, r.Left)
+	assert.Equal(t, r.Due, r.Sent)
 	assert.Len(t, heard, r.Due)
 	assert.Equal(t, r.Due, s.Taken())
 	require.Len(t, r.Fronts, 2)
 	sum := int64(0)
 	for _, f := range r.Fronts {
-		assert.Equal(t, f.Latency.N, int64(f.Taken))
-		assert.Positive(t, f.Taken)
+		assert.Equal(t, f.Latency.N, int64(f.Accepted))
+		assert.Positive(t, f.Accepted)
 		sum += f.Latency.N
 	}
 	n := int64(0)
-	for _, b := range r.Hist {
+	for _, b := range r.Histogram {
 		n += b.N
 	}
 	assert.Equal(t, sum, n, "the histogram must contain all messages")
@@ -84,12 +84,12 @@
 		require.NoError(t, err)
 		require.Len(t, r.Fronts, 1)
 		f := r.Fronts[0]
-		assert.Equal(t, 600, f.Taken)
+		assert.Equal(t, 600, f.Accepted)
 		// The message due in the middle of the 300 ms waited for the rest of the stall.
 		assert.GreaterOrEqual(t, f.Latency.P50, 0.99*ms(end-151*time.Millisecond))
 		assert.GreaterOrEqual(t, f.Latency.Max, 0.99*ms(end-time.Millisecond))
-		assert.GreaterOrEqual(t, r.Lag.P50, 0.99*ms(end-170*time.Millisecond), "most messages could not be sent, with 32 in flight")
-		assert.Less(t, f.Served.P50, f.Latency.P50, "latency measured from sending does not show the stall")
+		assert.GreaterOrEqual(t, r.SendDelay.P50, 0.99*ms(end-170*time.Millisecond), "most messages could not be sent, with 32 in flight")
+		assert.Less(t, f.ServiceTime.P50, f.Latency.P50, "latency measured from sending does not show the stall")
 	}
 }
 
@@ -109,9 +109,9 @@
 		r, err := Run(context.Background(), o)
 		require.NoError(t, err)
 		f := r.Fronts[0]
-		assert.Equal(t, r.Due, f.Taken+f.Unheard)
-		assert.LessOrEqual(t, f.Unheard, 2*16)
-		assert.Positive(t, r.Broken)
+		assert.Equal(t, r.Due, f.Accepted+f.NoResponse)
+		assert.LessOrEqual(t, f.NoResponse, 2*16)
+		assert.Positive(t, r.LostConnections)
 	}
 }
 
@@ -124,8 +124,8 @@
 	o := Options{Mix: mix(), RespAddr: addr, PushAddr: addr, Conns: 1, Pipeline: 4}
 	r, err := Run(context.Background(), o)
 	require.NoError(t, err)
-	assert.Zero(t, r.Left)
-	assert.Equal(t, r.Due, r.Fronts[0].Unheard+r.Fronts[1].Unheard)
+	assert.Zero(t, r.Sent)
+	assert.Equal(t, r.Due, r.Fronts[0].NoResponse+r.Fronts[1].NoResponse)
 
 	s := openSink(t)
 	s.Hold()
@@ -133,8 +133,8 @@
 	o.Settle = 0
 	r, err = Run(context.Background(), o)
 	require.NoError(t, err)
-	assert.Equal(t, r.Due, r.Fronts[0].Unheard+r.Fronts[1].Unheard)
-	assert.Positive(t, r.Left)
+	assert.Equal(t, r.Due, r.Fronts[0].NoResponse+r.Fronts[1].NoResponse)
+	assert.Positive(t, r.Sent)
 }
 
 // A cancelled run reports on the messages passed to lanes until then.
--- a/internal/openload/record.go
+++ b/internal/openload/record.go
@@ -40,13 +40,13 @@
 	return Quantiles{N: h.N(), Mean: h.Mean(), P50: h.Ms(50), P90: h.Ms(90), P99: h.Ms(99), P999: h.Ms(99.9), Max: h.Max()}
 }
 
-// statistics holds the statistics of one lane. The records of all lanes are merged at the end.
+// statistics holds the measurements of one lane. Those of all lanes are merged at the end.
 type statistics struct {
 	verdicts        [frontCount][load.Unheard + 1]int
 	latency         [frontCount]*latency.Histogram // from due time to response
 	serviceTime     [frontCount]*latency.Histogram // from sending to response, as a closed loop would measure it
 	sendDelay       *latency.Histogram             // from due time to sending
-	lostConnections int                            // connections lost during the run
+	lostConnections int
 }
 
 func newStatistics() *statistics {
@@ -60,7 +60,7 @@
 // recordSent records that a message was sent.
 func (r *statistics) recordSent(due, at time.Duration) { r.sendDelay.Add(at - due) }
 
-// recordVerdict records the verdict on a message that was sent at left and ended at the time at.
+// recordVerdict records the verdict, at the time at, on a message that was sent at sentAt.
 func (r *statistics) recordVerdict(f Front, v load.Verdict, due, sentAt, at time.Duration) {
 	r.verdicts[f][v]++
 	r.latency[f].Add(at - due)
@@ -83,46 +83,46 @@
 
 // FrontResult holds the results for the messages of one front.
 type FrontResult struct {
-	Front   string    `json:"front"`
-	Taken   int       `json:"taken"`
-	Refused int       `json:"refused"`
-	Failed  int       `json:"failed"`
-	Unheard int       `json:"unheard"` // no response
-	Latency Quantiles `json:"latency"` // from due time to response, or until a message without response was abandoned
-	Served  Quantiles `json:"served"`  // from sending to response
+	Front       string    `json:"front"`
+	Accepted    int       `json:"taken"`
+	Rejected    int       `json:"refused"`
+	Failed      int       `json:"failed"`
+	NoResponse  int       `json:"unheard"` // no response
+	Latency     Quantiles `json:"latency"` // from due time to response, or until a message without response was abandoned
+	ServiceTime Quantiles `json:"served"`  // from sending to response
 }
 
 // Result holds the results of a run.
 type Result struct {
-	Rate    float64          `json:"rate"` // requested messages per second
-	Seconds float64          `json:"seconds"`
-	Due     int              `json:"due"`
-	Left    int              `json:"left"`
-	Broken  int              `json:"connections_broken"`
-	Lag     Quantiles        `json:"lag"`       // from due time to sending
-	Pace    Quantiles        `json:"pace"`      // from due time to hand-over to a connection: the generator's own delay
-	Achieve float64          `json:"left_rate"` // messages sent per second
-	Fronts  []FrontResult    `json:"fronts"`
-	Hist    []latency.Bucket `json:"histogram"` // of the latencies of all fronts
+	Rate            float64          `json:"rate"` // requested messages per second
+	Seconds         float64          `json:"seconds"`
+	Due             int              `json:"due"`
+	Sent            int              `json:"left"`
+	LostConnections int              `json:"connections_broken"`
+	SendDelay       Quantiles        `json:"lag"`       // from due time to sending
+	Pace            Quantiles        `json:"pace"`      // from due time to hand-over to a connection: the generator's own delay
+	SentRate        float64          `json:"left_rate"` // messages sent per second
+	Fronts          []FrontResult    `json:"fronts"`
+	Histogram       []latency.Bucket `json:"histogram"` // of the latencies of all fronts
 }
 
 func (r *statistics) result(m Mix, due int, pace *latency.Histogram, elapsed time.Duration) *Result {
 	out := &Result{
-		Rate: m.Rate, Seconds: m.For.Seconds(), Due: due, Left: int(r.sendDelay.N()), Broken: r.lostConnections,
-		Lag: quantiles(r.sendDelay), Pace: quantiles(pace), Achieve: float64(r.sendDelay.N()) / elapsed.Seconds(),
+		Rate: m.Rate, Seconds: m.For.Seconds(), Due: due, Sent: int(r.sendDelay.N()), LostConnections: r.lostConnections,
+		SendDelay: quantiles(r.sendDelay), Pace: quantiles(pace), SentRate: float64(r.sendDelay.N()) / elapsed.Seconds(),
 	}
 	all := newHistogram()
 	for f := range frontCount {
 		v := r.verdicts[f]
 		if x := quantiles(r.latency[f]); x.N > 0 {
 			out.Fronts = append(out.Fronts, FrontResult{
-				Front: f.String(), Taken: v[load.Taken], Refused: v[load.Refused], Failed: v[load.Failed], Unheard: v[load.Unheard],
-				Latency: x, Served: quantiles(r.serviceTime[f]),
+				Front: f.String(), Accepted: v[load.Taken], Rejected: v[load.Refused], Failed: v[load.Failed], NoResponse: v[load.Unheard],
+				Latency: x, ServiceTime: quantiles(r.serviceTime[f]),
 			})
 		}
 		all.Merge(r.latency[f])
 	}
-	out.Hist = all.Buckets()
+	out.Histogram = all.Buckets()
 	return out
 }
 
@@ -137,18 +137,18 @@
 // Print writes the result as a table and a histogram in text form.
 func (r *Result) Print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "front\ttaken\trefused\tfailed\tunheard\tmean ms\tp50\tp90\tp99\tp99.9\tmost\tserved p50\tp99\t")
+	fmt.Fprintln(w, "front\taccepted\trejected\tfailed\tno response\tmean ms\tp50\tp90\tp99\tp99.9\tmax\tservice p50\tp99\t")
 	for _, f := range r.Fronts {
 		l := f.Latency
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f\t%.2f\t%.2f\t\n", f.Front, f.Taken, f.Refused, f.Failed, f.Unheard,
-			l.Mean, l.P50, l.P90, l.P99, l.P999, l.Max, f.Served.P50, f.Served.P99)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f\t%.2f\t%.2f\t\n", f.Front, f.Accepted, f.Rejected, f.Failed, f.NoResponse,
+			l.Mean, l.P50, l.P90, l.P99, l.P999, l.Max, f.ServiceTime.P50, f.ServiceTime.P99)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%d due in %.1f s (%.0f per second), %d sent (%.0f per second); send delay p50 %.2f, p99 %.2f, max %.1f ms; %d connections lost\n",
-		r.Due, r.Seconds, r.Rate, r.Left, r.Achieve, r.Lag.P50, r.Lag.P99, r.Lag.Max, r.Broken)
-	for _, b := range r.Hist {
+		r.Due, r.Seconds, r.Rate, r.Sent, r.SentRate, r.SendDelay.P50, r.SendDelay.P99, r.SendDelay.Max, r.LostConnections)
+	for _, b := range r.Histogram {
 		if b.N > 0 {
 			fmt.Fprintf(out, "%10.3f to %10.3f ms %9d\n", b.FromMs, b.ToMs, b.N)
 		}
--- a/internal/openload/run.go
+++ b/internal/openload/run.go
@@ -27,15 +27,15 @@
 // Run submits the messages of the mix and returns the results. If ctx is cancelled, the results
 // cover the messages that were passed to connections until then.
 func Run(ctx context.Context, o Options) (*Result, error) {
-	s, err := newGenerator(o.Mix)
+	source, err := newGenerator(o.Mix)
 	if err != nil {
 		return nil, err
 	}
 	if o.Conns < 1 || o.Pipeline < 1 {
 		return nil, errors.New("at least one connection and one message per connection are required")
 	}
-	begun := time.Now()
-	clock := func() time.Duration { return time.Since(begun) }
+	startedAt := time.Now()
+	clock := func() time.Duration { return time.Since(startedAt) }
 	var lanes [frontCount][]*lane
 	var wg sync.WaitGroup
 	for f, addr := range [...]string{o.RespAddr, o.PushAddr} {
@@ -48,7 +48,7 @@
 			wg.Go(l.run)
 		}
 	}
-	dispatched, pace := dispatch(ctx, s, lanes, clock, o.Progress)
+	dispatched, pace := dispatch(ctx, source, lanes, clock, o.Progress)
 	elapsed := clock()
 	awaitResponses(ctx, lanes, o.Settle)
 	total := newStatistics()
@@ -98,9 +98,10 @@
 	return due, pace
 }
 
-// awaitResponses waits until all responses have arrived, for the time within, or until ctx is cancelled.
-func awaitResponses(ctx context.Context, lanes [frontCount][]*lane, within time.Duration) {
-	timeout := time.NewTimer(within)
+// awaitResponses waits until all responses have arrived, limit has passed, or ctx is
+// cancelled.
+func awaitResponses(ctx context.Context, lanes [frontCount][]*lane, limit time.Duration) {
+	timeout := time.NewTimer(limit)
 	defer timeout.Stop()
 	poll := time.NewTicker(5 * time.Millisecond)
 	defer poll.Stop()
--- a/internal/standin/farm.go
+++ b/internal/standin/farm.go
@@ -49,10 +49,10 @@
 
 	mu              sync.Mutex
 	drainingSince   map[string]time.Time // by address: when draining was announced
-	callsByAddr     map[string]int       // by address
+	callsByAddr     map[string]int
 	listeners       map[string]net.Listener
 	recordedCalls   []Taken
-	recordsCalls    bool     // whether calls are recorded in taken
+	recordsCalls    bool     // whether calls are added to recordedCalls
 	lastKitchenCall []string // X-Kitchen header and query of the last call with that header
 }
 
@@ -132,11 +132,11 @@
 // Now returns the time by the farm's clock, which its partners' faults use.
 func (f *Farm) Now() time.Duration { return time.Since(f.startedAt) }
 
-// With calls do with the partner of a destination, which processes no call meanwhile.
+// With calls visit with the partner of a destination, which processes no call meanwhile.
 func (f *Farm) With(destination uint32, visit func(p *partner.Partner)) error {
 	h := f.hostsByDestination[destination]
 	if h == nil {
-		return fmt.Errorf("no partner has number %d", destination)
+		return fmt.Errorf("no partner for destination %d", destination)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// Each calls do with every partner, one at a time.
+// Each calls visit with every partner, one at a time.
 func (f *Farm) Each(visit func(destination uint32, p *partner.Partner)) {
 	for d, h := range f.hostsByDestination {
 		h.mu.Lock()
@@ -280,7 +280,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if a.Reset {
-		end(false) // ends the call before the caller sees the reset, so that the caller's next call comes after it
+		end(false) // before the caller sees the reset, so that the caller's next call comes after the end
 		end = func(bool) {}
 		f.resetConnection(w)
 		panic(http.ErrAbortHandler)
@@ -343,7 +343,7 @@
 func (f *Farm) Begin(destination uint32, id string, body []byte) (a partner.Answer, end func(delivered bool), err error) {
 	h := f.hostsByDestination[destination]
 	if h == nil {
-		return a, nil, fmt.Errorf("no partner has number %d", destination)
+		return a, nil, fmt.Errorf("no partner for destination %d", destination)
 	}
 	a, end = f.beginCall(h, id, body, false)
 	return a, end, nil
--- a/internal/standin/partner/partner.go
+++ b/internal/standin/partner/partner.go
@@ -80,13 +80,13 @@
 type Counts struct {
 	Calls, Delivered, Refused, Failed int
 	Late                              int     // deliveries after their deadline
-	Copies                            int     // calls with a message that was delivered already or is in flight
+	Copies                            int     `json:"Copies"` // calls with a message that was delivered already or is in flight
 	OutOfOrder                        int     // calls that overtook another of their key or ran concurrently with it
-	InWait                            int     // calls that arrived during a retry-after delay
+	InWait                            int     `json:"InWait"` // calls that arrived during a retry-after delay
 	Peak                              float64 // highest call count in a window, as a multiple of what the limit allowed
-	Over                              int     // calls beyond the limit
-	Fell                              int     // collapses under overload
-	Drained                           int     // calls to an endpoint more than a second after it was listed as draining
+	Over                              int     `json:"Over"`    // calls beyond the limit
+	Fell                              int     `json:"Fell"`    // collapses under overload
+	Drained                           int     `json:"Drained"` // calls to an endpoint more than a second after it was listed as draining
 }
 
 // Add adds the counters of x. Peak becomes the higher of the two.
@@ -103,7 +103,7 @@
 type Partner struct {
 	Profile Profile
 	Counts  Counts
-	Blind   bool // duplicates and ordering are not checked here, since the caller checks them
+	Blind   bool // skips the checks of the sender's obligations, which the caller does itself
 	// Again is how long after a call a duplicate of its message is allowed: an attempt that the
 	// sender abandoned may have run without its knowledge. Zero means never.
 	Again      time.Duration
@@ -113,7 +113,7 @@
 
 	tokens           float64         // in the token bucket
 	refilledAt       time.Duration   // time of the last refill
-	window           int64           // number of the current fixed window
+	window           int64           // index of the current fixed window
 	windowCalls      int             // calls in the window that count against the limit
 	windowArrivals   int             // all calls in the window
 	recentArrivals   []time.Duration // arrival times of recent calls, for Peak
@@ -129,10 +129,10 @@
 	reportAt         time.Duration
 	reported         bool
 
-	deliveredByID map[string]bool // by message ID: false while in flight, true once delivered
-	deliveredLate map[string]bool // IDs of messages delivered late
-	startedAt     map[string]time.Duration
-	keys          map[uint64]keyState // by ordering key
+	deliveredByID map[string]bool          // false while in flight, true once delivered
+	deliveredLate map[string]bool          // IDs of messages delivered late
+	startedAt     map[string]time.Duration // by message ID, if Again is set
+	keys          map[uint64]keyState      // by ordering key
 }
 
 type keyState struct {
@@ -167,9 +167,9 @@
 	return p.Profile.ColdShare + (1-p.Profile.ColdShare)*math.Max(elapsed, 0)
 }
 
-// windowLimit returns the number of calls that the limit allows in a window, and the window's length. A
-// token bucket allows its burst, half a second of calls and at least one, on top of the calls of
-// a second.
+// windowLimit returns the number of calls that the limit allows in a window, and the window's
+// length. A token bucket allows its burst, half a second of calls and at least one, on top of the
+// calls of a second.
 func (p *Partner) windowLimit() (float64, time.Duration) {
 	if p.Profile.Span > 0 {
 		return math.Max(1, math.Floor(p.Profile.Limit*p.Profile.Span.Seconds())), p.Profile.Span
@@ -366,7 +366,7 @@
 }
 
 // Cold returns the number of calls that the partner withstands per FallTime while it recovers
-// from an outage. cold is false if the partner is warm, down or in an outage.
+// from an outage. cold is false if the partner is warm, collapsed or in an outage.
 func (p *Partner) Cold(now time.Duration) (allowed float64, cold bool) {
 	f := p.Profile
 	share := p.capacityShare(now)
