--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -71,7 +71,8 @@
 	return roles
 }
 
-// addFaults adds the faults of the demonstration to the partners. They start at the time from and last 3 s.
+// addFaults adds the faults of the demonstration to the partners. They start at the time from and
+// last 3 s.
 func addFaults(f *standin.Farm, from time.Duration) error {
 	for destination, x := range map[uint32]partner.Fault{
 		5: {Kind: partner.Error, Share: 0.4},
--- a/internal/scenario/h2.go
+++ b/internal/scenario/h2.go
@@ -12,8 +12,8 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// h2Conn is one end of an HTTP/2 connection. It uses the framing of x/net, an implementation independent
-// of the courier's own. Its lines are
+// h2Conn is one end of an HTTP/2 connection. It uses the framing of x/net, an implementation
+// independent of the courier's own. Its lines are
 //
 //	ADDRESS h2dial WHO, SERVER h2accept WHO
 //	WHO send "STREAM METHOD PATH NAME=VALUE ... |BODY"      a request
--- a/internal/standin/directory.go
+++ b/internal/standin/directory.go
@@ -104,7 +104,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /discovery/hosts", d.handleHosts)
 	mux.HandleFunc("POST /v1/outcomes", d.handleOutcomes)
-	d.server = &http.Server{Handler: mux, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 5 * time.Second, ConnContext: withDoor}
+	d.server = &http.Server{Handler: mux, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 5 * time.Second, ConnContext: withDedicatedAddress}
 	d.serving.Go(func() { _ = d.server.Serve(d.traffic.countBytes(l)) })
 	return d, nil
 }
--- a/internal/standin/farm.go
+++ b/internal/standin/farm.go
@@ -196,8 +196,8 @@
 	f.drainingSince[addr] = time.Now()
 }
 
-// drained reports whether an endpoint should no longer receive calls.
-func (f *Farm) drained(addr string) bool {
+// drainGraceOver reports whether an endpoint should no longer receive calls.
+func (f *Farm) drainGraceOver(addr string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at, ok := f.drainingSince[addr]
@@ -269,7 +269,7 @@
 		http.Error(w, "the body is too large", http.StatusBadRequest)
 		return
 	}
-	a, end := f.beginCall(h, id, body, f.drained(addr.String()))
+	a, end := f.beginCall(h, id, body, f.drainGraceOver(addr.String()))
 	written := false
 	defer func() { end(written) }()
 	if a.Status == 0 && !a.Reset {
@@ -362,8 +362,8 @@
 	return false
 }
 
-// resetConnection resets an HTTP/1.1 connection. Over HTTP/2 it does nothing, since aborting the handler
-// resets the stream.
+// resetConnection resets an HTTP/1.1 connection. Over HTTP/2 it does nothing, since aborting the
+// handler resets the stream.
 func (f *Farm) resetConnection(w http.ResponseWriter) {
 	hj, ok := w.(http.Hijacker)
 	if !ok {
--- a/internal/standin/farm_test.go
+++ b/internal/standin/farm_test.go
@@ -25,10 +25,10 @@
 }
 
 // newTestClient returns a client for HTTP/1.1 or, if two, for HTTP/2 with prior knowledge.
-func newTestClient(t *testing.T, two bool) *http.Client {
+func newTestClient(t *testing.T, http2 bool) *http.Client {
 	var p http.Protocols
-	p.SetHTTP1(!two)
-	p.SetUnencryptedHTTP2(two)
+	p.SetHTTP1(!http2)
+	p.SetUnencryptedHTTP2(http2)
 	tr := &http.Transport{Protocols: &p}
 	t.Cleanup(tr.CloseIdleConnections)
 	return &http.Client{Transport: tr}
@@ -84,7 +84,8 @@
 	assert.NotEmpty(t, f.Obey(Order{Do: "dance"}).Error)
 }
 
-// answering is an HTTP/1.1 response writer over connected, a connection that reports its close.
+// hijackableWriter is an HTTP/1.1 response writer over a closeReporter, a connection that calls
+// closed when it is closed.
 type (
 	hijackableWriter struct {
 		http.ResponseWriter
--- a/internal/standin/partitions_test.go
+++ b/internal/standin/partitions_test.go
@@ -72,15 +72,15 @@
 		of := rapid.SliceOfNDistinct(rapid.IntRange(0, partitions-1), 0, partitions, rapid.ID).Draw(t, "of")
 		in := func(cell uint32) bool { return slices.Contains(of, partition.Of(cell, partitions)) }
 		p := newFilter(t, partitions, of)
-		whole := decodeAnswer(t, d.encodeAnswer(0, false, p))
-		assert.Equal(t, [3]any{d.generation, true, partitions}, [3]any{whole.Generation, whole.Reset, whole.Partitions})
+		wholeList := decodeAnswer(t, d.encodeAnswer(0, false, p))
+		assert.Equal(t, [3]any{d.generation, true, partitions}, [3]any{wholeList.Generation, wholeList.Reset, wholeList.Partitions})
 		var want []Instance
 		for _, x := range d.list {
 			if in(x.Cell) {
 				want = append(want, x)
 			}
 		}
-		assert.ElementsMatch(t, want, whole.Instances)
+		assert.ElementsMatch(t, want, wholeList.Instances)
 		after := rapid.Uint64Range(1, d.generation).Draw(t, "after")
 		var expected []Instance
 		for _, c := range changes {
@@ -126,21 +126,21 @@
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
 	base := "http://" + d.Addr() + "/discovery/hosts"
-	of := fmt.Sprintf("partitions=%d&of=%d", partitions, partition.Of(own, partitions))
+	query := fmt.Sprintf("partitions=%d&of=%d", partitions, partition.Of(own, partitions))
 	c := newTestClient(t, false)
-	assert.NotContains(t, get(t, c, base+"?"+of), `"instanceId":"b"`)
-	assert.Contains(t, get(t, c, base+"?"+of), `"partitions":64`)
+	assert.NotContains(t, get(t, c, base+"?"+query), `"instanceId":"b"`)
+	assert.Contains(t, get(t, c, base+"?"+query), `"partitions":64`)
 	assert.NotContains(t, get(t, c, base), `"partitions"`)
 	assert.Contains(t, get(t, c, base+"?partitions=64&of="), `"instances":[]`, "a courier without partitions receives an empty list")
 
 	waiting := make(chan string, 1)
-	go func() { waiting <- get(t, newTestClient(t, false), base+"?after=1&wait_ms=20000&"+of) }()
+	go func() { waiting <- get(t, newTestClient(t, false), base+"?after=1&wait_ms=20000&"+query) }()
 	for d.Heard() < 1 {
 		time.Sleep(time.Millisecond)
 	}
 	list[1].Lifecycle = "Terminating"
 	d.Change(list[1])
-	assert.Contains(t, get(t, c, base+"?after=1&wait_ms=1&"+of), `"generation":2,"instances":[],"partitions":64`, "at the timeout")
+	assert.Contains(t, get(t, c, base+"?after=1&wait_ms=1&"+query), `"generation":2,"instances":[],"partitions":64`, "at the timeout")
 	select {
 	case text := <-waiting:
 		t.Fatalf("the watch returned for a change in another partition: %s", text)
@@ -150,10 +150,10 @@
 	d.Change(list[0])
 	assert.Contains(t, <-waiting, `"instanceId":"a"`)
 
-	assert.Contains(t, get(t, c, base+"?after=9&wait_ms=20000&"+of), `"reset":true`, "a generation of another directory")
+	assert.Contains(t, get(t, c, base+"?after=9&wait_ms=20000&"+query), `"reset":true`, "a generation of another directory")
 	d.KnowPartitions(false)
-	assert.Contains(t, get(t, c, base+"?"+of), `"instanceId":"b"`)
-	assert.NotContains(t, get(t, c, base+"?"+of), `"partitions"`)
+	assert.Contains(t, get(t, c, base+"?"+query), `"instanceId":"b"`)
+	assert.NotContains(t, get(t, c, base+"?"+query), `"partitions"`)
 	assert.Contains(t, get(t, c, base+"?partitions=x&of=y"), "200 ", "ignored parameters are not validated")
 	d.KnowPartitions(true)
 	for _, bad := range []string{
@@ -173,7 +173,7 @@
 		list = append(list, Instance{InstanceID: fmt.Sprint(i), HostPort: strings.Repeat("x", 1000), Cell: uint32(i), Lifecycle: "Ready"})
 	}
 	d.Replace(list)
-	whole := d.encodeAnswer(0, false, partitionFilter{})
+	wholeList := d.encodeAnswer(0, false, partitionFilter{})
 	for n := range 40 {
 		a := decodeAnswer(t, d.encodeAnswer(0, false, newFilter(t, 40, []int{n, (n + 1) % 40})))
 		for _, x := range a.Instances {
@@ -181,14 +181,14 @@
 		}
 		d.encodeAnswer(0, false, newFilter(t, 50+n, []int{n})) // with other numbers of partitions
 		d.encodeAnswer(uint64(n), true, partitionFilter{})
-		size := -len(whole)
+		size := -len(wholeList)
 		for _, b := range d.cache {
 			size += len(b)
 		}
 		require.LessOrEqual(t, size, maxCacheBytes)
 		require.LessOrEqual(t, len(d.indexes), maxIndexes)
 	}
-	assert.Same(t, &whole[0], &d.encodeAnswer(0, false, partitionFilter{})[0], "the whole list stays cached")
+	assert.Same(t, &wholeList[0], &d.encodeAnswer(0, false, partitionFilter{})[0], "the whole list stays cached")
 }
 
 // Measures the bytes of the response, header included, that a courier receives at its first start
@@ -221,7 +221,7 @@
 	require.NoError(b, err)
 	b.Cleanup(d.Close)
 	c := &http.Client{}
-	ask := func(courier int, watch string) (out, in int) {
+	request := func(courier int, watch string) (out, in int) {
 		var of []string
 		for _, p := range m.Owned(members[courier].Name) {
 			of = append(of, fmt.Sprint(p))
@@ -233,13 +233,13 @@
 		_ = a.Body.Close()
 		return int(d.traffic.out.Load() - sent), int(d.traffic.in.Load() - got)
 	}
-	ask(0, "")
-	var whole, most, again, asked int
+	request(0, "")
+	var whole, largest, restart, requested int
 	for b.Loop() {
-		whole, most, again, asked = 0, 0, 0, 0
+		whole, largest, restart, requested = 0, 0, 0, 0
 		for i := range sampled {
-			n, in := ask(i*couriers/sampled, "")
-			whole, most, asked = whole+n, max(most, n), asked+in
+			n, in := request(i*couriers/sampled, "")
+			whole, largest, requested = whole+n, max(largest, n), requested+in
 		}
 		before := d.generation
 		for i := range changes {
@@ -248,12 +248,12 @@
 			d.Change(x)
 		}
 		for i := range sampled {
-			n, _ := ask(i*couriers/sampled, fmt.Sprintf("after=%d&wait_ms=1&", before))
-			again += n
+			n, _ := request(i*couriers/sampled, fmt.Sprintf("after=%d&wait_ms=1&", before))
+			restart += n
 		}
 	}
 	b.ReportMetric(float64(whole)/sampled, "B/part")
-	b.ReportMetric(float64(most), "B/part-most")
-	b.ReportMetric(float64(again)/sampled, "B/restart")
-	b.ReportMetric(float64(asked)/sampled, "B/ask")
+	b.ReportMetric(float64(largest), "B/part-most")
+	b.ReportMetric(float64(restart)/sampled, "B/restart")
+	b.ReportMetric(float64(requested)/sampled, "B/ask")
 }
--- a/internal/standin/partner/partner.go
+++ b/internal/standin/partner/partner.go
@@ -181,8 +181,8 @@
 // rounded down.
 func (p *Partner) effectiveLimit() float64 {
 	if p.Profile.Span > 0 {
-		most, span := p.windowLimit()
-		return most / span.Seconds()
+		allowed, span := p.windowLimit()
+		return allowed / span.Seconds()
 	}
 	return p.Profile.Limit
 }
@@ -263,17 +263,17 @@
 	if p.Profile.Limit <= 0 {
 		return false
 	}
-	most, span := p.windowLimit()
+	allowed, span := p.windowLimit()
 	if p.Profile.Span > 0 {
 		if n := int64(now / span); n != p.window {
 			p.window, p.windowCalls, p.windowArrivals = n, 0, 0
 		}
 		p.windowArrivals++
-		over = float64(p.windowCalls) >= most
+		over = float64(p.windowCalls) >= allowed
 		if !over || p.Profile.Counting {
 			p.windowCalls++
 		}
-		p.Counts.Peak = math.Max(p.Counts.Peak, float64(p.windowArrivals)/most)
+		p.Counts.Peak = math.Max(p.Counts.Peak, float64(p.windowArrivals)/allowed)
 	} else {
 		if p.refilledAt == 0 {
 			p.tokens = p.burst()
@@ -286,7 +286,7 @@
 			p.tokens = math.Max(p.tokens-1, -p.burst())
 		}
 		p.recentArrivals = append(since(p.recentArrivals, now-span), now)
-		p.Counts.Peak = math.Max(p.Counts.Peak, float64(len(p.recentArrivals))/math.Floor(most))
+		p.Counts.Peak = math.Max(p.Counts.Peak, float64(len(p.recentArrivals))/math.Floor(allowed))
 	}
 	if over {
 		p.Counts.Over++
@@ -297,11 +297,11 @@
 // remainingShare returns the remaining share of the limit.
 func (p *Partner) remainingShare(now time.Duration) float64 {
 	if p.Profile.Span > 0 {
-		most, span := p.windowLimit()
+		allowed, span := p.windowLimit()
 		if int64(now/span) != p.window {
 			return 1
 		}
-		return math.Max(0, 1-float64(p.windowCalls)/most)
+		return math.Max(0, 1-float64(p.windowCalls)/allowed)
 	}
 	return math.Max(0, p.tokens/p.burst())
 }
@@ -427,13 +427,13 @@
 	if p.Profile.Limit <= 0 {
 		return true, 0
 	}
-	most, span := p.windowLimit()
+	allowed, span := p.windowLimit()
 	if p.Profile.Span > 0 {
 		n, counted := int64(now/span), 0
 		if n == p.window {
 			counted = p.windowCalls
 		}
-		if float64(counted+inTransit) >= most {
+		if float64(counted+inTransit) >= allowed {
 			return false, time.Duration(n+1)*span - now
 		}
 		return true, 0
@@ -471,9 +471,9 @@
 		}
 		return
 	}
-	if t, ok := p.keys[c.Key]; ok && c.Key != 0 {
-		t.inFlight--
-		p.keys[c.Key] = t
+	if key, ok := p.keys[c.Key]; ok && c.Key != 0 {
+		key.inFlight--
+		p.keys[c.Key] = key
 	}
 	switch {
 	case delivered:
--- a/internal/standin/traffic.go
+++ b/internal/standin/traffic.go
@@ -87,8 +87,8 @@
 	d.onWatch = onWatch
 }
 
-// Door is an additional address of a directory for a single client, whose traffic is counted
-// separately.
+// Door is a dedicated additional address of a directory for a single client, whose traffic is
+// counted separately.
 type Door struct {
 	Addr            string
 	traffic         trafficCounter
@@ -104,7 +104,7 @@
 	}
 	x := &Door{Addr: l.Addr().String()}
 	x.sentAtStart.Store(-1)
-	d.serving.Go(func() { _ = d.server.Serve(doorListener{x.traffic.countBytes(d.traffic.countBytes(l)), x}) })
+	d.serving.Go(func() { _ = d.server.Serve(dedicatedListener{x.traffic.countBytes(d.traffic.countBytes(l)), x}) })
 	return x, nil
 }
 
@@ -125,44 +125,45 @@
 	return n - x.sentBeforeStart.Load()
 }
 
-type doorListener struct {
+type dedicatedListener struct {
 	net.Listener
-	door *Door
+	dedicated *Door
 }
 
-type doorConn struct {
+type dedicatedConn struct {
 	net.Conn
-	door *Door
+	dedicated *Door
 }
 
-// Accept returns the next connection, marked with its door.
-func (l doorListener) Accept() (net.Conn, error) {
+// Accept returns the next connection, marked with its dedicated address.
+func (l dedicatedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return doorConn{c, l.door}, nil
+	return dedicatedConn{c, l.dedicated}, nil
 }
 
-type doorContextKey struct{}
+type dedicatedContextKey struct{}
 
-// withDoor adds the door of a connection to the context of its requests.
-func withDoor(ctx context.Context, c net.Conn) context.Context {
-	if x, ok := c.(doorConn); ok {
-		return context.WithValue(ctx, doorContextKey{}, x.door)
+// withDedicatedAddress adds the address that a connection came through to the context of its
+// requests.
+func withDedicatedAddress(ctx context.Context, c net.Conn) context.Context {
+	if x, ok := c.(dedicatedConn); ok {
+		return context.WithValue(ctx, dedicatedContextKey{}, x.dedicated)
 	}
 	return ctx
 }
 
-// countRequest counts a request for the list at its door, if it came through one.
+// countRequest counts a request for the list at its dedicated address, if it came through one.
 func countRequest(r *http.Request, watching bool) {
-	if x, ok := r.Context().Value(doorContextKey{}).(*Door); ok && x.traffic.calls.Add(1) > 1 && watching {
+	if x, ok := r.Context().Value(dedicatedContextKey{}).(*Door); ok && x.traffic.calls.Add(1) > 1 && watching {
 		x.sentAtStart.CompareAndSwap(-1, x.traffic.out.Load())
 	}
 }
 
 // connectionName names the connection of a request by both addresses: the remote address alone may
-// be equal for connections through two doors.
+// be equal for connections through two addresses.
 func connectionName(r *http.Request) string {
 	at, _ := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	if at == nil {
--- a/internal/standin/traffic_test.go
+++ b/internal/standin/traffic_test.go
@@ -65,20 +65,21 @@
 	assert.Contains(t, get(t, c, url), `"instanceId":"b"`, "a new generation invalidates the cached response")
 }
 
-// Watches from one local address through two doors are reported as two connections.
-func TestDoorsAreSeparateConnections(t *testing.T) {
+// Watches from one local address through two addresses of the directory are reported as two
+// connections.
+func TestDedicatedAddressesAreSeparateConnections(t *testing.T) {
 	d, err := NewDirectory(nil)
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
 	seen := make(chan string, 2)
 	d.Watched(func(from string, _ uint64, _ func(uint32) bool) { seen <- from })
-	door, err := d.Door()
+	dedicated, err := d.Door()
 	require.NoError(t, err)
 	reuse := func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1) })
 	}
 	local := net.Addr(&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
-	for _, addr := range []string{d.Addr(), door.Addr} {
+	for _, addr := range []string{d.Addr(), dedicated.Addr} {
 		conn, err := (&net.Dialer{LocalAddr: local, Control: reuse}).Dial("tcp", addr)
 		require.NoError(t, err)
 		t.Cleanup(func() { conn.Close() })
@@ -89,34 +90,34 @@
 	assert.NotEqual(t, <-seen, <-seen)
 }
 
-// Traffic through a door is counted at the door and at the directory. The start of the door's client
+// Traffic through a dedicated address is counted there and at the directory. The start of its client
 // ends with the watch that follows the first response.
-func TestDoorTraffic(t *testing.T) {
+func TestDedicatedAddressTraffic(t *testing.T) {
 	d, err := NewDirectory(List([]Endpoint{{"a", "127.0.0.1:1", 1, false}}))
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
 	for _, first := range []string{"", "?after=1&wait_ms=1"} { // a client without and with a stored list
-		door, err := d.Door()
+		dedicated, err := d.Door()
 		require.NoError(t, err)
-		c, url := newTestClient(t, false), "http://"+door.Addr+"/discovery/hosts"
-		assert.Zero(t, door.Started())
+		c, url := newTestClient(t, false), "http://"+dedicated.Addr+"/discovery/hosts"
+		assert.Zero(t, dedicated.Started())
 		before := d.Traffic().Out
 		text := get(t, c, url+first)
-		started := door.Started()
+		started := dedicated.Started()
 		assert.Greater(t, started, int64(len(text)))
 		assert.Equal(t, d.Traffic().Out-before, started)
 		get(t, c, "http://"+d.Addr()+"/discovery/hosts")
-		assert.Equal(t, started, door.Started(), "traffic of other clients does not count")
+		assert.Equal(t, started, dedicated.Started(), "traffic of other clients does not count")
 		for range 3 {
 			get(t, c, url+"?after=1&wait_ms=1")
-			assert.Equal(t, started, door.Started(), "later watches do not count")
+			assert.Equal(t, started, dedicated.Started(), "later watches do not count")
 		}
-		door.Again()
-		assert.Zero(t, door.Started())
+		dedicated.Again()
+		assert.Zero(t, dedicated.Started())
 		get(t, c, url+"?after=1&wait_ms=1")
-		again := door.Started()
+		again := dedicated.Started()
 		assert.Positive(t, again)
 		get(t, c, url)
-		assert.Greater(t, door.Started(), again, "the start continues until a watch follows")
+		assert.Greater(t, dedicated.Started(), again, "the start continues until a watch follows")
 	}
 }
--- a/internal/standin/waits_test.go
+++ b/internal/standin/waits_test.go
@@ -44,7 +44,8 @@
 			"time=x level=DEBUG msg=end courier=n0 id=a key=\"\" ran=true dest=2 class=status attempts=1 as=failed left_ms=-4 after_ms=0 held=46\n"))
 }
 
-// A message that was reported as failed and also delivered is overdue only if its deadline passed first.
+// A message that was reported as failed and also delivered is overdue only if its deadline passed
+// first.
 func TestOverdue(t *testing.T) {
 	f, err := NewFarm([]Spec{{Destination: 5}})
 	require.NoError(t, err)
