--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -41,29 +41,29 @@
 
 // demoRoles returns the partners of the demonstration.
 func demoRoles(seed uint64) []role {
-	plain := partner.Profile{
+	base := partner.Profile{
 		Latency: 40 * time.Millisecond, Capacity: 60, Queue: 40, Tells: 0.8, Report: true, Refresh: 200 * time.Millisecond,
 		ColdShare: 0.2, WarmUp: 14 * time.Second, FallMultiple: 2, FallTime: 1500 * time.Millisecond,
 	}
-	with := func(change func(p *partner.Profile)) partner.Profile {
-		p := plain
+	changed := func(change func(p *partner.Profile)) partner.Profile {
+		p := base
 		if change != nil {
 			change(&p)
 		}
 		return p
 	}
 	roles := []role{
-		{"no faults, HTTP/1.1", standin.Spec{Endpoints: 2, Profile: plain}},
-		{"no faults, HTTP/2", standin.Spec{Endpoints: 2, HTTP2: true, Profile: plain}},
-		{"limit of 6 per second", standin.Spec{Endpoints: 1, Profile: with(func(p *partner.Profile) { p.Limit = 6 })}},
-		{"limit of 8 in each second", standin.Spec{Endpoints: 2, HTTP2: true, Profile: with(func(p *partner.Profile) {
+		{"no faults, HTTP/1.1", standin.Spec{Endpoints: 2, Profile: base}},
+		{"no faults, HTTP/2", standin.Spec{Endpoints: 2, HTTP2: true, Profile: base}},
+		{"limit of 6 per second", standin.Spec{Endpoints: 1, Profile: changed(func(p *partner.Profile) { p.Limit = 6 })}},
+		{"limit of 8 in each second", standin.Spec{Endpoints: 2, HTTP2: true, Profile: changed(func(p *partner.Profile) {
 			p.Limit, p.Span, p.Counting = 8, time.Second, true
 		})}},
-		{"errors for 3 s", standin.Spec{Endpoints: 2, Profile: plain}},
-		{"rejects for 3 s", standin.Spec{Endpoints: 2, HTTP2: true, Profile: plain}},
-		{"resets for 3 s", standin.Spec{Endpoints: 2, Profile: plain}},
-		{"silent for 3 s, recovers cold", standin.Spec{Endpoints: 1, Profile: plain}},
-		{"one endpoint drained", standin.Spec{Endpoints: 2, Profile: plain}},
+		{"errors for 3 s", standin.Spec{Endpoints: 2, Profile: base}},
+		{"rejects for 3 s", standin.Spec{Endpoints: 2, HTTP2: true, Profile: base}},
+		{"resets for 3 s", standin.Spec{Endpoints: 2, Profile: base}},
+		{"silent for 3 s, recovers cold", standin.Spec{Endpoints: 1, Profile: base}},
+		{"one endpoint drained", standin.Spec{Endpoints: 2, Profile: base}},
 	}
 	for i := range roles {
 		roles[i].spec.Destination, roles[i].spec.Seed = uint32(i+1), seed+uint64(i)
@@ -151,12 +151,12 @@
 // already has its final result may still be in transit.
 func brokenWaits(farm *standin.Farm, traces func() ([]standin.Trace, error), within time.Duration) ([]standin.BrokenWait, error) {
 	for limit := time.Now().Add(within); ; time.Sleep(200 * time.Millisecond) {
-		taken := farm.Taken()
+		recorded := farm.Taken()
 		read, err := traces()
 		if err != nil {
 			return nil, err
 		}
-		broken := standin.BrokenWaits(taken, read)
+		broken := standin.BrokenWaits(recorded, read)
 		unread := slices.ContainsFunc(broken, func(b standin.BrokenWait) bool { return b.Unread })
 		if !unread || time.Now().After(limit) {
 			return broken, nil
@@ -171,20 +171,20 @@
 	const lanes = 24
 	rng := rand.New(rand.NewPCG(o.Seed, 2))
 	var wg sync.WaitGroup
-	each := o.Messages / lanes
+	perLane := o.Messages / lanes
 	for lane := range lanes {
-		plan := rand.New(rand.NewPCG(rng.Uint64(), uint64(lane)))
-		count := each
+		laneRNG := rand.New(rand.NewPCG(rng.Uint64(), uint64(lane)))
+		count := perLane
 		if lane < o.Messages%lanes {
 			count++
 		}
-		wg.Go(func() { submitLane(client, o, plan, lane, count, partners) })
+		wg.Go(func() { submitLane(client, o, laneRNG, lane, count, partners) })
 	}
 	wg.Wait()
 }
 
 // submitLane submits count messages to one partner, over one front and with at most one key.
-func submitLane(client *load.Client, o Options, plan *rand.Rand, lane, count, partners int) {
+func submitLane(client *load.Client, o Options, rng *rand.Rand, lane, count, partners int) {
 	m := load.Message{Tenant: "town", Destination: uint32(lane%partners + 1), Push: lane%3 == 2}
 	m.Class, m.Left = "status", 8*time.Second
 	if lane%2 == 0 {
@@ -193,7 +193,7 @@
 	pause := o.Over / time.Duration(max(count, 1))
 	for n := range count {
 		if !(lane%8 == 0 && n > 0 && n < 6) { // in some lanes the first messages come as a burst
-			time.Sleep(time.Duration(float64(pause) * (0.5 + plan.Float64())))
+			time.Sleep(time.Duration(float64(pause) * (0.5 + rng.Float64())))
 		}
 		m.ID, m.Seq = fmt.Sprintf("m%d-%d", lane, n), uint64(2*n+1)
 		if v, after, _ := client.Add(m); v == load.Refused {
--- a/internal/openload/openload_test.go
+++ b/internal/openload/openload_test.go
@@ -39,17 +39,17 @@
 	s := openSink(t)
 	o := options(s)
 	var mu sync.Mutex
-	heard := map[string]int{}
+	verdictCounts := map[string]int{}
 	o.Heard = func(m load.Message, v load.Verdict) {
 		mu.Lock()
 		defer mu.Unlock()
 		assert.Equal(t, load.Taken, v)
-		heard[m.ID]++
+		verdictCounts[m.ID]++
 	}
 	r, err := Run(context.Background(), o)
 	require.NoError(t, err)
 	assert.Equal(t, r.Due, r.Sent)
-	assert.Len(t, heard, r.Due)
+	assert.Len(t, verdictCounts, r.Due)
 	assert.Equal(t, r.Due, s.Taken())
 	require.Len(t, r.Fronts, 2)
 	sum := int64(0)
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -331,12 +331,12 @@
 
 // Number returns the number at a path in the result of Counters, or 0 if there is none.
 func Number(line map[string]any, path ...string) float64 {
-	var v any = line
+	var value any = line
 	for _, key := range path {
-		m, _ := v.(map[string]any)
-		v = m[key]
+		m, _ := value.(map[string]any)
+		value = m[key]
 	}
-	n, _ := v.(float64)
+	n, _ := value.(float64)
 	return n
 }
 
@@ -426,7 +426,7 @@
 	return len(list)
 }
 
-// CPU returns the CPU time of all running threads of the process.
+// CPU returns the CPU time of all live threads of the process.
 func (c *Courier) CPU() (total time.Duration, err error) {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", c.cmd.Process.Pid))
 	if err != nil {
--- a/internal/scenario/h2.go
+++ b/internal/scenario/h2.go
@@ -38,7 +38,7 @@
 	body   string
 }
 
-func newH2(c net.Conn, server bool) (*h2Conn, error) {
+func newH2Conn(c net.Conn, server bool) (*h2Conn, error) {
 	a := &h2Conn{conn: c, framer: http2.NewFramer(c, c), incomplete: map[uint32]*message{}}
 	a.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	a.encoder = hpack.NewEncoder(&a.block)
@@ -134,10 +134,10 @@
 	}
 	head, body, hasBody := strings.Cut(want, "|")
 	gotHead, gotBody, _ := strings.Cut(got, "|")
-	has := strings.Fields(gotHead)
+	gotWords := strings.Fields(gotHead)
 	for i, word := range strings.Fields(head) {
-		fixed := i < 2 || !strings.Contains(word, "=")
-		if fixed && (i >= len(has) || has[i] != word) || !fixed && !slices.Contains(has, word) {
+		positional := i < 2 || !strings.Contains(word, "=")
+		if positional && (i >= len(gotWords) || gotWords[i] != word) || !positional && !slices.Contains(gotWords, word) {
 			return fmt.Errorf("got %s", got)
 		}
 	}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -8,7 +8,7 @@
 //	WHO expect TEXT        the next bytes must be TEXT; "...TEXT" skips everything before it
 //	WHO expect EOF         the connection must end without further data
 //	WHO close
-//	ADDRESS h2dial WHO     as dial, over HTTP/2, like SERVER h2accept WHO; see h2
+//	ADDRESS h2dial WHO     as dial, over HTTP/2, like SERVER h2accept WHO; see h2Conn
 //	THING wait WORD        runs a step that the test defined with On
 //
 // $name is replaced by the value defined with Let. No line waits for a fixed time: each waits for its
@@ -82,6 +82,7 @@
 	}
 }
 
+// runLine executes one line of a script.
 func (p *Play) runLine(line string) error {
 	who, rest, _ := strings.Cut(line, " ")
 	verb, arg, _ := strings.Cut(strings.TrimSpace(rest), " ")
@@ -141,7 +142,7 @@
 	}
 	p.conns[who] = &plainConn{conn: c}
 	if strings.HasPrefix(verb, "h2") {
-		p.conns[who], err = newH2(c, verb == "h2accept")
+		p.conns[who], err = newH2Conn(c, verb == "h2accept")
 	}
 	return err
 }
@@ -173,14 +174,14 @@
 		}
 		return nil
 	}
-	skip := strings.HasPrefix(text, "...")
+	skipBefore := strings.HasPrefix(text, "...")
 	want := []byte(strings.TrimPrefix(text, "..."))
 	for {
-		if at := bytes.Index(a.received, want); at >= 0 && (skip || at == 0) {
+		if at := bytes.Index(a.received, want); at >= 0 && (skipBefore || at == 0) {
 			a.received = a.received[at+len(want):]
 			return nil
 		}
-		if !skip && !bytes.HasPrefix(want, a.received) {
+		if !skipBefore && !bytes.HasPrefix(want, a.received) {
 			return fmt.Errorf("got %q", a.received)
 		}
 		if err := a.readMore(); err != nil {
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -45,8 +45,8 @@
 
 func TestVerdicts(t *testing.T) {
 	for line, want := range map[string]Verdict{"+OK": Taken, "-BUSY": Refused, "-BUSY 250": Refused, "-ERR no": Failed, "$2": Failed} {
-		v, after := Answer(line)
+		v, retryAfter := Answer(line)
 		assert.Equal(t, want, v, line)
-		assert.Equal(t, line == "-BUSY 250", after > 0)
+		assert.Equal(t, line == "-BUSY 250", retryAfter > 0)
 	}
 }
