--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -8,8 +8,8 @@
 	"snowjunction/internal/standin"
 )
 
-// The account must see what it is there for: a message without an end, one with
-// two, and ends that contradict each other.
+// Account must detect a message without a final result, a message with two, and results that
+// contradict each other.
 func TestAccount(t *testing.T) {
 	c := New("", "")
 	for id, v := range map[string]Verdict{
@@ -45,8 +45,8 @@
 
 func TestVerdicts(t *testing.T) {
 	for line, want := range map[string]Verdict{"+OK": Taken, "-BUSY": Refused, "-BUSY 250": Refused, "-ERR no": Failed, "$2": Failed} {
-		v, after := Answer(line)
+		v, retryAfter := Answer(line)
 		assert.Equal(t, want, v, line)
-		assert.Equal(t, line == "-BUSY 250", after > 0)
+		assert.Equal(t, line == "-BUSY 250", retryAfter > 0)
 	}
 }
