--- a/capacity_test.go
+++ b/capacity_test.go
@@ -44,7 +44,7 @@
 		}
 	}
 	now, i, grants := time.Second, 0, 0
-	gauge.CPU(b, n, "ask", func() {
+	gauge.CPUPerItem(b, n, "ask", func() {
 		for range n {
 			now += time.Second * plannedFleet / plannedEventsPerSecond
 			note := PeerMessage{Destination: owned[i%len(owned)], RequestsGrant: true, Calls: 1, Rank: 150, Limit: 12}
@@ -66,7 +66,7 @@
 // call to each of them and with one message waiting.
 func BenchmarkAwakeDestination(b *testing.B) {
 	const n = 4096
-	gauge.Held(b, n, "destination", func() any {
+	gauge.HeapPerItem(b, n, "destination", func() any {
 		c := newPlannedMember(b, 5)
 		c.settings.PeerMessages = false
 		id := RequestID(0)
@@ -115,7 +115,7 @@
 // BenchmarkHeldRequest measures the memory of a waiting message, without its destination.
 func BenchmarkHeldRequest(b *testing.B) {
 	const n = 100_000
-	gauge.Held(b, n, "event", func() any { return courierWithPending(b, n, 100) })
+	gauge.HeapPerItem(b, n, "event", func() any { return courierWithPending(b, n, 100) })
 }
 
 // BenchmarkTurn measures a call of Handle without events, per destination with waiting messages and
@@ -124,7 +124,7 @@
 	for _, x := range []struct{ messages, destinations int }{{100, 100}, {1_000, 1_000}, {4_000, 4_000}, {40_000, 4_000}, {1_000, 1}, {100_000, 1}} {
 		b.Run(fmt.Sprintf("messages=%d/destinations=%d", x.messages, x.destinations), func(b *testing.B) {
 			c, now := courierWithPending(b, x.messages, x.destinations), time.Second
-			gauge.CPU(b, 100, "turn", func() {
+			gauge.CPUPerItem(b, 100, "turn", func() {
 				for range 100 {
 					now += time.Millisecond
 					c.Handle(now, nil)
@@ -140,7 +140,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := courierWithPending(b, n, 1_000)
 			i := 0
-			gauge.CPU(b, 100, "event", func() {
+			gauge.CPUPerItem(b, 100, "event", func() {
 				for range 100 {
 					r := c.pending[(i*7919)%len(c.pending)]
 					c.finishRequest(r)
@@ -158,7 +158,7 @@
 func BenchmarkCarrier(b *testing.B) {
 	const n, loaded = 20_000, 4_000
 	c, now, i, sent := newPlannedMember(b, 5), time.Second, 0, 0
-	gauge.CPU(b, n, "event", func() {
+	gauge.CPUPerItem(b, n, "event", func() {
 		for range n {
 			now += time.Second * plannedFleet / plannedEventsPerSecond
 			d, old := DestinationID(i*7919%plannedDestinations), DestinationID((i-loaded)*7919%plannedDestinations)
--- a/cmd/snowjunction/command_test.go
+++ b/cmd/snowjunction/command_test.go
@@ -15,7 +15,7 @@
 // command runs the program with arguments and returns its output and exit code.
 func command(t *testing.T, env []string, args ...string) (string, int) {
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(append(os.Environ(), scenario.RunAs+"=1"), env...)
+	cmd.Env = append(append(os.Environ(), scenario.RunAsCourierEnv+"=1"), env...)
 	out, err := cmd.CombinedOutput()
 	if err != nil {
 		require.IsType(t, &exec.ExitError{}, err)
--- a/cmd/snowjunction/console_test.go
+++ b/cmd/snowjunction/console_test.go
@@ -11,20 +11,20 @@
 )
 
 // startWithConsole starts a courier with the console address, which scripts call console.
-func startWithConsole(t *testing.T) *scenario.Play {
+func startWithConsole(t *testing.T) *scenario.Runner {
 	c := prepare(t)
 	c.Peers = map[string]any{"console": "127.0.0.1:0"}
 	require.NoError(t, c.Start())
 	m, err := c.Await(`msg="second address" .*listen=(\S+)`)
 	require.NoError(t, err)
-	c.Play.Let("console", m[1])
-	return c.Play
+	c.Runner.Define("console", m[1])
+	return c.Runner
 }
 
 // The telemetry counts a message from acceptance to its final result, and an attempt once it is sent.
 func TestConsoleTelemetry(t *testing.T) {
 	p := startWithConsole(t)
-	p.Let("n", `"order":0,"status":`)
+	p.Define("n", `"order":0,"status":`)
 	p.Run(`
 		console dial q
 		q send "readyz\n"
@@ -88,7 +88,7 @@
 // If the console address cannot be bound, the start fails with one line.
 func TestConsoleAddressInUse(t *testing.T) {
 	c := scenario.NewCourier(t)
-	c.Peers = map[string]any{"console": c.Play.Server("taken")}
+	c.Peers = map[string]any{"console": c.Runner.Server("taken")}
 	require.Error(t, c.Start())
 	require.Regexp(t, `snowjunction: listen for console: .*in use`, c.Log())
 }
@@ -102,16 +102,16 @@
 		require.NoError(t, c.Start())
 		m, err := c.Await(`msg="second address" .*listen=(\S+)`)
 		require.NoError(t, err)
-		c.Play.Let("console", m[1])
+		c.Runner.Define("console", m[1])
 	}
 	begin()
 	for call, want := range map[string]string{
 		"exclude s-2": "error no such endpoint", "include s-2": "error no such endpoint", "exclude": "error the endpoint's id is wanted",
 		"include s-1": "done",
 	} {
-		c.Play.Run("console dial q\nq send \"" + call + "\\n\"\nq expect \"" + want + "\\n\"\nq expect EOF")
+		c.Runner.Run("console dial q\nq send \"" + call + "\\n\"\nq expect \"" + want + "\\n\"\nq expect EOF")
 	}
-	c.Play.Run(`
+	c.Runner.Run(`
 		console dial q
 		q send "exclude s-1\n"
 		q expect "done\n"
@@ -121,9 +121,9 @@
 		courier wait kill
 	`)
 	begin()
-	defineList(c.Play, `{"generation":9,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"`+c.Targets[0].Addr+
+	defineList(c.Runner, `{"generation":9,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"`+c.Targets[0].Addr+
 		`","zone":"a","machineType":"k","cell":7,"lifecycle":"Ready","weight":1,"startedAtMs":0}]}`)
-	c.Play.Run(`
+	c.Runner.Run(`
 		discovery accept d
 		discovery accept d
 		d expect "...\r\n\r\n"
@@ -148,7 +148,7 @@
 func TestHalfClosedCaller(t *testing.T) {
 	p := startWithConsole(t)
 	for call, want := range map[string]string{"exclude s-1\n": "done\n", "readyz\n": "done\n", "exclude": ""} {
-		c, err := net.DialTimeout("tcp", p.Name("console"), scenario.Limit)
+		c, err := net.DialTimeout("tcp", p.Name("console"), scenario.EventTimeout)
 		require.NoError(t, err)
 		_, err = c.Write([]byte(call))
 		require.NoError(t, err)
--- a/cmd/snowjunction/directory_test.go
+++ b/cmd/snowjunction/directory_test.go
@@ -29,7 +29,7 @@
 	require.NoError(s.t, s.Stop(how))
 	between()
 	require.NoError(s.t, s.Start())
-	s.client = load.New(s.Play.Name("client"), s.Play.Name("push"))
+	s.client = load.New(s.Runner.Name("client"), s.Runner.Name("push"))
 	s.t.Cleanup(s.client.Close)
 }
 
@@ -62,7 +62,7 @@
 func (s *testbed) deliverBurst(dest uint32, name string, n int) {
 	s.t.Helper()
 	for i := range n {
-		require.Equal(s.t, load.Taken, s.submit(dest, fmt.Sprintf("%s-%d", name, i)))
+		require.Equal(s.t, load.Accepted, s.submit(dest, fmt.Sprintf("%s-%d", name, i)))
 	}
 	for i := range n {
 		s.until(name, func() bool { return s.seen(dest, fmt.Sprintf("%s-%d", name, i)) })
@@ -73,7 +73,7 @@
 func (s *testbed) replace(list []standin.Instance) {
 	s.t.Helper()
 	g := s.directory.Replace(list)
-	s.until("the list", func() bool { return s.directory.Heard() >= g })
+	s.until("the list", func() bool { return s.directory.LastWatchedGeneration() >= g })
 }
 
 // A courier restarted while the directory is down delivers from the list on disk. Once the directory
@@ -84,7 +84,7 @@
 		s.deliverMany(d, "before", 1)
 	}
 	s.untilStored()
-	s.restart(syscall.SIGKILL, func() { s.directory.Down(true) })
+	s.restart(syscall.SIGKILL, func() { s.directory.SetSilent(true) })
 	assert.Regexp(t, `msg="starting list" .*source=cached .*endpoints=6`, s.Log())
 	for d := uint32(1); d <= 3; d++ {
 		s.deliverMany(d, "down", 1)
@@ -92,7 +92,7 @@
 	assert.Equal(t, "false", s.counter("directory.live"))
 	// In the meantime an endpoint of destination 1 drains, and those of destination 2 are removed.
 	s.list[0].Lifecycle = "Terminating"
-	s.directory.Down(false)
+	s.directory.SetSilent(false)
 	s.replace(append(s.list[:2:2], s.list[4:]...))
 	_, err := s.Await(`msg=belief .*of=directory is=live was=cached`)
 	require.NoError(t, err)
@@ -115,9 +115,9 @@
 	s.deliverMany(1, "before", 1)
 	s.untilStored()
 	s.restart(syscall.SIGKILL, func() {
-		s.directory.Down(true)
+		s.directory.SetSilent(true)
 		s.partners.Remove("p1-0")
-		s.partners.Give("p2-0", 3)                  // its address now belongs to another partner
+		s.partners.Reassign("p2-0", 3)              // its address now belongs to another partner
 		ageStoredList(t, s.State(), 7*24*time.Hour) // last confirmed a week ago
 		// Otherwise the learned state shows which endpoint is the better one.
 		require.NoError(t, removeAll(s.State(), "learnt-*"))
@@ -128,7 +128,7 @@
 		s.deliverBurst(1, fmt.Sprint("clump", i), 6) // at most one call at a time goes to p1-0
 	}
 	assert.Contains(t, s.Log(), "of=p1-1 destination=1 addr="+s.list[1].HostPort+" is=confirmed was=doubtful")
-	s.directory.Down(false)
+	s.directory.SetSilent(false)
 	calls := s.partners.Calls("p2-0")
 	list := slices.Clone(s.list)
 	list[2].Cell, list[2].InstanceID = 3, "new"
@@ -173,7 +173,7 @@
 	s.deliverMany(1, "before", 2)
 	s.untilStored()
 	s.restart(syscall.SIGKILL, func() {
-		s.directory.Down(true)
+		s.directory.SetSilent(true)
 		ageStoredList(t, s.State(), -time.Hour)
 	})
 	s.deliverMany(1, "after", 2)
@@ -269,7 +269,7 @@
 	require.NoError(t, err)
 	s.replace(s.list)
 	s.replace(s.list)
-	s.directory.Say(b)
+	s.directory.SetFixedResponse(b)
 	_, err = s.Await(`list goes back`)
 	require.NoError(t, err)
 	_, err = s.Await(`code=drained`)
@@ -281,9 +281,9 @@
 	other, err := standin.NewDirectory(s.list[:3])
 	require.NoError(t, err)
 	t.Cleanup(other.Close)
-	s.Play.Let("discovery", other.Addr())
-	s.Play.Run("courier wait hup")
-	s.until("the other agent's list", func() bool { return other.Heard() == 1 })
+	s.Runner.Define("discovery", other.Addr())
+	s.Runner.Run("courier wait hup")
+	s.until("the other agent's list", func() bool { return other.LastWatchedGeneration() == 1 })
 	before = s.partners.Calls("p2-1")
 	s.deliverMany(2, "moved", 5)
 	assert.Equal(t, before, s.partners.Calls("p2-1"))
@@ -302,7 +302,7 @@
 		"future":    func(b []byte) []byte { b[5]++; return b },
 	} {
 		s.restart(syscall.SIGKILL, func() {
-			s.directory.Down(true)
+			s.directory.SetSilent(true)
 			for _, pattern := range []string{"directory-*", "learnt-*"} {
 				files, err := filepath.Glob(filepath.Join(s.State(), pattern))
 				require.NoError(t, err)
@@ -318,8 +318,8 @@
 			}
 		})
 		assert.Contains(t, s.Log(), "file=directory-", name)
-		assert.Equal(t, load.Refused, s.submit(1, "nobody"), name)
-		s.directory.Down(false)
+		assert.Equal(t, load.Rejected, s.submit(1, "nobody"), name)
+		s.directory.SetSilent(false)
 		s.replace(s.list)
 		s.deliverMany(1, name, 2)
 		s.untilStored()
@@ -379,7 +379,7 @@
 	submitted := 0
 	s.untilWithTraffic(2, "every endpoint is down", func() bool {
 		if submitted-len(s.directory.Notices()) < 8 {
-			require.Equal(t, load.Taken, s.submit(1, fmt.Sprintf("lost-%d", submitted)))
+			require.Equal(t, load.Accepted, s.submit(1, fmt.Sprintf("lost-%d", submitted)))
 			submitted++
 		}
 		return s.storedCondition(1, snowjunction.Down, true)
@@ -400,7 +400,7 @@
 
 // callsInProgress returns the number of calls that a partner is processing.
 func (s *testbed) callsInProgress(dest uint32) (n int) {
-	require.NoError(s.t, s.partners.With(dest, func(p *partner.Partner) { n = p.Under() }))
+	require.NoError(s.t, s.partners.With(dest, func(p *partner.Partner) { n = p.InFlight() }))
 	return n
 }
 
@@ -410,7 +410,7 @@
 	s := newTestbed(t, 2, map[string]any{})
 	s.deliverMany(1, "before", 5)
 	require.NoError(t, s.partners.With(1, func(p *partner.Partner) {
-		p.Add(partner.Fault{Kind: partner.Shut, From: s.partners.Now(), Until: s.partners.Now() + time.Hour})
+		p.Add(partner.Fault{Kind: partner.Reject, From: s.partners.Now(), Until: s.partners.Now() + time.Hour})
 	}))
 	calls := func() int { return s.partners.Calls("p1-0") + s.partners.Calls("p1-1") }
 	s.submit(1, "told")
@@ -482,7 +482,7 @@
 	assert.Regexp(t, `- p1-0 cell 1 at \S+\n\+ p1-x cell 1 at \S+\n$`, run(exitFailed, "diff", s.State(), file))
 	run(0, "import", file, "--age=168h")
 	assert.Regexp(t, `p1-x .* doubtful +the list is old`, run(0, "show"))
-	s.directory.Down(true)
+	s.directory.SetSilent(true)
 	require.NoError(t, s.Start())
 	assert.Regexp(t, `source=cached .*age=168h`, s.Log())
 	for wrong, want := range map[string]string{
--- a/cmd/snowjunction/emulate.go
+++ b/cmd/snowjunction/emulate.go
@@ -60,11 +60,11 @@
 			}
 			results = append(results, r)
 			if p == "module" {
-				violations += r.Broken()
+				violations += r.Violations()
 			}
 			fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%d\t%d\t%.0f\t\n", p, r.Seed, r.G, r.Whole,
-				r.WorstWindow, r.WorstClass, r.WorstTenant, r.Tries, r.Delivered, r.Late, r.Refused, r.Failed, r.Sends, r.TurnedAway,
-				r.P50Ms, r.P99Ms, r.Fell, r.Broken(), float64(r.Events)/time.Since(started).Seconds())
+				r.WorstWindow, r.WorstClass, r.WorstTenant, r.Tries, r.Delivered, r.Late, r.Refused, r.Failed, r.Sends, r.Rejected,
+				r.P50Ms, r.P99Ms, r.Collapses, r.Violations(), float64(r.Events)/time.Since(started).Seconds())
 		}
 	}
 	if e.JSON != "-" {
--- a/cmd/snowjunction/experiment.go
+++ b/cmd/snowjunction/experiment.go
@@ -41,7 +41,7 @@
 	if e.Seeds > 0 {
 		f.Seeds = e.Seeds
 	}
-	plan, err := experiment.Make(f, dir)
+	plan, err := experiment.NewPlan(f, dir)
 	if err != nil {
 		return err
 	}
@@ -58,7 +58,7 @@
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
 	showProgress := newProgressLine()
-	results, err := experiment.Play(ctx, plan, experiment.Options{
+	results, err := experiment.Execute(ctx, plan, experiment.Options{
 		Out: e.Out, Build: buildHash, Jobs: e.Jobs, Fresh: e.Fresh,
 		Progress: func(done, of int) { showProgress("%s: %d of %d runs", f.Name, done, of) },
 	})
--- a/cmd/snowjunction/fleet_test.go
+++ b/cmd/snowjunction/fleet_test.go
@@ -18,9 +18,9 @@
 func startInFleet(t *testing.T, size any) *scenario.Courier {
 	c := scenario.NewCourier(t)
 	c.Settings["fleet-size"] = size
-	c.Targets = []scenario.Target{{Name: "s-1", Addr: c.Play.Server("target"), Cell: 7}}
-	c.Play.Let("ok", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	c.Play.Let("busy", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+	c.Targets = []scenario.Target{{Name: "s-1", Addr: c.Runner.Server("target"), Cell: 7}}
+	c.Runner.Define("ok", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	c.Runner.Define("busy", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 	require.NoError(t, c.Start())
 	return c
 }
@@ -31,7 +31,7 @@
 	c := startInFleet(t, 80)
 	last := 0
 	for range 2 {
-		c.Play.Run(`
+		c.Runner.Run(`
 			discovery accept d
 			d expect "GET /discovery/hosts?after=1&wait_ms=1 HTTP/1.1\r\n"
 			d expect "...\r\n\r\n"
@@ -46,7 +46,7 @@
 		assert.GreaterOrEqual(t, pause, last)
 		last = pause
 	}
-	c.Play.Run(`
+	c.Runner.Run(`
 		client dial c
 		c send "*5\r\n$7\r\nOUT.ADD\r\n$16\r\n0000000000000000\r\n$2\r\nm1\r\n$29\r\nc=status,t=town,d=8000,dest=7\r\n$1\r\nx\r\n"
 		c expect "+OK\r\n"
@@ -62,7 +62,7 @@
 // it delivers them by the stored list.
 func TestStartWhileDirectoryRejects(t *testing.T) {
 	c := startInFleet(t, 80)
-	c.Play.Run(`
+	c.Runner.Run(`
 		client dial c
 		c send "*5\r\n$7\r\nOUT.ADD\r\n$16\r\n0000000000000000\r\n$2\r\nm1\r\n$29\r\nc=status,t=town,d=8000,dest=7\r\n$1\r\nx\r\n"
 		c expect "+OK\r\n"
@@ -84,7 +84,7 @@
 // A missing or invalid fleet size counts as a fleet of one courier.
 func TestInvalidFleetSize(t *testing.T) {
 	for _, size := range []any{nil, 0, -5, "many", 1} {
-		startInFleet(t, size).Play.Run(`
+		startInFleet(t, size).Runner.Run(`
 			discovery accept d
 			d expect "...\r\n\r\n"
 			d send "$busy"
@@ -112,10 +112,10 @@
 	}
 	peers[79] = own.LocalAddr().String()
 	c.Peers = map[string]any{"peer_listen": peers[79], "peers": peers}
-	c.Targets = []scenario.Target{{Name: "s-1", Addr: c.Play.Server("target"), Cell: 7}}
-	c.Play.Let("ok", "HTTP/1.1 200 OK\r\nX-Server-Load: x0=0.8,x1=44\r\nContent-Length: 0\r\n\r\n")
-	c.Play.Let("ADD", "*5\r\n$7\r\nOUT.ADD\r\n$16\r\n0000000000000000\r\n$2\r\n")
-	c.Play.Let("STATUS", "\r\n$29\r\nc=status,t=town,d=8000,dest=7\r\n$1\r\n")
+	c.Targets = []scenario.Target{{Name: "s-1", Addr: c.Runner.Server("target"), Cell: 7}}
+	c.Runner.Define("ok", "HTTP/1.1 200 OK\r\nX-Server-Load: x0=0.8,x1=44\r\nContent-Length: 0\r\n\r\n")
+	c.Runner.Define("ADD", "*5\r\n$7\r\nOUT.ADD\r\n$16\r\n0000000000000000\r\n$2\r\n")
+	c.Runner.Define("STATUS", "\r\n$29\r\nc=status,t=town,d=8000,dest=7\r\n$1\r\n")
 	require.NoError(t, c.Start())
 	limits := make(chan float64, 64)
 	go func() { // grants every request, among invalid datagrams
@@ -142,7 +142,7 @@
 			}
 		}
 	}()
-	c.Play.Run(`
+	c.Runner.Run(`
 		client dial c
 		c send "$ADDm1$STATUSx\r\n"
 		c expect "+OK\r\n"
--- a/cmd/snowjunction/handover_test.go
+++ b/cmd/snowjunction/handover_test.go
@@ -35,13 +35,13 @@
 	old.Peers = map[string]any{"console": "127.0.0.1:0"}
 	require.NoError(t, old.Start())
 	defineConsole(t, old, "old")
-	p := old.Play
-	p.Let("last", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+	p := old.Runner
+	p.Define("last", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 	// $KEYid$ORDERkey\r\n$1\r\nbyte\r\n submits an ordered message; $ADD and $STATUS are defined in
 	// prepare.
-	p.Let("KEY", "*5\r\n$7\r\nOUT.ADD\r\n$16\r\n0000000000000009\r\n$2\r\n")
-	p.Let("ORDER", "\r\n$34\r\nc=order,t=town,d=60000,dest=7,k=")
-	return old, old.Beside("next")
+	p.Define("KEY", "*5\r\n$7\r\nOUT.ADD\r\n$16\r\n0000000000000009\r\n$2\r\n")
+	p.Define("ORDER", "\r\n$34\r\nc=order,t=town,d=60000,dest=7,k=")
+	return old, old.SecondProcess("next")
 }
 
 // m1Sent makes client a submit m1, which is sent to t1 and not answered.
@@ -62,10 +62,10 @@
 	hiddenPath := socketPath + ".away"
 	require.NoError(t, os.Rename(socketPath, hiddenPath))
 	require.NoError(t, next.Launch())
-	old.Play.Run(`next wait "waits for the folder's owner"`)
-	old.Play.Run(script)
+	old.Runner.Run(`next wait "waits for the folder's owner"`)
+	old.Runner.Run(script)
 	require.NoError(t, os.Rename(hiddenPath, socketPath))
-	old.Play.Run(`
+	old.Runner.Run(`
 		next wait "msg=started"
 		courier wait "handed over"
 	`)
@@ -75,12 +75,12 @@
 func defineConsole(t *testing.T, c *scenario.Courier, name string) {
 	m, err := c.Await(`msg="second address" .*listen=(\S+)`)
 	require.NoError(t, err)
-	c.Play.Let(name, m[1])
+	c.Runner.Define(name, m[1])
 }
 
 // telemetry returns the figures from the console address with the given name.
-func telemetry(t *testing.T, p *scenario.Play, name string) (x core.Figures) {
-	c, err := net.DialTimeout("tcp", p.Name(name), scenario.Limit)
+func telemetry(t *testing.T, p *scenario.Runner, name string) (x core.Figures) {
+	c, err := net.DialTimeout("tcp", p.Name(name), scenario.EventTimeout)
 	require.NoError(t, err)
 	defer c.Close()
 	_, err = c.Write([]byte("telemetry\n"))
@@ -94,7 +94,7 @@
 // and everything is counted once.
 func TestHandover(t *testing.T) {
 	old, next := startPair(t)
-	p := old.Play
+	p := old.Runner
 	p.Run(m1Sent + `
 		client dial k
 		k send "$KEYo1$ORDERk1\r\n$1\r\na\r\n"
@@ -154,7 +154,7 @@
 // After a handover, console calls and a SIGHUP that reach the old process take effect at the owner.
 func TestCallsToBothProcesses(t *testing.T) {
 	old, next := startPair(t)
-	p := old.Play
+	p := old.Runner
 	p.Run(`
 		old dial half
 	`)
@@ -194,7 +194,7 @@
 // owner.
 func TestNewProcessDies(t *testing.T) {
 	old, _ := startPair(t)
-	p := old.Play
+	p := old.Runner
 	p.Run(m1Sent + `
 		next wait start
 		next wait kill
@@ -205,7 +205,7 @@
 		t2 expect "...\r\n\r\nx"
 		t2 send "$ok"
 	`)
-	old.Beside("third")
+	old.SecondProcess("third")
 	p.Run(`
 		third wait start
 		client dial c
@@ -220,7 +220,7 @@
 // clients and calls, and the next process that requests a handover gets everything.
 func TestAbortedHandovers(t *testing.T) {
 	old, _ := startPair(t)
-	p := old.Play
+	p := old.Runner
 	p.Run(m1Sent)
 	for _, last := range []handover.Kind{handover.KindHello, handover.KindClient, handover.KindEnd, handover.KindLock} {
 		link, err := handover.Dial(old.State())
@@ -276,15 +276,15 @@
 	raw(hello[:len(hello)-1])
 	raw([]byte("GET / HTTP/1.1\r\n\r\n"))
 	raw(handover.Frame{Kind: handover.KindReady, FD: -1}.Encode())
-	old.Play.Run(`
+	old.Runner.Run(`
 		courier wait "a handover was refused"
 		courier wait "a handover was refused"
 		courier wait "a handover was refused"
 	`)
-	old.Play.Run(m1Sent)
+	old.Runner.Run(m1Sent)
 	hello[record.FrameSize]++
 	raw(record.Seal(hello))
-	old.Play.Run(`
+	old.Runner.Run(`
 		courier wait "this process ends"
 		t1 send "$ok"
 		courier wait exit
@@ -298,21 +298,21 @@
 	old, next := startPair(t)
 	require.NoError(t, old.Signal(syscall.SIGSTOP))
 	require.NoError(t, next.Launch())
-	old.Play.Run(`
+	old.Runner.Run(`
 		next wait "waits for the folder's owner"
 		next wait term
 		next wait exit
 	`)
 	require.NoError(t, next.Launch())
-	old.Play.Run(`next wait "waits for the folder's owner"`)
+	old.Runner.Run(`next wait "waits for the folder's owner"`)
 	require.NoError(t, old.Signal(syscall.SIGCONT))
-	old.Play.Run(`
+	old.Runner.Run(`
 		next wait "msg=started"
 		courier wait term
 		courier wait exit
 	`)
-	old.Beside("third")
-	old.Play.Run(`
+	old.SecondProcess("third")
+	old.Runner.Run(`
 		next wait term
 		third wait start
 		next wait exit
@@ -325,16 +325,16 @@
 	lock, err := handover.Acquire(c.State())
 	require.NoError(t, err)
 	require.NoError(t, c.Launch())
-	c.Play.Run(`courier wait "waits for the folder's owner"`)
+	c.Runner.Run(`courier wait "waits for the folder's owner"`)
 	lock.Close()
-	c.Play.Run(`courier wait "msg=started"`)
+	c.Runner.Run(`courier wait "msg=started"`)
 }
 
 // If the listen address is in use by a program that does not own the state folder, the start fails
 // with one line, before anything in the folder is written.
 func TestAddressInUse(t *testing.T) {
 	c := prepare(t)
-	c.Peers = map[string]any{"listen": c.Play.Server("foreign")}
+	c.Peers = map[string]any{"listen": c.Runner.Server("foreign")}
 	require.Error(t, c.Start())
 	assert.Regexp(t, `snowjunction: listen for client: .*in use\n$`, c.Log())
 	files, err := os.ReadDir(c.State())
@@ -344,7 +344,7 @@
 
 // awaitResults waits for the final result of every message and returns the totals. submitted is
 // the number of distinct messages submitted; some were resubmitted.
-func (s *testbed) awaitResults(submitted int) (e load.Ends) {
+func (s *testbed) awaitResults(submitted int) (e load.Results) {
 	s.t.Helper()
 	sent := map[string]load.Message{}
 	for _, m := range s.client.Sent {
@@ -352,7 +352,7 @@
 	}
 	s.client.Sent = slices.Collect(maps.Values(sent))
 	s.until("the final result of every message", func() bool {
-		e = s.client.Account(s.seen, s.directory.Notices(), nil)
+		e = s.client.CountResults(s.seen, s.directory.Notices(), nil)
 		return e.Open == 0
 	})
 	assert.Equal(s.t, submitted, e.Handed)
@@ -370,11 +370,11 @@
 func testUpgrades(t *testing.T, withKills bool) {
 	const lanes, each = 6, 50
 	s := newTestbedWith(t, 2, map[string]any{}, func(s *testbed) {
-		s.Unhurried()
+		s.ExtendTimeouts()
 		// No outgoing connection of a test uses this address.
 		s.Peers = map[string]any{"listen": "127.91.7.3:0"}
 	}, false)
-	s.Peers["listen"] = s.Play.Name("client")
+	s.Peers["listen"] = s.Runner.Name("client")
 	// gaps is odd while no process may be listening: only then may a request get no reply.
 	var gaps, noReplies atomic.Int64
 	var wg sync.WaitGroup
@@ -382,15 +382,15 @@
 	for lane := range lanes {
 		wg.Go(func() {
 			for i := range each {
-				m := load.Message{ID: fmt.Sprintf("m-%d-%d", lane, i), Class: "status", Tenant: "town", Destination: uint32(1 + lane%2), Left: time.Minute}
+				m := load.Message{ID: fmt.Sprintf("m-%d-%d", lane, i), Class: "status", Tenant: "town", Destination: uint32(1 + lane%2), TTL: time.Minute}
 				if lane < 3 {
-					m.Class, m.Keyed, m.Key, m.Seq = "order", true, uint64(lane+1), uint64(i)
+					m.Class, m.HasIdempotencyKey, m.Key, m.Seq = "order", true, uint64(lane+1), uint64(i)
 				}
 				// A client without a reply resubmits the message.
-				for limit := time.Now().Add(scenario.Limit); time.Now().Before(limit); {
+				for limit := time.Now().Add(scenario.EventTimeout); time.Now().Before(limit); {
 					before := gaps.Load()
-					v, after, err := s.client.Add(m)
-					if v == load.Taken || v == load.Failed {
+					v, after, err := s.client.Submit(m)
+					if v == load.Accepted || v == load.Failed {
 						break
 					}
 					if err != nil && before%2 == 0 && gaps.Load() == before {
@@ -411,7 +411,7 @@
 	}()
 	current := s.Courier
 	for i := range 5 {
-		next := current.Beside(fmt.Sprint("process ", i))
+		next := current.SecondProcess(fmt.Sprint("process ", i))
 		switch {
 		case withKills && i == 2:
 			gaps.Add(1)
@@ -443,9 +443,9 @@
 	e := s.awaitResults(lanes * each)
 	assert.Zero(t, e.Unheard+e.Doubled+e.Failed+e.Refused, "%+v", e)
 	n := s.counts()
-	assert.Zero(t, n.OutOfOrder+n.InWait+n.Drained, "%+v", n)
+	assert.Zero(t, n.OutOfOrder+n.DuringRetryAfter+n.AfterDrain, "%+v", n)
 	if !withKills {
-		assert.Zero(t, n.Copies, "%+v", n)
+		assert.Zero(t, n.Duplicates, "%+v", n)
 	}
 }
 
@@ -468,7 +468,7 @@
 		{"after the lock was sent", 2, true, false}, {"silent in the handover state", 1, false, true},
 	} {
 		old, next := startPair(t)
-		p := old.Play
+		p := old.Runner
 		p.Run(m1Sent + `
 			courier wait kill
 			t1 expect EOF
@@ -500,7 +500,7 @@
 		m, err := next.Await(`msg=started .*listen=(\S+) push=\S* restored=1`)
 		require.NoError(t, err, c.what)
 		assert.Equal(t, c.deed, strings.Contains(next.Log(), "taken over"), c.what)
-		p.Let("client", m[1])
+		p.Define("client", m[1])
 		p.Run(`
 			target accept t2
 			t2 expect "...X-Request-ID: m1\r\n"
@@ -519,9 +519,9 @@
 func TestFewDescriptors(t *testing.T) {
 	old, _ := startPair(t, 64)
 	for i := range 7 { // more would be closed to stay within the limit
-		old.Play.Run(fmt.Sprintf("client dial c%d", i))
+		old.Runner.Run(fmt.Sprintf("client dial c%d", i))
 	}
-	old.Play.Run(`
+	old.Runner.Run(`
 		next wait start
 		courier wait "handed over"
 		c0 send "*1\r\n$4\r\nPING\r\n"
@@ -534,7 +534,7 @@
 	socketPath := filepath.Join(old.State(), "handover.sock")
 	require.NoError(t, os.Remove(socketPath))
 	require.NoError(t, os.MkdirAll(filepath.Join(socketPath, "in the way"), 0o700))
-	third := old.Beside("third")
+	third := old.SecondProcess("third")
 	require.NoError(t, third.Start())
 	assert.Contains(t, third.Log(), "no handovers")
 }
@@ -543,7 +543,7 @@
 // owner hands anything over.
 func TestConsoleAddressInUseDuringUpgrade(t *testing.T) {
 	old, next := startPair(t)
-	next.Peers = map[string]any{"console": old.Play.Server("taken")}
+	next.Peers = map[string]any{"console": old.Runner.Server("taken")}
 	require.Error(t, next.Start())
 	assert.Regexp(t, `^snowjunction: listen for console: .*in use\n$`, next.Log())
 	assert.NotContains(t, old.Log(), "handing over")
@@ -556,7 +556,7 @@
 	writePlugin(t, folder, "shaper", map[string]any{"hooks": []string{"shape"}, "touches": map[string]any{"headers": true}, "budget": generousBudget},
 		"def shape(call):\n    return {'headers': {'X-Kitchen': 'one'}}\n")
 	s := newTestbedWith(t, 2, map[string]any{"store": filepath.Join(t.TempDir(), "idle.db")}, func(s *testbed) {
-		s.Unhurried()
+		s.ExtendTimeouts()
 		s.Env = append(s.Env, withPlugins(t, s.Dir(), folder))
 	}, true)
 	var wg sync.WaitGroup
@@ -564,11 +564,11 @@
 	for lane := range lanes {
 		wg.Go(func() {
 			for i := range each {
-				m := load.Message{ID: fmt.Sprintf("b-%d-%d", lane, i), Class: "status", Tenant: "town", Destination: uint32(1 + lane%2), Left: time.Minute, Push: lane >= 2}
+				m := load.Message{ID: fmt.Sprintf("b-%d-%d", lane, i), Class: "status", Tenant: "town", Destination: uint32(1 + lane%2), TTL: time.Minute, Push: lane >= 2}
 				// A push client whose connection ends with its process resubmits the message.
-				for limit := time.Now().Add(scenario.Limit); time.Now().Before(limit); {
-					v, after, err := s.client.Add(m)
-					if v == load.Taken || v == load.Failed || err != nil && !m.Push {
+				for limit := time.Now().Add(scenario.EventTimeout); time.Now().Before(limit); {
+					v, after, err := s.client.Submit(m)
+					if v == load.Accepted || v == load.Failed || err != nil && !m.Push {
 						assert.NoError(t, err)
 						break
 					}
@@ -579,7 +579,7 @@
 	}
 	current := s.Courier
 	for i := range 3 {
-		next := current.Beside(fmt.Sprint("process ", i))
+		next := current.SecondProcess(fmt.Sprint("process ", i))
 		require.NoError(t, next.Start())
 		assert.Contains(t, next.Log(), "taken over")
 		assert.NotContains(t, next.Log(), "no idle store")
@@ -590,14 +590,14 @@
 	e := s.awaitResults(lanes * each)
 	assert.Zero(t, e.Unheard+e.Doubled+e.Failed+e.Refused, "%+v", e)
 	n := s.counts()
-	assert.Zero(t, n.Copies+n.InWait+n.Drained, "%+v", n)
+	assert.Zero(t, n.Duplicates+n.DuringRetryAfter+n.AfterDrain, "%+v", n)
 	// The last process has loaded the plug-in too. Whether it answers in time depends on the machine.
 	s.deliver(1, "last")
 	require.NoError(t, current.Signal(syscall.SIGUSR1))
 	m, err := current.Await(`msg=counters .* plugins\.shaper\.calls=(\d+) plugins\.shaper\.answered=(\d+) .*plugins\.shaper\.passed=(\d+)`)
 	require.NoError(t, err)
 	assert.NotEqual(t, []string{"0", "0"}, []string{m[1], m[3]}, "the plug-in is called, or skipped while in quarantine")
-	if shaped := s.partners.LastShaped(); m[2] != "0" || len(shaped) > 0 {
+	if shaped := s.partners.LastKitchenCall(); m[2] != "0" || len(shaped) > 0 {
 		require.NotEmpty(t, shaped)
 		assert.Equal(t, "one", shaped[0])
 	}
@@ -607,9 +607,9 @@
 // Ready with a new start time, until an include call to either process.
 func TestExcludedDuringHandover(t *testing.T) {
 	old, next := startPair(t)
-	defineList(old.Play, `{"generation":9,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"`+old.Targets[0].Addr+
+	defineList(old.Runner, `{"generation":9,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"`+old.Targets[0].Addr+
 		`","zone":"a","machineType":"k","cell":7,"lifecycle":"Ready","weight":1,"startedAtMs":77}]}`)
-	old.Play.Run(`
+	old.Runner.Run(`
 		discovery accept d1
 		old dial q
 		q send "exclude s-1\n"
@@ -626,9 +626,9 @@
 		c expect "+OK\r\n"
 	`)
 	defineConsole(t, next, "new")
-	x := telemetry(t, old.Play, "new")
+	x := telemetry(t, old.Runner, "new")
 	assert.Equal(t, []int{0, 2, 1, 1}, []int{int(x.Relayed), x.Open, x.Entries, x.OutOfRotation})
-	old.Play.Run(`
+	old.Runner.Run(`
 		old dial q
 		q send "include s-1\n"
 		q expect "done\n"
--- a/cmd/snowjunction/idle_test.go
+++ b/cmd/snowjunction/idle_test.go
@@ -45,7 +45,7 @@
 	var specs []standin.Spec
 	for i := range partners {
 		specs = append(specs, standin.Spec{Destination: uint32(i + 1), Endpoints: 2, HTTP2: push && i%2 == 1, Profile: partner.Profile{
-			Limit: 50, Report: true, Latency: 5 * time.Millisecond, Tells: 1,
+			Limit: 50, ReportsLimit: true, Latency: 5 * time.Millisecond, RetryAfterShare: 1,
 		}})
 	}
 	var err error
@@ -61,7 +61,7 @@
 		}
 	}
 	if push {
-		file, err := rig.PushFile(s.Dir(), standin.List(pushed))
+		file, err := rig.PushConfig(s.Dir(), standin.List(pushed))
 		require.NoError(t, err)
 		b, err := json.Marshal(file)
 		require.NoError(t, err)
@@ -72,7 +72,7 @@
 	s.directory, err = standin.NewDirectory(s.list)
 	require.NoError(t, err)
 	t.Cleanup(s.directory.Close)
-	s.Play.Let("discovery", s.directory.Addr())
+	s.Runner.Define("discovery", s.directory.Addr())
 	s.idleFile = filepath.Join(s.Dir(), "idle.json")
 	s.configure(idle)
 	s.Env = append(s.Env, "SNOWJUNCTION_IDLE="+s.idleFile)
@@ -89,28 +89,28 @@
 
 func (s *testbed) start() {
 	require.NoError(s.t, s.Start())
-	s.client = load.New(s.Play.Name("client"), s.Play.Name("push"))
-	s.client.Within = scenario.Limit
+	s.client = load.New(s.Runner.Name("client"), s.Runner.Name("push"))
+	s.client.Timeout = scenario.EventTimeout
 	s.t.Cleanup(s.client.Close)
 	g := s.directory.Replace(s.list) // the list in the configuration is empty and has generation 1
-	s.until("the list", func() bool { return s.directory.Heard() >= g })
+	s.until("the list", func() bool { return s.directory.LastWatchedGeneration() >= g })
 }
 
 // until polls ok until it returns true and fails the test after scenario.Limit.
 func (s *testbed) until(what string, ok func() bool) {
 	s.t.Helper()
-	for limit := time.Now().Add(scenario.Limit); !ok(); time.Sleep(5 * time.Millisecond) {
+	for limit := time.Now().Add(scenario.EventTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		require.True(s.t, time.Now().Before(limit), "not in time: %s", what)
 	}
 }
 
 func (s *testbed) seen(dest uint32, id string) (seen bool) {
-	_ = s.partners.With(dest, func(p *partner.Partner) { seen = p.Seen(id) })
+	_ = s.partners.With(dest, func(p *partner.Partner) { seen = p.WasDelivered(id) })
 	return seen
 }
 
 func (s *testbed) submit(dest uint32, id string) load.Verdict {
-	v, _, err := s.client.Add(load.Message{ID: id, Class: "status", Tenant: "town", Destination: dest, Left: s.timeLeft})
+	v, _, err := s.client.Submit(load.Message{ID: id, Class: "status", Tenant: "town", Destination: dest, TTL: s.timeLeft})
 	require.NoError(s.t, err)
 	return v
 }
@@ -118,7 +118,7 @@
 // deliver submits a message and waits until the partner has received it.
 func (s *testbed) deliver(dest uint32, id string) {
 	s.t.Helper()
-	require.Equal(s.t, load.Taken, s.submit(dest, id), id)
+	require.Equal(s.t, load.Accepted, s.submit(dest, id), id)
 	s.until(id, func() bool { return s.seen(dest, id) })
 }
 
@@ -148,7 +148,7 @@
 	s.deliver(1, "before")
 	all := append(append([]standin.Instance(nil), s.list...), idleInstances(0, 9990)...)
 	generation := s.directory.Replace(all)
-	for i := 0; s.directory.Heard() < generation || i < 50; i++ {
+	for i := 0; s.directory.LastWatchedGeneration() < generation || i < 50; i++ {
 		s.deliver(uint32(i%10+1), fmt.Sprintf("m%d", i))
 		require.Less(t, i, 5000, "the list is never accepted")
 	}
@@ -156,10 +156,10 @@
 	assert.Equal(t, "10", s.counter("idle.awake"))
 	for round := range 3 { // back to the short list and up again, by full lists and by changes
 		g := s.directory.Replace(s.list)
-		s.until("the short list", func() bool { return s.directory.Heard() >= g })
+		s.until("the short list", func() bool { return s.directory.LastWatchedGeneration() >= g })
 		s.deliver(3, fmt.Sprintf("short%d", round))
 		g = s.directory.Change(idleInstances(round*4000, 2000)...)
-		s.until("the change", func() bool { return s.directory.Heard() >= g })
+		s.until("the change", func() bool { return s.directory.LastWatchedGeneration() >= g })
 		s.deliver(4, fmt.Sprintf("long%d", round))
 		assert.Equal(t, "2010", s.counter("idle.destinations"))
 	}
@@ -196,25 +196,25 @@
 		"too many":        {list(100, long...), "too big"},
 		"64 MB":           {[]byte(`{"generation":100,"instances":[` + strings.Repeat(" ", 64<<20)), "too big"},
 	} {
-		s.directory.Say(tc.text)
+		s.directory.SetFixedResponse(tc.text)
 		_, err := s.Await(`cannot be read.*` + tc.want)
 		require.NoError(t, err, name)
 		for d := uint32(1); d <= 3; d++ {
 			n++
 			s.deliver(d, fmt.Sprintf("m%d", n))
 		}
-		s.directory.Say(nil)
+		s.directory.SetFixedResponse(nil)
 		g := s.directory.Replace(s.list)
-		s.until("a good list", func() bool { return s.directory.Heard() >= g })
+		s.until("a good list", func() bool { return s.directory.LastWatchedGeneration() >= g })
 	}
 	// A list with a draining endpoint, followed by an invalid entry.
 	draining := s.list[0]
-	s.directory.Say(list(100, entry(draining.InstanceID, draining.HostPort, "1", "Terminating", "1"), entry("x", "127.0.0.1:1", `"no"`, "Ready", "1")))
+	s.directory.SetFixedResponse(list(100, entry(draining.InstanceID, draining.HostPort, "1", "Terminating", "1"), entry("x", "127.0.0.1:1", `"no"`, "Ready", "1")))
 	_, err := s.Await(`code=drained`)
 	require.NoError(t, err, "the idle connection of the draining endpoint is closed")
-	s.directory.Say(nil)
+	s.directory.SetFixedResponse(nil)
 	g := s.directory.Replace(s.list[2:])
-	s.until("a good list", func() bool { return s.directory.Heard() >= g })
+	s.until("a good list", func() bool { return s.directory.LastWatchedGeneration() >= g })
 	s.deliver(2, "last")
 }
 
--- a/cmd/snowjunction/load.go
+++ b/cmd/snowjunction/load.go
@@ -51,18 +51,18 @@
 func (c loadCommand) Run() (err error) {
 	o := openload.Options{
 		Mix: openload.Mix{
-			Rate: c.Rate, For: c.For, Even: c.Even, Push: c.Share, Orders: c.Orders, PerKey: c.PerKey, Keyed: c.Keyed, Skew: c.Skew,
+			Rate: c.Rate, Duration: c.For, Even: c.Even, PushShare: c.Share, OrderShare: c.Orders, MessagesPerKey: c.PerKey, StatusKeyedShare: c.Keyed, Skew: c.Skew,
 			Tenant: c.Tenant, Seed: c.Seed, Deadline: c.Deadline, Prefix: strconv.FormatInt(time.Now().UnixNano(), 36) + "-",
 		},
 		RespAddr: c.Resp, PushAddr: c.PushAddr, Conns: c.Conns, Pipeline: c.Pipeline, Settle: c.Settle,
 	}
-	if o.Resp, err = parseDestinations(c.To); err == nil {
-		o.Pushed, err = parseDestinations(c.PushTo)
+	if o.RESPDestinations, err = parseDestinations(c.To); err == nil {
+		o.PushDestinations, err = parseDestinations(c.PushTo)
 	}
 	if err != nil {
 		return err
 	}
-	var settle func() load.Ends
+	var settle func() load.Results
 	switch {
 	case c.Rig && c.Sink || (c.Rig || c.Sink) && c.Resp+c.PushAddr != "":
 		return fmt.Errorf("a courier's addresses, --rig and --sink are mutually exclusive")
@@ -82,9 +82,9 @@
 	case c.Resp == "" && c.PushAddr == "":
 		return fmt.Errorf("no courier given: --resp and --push name a courier's fronts; --rig starts one")
 	case c.Resp == "":
-		o.Mix.Push = 1
+		o.Mix.PushShare = 1
 	case c.PushAddr == "":
-		o.Mix.Push = 0
+		o.Mix.PushShare = 0
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -122,7 +122,7 @@
 // rig starts a courier with simulated partners of both fronts and points o at it. It returns a
 // function that waits for the final results of all messages and counts them, and one that stops
 // everything.
-func (c loadCommand) rig(o *openload.Options) (settle func() load.Ends, stop func(), err error) {
+func (c loadCommand) rig(o *openload.Options) (settle func() load.Results, stop func(), err error) {
 	exe, err := os.Executable()
 	if err != nil {
 		return nil, nil, err
@@ -131,28 +131,28 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	profile := partner.Profile{Latency: 20 * time.Millisecond, Capacity: 1e6, Queue: 10000, Tells: 1, Report: true, Refresh: 200 * time.Millisecond}
+	profile := partner.Profile{Latency: 20 * time.Millisecond, Capacity: 1e6, Queue: 10000, RetryAfterShare: 1, ReportsLimit: true, MaxReportAge: 200 * time.Millisecond}
 	var specs []standin.Spec
-	o.Resp, o.Pushed = nil, nil
+	o.RESPDestinations, o.PushDestinations = nil, nil
 	for i := range c.Partners {
 		for _, http2 := range []bool{false, true} {
 			n := uint32(len(specs) + 1)
 			specs = append(specs, standin.Spec{Destination: n, Endpoints: 2, HTTP2: http2, Profile: profile, Seed: c.Seed + uint64(i)})
 			if http2 {
-				o.Pushed = append(o.Pushed, n)
+				o.PushDestinations = append(o.PushDestinations, n)
 			} else {
-				o.Resp = append(o.Resp, n)
+				o.RESPDestinations = append(o.RESPDestinations, n)
 			}
 		}
 	}
-	partners, err := rig.NewKitchen(dir, specs)
+	partners, err := rig.NewEnvironment(dir, specs)
 	if err != nil {
 		os.RemoveAll(dir)
 		return nil, nil, err
 	}
 	courier, err := rig.Start(exe, rig.Config{
-		Dir: dir, Discovery: partners.Directory.Addr(), Settings: rig.Large(c.Slots, c.Held, 1e6), MemoryMB: 192, Sockets: 1024, Push: partners.Push,
-		Known: partners.Listed,
+		Dir: dir, Discovery: partners.Directory.Addr(), Settings: rig.LargeSettings(c.Slots, c.Held, 1e6), MemoryMB: 192, Sockets: 1024, Push: partners.Push,
+		KnownInstances: partners.Listed,
 	})
 	if err != nil {
 		partners.Close()
@@ -162,13 +162,13 @@
 	o.RespAddr, o.PushAddr = courier.Addr, courier.Push
 	client := load.New(courier.Addr, courier.Push)
 	var mu sync.Mutex
-	o.Heard = func(m load.Message, v load.Verdict) {
+	o.OnVerdict = func(m load.Message, v load.Verdict) {
 		mu.Lock()
 		defer mu.Unlock()
 		client.Sent = append(client.Sent, m)
-		client.Heard[m.ID] = v
+		client.Verdicts[m.ID] = v
 	}
-	return func() load.Ends { return partners.Settle(client, c.Deadline+5*time.Second) }, func() {
+	return func() load.Results { return partners.Settle(client, c.Deadline+5*time.Second) }, func() {
 		client.Close()
 		courier.Kill()
 		partners.Close()
--- a/cmd/snowjunction/main_test.go
+++ b/cmd/snowjunction/main_test.go
@@ -21,9 +21,9 @@
 // TestMain runs the test binary as the courier or as a plug-in host if it is started as one.
 func TestMain(m *testing.M) {
 	host := len(os.Args) > 1 && os.Args[1] == "plugin-host" // a plug-in host has an empty environment
-	if os.Getenv(scenario.RunAs) == "1" || host {
+	if os.Getenv(scenario.RunAsCourierEnv) == "1" || host {
 		if os.Getenv(envExtendPluginBudgets) == "1" {
-			pluginBudgetOverride = scenario.Limit
+			pluginBudgetOverride = scenario.EventTimeout
 		}
 		main()
 		return
@@ -35,32 +35,32 @@
 // destination 9. It defines the variables $ok, $ADD and $STATUS for scripts.
 func prepare(t *testing.T) *scenario.Courier {
 	c := scenario.NewCourier(t)
-	c.Unhurried()
+	c.ExtendTimeouts()
 	c.Targets = []scenario.Target{
-		{Name: "s-1", Addr: c.Play.Server("target"), Cell: 7}, {Name: "s-9", Addr: c.Play.Server("silent"), Cell: 9},
+		{Name: "s-1", Addr: c.Runner.Server("target"), Cell: 7}, {Name: "s-9", Addr: c.Runner.Server("silent"), Cell: 9},
 	}
-	c.Play.Let("ok", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	c.Runner.Define("ok", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	// $ADDid$STATUSbyte submits a message with a body of one byte and without a key.
-	c.Play.Let("ADD", "*5\r\n$7\r\nOUT.ADD\r\n$16\r\n0000000000000000\r\n$2\r\n")
-	c.Play.Let("STATUS", "\r\n$30\r\nc=status,t=town,d=60000,dest=7\r\n$1\r\n")
+	c.Runner.Define("ADD", "*5\r\n$7\r\nOUT.ADD\r\n$16\r\n0000000000000000\r\n$2\r\n")
+	c.Runner.Define("STATUS", "\r\n$30\r\nc=status,t=town,d=60000,dest=7\r\n$1\r\n")
 	return c
 }
 
 // defineList defines the script variables $list, a directory list, and $size, its length in bytes.
-func defineList(p *scenario.Play, list string) {
-	p.Let("list", list)
-	p.Let("size", strconv.Itoa(len(list)))
+func defineList(p *scenario.Runner, list string) {
+	p.Define("list", list)
+	p.Define("size", strconv.Itoa(len(list)))
 }
 
 // start starts a courier with one target for destination 7 and a silent one for destination 9, with
 // an optional limit on sockets.
-func start(t *testing.T, limits ...int) *scenario.Play {
+func start(t *testing.T, limits ...int) *scenario.Runner {
 	c := prepare(t)
 	if len(limits) > 0 {
 		c.Limits["sockets"] = limits[0]
 	}
 	require.NoError(t, c.Start())
-	return c.Play
+	return c.Runner
 }
 
 func TestDelivery(t *testing.T) {
@@ -100,9 +100,9 @@
 		`c=order,t=town,d=8000,dest=7,k=` + strings.Repeat("x", 65): `idempotency key must be`,
 		`rubbish`: `no name and value`,
 	} {
-		p.Let("bad", bad)
-		p.Let("n", strconv.Itoa(len(bad)))
-		p.Let("want", want)
+		p.Define("bad", bad)
+		p.Define("n", strconv.Itoa(len(bad)))
+		p.Define("want", want)
 		p.Run(`
 			client dial c
 			c send "$ADDm1\r\n$$n\r\n$bad\r\n$0\r\n\r\n"
@@ -224,7 +224,7 @@
 // are delivered and not sent again.
 func TestResponsesThatEndTheConnection(t *testing.T) {
 	p := start(t)
-	p.Let("long", strings.Repeat("x", 60000))
+	p.Define("long", strings.Repeat("x", 60000))
 	p.Run(`
 		client dial c
 		c send "$ADDm1$STATUSx\r\n"
@@ -265,7 +265,7 @@
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nX-Endless: ":       false,
 		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 500 Oops\r\n": false,
 	} {
-		p.Let("answer", answer)
+		p.Define("answer", answer)
 		p.Run(`
 			client dial c
 			c send "$ADDm1$STATUSx\r\n"
@@ -348,7 +348,7 @@
 		{"GW_CONFIG=", "GW_CONFIG is not set"},
 	} {
 		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), scenario.RunAs+"=1", "GW_STATE="+c.State(), tc.env)
+		cmd.Env = append(os.Environ(), scenario.RunAsCourierEnv+"=1", "GW_STATE="+c.State(), tc.env)
 		out, err := cmd.CombinedOutput()
 		assert.Error(t, err, tc.env)
 		assert.Contains(t, string(out), tc.want)
@@ -374,7 +374,7 @@
 		discovery accept n
 		n expect "...{\"id\":\"m1\",\"state\":\""
 	`)
-	p.Let("discovery", p.Name("other"))
+	p.Define("discovery", p.Name("other"))
 	p.Run(`
 		courier wait hup
 		d expect EOF
@@ -410,7 +410,7 @@
 		courier wait kill
 		courier wait start
 	`)
-	p.Let("discovery", p.Name("other"))
+	p.Define("discovery", p.Name("other"))
 	p.Run(`
 		courier wait hup
 		other accept d
@@ -429,7 +429,7 @@
 // A SIGHUP with an invalid configuration changes nothing, and the courier continues.
 func TestBadConfigurationAtReload(t *testing.T) {
 	p := start(t)
-	p.Let("discovery", "nowhere")
+	p.Define("discovery", "nowhere")
 	p.Run(`
 		discovery accept d
 		d expect "GET /discovery/hosts?after=1"
--- a/cmd/snowjunction/partition_fleet_test.go
+++ b/cmd/snowjunction/partition_fleet_test.go
@@ -53,7 +53,7 @@
 // newPartitionedFleet starts couriers of one region. The first members of them are members; copies is
 // the number of owners per partition.
 func newPartitionedFleet(t *testing.T, couriers, members, copies int) *partitionedFleet {
-	t.Setenv(scenario.RunAs, "1")
+	t.Setenv(scenario.RunAsCourierEnv, "1")
 	s := &partitionedFleet{t: t, copies: copies, verdicts: map[string]load.Verdict{}, deliveries: map[string]map[int]int{}, callCount: map[int]int{}}
 	// The couriers listen on addresses of a private 127.x.y block, at a port that the test reserves
 	// on 127.0.0.1, so that no other program uses them.
@@ -68,7 +68,7 @@
 	}
 	for n := range couriers {
 		s.dirs = append(s.dirs, s.directory(n))
-		settings := rig.Large(48, 1000, 1000)
+		settings := rig.LargeSettings(48, 1000, 1000)
 		cfg := rig.Config{
 			Dir: t.TempDir(), Discovery: s.dirs[n].Addr(), Settings: settings, MemoryMB: 192, Sockets: 512, Number: n,
 			Listen: s.addrs[n], Partitions: s.file(members),
@@ -175,7 +175,7 @@
 
 func (s *partitionedFleet) until(what string, ok func() bool) {
 	s.t.Helper()
-	for limit := time.Now().Add(scenario.Limit); !ok(); time.Sleep(5 * time.Millisecond) {
+	for limit := time.Now().Add(scenario.EventTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		require.True(s.t, time.Now().Before(limit), "not in time: %s", what)
 	}
 }
@@ -183,7 +183,7 @@
 func (s *partitionedFleet) counter(n int, path ...string) int {
 	line, err := s.couriers[n].Counters(false)
 	require.NoError(s.t, err)
-	return int(rig.Number(line, path...))
+	return int(rig.NumberAt(line, path...))
 }
 
 // untilListed waits until each courier holds exactly the list entries of the destinations that it
@@ -205,11 +205,11 @@
 // verdict. Each submission uses a new connection: on a reused one, a client may take a missing
 // reply for a request that was never sent, and send it again.
 func (s *partitionedFleet) submit(n, dest int, id, class string) (v load.Verdict) {
-	m := load.Message{ID: id, Class: class, Tenant: "town", Destination: uint32(dest), Left: 8 * time.Second, Keyed: class == "order"}
-	v = load.Refused
-	for limit := time.Now().Add(scenario.Limit); v == load.Refused && time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
+	m := load.Message{ID: id, Class: class, Tenant: "town", Destination: uint32(dest), TTL: 8 * time.Second, HasIdempotencyKey: class == "order"}
+	v = load.Rejected
+	for limit := time.Now().Add(scenario.EventTimeout); v == load.Rejected && time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
 		c := load.New(s.addrs[n], "")
-		v, _, _ = c.Add(m)
+		v, _, _ = c.Submit(m)
 		c.Close()
 	}
 	s.mu.Lock()
@@ -243,14 +243,14 @@
 	verdicts := maps.Clone(s.verdicts)
 	s.mu.Unlock()
 	for id, v := range verdicts {
-		if v == load.Taken {
+		if v == load.Accepted {
 			s.until("the final result of "+id, func() bool { return len(s.deliveredBy(id))+notices(id) > 0 })
 		}
 		assert.LessOrEqual(s.t, len(s.deliveredBy(id)), 1, "%s: two couriers have delivered it", id)
-		if v != load.Unheard {
+		if v != load.NoResponse {
 			assert.LessOrEqual(s.t, len(s.deliveredBy(id))+min(1, notices(id)), 1, "%s: two final results", id)
 		}
-		if v == load.Refused || v == load.Failed {
+		if v == load.Rejected || v == load.Failed {
 			assert.Empty(s.t, s.deliveredBy(id), "%s: delivered although not accepted", id)
 		}
 	}
@@ -283,7 +283,7 @@
 		for d := 1; d <= destinationCount; d++ {
 			for _, class := range []string{"status", "order"} {
 				id := fmt.Sprintf("%s-%d-%d", class, n, d)
-				require.Equal(t, load.Taken, s.submit(n, d, id, class), id)
+				require.Equal(t, load.Accepted, s.submit(n, d, id, class), id)
 				s.until(id, func() bool { return len(s.deliveredBy(id)) > 0 })
 				owner := s.owners(d, 3)[0]
 				assert.Equal(t, []int{owner}, s.deliveredBy(id))
@@ -342,7 +342,7 @@
 	s.couriers[1].Kill()
 	refused := s.counter(0, "n", "unrouted")
 	s.until("messages are refused", func() bool { return s.counter(0, "n", "unrouted") > refused })
-	require.Equal(t, load.Taken, s.submit(0, other, "other", "status"), "messages for another owner are still accepted")
+	require.Equal(t, load.Accepted, s.submit(0, other, "other", "status"), "messages for another owner are still accepted")
 	before := s.delivered("a")
 	s.start(1)
 	s.until("messages are delivered again", func() bool { return s.delivered("a") > before+3 })
@@ -372,16 +372,16 @@
 func TestPartitionsOwnerSilent(t *testing.T) {
 	s := newPartitionedFleet(t, 3, 3, 2)
 	dest, owners := s.destinationOwnedByOthers()
-	require.Equal(t, load.Taken, s.submit(2, dest, "before", "status"))
+	require.Equal(t, load.Accepted, s.submit(2, dest, "before", "status"))
 	s.until("the message is delivered", func() bool { return len(s.deliveredBy("before")) > 0 })
 	assert.Equal(t, owners[:1], s.deliveredBy("before"))
 	first := s.couriers[owners[0]]
 	require.NoError(t, first.Pause())
-	assert.Equal(t, load.Unheard, s.submit(2, dest, "silent", "status"))
+	assert.Equal(t, load.NoResponse, s.submit(2, dest, "silent", "status"))
 	assert.Empty(t, s.deliveredBy("silent"))
 	id := ""
 	// After each failure the silent owner is skipped for a limited time.
-	for n := 0; id == "" || s.verdicts[id] == load.Unheard; n++ {
+	for n := 0; id == "" || s.verdicts[id] == load.NoResponse; n++ {
 		require.Less(t, n, 50, "the other owner never takes over")
 		id = fmt.Sprint("other-", n)
 		s.submit(2, dest, id, "status")
@@ -425,7 +425,7 @@
 		require.NoError(s.t, err)
 	}
 	require.NoError(s.t, os.WriteFile(s.files[n], b, 0o600))
-	return s.couriers[n].Hup()
+	return s.couriers[n].ReloadConfig()
 }
 
 // The members are changed on one courier after another under load. Although couriers disagree on the
@@ -446,7 +446,7 @@
 			s.until("messages are delivered", func() bool { return s.delivered(id) > before+2 })
 		}
 		s.untilListed(members) // entries that are no longer owned are removed after linger_s
-		require.Equal(t, load.Taken, s.submit(0, s.destinationOwnedBy(1, members), fmt.Sprint("round", round), "status"))
+		require.Equal(t, load.Accepted, s.submit(0, s.destinationOwnedBy(1, members), fmt.Sprint("round", round), "status"))
 	}
 	for _, stop := range stops {
 		assert.Positive(t, stop())
@@ -462,7 +462,7 @@
 		for n := range 3 {
 			for d := 1; d <= destinationCount; d++ {
 				id := fmt.Sprintf("%s-%d-%d", round, n, d)
-				require.Equal(t, load.Taken, s.submit(n, d, id, "status"))
+				require.Equal(t, load.Accepted, s.submit(n, d, id, "status"))
 				s.until(id, func() bool { return len(s.deliveredBy(id)) > 0 })
 				assert.Equal(t, s.owners(d, 2)[:1], s.deliveredBy(id))
 			}
--- a/cmd/snowjunction/partitions_test.go
+++ b/cmd/snowjunction/partitions_test.go
@@ -45,21 +45,21 @@
 	await(`msg=counters .* partitions.owned=64 partitions.listed=64 partitions.wanted=[0-9]+ partitions.pins=0 partitions.unreached=0`)
 
 	write(membersFile(t, 64, "n0", "n1", "n2", "n3"))
-	c.Play.Run(`courier wait hup`)
+	c.Runner.Run(`courier wait hup`)
 	await(`msg=partitions .*members=4 partitions=64 copies=1 own=[123]?[0-9]\n`)
 	await(`configuration read again`)
 
 	write(membersFile(t, 32, "n0", "n1"))
-	c.Play.Run(`courier wait hup`)
+	c.Runner.Run(`courier wait hup`)
 	await(`these wait for a restart.* values=\[partitions\]`)
 	await(`configuration read again`)
 
 	write(membersFile(t, 64, "n1", "n1"))
-	c.Play.Run(`courier wait hup`)
+	c.Runner.Run(`courier wait hup`)
 	await(`configuration not read again.*partitions.json: /members/1/name: .*n1.* is the name of /members/0 too`)
 
 	write(membersFile(t, 64, "n1"))
-	c.Play.Run(`courier wait hup`)
+	c.Runner.Run(`courier wait hup`)
 	await(`no member of the partitions: it owns none and forwards all.* members=1`)
 	await(`configuration read again`)
 	assert.Equal(t, 2, strings.Count(c.Log(), "msg=partitions "), "no other change was applied")
@@ -71,7 +71,7 @@
 	path := filepath.Join(c.Dir(), "partitions.json")
 	c.Env = append(c.Env, "SNOWJUNCTION_PARTITIONS="+path)
 	require.NoError(t, c.Start())
-	c.Play.Run(`
+	c.Runner.Run(`
 		courier wait hup
 		courier wait "configuration read again"
 	`)
@@ -80,7 +80,7 @@
 	require.NoError(t, err)
 	assert.NotContains(t, c.Log(), "partition")
 	require.NoError(t, os.WriteFile(path, membersFile(t, 64, "n0"), 0o600))
-	c.Play.Run(`
+	c.Runner.Run(`
 		courier wait hup
 		courier wait "values=[partitions]"
 		courier wait "configuration read again"
--- a/cmd/snowjunction/plugin_test.go
+++ b/cmd/snowjunction/plugin_test.go
@@ -99,10 +99,10 @@
 func newPluginTestbed(t *testing.T, partners int, folder string, env ...string) *testbed {
 	return newTestbedWith(t, partners, map[string]any{}, func(s *testbed) {
 		s.Env = append(s.Env, withPlugins(t, s.Dir(), folder), "SNOWJUNCTION_LOG_LEVEL=debug")
-		s.Unhurried()
-		s.timeLeft = scenario.Limit
-		s.Patience = hostStartTimeout
-		s.partners.Keep()
+		s.ExtendTimeouts()
+		s.timeLeft = scenario.EventTimeout
+		s.LogTimeout = hostStartTimeout
+		s.partners.RecordCalls()
 		s.Env = append(s.Env, env...)
 		s.Settings["family-info"].(map[string]any)["max-calls"] = 32
 		s.Settings["limits"].(map[string]any)["most-held"] = 400
@@ -117,9 +117,9 @@
 }
 
 // brokenWaits returns the result of standin.BrokenWaits for the calls and log so far.
-func (s *testbed) brokenWaits() []standin.BrokenWait {
+func (s *testbed) brokenWaits() []standin.RetryAfterViolation {
 	s.counter("n.sent") // after this, all earlier log lines have arrived
-	return standin.BrokenWaits(s.partners.Taken(), standin.Traces(s.Log()))
+	return standin.RetryAfterViolations(s.partners.RecordedCalls(), standin.Traces(s.Log()))
 }
 
 // Hooks work on real connections: admit refuses a message, ended keeps state across calls and a
@@ -141,10 +141,10 @@
 	var after time.Duration
 	callOnce(t, s.Courier, "gate", func() {
 		var err error
-		v, after, err = s.client.Add(load.Message{ID: "m2", Class: "status", Tenant: "town", Destination: 2, Left: s.timeLeft})
+		v, after, err = s.client.Submit(load.Message{ID: "m2", Class: "status", Tenant: "town", Destination: 2, TTL: s.timeLeft})
 		require.NoError(t, err)
 	})
-	assert.Equal(t, load.Refused, v)
+	assert.Equal(t, load.Rejected, v)
 	assert.InDelta(t, 2500, after.Milliseconds(), 1)
 	callEnded := func(name string) int {
 		callOnce(t, s.Courier, "tail", func() { s.deliver(3, name) })
@@ -161,7 +161,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, 2, callEnded("m4"), "the plug-in keeps its state across a reload")
 	callOnce(t, s.Courier, "shaper", func() { s.deliver(4, "m5") })
-	assert.Equal(t, []string{"p4-0", "a=1"}, s.partners.LastShaped())
+	assert.Equal(t, []string{"p4-0", "a=1"}, s.partners.LastKitchenCall())
 
 	// An invalid plug-in is not loaded, and the current plug-ins stay.
 	require.NoError(t, os.WriteFile(filepath.Join(folder, "tail", "p.star"), []byte("def ended(:\n"), 0o600))
@@ -177,7 +177,7 @@
 	t.Helper()
 	answeredBefore, skippedBefore := pluginCounts(t, c, plugin)
 	call()
-	limit := time.Now().Add(scenario.Limit)
+	limit := time.Now().Add(scenario.EventTimeout)
 	for {
 		answered, skipped := pluginCounts(t, c, plugin)
 		require.Equal(t, skippedBefore, skipped, "a flow continued without %s", plugin)
@@ -193,7 +193,7 @@
 // the last id. On a busy machine the plug-in may be late, which is counted.
 func untilInTime(t *testing.T, c *scenario.Courier, plugin, name string, call func(id string)) string {
 	t.Helper()
-	limit := time.Now().Add(scenario.Limit)
+	limit := time.Now().Add(scenario.EventTimeout)
 	for i := 0; ; i++ {
 		id := fmt.Sprintf("%s-%d", name, i)
 		answeredBefore, skippedBefore := pluginCounts(t, c, plugin)
@@ -230,9 +230,9 @@
 // run, and their dropped answers are counted.
 func TestHostilePlugins(t *testing.T) {
 	folder := t.TempDir()
-	require.NoError(t, measure.HostilePlugins(folder))
+	require.NoError(t, measure.WriteHostilePlugins(folder))
 	s := newPluginTestbed(t, 9, folder)
-	for d, kind := range map[uint32]partner.Kind{4: partner.Error, 5: partner.Shut} {
+	for d, kind := range map[uint32]partner.Kind{4: partner.Error, 5: partner.Reject} {
 		require.NoError(t, s.partners.With(d, func(p *partner.Partner) {
 			p.Add(partner.Fault{Kind: kind, Until: time.Hour, Share: 0.3})
 		}))
@@ -245,16 +245,16 @@
 			for n := range each {
 				m := load.Message{
 					ID: fmt.Sprintf("m%d-%d", lane, n), Class: "status", Tenant: "town", Destination: uint32(lane%9 + 1),
-					Left: scenario.Limit, Push: lane%3 == 0,
+					TTL: scenario.EventTimeout, Push: lane%3 == 0,
 				}
 				// The partner is closed for an hour: its messages end at their deadline.
 				if m.Destination == 5 {
-					m.Left = 3 * time.Second
+					m.TTL = 3 * time.Second
 				}
 				if lane%2 == 0 {
-					m.Class, m.Keyed, m.Key, m.Seq = "order", true, uint64(lane+1), uint64(n+1)
+					m.Class, m.HasIdempotencyKey, m.Key, m.Seq = "order", true, uint64(lane+1), uint64(n+1)
 				}
-				_, _, _ = s.client.Add(m)
+				_, _, _ = s.client.Submit(m)
 			}
 		}()
 	}
@@ -264,18 +264,18 @@
 			require.NoError(t, s.Signal(syscall.SIGHUP))
 		}
 	}
-	var e load.Ends
+	var e load.Results
 	s.until("the final result of every message", func() bool {
-		e = s.client.Account(s.seen, s.directory.Notices(), nil)
+		e = s.client.CountResults(s.seen, s.directory.Notices(), nil)
 		return e.Open == 0
 	})
 	assert.Equal(t, lanes*each, e.Handed)
 	assert.Zero(t, e.Unheard+e.Doubled+e.Failed, "%+v", e)
 	n := s.counts()
-	assert.Zero(t, n.Copies+n.OutOfOrder, "%+v", n)
+	assert.Zero(t, n.Duplicates+n.OutOfOrder, "%+v", n)
 	assert.Empty(t, s.brokenWaits())
 	for _, d := range []uint32{8, 9} { // no hostile plug-in sees these
-		e := s.client.Account(s.seen, s.directory.Notices(), func(m load.Message) bool { return m.Destination == d })
+		e := s.client.CountResults(s.seen, s.directory.Notices(), func(m load.Message) bool { return m.Destination == d })
 		assert.Equal(t, e.Taken, e.Delivered, "destination %d: %+v", d, e)
 	}
 	require.NoError(t, s.Signal(syscall.SIGUSR1))
@@ -304,23 +304,23 @@
 	writePlugin(t, folder, "slow", map[string]any{"hooks": []string{"shape"}, "sees": sees(1), "budget": map[string]any{"time_ms": 40, "steps": 100000000}},
 		"def shape(call):\n    for i in range(100000000):\n        pass\n")
 	s := newPluginTestbed(t, 2, folder)
-	require.Equal(t, load.Taken, s.submit(1, "m1"))
+	require.Equal(t, load.Accepted, s.submit(1, "m1"))
 	require.NoError(t, s.Stop(syscall.SIGKILL))
 	s.start()
 	s.until("m1", func() bool { return s.seen(1, "m1") })
-	assert.Zero(t, s.counts().Copies)
+	assert.Zero(t, s.counts().Duplicates)
 }
 
 // submitInOrder submits n messages of one key, one after another.
 func (s *testbed) submitInOrder(name string, dest uint32, n int, between func(i int)) {
 	for i := range n {
 		between(i)
-		v, _, err := s.client.Add(load.Message{
-			ID: fmt.Sprintf("%s-%d", name, i), Class: "order", Tenant: "town", Destination: dest, Left: s.timeLeft,
-			Keyed: true, Key: 77, Seq: uint64(i + 1),
+		v, _, err := s.client.Submit(load.Message{
+			ID: fmt.Sprintf("%s-%d", name, i), Class: "order", Tenant: "town", Destination: dest, TTL: s.timeLeft,
+			HasIdempotencyKey: true, Key: 77, Seq: uint64(i + 1),
 		})
 		require.NoError(s.t, err)
-		require.Equal(s.t, load.Taken, v)
+		require.Equal(s.t, load.Accepted, v)
 	}
 }
 
@@ -342,10 +342,10 @@
 		}
 	})
 	s.until("the final result of every message", func() bool {
-		return s.client.Account(s.seen, s.directory.Notices(), nil).Delivered == 60
+		return s.client.CountResults(s.seen, s.directory.Notices(), nil).Delivered == 60
 	})
 	n := s.counts()
-	assert.Zero(t, n.Copies+n.OutOfOrder, "%+v", n)
+	assert.Zero(t, n.Duplicates+n.OutOfOrder, "%+v", n)
 	_, err := s.Await("plug-ins replaced")
 	require.NoError(t, err)
 	// On a busy machine the plug-in may be late and quarantined before it answers. Each new version
@@ -358,7 +358,7 @@
 		_, err := admin.Call(filepath.Join(s.Dir(), "door"), "reload")
 		require.NoError(t, err)
 		s.deliver(2, fmt.Sprint("x", i))
-		return slices.Equal(s.partners.LastShaped(), []string{last, ""})
+		return slices.Equal(s.partners.LastKitchenCall(), []string{last, ""})
 	})
 	assert.Empty(t, s.brokenWaits())
 }
@@ -532,13 +532,13 @@
 		d := uint32(i%3 + 1)
 		s.submit(d, fmt.Sprintf("%s-%d", behaviors[i%len(behaviors)], i))
 	}
-	var e load.Ends
+	var e load.Results
 	s.until("the final result of every message", func() bool {
-		e = s.client.Account(s.seen, s.directory.Notices(), nil)
+		e = s.client.CountResults(s.seen, s.directory.Notices(), nil)
 		return e.Open == 0
 	})
 	assert.Zero(t, e.Unheard+e.Failed, "%+v", e)
 	assert.NotEqual(t, "0", s.counter("plugins.module.failed"))
-	s.timeLeft = scenario.Limit
+	s.timeLeft = scenario.EventTimeout
 	s.deliver(3, "last")
 }
--- a/cmd/snowjunction/push_test.go
+++ b/cmd/snowjunction/push_test.go
@@ -46,7 +46,7 @@
 
 func newGateway(t *testing.T, targets ...pushTarget) *gateway {
 	g := &gateway{t: t, Courier: scenario.NewCourier(t)}
-	g.http = &http.Client{Timeout: scenario.Limit, Transport: &http2.Transport{
+	g.http = &http.Client{Timeout: scenario.EventTimeout, Transport: &http2.Transport{
 		AllowHTTP: true,
 		DialTLSContext: func(ctx context.Context, network, addr string, _ *tls.Config) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, network, addr)
@@ -77,7 +77,7 @@
 
 func (g *gateway) do(method, path string, body string, headers ...string) (*http.Response, string) {
 	g.t.Helper()
-	r, err := http.NewRequest(method, "http://"+g.Play.Name("push")+path, strings.NewReader(body))
+	r, err := http.NewRequest(method, "http://"+g.Runner.Name("push")+path, strings.NewReader(body))
 	require.NoError(g.t, err)
 	for i := 0; i < len(headers); i += 2 {
 		r.Header.Set(headers[i], headers[i+1])
@@ -229,9 +229,9 @@
 func TestMixedFronts(t *testing.T) {
 	p := newPartner(t)
 	g := newGateway(t)
-	one, two := g.Play.Server("one"), g.Play.Server("two")
-	serveH2(g.Play.Listener("two"), p)
-	go http.Serve(g.Play.Listener("one"), p)
+	one, two := g.Runner.Server("one"), g.Runner.Server("two")
+	serveH2(g.Runner.Listener("two"), p)
+	go http.Serve(g.Runner.Listener("one"), p)
 	g.Targets = []scenario.Target{{Name: "s-1", Addr: one, Cell: 7}}
 	g.write([]pushTarget{readyTarget("p-1", two, 7), readyTarget("p-2", two, 8)})
 	require.NoError(t, g.Start())
@@ -241,7 +241,7 @@
 	for k := range keys {
 		clients.Go(func() {
 			prefix := fmt.Sprintf("k%d-", k)
-			c, err := net.Dial("tcp", g.Play.Name("client"))
+			c, err := net.Dial("tcp", g.Runner.Name("client"))
 			if !assert.NoError(t, err) {
 				return
 			}
@@ -279,7 +279,7 @@
 
 // delivered waits until the counters show n deliveries.
 func (g *gateway) delivered(n int) error {
-	for limit := time.Now().Add(scenario.Limit); time.Now().Before(limit); {
+	for limit := time.Now().Add(scenario.EventTimeout); time.Now().Before(limit); {
 		if err := g.Signal(syscall.SIGUSR1); err != nil {
 			return err
 		}
@@ -303,8 +303,8 @@
 		return 200
 	}
 	g := newGateway(t)
-	serveH2(g.Play.Listener(g.addServer("two")), p)
-	g.write([]pushTarget{readyTarget("p-1", g.Play.Name("two"), 7)})
+	serveH2(g.Runner.Listener(g.addServer("two")), p)
+	g.write([]pushTarget{readyTarget("p-1", g.Runner.Name("two"), 7)})
 	require.NoError(t, g.Start())
 	assert.Equal(t, "delivered", g.finalState(g.post("ok1", "status", "", ":x", 7)))
 	for id, want := range map[string]string{"a": `unknown class`, "b": `unknown tenant`} {
@@ -316,9 +316,9 @@
 		assert.Equal(t, 400, resp.StatusCode)
 		assert.Contains(t, text, want)
 		meta := fmt.Sprintf("c=%s,t=%s,d=8000,dest=7", class, tenant)
-		g.Play.Let("meta", fmt.Sprintf("$%d\r\n%s", len(meta), meta))
-		g.Play.Let("want", want)
-		g.Play.Run(`
+		g.Runner.Define("meta", fmt.Sprintf("$%d\r\n%s", len(meta), meta))
+		g.Runner.Define("want", want)
+		g.Runner.Run(`
 			client dial c
 			c send "*5\r\n$7\r\nOUT.ADD\r\n$16\r\n0000000000000000\r\n$1\r\na\r\n$meta\r\n$0\r\n\r\n"
 			c expect "...$want"
@@ -331,7 +331,7 @@
 }
 
 func (g *gateway) addServer(name string) string {
-	g.Play.Server(name)
+	g.Runner.Server(name)
 	return name
 }
 
@@ -364,12 +364,12 @@
 }
 
 // startWithTarget starts the courier with one HTTP/2 target, "two", for destination 7.
-func (g *gateway) startWithTarget() *scenario.Play {
-	g.write([]pushTarget{readyTarget("p-1", g.Play.Server("two"), 7)})
-	g.Play.Let("status", "ttl=8 message-class=status tenant=town")
-	g.Play.Let("order", "ttl=8 message-class=order tenant=town order-key=a")
+func (g *gateway) startWithTarget() *scenario.Runner {
+	g.write([]pushTarget{readyTarget("p-1", g.Runner.Server("two"), 7)})
+	g.Runner.Define("status", "ttl=8 message-class=status tenant=town")
+	g.Runner.Define("order", "ttl=8 message-class=order tenant=town order-key=a")
 	require.NoError(g.t, g.Start())
-	return g.Play
+	return g.Runner
 }
 
 // A GOAWAY in the middle of a burst: the call on a stream above its last stream id did not run and is
@@ -403,7 +403,7 @@
 	`)
 	// The call that did not run counts as not sent, not as a failure of the target.
 	require.NoError(t, g.Signal(syscall.SIGUSR1))
-	g.Play.Run(`courier wait "n.full=0 n.timed_out=0 n.connect_failed=0 n.reset=0 n.cancelled=0 n.moot=1"`)
+	g.Runner.Run(`courier wait "n.full=0 n.timed_out=0 n.connect_failed=0 n.reset=0 n.cancelled=0 n.moot=1"`)
 }
 
 // With one connection per target and one stream at a time, a call waits for the stream and opens no
@@ -429,7 +429,7 @@
 		c expect "5 200"
 	`)
 	require.NoError(t, g.Signal(syscall.SIGUSR1))
-	g.Play.Run(`courier wait "n.timed_out=0 n.connect_failed=0 n.reset=0 n.cancelled=0 n.moot=0"`)
+	g.Runner.Run(`courier wait "n.timed_out=0 n.connect_failed=0 n.reset=0 n.cancelled=0 n.moot=0"`)
 	for i := 0; ; i++ {
 		require.Less(t, i, 1_000_000, "the final result is never removed")
 		if resp, text := g.do("GET", "/message/m2", ""); resp.StatusCode != 200 {
@@ -572,11 +572,11 @@
 			for _, class := range g.Settings["classes"].([]any) {
 				class.(map[string]any)["window-ms"] = 60000
 			}
-			serveH2(g.Play.Listener(g.addServer("two")), silent)
-			serveH2(g.Play.Listener(g.addServer("three")), responsive)
-			g.write([]pushTarget{readyTarget("p-1", g.Play.Name("two"), 7)})
+			serveH2(g.Runner.Listener(g.addServer("two")), silent)
+			serveH2(g.Runner.Listener(g.addServer("three")), responsive)
+			g.write([]pushTarget{readyTarget("p-1", g.Runner.Name("two"), 7)})
 			require.NoError(t, g.Start())
-			c, err := net.Dial("tcp", g.Play.Name("client"))
+			c, err := net.Dial("tcp", g.Runner.Name("client"))
 			require.NoError(t, err)
 			const keys, each = 5, 8
 			for i := range each {
@@ -591,7 +591,7 @@
 			}
 			require.NoError(t, g.Stop(sig))
 			// In the meantime the partner has moved to another address.
-			g.write([]pushTarget{readyTarget("p-1", g.Play.Name("three"), 7)})
+			g.write([]pushTarget{readyTarget("p-1", g.Runner.Name("three"), 7)})
 			require.NoError(t, g.Start())
 			require.NoError(t, g.delivered(keys*each))
 			for k := range keys {
@@ -702,7 +702,7 @@
 	writePlugin(t, folder, "closed", map[string]any{"hooks": []string{"admit"}, "budget": generousBudget},
 		"def admit(call):\n  return {'after_ms': 2500} if call.destination == 13 else None\n")
 	g.Env = append(g.Env, withPlugins(t, g.Dir(), folder))
-	g.write([]pushTarget{readyTarget("silent", g.Play.Server("silent"), 9)})
+	g.write([]pushTarget{readyTarget("silent", g.Runner.Server("silent"), 9)})
 	require.NoError(t, g.Start())
 	headers := []string{"TTL", "1", "Message-Id", "m", "Message-Class", "status", "Tenant", "town"}
 	resp, text := g.do("POST", "/push/9", "", headers...)
--- a/cmd/snowjunction/scale_test.go
+++ b/cmd/snowjunction/scale_test.go
@@ -56,24 +56,24 @@
 	var f measure.ScaleFigures
 	runScale(t, &f, "--couriers=9", "--real=2", "--destinations=12", "--endpoints=2", "--zones=2", "--down=0.1",
 		"--events=60", "--changes=120", "--seconds=2")
-	assert.Equal(t, 4, f.Force.Changes)
-	assert.LessOrEqual(t, f.Force.Heard, int64(f.Force.Expect))
-	assert.Positive(t, f.Force.Heard)
-	for _, c := range []*measure.CourierFigures{f.Real, f.Hollow} {
+	assert.Equal(t, 4, f.Propagation.Changes)
+	assert.LessOrEqual(t, f.Propagation.Confirmed, int64(f.Propagation.Expected))
+	assert.Positive(t, f.Propagation.Confirmed)
+	for _, c := range []*measure.CourierFigures{f.Real, f.Simulated} {
 		require.NotNil(t, c)
 		assert.Positive(t, c.Sent)
 		assert.Positive(t, c.Received)
 		assert.GreaterOrEqual(t, c.StateBytes, 24*56.0, "the list alone takes that much memory")
 	}
-	assert.Equal(t, []int{2, 7}, []int{f.Real.Couriers, f.Hollow.Couriers})
-	assert.Positive(t, f.Carrier.Sent)
-	assert.Positive(t, f.Keeper.Sent)
-	assert.Positive(t, f.Keeper.Accounts)
+	assert.Equal(t, []int{2, 7}, []int{f.Real.Couriers, f.Simulated.Couriers})
+	assert.Positive(t, f.QuotaRequester.Sent)
+	assert.Positive(t, f.LeaseOwner.Sent)
+	assert.Positive(t, f.LeaseOwner.QuotaLedgers)
 	assert.Positive(t, f.Delivered)
 	assert.Positive(t, f.Directory.Out)
 	assert.Zero(t, f.Dropped)
 	assert.Zero(t, f.Cut)
-	assert.Equal(t, []float64{24, 24}, []float64{f.Real.ListEntries, f.Hollow.ListEntries}, "each holds the full list")
+	assert.Equal(t, []float64{24, 24}, []float64{f.Real.ListEntries, f.Simulated.ListEntries}, "each holds the full list")
 	assert.Greater(t, f.Start.Bytes, 24*100.0)
 	assert.Nil(t, f.Real.Forwarding)
 }
@@ -86,7 +86,7 @@
 		"--restarts=9", "--seconds=3", "--changes=0")
 	assert.Positive(t, f.Cut)
 	assert.Positive(t, f.Delivered)
-	assert.Zero(t, f.Force.Changes)
+	assert.Zero(t, f.Propagation.Changes)
 	assert.Positive(t, f.Real.Sent, "the counts of previous process runs are included")
 	assert.Positive(t, f.Real.CPU)
 }
@@ -97,20 +97,20 @@
 	var f measure.ScaleFigures
 	runScale(t, &f, "--partitions=144", "--couriers=9", "--real=2", "--destinations=900", "--events=90", "--regions=3", "--zones=2",
 		"--seconds=2", "--changes=180", "--down=0")
-	assert.InDelta(t, 3*900, 2*f.Real.ListEntries+7*f.Hollow.ListEntries, 0.5, "each region has each entry once")
+	assert.InDelta(t, 3*900, 2*f.Real.ListEntries+7*f.Simulated.ListEntries, 0.5, "each region has each entry once")
 	assert.InDelta(t, 160, f.Start.Bytes/300, 60, "bytes per entry in a third of the list")
-	assert.InDelta(t, f.Start.Bytes/182_000, f.Start.Over, 1e-9)
-	for _, c := range []*measure.CourierFigures{f.Real, f.Hollow} {
+	assert.InDelta(t, f.Start.Bytes/182_000, f.Start.BudgetRatio, 1e-9)
+	for _, c := range []*measure.CourierFigures{f.Real, f.Simulated} {
 		require.NotNil(t, c.Forwarding)
-		assert.Positive(t, c.Forwarding.Handed)
+		assert.Positive(t, c.Forwarding.Submitted)
 		assert.Positive(t, c.Forwarding.Forwarded)
 		assert.Greater(t, c.Forwarding.Bytes, 50*c.Forwarding.Forwarded, "bytes of a command per forwarded message")
 		assert.Zero(t, c.Forwarding.Moved, "all couriers have the same members")
 	}
 	assert.Positive(t, f.Delivered)
-	assert.Equal(t, 6, f.Force.Changes)
-	assert.Equal(t, 18, f.Force.Expect, "one owner per region receives each change")
-	assert.LessOrEqual(t, f.Force.Heard, int64(18))
+	assert.Equal(t, 6, f.Propagation.Changes)
+	assert.Equal(t, 18, f.Propagation.Expected, "one owner per region receives each change")
+	assert.LessOrEqual(t, f.Propagation.Confirmed, int64(18))
 }
 
 // After a restart, a simulated courier receives its full part of the list again, a real one only the
@@ -119,16 +119,16 @@
 	var f measure.ScaleFigures
 	runScale(t, &f, "--partitions=72", "--couriers=4", "--real=2", "--destinations=900", "--events=40", "--copies=2", "--restarts=4",
 		"--seconds=2", "--changes=0", "--down=0")
-	assert.Equal(t, []int{2, 2}, []int{f.Start.Again, f.Start.AgainReal})
-	assert.Positive(t, f.Start.Restarted)
-	assert.Less(t, f.Start.Restarted, 2*f.Start.Bytes)
-	assert.Less(t, 2*f.Start.Real, f.Start.Bytes)
+	assert.Equal(t, []int{2, 2}, []int{f.Start.RestartedSimulated, f.Start.RestartedReal})
+	assert.Positive(t, f.Start.RestartedSimulatedBytes)
+	assert.Less(t, f.Start.RestartedSimulatedBytes, 2*f.Start.Bytes)
+	assert.Less(t, 2*f.Start.RestartedRealBytes, f.Start.Bytes)
 	assert.Positive(t, f.Delivered)
 }
 
 // A fit runs five sizes and fits a line to each figure.
 func TestScaleFit(t *testing.T) {
-	var f measure.Fitted
+	var f measure.FitFigures
 	runScale(t, &f, "--fit=destinations", "--couriers=4", "--real=0", "--destinations=50", "--events=40", "--seconds=0.5")
 	assert.Equal(t, []float64{10, 20, 30, 40, 50}, f.Sizes)
 	assert.Len(t, f.Runs, 5)
--- a/cmd/snowjunction/start_test.go
+++ b/cmd/snowjunction/start_test.go
@@ -25,7 +25,7 @@
 		require.NoError(t, c.Start())
 		_, err := c.Await(ready + ` restored=` + restored + ` endpoints=2`)
 		require.NoError(t, err)
-		c.Play.Run(`
+		c.Runner.Run(`
 			client dial c
 			c send "*1\r\n$4\r\nPING\r\n"
 			c expect "+PONG\r\n"
@@ -33,14 +33,14 @@
 			c expect "+OK\r\n"
 		`)
 		assert.Equal(t, 1, strings.Count(c.Log(), "msg=ready "))
-		c.Play.Run(`courier wait kill`)
+		c.Runner.Run(`courier wait kill`)
 	}
 }
 
 // A short run of measure start: each process is counted, reports each step, and restores all that
 // was stored for it.
 func TestMeasureStart(t *testing.T) {
-	t.Setenv(scenario.RunAs, "1")
+	t.Setenv(scenario.RunAsCourierEnv, "1")
 	o := measure.Start{Starts: 1, AtOnce: 2, Entries: 60, DiskMB: 1, MemoryMB: 64, Exe: os.Args[0]}
 	require.NoError(t, o.Validate())
 	f, err := o.Run(io.Discard)
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -393,7 +393,7 @@
 		}
 		s := testSettings()
 		slices.SortFunc(all, func(a, b sent) int { return int(a.at - b.at) })
-		ramp := rules.NewRamp(s.CollapseTime)
+		ramp := rules.NewRampCounter(s.CollapseTime)
 		for _, x := range all {
 			ramp.Failed(x.by, 1)
 			share := s.ColdShare + (1-s.ColdShare)*float64(x.at-recoveredAt)/float64(s.WarmUp)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -18,7 +18,7 @@
 
 // Request is one command sent to the admin socket.
 type Request struct {
-	Do string `json:"do"`
+	Command string `json:"do"`
 }
 
 // Reply is the response to a Request. Error is empty on success.
@@ -30,8 +30,8 @@
 // Handler executes a request. It calls done once, from any goroutine.
 type Handler func(r Request, done func(Reply))
 
-// Socket is a listening admin socket and its open connections.
-type Socket struct {
+// Server is a listening admin socket and its open connections.
+type Server struct {
 	path     string
 	listener net.Listener
 	handle   Handler
@@ -49,7 +49,7 @@
 
 // Listen opens the admin socket at path. A stale socket of an ended process is replaced. Listen
 // returns an error if another process serves the socket or if path is not a socket.
-func Listen(path string, handle Handler) (*Socket, error) {
+func Listen(path string, handle Handler) (*Server, error) {
 	if i, err := os.Lstat(path); err == nil {
 		if i.Mode()&os.ModeSocket == 0 {
 			return nil, fmt.Errorf("admin socket: %s exists and is not a socket", path)
@@ -68,13 +68,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("admin socket: %w", err)
 	}
-	s := &Socket{path: path, listener: l, handle: handle, conns: map[net.Conn]bool{}}
+	s := &Server{path: path, listener: l, handle: handle, conns: map[net.Conn]bool{}}
 	go s.accept()
 	return s, nil
 }
 
 // Close stops listening and closes all connections.
-func (s *Socket) Close() {
+func (s *Server) Close() {
 	s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +85,7 @@
 
 // accept serves connections until the listener is closed. Connections over maxConns are closed at
 // once.
-func (s *Socket) accept() {
+func (s *Server) accept() {
 	for {
 		c, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -110,7 +110,7 @@
 }
 
 // serve handles the requests of a connection, one at a time.
-func (s *Socket) serve(c net.Conn) {
+func (s *Server) serve(c net.Conn) {
 	defer func() {
 		c.Close()
 		s.mu.Lock()
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func open(t *testing.T, path string) *Socket {
+func open(t *testing.T, path string) *Server {
 	s, err := Listen(path, func(r Request, done func(Reply)) {
-		if r.Do != "echo" {
-			done(Reply{Error: "no " + r.Do})
+		if r.Command != "echo" {
+			done(Reply{Error: "no " + r.Command})
 			return
 		}
 		done(Reply{Value: []int{1}})
--- a/internal/core/capacity_test.go
+++ b/internal/core/capacity_test.go
@@ -16,7 +16,7 @@
 // journal. It has a body of 256 bytes and its own key, and its destination's only slot is in use.
 func BenchmarkHeldMessage(b *testing.B) {
 	const n = 20_000
-	gauge.Held(b, n, "event", func() any {
+	gauge.HeapPerItem(b, n, "event", func() any {
 		x := newHarnessWith(&harness{t: b, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), settle: true, journalBytes: 1 << 30}, func(s *snowjunction.Settings) {
 			s.MaxHeld, s.Slots = 0, 1
 			s.Classes[0].TargetLatency, s.Classes[0].Deadline = time.Hour, 2*time.Hour
@@ -46,7 +46,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			x := newHarnessWith(&harness{t: b, now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)}, nil)
 			peak := uint64(0)
-			gauge.CPU(b, n, "entry", func() {
+			gauge.CPUPerItem(b, n, "entry", func() {
 				l := groups.NewList(true)
 				for i := range n {
 					err := l.Add(Entry{
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -86,7 +86,7 @@
 	consoleFD        int // socket of the second address once it is handed over, else -1
 
 	adminPath       string             // path of the admin socket; empty if there is none
-	adminSocket     *admin.Socket      // nil if disabled
+	adminSocket     *admin.Server      // nil if disabled
 	reloading       bool               // a reload is in progress
 	reloadCallbacks []func(why string) // callbacks of reloads requested meanwhile
 	platform        *platform.Front
@@ -445,7 +445,7 @@
 
 // handleAdminRequest answers a request at the admin socket.
 func (c *courier) handleAdminRequest(r admin.Request, done func(admin.Reply)) {
-	switch r.Do {
+	switch r.Command {
 	case "plugins":
 		done(admin.Reply{Value: c.plugins.List()})
 	case "reload":
@@ -455,7 +455,7 @@
 	case "telemetry":
 		done(admin.Reply{Value: c.core.Figures(platformFrontNumber)})
 	default:
-		done(admin.Reply{Error: fmt.Sprintf("unknown request %q: valid requests are directory, plugins, reload and telemetry", r.Do)})
+		done(admin.Reply{Error: fmt.Sprintf("unknown request %q: valid requests are directory, plugins, reload and telemetry", r.Command)})
 	}
 }
 
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -42,8 +42,8 @@
 // demoRoles returns the partners of the demonstration.
 func demoRoles(seed uint64) []role {
 	base := partner.Profile{
-		Latency: 40 * time.Millisecond, Capacity: 60, Queue: 40, Tells: 0.8, Report: true, Refresh: 200 * time.Millisecond,
-		ColdShare: 0.2, WarmUp: 14 * time.Second, FallMultiple: 2, FallTime: 1500 * time.Millisecond,
+		Latency: 40 * time.Millisecond, Capacity: 60, Queue: 40, RetryAfterShare: 0.8, ReportsLimit: true, MaxReportAge: 200 * time.Millisecond,
+		ColdShare: 0.2, WarmUp: 14 * time.Second, CollapseMultiple: 2, CollapseWindow: 1500 * time.Millisecond,
 	}
 	changed := func(change func(p *partner.Profile)) partner.Profile {
 		p := base
@@ -57,7 +57,7 @@
 		{"no faults, HTTP/2", standin.Spec{Endpoints: 2, HTTP2: true, Profile: base}},
 		{"limit of 6 per second", standin.Spec{Endpoints: 1, Profile: changed(func(p *partner.Profile) { p.Limit = 6 })}},
 		{"limit of 8 in each second", standin.Spec{Endpoints: 2, HTTP2: true, Profile: changed(func(p *partner.Profile) {
-			p.Limit, p.Span, p.Counting = 8, time.Second, true
+			p.Limit, p.Window, p.CountsRejected = 8, time.Second, true
 		})}},
 		{"errors for 3 s", standin.Spec{Endpoints: 2, Profile: base}},
 		{"rejects for 3 s", standin.Spec{Endpoints: 2, HTTP2: true, Profile: base}},
@@ -76,7 +76,7 @@
 func addFaults(f *standin.Farm, from time.Duration) error {
 	for destination, x := range map[uint32]partner.Fault{
 		5: {Kind: partner.Error, Share: 0.4},
-		6: {Kind: partner.Shut},
+		6: {Kind: partner.Reject},
 		7: {Kind: partner.Reset, Share: 0.5},
 		8: {Kind: partner.Silent, Cold: true},
 	} {
@@ -101,15 +101,15 @@
 	for _, r := range roles {
 		specs = append(specs, r.spec)
 	}
-	environment, err := rig.NewKitchen(dir, specs)
+	environment, err := rig.NewEnvironment(dir, specs)
 	if err != nil {
 		return err
 	}
 	defer environment.Close()
 	farm, directory := environment.Farm, environment.Directory
-	farm.Keep()
+	farm.RecordCalls()
 	courier, err := rig.Start(o.Exe, rig.Config{
-		Dir: dir, Discovery: directory.Addr(), Settings: rig.Large(32, 400, 100), MemoryMB: 64, Sockets: 512, Push: environment.Push,
+		Dir: dir, Discovery: directory.Addr(), Settings: rig.LargeSettings(32, 400, 100), MemoryMB: 64, Sockets: 512, Push: environment.Push,
 		Traced: true,
 	})
 	if err != nil {
@@ -119,7 +119,7 @@
 	fmt.Fprintf(o.Out, "courier on %s (RESP2) and %s (HTTP/2), %d partners, directory on %s\n",
 		courier.Addr, courier.Push, len(roles), directory.Addr())
 	for _, r := range roles { // a stalled partner may receive a duplicate: both classes allow retries for this long
-		if err := farm.With(r.spec.Destination, func(p *partner.Partner) { p.Again = 5 * time.Second }); err != nil {
+		if err := farm.With(r.spec.Destination, func(p *partner.Partner) { p.DuplicateGrace = 5 * time.Second }); err != nil {
 			return err
 		}
 	}
@@ -129,7 +129,7 @@
 	drainTimer := time.AfterFunc(o.Over/2, func() { environment.Drain("p9-0") })
 	defer drainTimer.Stop()
 	client := load.New(courier.Addr, courier.Push)
-	client.Within = settleTimeout // a response that is missing after this never comes
+	client.Timeout = settleTimeout // a response that is missing after this never comes
 	defer client.Close()
 	submitMessages(client, o, len(roles))
 	environment.Settle(client, settleTimeout)
@@ -149,15 +149,15 @@
 // and sent: how late either side sees the other depends on the machine. It retries until all delays
 // have been read or the time within has passed, since the response to an attempt whose message
 // already has its final result may still be in transit.
-func brokenWaits(farm *standin.Farm, traces func() ([]standin.Trace, error), within time.Duration) ([]standin.BrokenWait, error) {
+func brokenWaits(farm *standin.Farm, traces func() ([]standin.Trace, error), within time.Duration) ([]standin.RetryAfterViolation, error) {
 	for limit := time.Now().Add(within); ; time.Sleep(200 * time.Millisecond) {
-		recorded := farm.Taken()
+		recorded := farm.RecordedCalls()
 		read, err := traces()
 		if err != nil {
 			return nil, err
 		}
-		broken := standin.BrokenWaits(recorded, read)
-		unread := slices.ContainsFunc(broken, func(b standin.BrokenWait) bool { return b.Unread })
+		broken := standin.RetryAfterViolations(recorded, read)
+		unread := slices.ContainsFunc(broken, func(b standin.RetryAfterViolation) bool { return b.Unread })
 		if !unread || time.Now().After(limit) {
 			return broken, nil
 		}
@@ -186,9 +186,9 @@
 // submitLane submits count messages to one partner, over one front and with at most one key.
 func submitLane(client *load.Client, o Options, rng *rand.Rand, lane, count, partners int) {
 	m := load.Message{Tenant: "town", Destination: uint32(lane%partners + 1), Push: lane%3 == 2}
-	m.Class, m.Left = "status", 8*time.Second
+	m.Class, m.TTL = "status", 8*time.Second
 	if lane%2 == 0 {
-		m.Class, m.Left, m.Keyed, m.Key = "order", 20*time.Second, true, uint64(lane+1)
+		m.Class, m.TTL, m.HasIdempotencyKey, m.Key = "order", 20*time.Second, true, uint64(lane+1)
 	}
 	pause := o.Over / time.Duration(max(count, 1))
 	for n := range count {
@@ -196,34 +196,34 @@
 			time.Sleep(time.Duration(float64(pause) * (0.5 + rng.Float64())))
 		}
 		m.ID, m.Seq = fmt.Sprintf("m%d-%d", lane, n), uint64(2*n+1)
-		if v, after, _ := client.Add(m); v == load.Refused {
+		if v, after, _ := client.Submit(m); v == load.Rejected {
 			time.Sleep(max(after, 50*time.Millisecond))
 			m.ID, m.Seq = m.ID+"r", m.Seq+1
-			_, _, _ = client.Add(m)
+			_, _, _ = client.Submit(m)
 		}
 	}
 }
 
 // report prints the results per partner and returns an error if any message or rule failed.
-func report(out io.Writer, roles []role, farm *standin.Farm, client *load.Client, delivered func(uint32, string) bool, notices map[string][]standin.Notice, waits []standin.BrokenWait) error {
+func report(out io.Writer, roles []role, farm *standin.Farm, client *load.Client, delivered func(uint32, string) bool, notices map[string][]standin.Notice, waits []standin.RetryAfterViolation) error {
 	table := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(table, "partner\tsubmitted\taccepted\trejected\terrors\tno response\tdelivered\treturned\tfailed\tno result\tmany results\toverdue\tcalls\tlate\tduplicates\tout of order\tduring retry-after\tcollapses\tafter drain")
-	var totalEnds load.Ends
-	row := func(name string, e load.Ends, n partner.Counts) {
+	var totalEnds load.Results
+	row := func(name string, e load.Results, n partner.Counts) {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", name, e.Handed, e.Taken, e.Refused,
-			e.Failed, e.Unheard, e.Delivered, e.Returned, e.Given, e.Open, e.Doubled, e.Overdue, n.Calls, n.Late, n.Copies, n.OutOfOrder, n.InWait, n.Fell, n.Drained)
+			e.Failed, e.Unheard, e.Delivered, e.Returned, e.Given, e.Open, e.Doubled, e.Overdue, n.Calls, n.Late, n.Duplicates, n.OutOfOrder, n.DuringRetryAfter, n.Collapses, n.AfterDrain)
 	}
 	var totalCounts partner.Counts
 	for _, r := range roles {
-		e := client.Account(delivered, notices, func(m load.Message) bool { return m.Destination == r.spec.Destination })
+		e := client.CountResults(delivered, notices, func(m load.Message) bool { return m.Destination == r.spec.Destination })
 		var n partner.Counts
 		if err := farm.With(r.spec.Destination, func(p *partner.Partner) { n = p.Counts }); err != nil {
 			return err
 		}
-		n.InWait = 0 // replaced: by the partner's clock it also counts calls that were in transit for long
+		n.DuringRetryAfter = 0 // replaced: by the partner's clock it also counts calls that were in transit for long
 		for _, x := range waits {
 			if x.Destination == r.spec.Destination {
-				n.InWait++
+				n.DuringRetryAfter++
 			}
 		}
 		row(r.name, e, n)
@@ -240,8 +240,8 @@
 	switch {
 	case totalEnds.Open+totalEnds.Doubled+totalEnds.Unheard > 0:
 		return fmt.Errorf("%d messages have no final result, %d more than one, %d no response", totalEnds.Open, totalEnds.Doubled, totalEnds.Unheard)
-	case totalCounts.Broken() > 0:
-		return fmt.Errorf("%d rule violations", totalCounts.Broken())
+	case totalCounts.Violations() > 0:
+		return fmt.Errorf("%d rule violations", totalCounts.Violations())
 	case totalEnds.Delivered == 0:
 		return fmt.Errorf("no message was delivered")
 	}
--- a/internal/dircache/capacity_test.go
+++ b/internal/dircache/capacity_test.go
@@ -25,7 +25,7 @@
 // Disk space and decoding time per entry.
 func BenchmarkListOnDisk(b *testing.B) {
 	text := encodedList()
-	gauge.CPU(b, listSize, "entry", func() {
+	gauge.CPUPerItem(b, listSize, "entry", func() {
 		if _, err := Decode(text); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/emulate/capacity_test.go
+++ b/internal/emulate/capacity_test.go
@@ -131,7 +131,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	s.Couriers, s.Seconds, s.Dormancy = couriers, 5, true
+	s.Couriers, s.Seconds, s.UnloadIdle = couriers, 5, true
 	s.Partners.Count, s.Partners.LimitedShare = couriers*destinationsPerCourier, limited
 	s.Partners.Skew, s.Load.Level = 0, 0.75
 	s.Load.Full = float64(s.Partners.Count) * eventsPerDestination / s.Load.Level
--- a/internal/emulate/courier.go
+++ b/internal/emulate/courier.go
@@ -101,11 +101,11 @@
 		if w.checker != nil {
 			w.checker.Listed(w.now, c.number, int32(id), e.dest, c.listedPhases[id] == snowjunction.Ready)
 		}
-		if !w.scenario.Dormancy {
+		if !w.scenario.UnloadIdle {
 			list = append(list, c.listEntry(int32(id)))
 		}
 	}
-	if w.scenario.Dormancy {
+	if w.scenario.UnloadIdle {
 		cfg := idlestate.Default(c.settings)
 		cfg.CautiousFirst = true
 		c.idleTracker, c.loaded, c.unloadScheduled = idlestate.New(cfg), map[int32]int{}, false
@@ -407,7 +407,7 @@
 		return
 	}
 	if x.refused {
-		x.answer = partner.Answer{Status: -1}
+		x.answer = partner.Response{Status: -1}
 		w.queue.push(event{at: w.now + w.networkDelay(), kind: responseReceived, id: id, generation: gen})
 		return
 	}
@@ -423,8 +423,8 @@
 		w.countRampCall(p, x.courier)
 		x.answer = p.Begin(w.now, partner.Call{})
 	}
-	if p.Counts.Fell > p.collapses {
-		p.collapses = p.Counts.Fell
+	if p.Counts.Collapses > p.collapses {
+		p.collapses = p.Counts.Collapses
 		if w.checker != nil {
 			w.checker.Collapsed(w.now, x.dest)
 		}
@@ -432,7 +432,7 @@
 	if x.answer.Status == 0 && !x.answer.Reset {
 		return // no response: the call will time out
 	}
-	w.queue.push(event{at: w.now + x.answer.After + w.networkDelay(), kind: responseReceived, id: id, generation: gen})
+	w.queue.push(event{at: w.now + x.answer.Delay + w.networkDelay(), kind: responseReceived, id: id, generation: gen})
 }
 
 // endCall reports the end of a call to the partner that has begun it.
@@ -444,28 +444,28 @@
 
 // endpointFault returns the answer of an endpoint that has a fault of its own. It returns false
 // if the partner answers.
-func (w *world) endpointFault(p *partnerState, ep int32) (partner.Answer, bool) {
+func (w *world) endpointFault(p *partnerState, ep int32) (partner.Response, bool) {
 	for i := range p.endpointFaults {
 		f := &p.endpointFaults[i]
 		if f.unreachable || !f.active(w.now, ep) || f.callShare > 0 && w.networkRNG.Float64() >= f.callShare {
 			continue
 		}
-		answer := partner.Answer{After: p.Profile.Latency / 4}
+		answer := partner.Response{Delay: p.Profile.Latency / 4}
 		switch f.kind {
 		case partner.Error:
 			answer.Status = 500
-		case partner.Shut:
+		case partner.Reject:
 			answer.Status = 503
 		case partner.Reset:
 			answer.Reset = true
 		case partner.Silent:
-			return partner.Answer{}, true
+			return partner.Response{}, true
 		default:
 			continue
 		}
 		return answer, true
 	}
-	return partner.Answer{}, false
+	return partner.Response{}, false
 }
 
 // handleResponse handles the arrival of a response at the courier.
@@ -486,7 +486,7 @@
 		outcome = snowjunction.OK
 	case a.Status == 429, a.Status == 503:
 		outcome = snowjunction.Rejected
-		w.result.TurnedAway++
+		w.result.Rejected++
 	}
 	if outcome == snowjunction.Reset || outcome == snowjunction.ConnectFailed {
 		delete(c.warmConns, x.endpoint)
@@ -535,7 +535,7 @@
 	if w.checker != nil {
 		wait := time.Duration(0)
 		if outcome == snowjunction.Rejected {
-			wait = x.answer.Wait
+			wait = x.answer.RetryAfter
 		}
 		w.checker.AttemptEnded(w.now, c.number, x.message, ran, unsure, wait)
 	}
@@ -544,10 +544,10 @@
 		Took: w.now - x.startedAt, ConnIdle: x.connIdle, NewConn: x.connIdle == 0,
 	}
 	if outcome == snowjunction.Rejected {
-		ev.RetryAfter = x.answer.Wait
+		ev.RetryAfter = x.answer.RetryAfter
 	}
 	if x.answer.Limit > 0 {
-		ev.Report = []float64{x.answer.Left, x.answer.Limit}
+		ev.Report = []float64{x.answer.RemainingShare, x.answer.Limit}
 	}
 	switch {
 	case outcome == snowjunction.OK && m.pending:
--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -292,8 +292,8 @@
 		half := run(t, load(t, "quiet", fmt.Sprintf(form, kind, `, "endpoints": 0.5`)), Options{Policy: "module"})
 		whole := run(t, load(t, "quiet", fmt.Sprintf(form, kind, "")), Options{Policy: "module"})
 		oracle := run(t, load(t, "quiet", fmt.Sprintf(form, kind, `, "endpoints": 0.5`)), Options{Policy: "oracle"})
-		assert.Zero(t, half.Broken(), "%s: %+v", kind, half.First)
-		assert.Greater(t, half.Errors+half.TurnedAway+half.TimedOut+half.Resets+half.Unreached, 20, kind)
+		assert.Zero(t, half.Violations(), "%s: %+v", kind, half.First)
+		assert.Greater(t, half.Errors+half.Rejected+half.TimedOut+half.Resets+half.Unreached, 20, kind)
 		assert.Greater(t, half.G, whole.G+0.1, kind)
 		assert.Greater(t, oracle.G, 0.9, kind)
 	}
@@ -308,7 +308,7 @@
 	withoutBreaker := run(t, load(t, "plugin-hangs", overlay+`, "plugin": {"breaker": false}}`), Options{Policy: "module"})
 	noPlugin := run(t, load(t, "plugin-hangs", overlay+`, "plugin": {"budget_ms": 0}}`), Options{Policy: "module"})
 	for _, r := range []*Result{withBreaker, noPlugin} {
-		assert.Zero(t, r.Broken(), "%+v", r.First)
+		assert.Zero(t, r.Violations(), "%+v", r.First)
 		assert.Zero(t, r.Lost)
 	}
 	assert.Positive(t, withoutBreaker.Rules[rules.SingleResult], "messages wait for the plug-in past their deadline")
@@ -329,7 +329,7 @@
 		w, err := simulate(load(t, name, overlay), Options{Policy: "module", Seed: 1})
 		require.NoError(t, err)
 		for _, p := range w.partners {
-			assert.Zero(t, p.Under(), "%s, partner %d", name, p.number)
+			assert.Zero(t, p.InFlight(), "%s, partner %d", name, p.number)
 			assert.Zero(t, p.incoming, "%s, partner %d", name, p.number)
 		}
 	}
@@ -355,8 +355,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := run(t, load(t, "growing-fleet", fmt.Sprintf(form, tc.overlay)), Options{Policy: "module", Seed: 6})
-			assert.Zero(t, r.Broken(), "%+v", r.First)
-			assert.LessOrEqual(t, float64(r.TurnedAway), tc.rejected*float64(r.Sends))
+			assert.Zero(t, r.Violations(), "%+v", r.First)
+			assert.LessOrEqual(t, float64(r.Rejected), tc.rejected*float64(r.Sends))
 			if name == "lost peer messages" || name == "partners and peers unreachable" { // the overlay of the case sets "network" already
 				return
 			}
@@ -398,12 +398,12 @@
 			for _, seed := range tc.seeds {
 				r := run(t, s, Options{Policy: "module", Seed: seed})
 				assert.Empty(t, r.Rules, "seed %d: %+v", seed, r.First)
-				assert.Equal(t, r.Fell, r.RampCollapses)
+				assert.Equal(t, r.Collapses, r.RampCollapses)
 				assert.Positive(t, r.RampPeak)
 			}
 		})
 	}
 	r := run(t, load(t, "cold-ramp", `{"seconds": 34, "load": {"level": 3}, "partners": {"limited": 0}}`), Options{Policy: "blind"})
 	assert.Positive(t, r.RampViolations, "a policy without slow start violates the rule")
-	assert.Equal(t, r.Fell, r.RampCollapses)
+	assert.Equal(t, r.Collapses, r.RampCollapses)
 }
--- a/internal/emulate/kept.go
+++ b/internal/emulate/kept.go
@@ -289,12 +289,12 @@
 
 // reusedAddress returns the answer at the address of a removed endpoint if another service uses
 // it: status 421 (misdirected request), or 500 if that service does not detect the mismatch.
-func (w *world) reusedAddress(ep int32) (partner.Answer, bool) {
+func (w *world) reusedAddress(ep int32) (partner.Response, bool) {
 	e := &w.endpoints[ep]
 	if !e.addressReused {
-		return partner.Answer{}, false
+		return partner.Response{}, false
 	}
-	a := partner.Answer{Status: 500, After: w.partners[e.dest].Profile.Latency / 4}
+	a := partner.Response{Status: 500, Delay: w.partners[e.dest].Profile.Latency / 4}
 	if e.saysMisdirected {
 		a.Status = 421
 	}
--- a/internal/emulate/result.go
+++ b/internal/emulate/result.go
@@ -38,13 +38,13 @@
 	P50Ms              float64 `json:"p50_ms"`    // from the client's first try to the delivery
 	P99Ms              float64 `json:"p99_ms"`
 
-	TurnedAway int `json:"turned_away"` // calls that partners rejected
+	Rejected   int `json:"turned_away"` // calls that partners rejected
 	Errors     int `json:"errors"`
 	TimedOut   int `json:"timed_out"`
 	Resets     int `json:"resets"`
 	Unreached  int `json:"unreached"`
 	Handshakes int `json:"handshakes"`
-	Fell       int `json:"fell"` // collapses of recovering partners
+	Collapses  int `json:"fell"` // collapses of recovering partners
 	// Collapses of recovering partners after more than N + 2*sqrt(N) + 2 calls (rules.Ramp),
 	// those that violate the rule, and the maximum of the calls as a multiple of that bound.
 	RampCollapses  int     `json:"ramp_fell,omitempty"`
@@ -134,10 +134,10 @@
 	r.Errors, r.TimedOut = r.outcomes[snowjunction.Error], r.outcomes[snowjunction.TimedOut]
 	r.Resets, r.Unreached = r.outcomes[snowjunction.Reset], r.outcomes[snowjunction.ConnectFailed]
 	for _, p := range w.partners {
-		r.Fell += p.Counts.Fell
+		r.Collapses += p.Counts.Collapses
 	}
 	r.RampPeak = w.ramp.Peak()
-	r.P50Ms, r.P99Ms = r.latency.Ms(50), r.latency.Ms(99)
+	r.P50Ms, r.P99Ms = r.latency.PercentileMs(50), r.latency.PercentileMs(99)
 	whole := valueTotals{}
 	for _, x := range r.perSecond {
 		whole.requested, whole.earned = whole.requested+x.requested, whole.earned+x.earned
@@ -162,8 +162,8 @@
 	r.G = 0.4*r.Whole + 0.3*r.WorstWindow + 0.2*r.WorstClass + 0.1*r.WorstTenant
 }
 
-// Broken returns the number of rule violations.
-func (r *Result) Broken() (n int) {
+// Violations returns the number of rule violations.
+func (r *Result) Violations() (n int) {
 	for _, x := range r.Rules {
 		n += x
 	}
@@ -184,8 +184,8 @@
 		{"g", r.G}, {"whole", r.Whole}, {"worst_window", r.WorstWindow}, {"worst_class", r.WorstClass}, {"worst_tenant", r.WorstTenant},
 		{"tries", float64(r.Tries)}, {"sends_per_try", share(r.Sends)}, {"client_retries_per_try", share(r.Retries)},
 		{"delivered", share(r.Delivered)}, {"late", share(r.Late)}, {"refused", share(r.Refused)}, {"failed", share(r.Failed)}, {"lost", share(r.Lost)},
-		{"turned_away", share(r.TurnedAway)}, {"errors", share(r.Errors)}, {"timed_out", share(r.TimedOut)}, {"resets", share(r.Resets)},
-		{"unreached", share(r.Unreached)}, {"handshakes", share(r.Handshakes)}, {"fell", float64(r.Fell)}, {"broken", float64(r.Broken())},
+		{"turned_away", share(r.Rejected)}, {"errors", share(r.Errors)}, {"timed_out", share(r.TimedOut)}, {"resets", share(r.Resets)},
+		{"unreached", share(r.Unreached)}, {"handshakes", share(r.Handshakes)}, {"fell", float64(r.Collapses)}, {"broken", float64(r.Violations())},
 		{"ramp_past", indicator(r.RampCollapses > 0)}, {"ramp_broken", indicator(r.RampViolations > 0)}, {"ramp_peak", r.RampPeak},
 		{"plugin_asked", share(r.PluginCalls)}, {"plugin_skipped", share(r.PluginSkips)}, {"p50_ms", r.P50Ms}, {"p99_ms", r.P99Ms}, {"events", float64(r.Events)},
 	}
--- a/internal/emulate/rules/ramp.go
+++ b/internal/emulate/rules/ramp.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Ramp counts the calls to destinations that recover from an outage, from all couriers, and
+// RampCounter counts the calls to destinations that recover from an outage, from all couriers, and
 // finds those that collapse: a destination collapses when it gets more than
 // N + 2*sqrt(N) + 2 calls within the collapse time (STANDING.md), where N is the number of
 // calls that the settings allow then. The first collapse violates the rule if over two thirds
 // of the calls came from informed couriers: those of which a call had failed or been refused
 // there during the outage or the recovery.
-type Ramp struct {
+type RampCounter struct {
 	collapseTime time.Duration
 	dests        map[int32]*rampState
 }
@@ -35,9 +35,9 @@
 	informedShare = 2.0 / 3.0 // share of the calls above which the informed couriers count as the cause
 )
 
-// NewRamp returns a counter with a sliding window of the given length.
-func NewRamp(collapseTime time.Duration) *Ramp {
-	return &Ramp{collapseTime: collapseTime, dests: map[int32]*rampState{}}
+// NewRampCounter returns a counter with a sliding window of the given length.
+func NewRampCounter(collapseTime time.Duration) *RampCounter {
+	return &RampCounter{collapseTime: collapseTime, dests: map[int32]*rampState{}}
 }
 
 // Bound returns the maximum number of calls within the collapse time that a recovering
@@ -45,7 +45,7 @@
 func Bound(n float64) float64 { return n + slackRoots*math.Sqrt(n) + slackCalls }
 
 // state returns the state of a destination, created if necessary.
-func (r *Ramp) state(dest int32) *rampState {
+func (r *RampCounter) state(dest int32) *rampState {
 	x := r.dests[dest]
 	if x == nil {
 		x = &rampState{informed: map[int32]bool{}}
@@ -56,10 +56,10 @@
 
 // Failed records that a call or a probe of a courier has failed or been refused at a
 // destination during an outage or the recovery: the courier is informed of the outage.
-func (r *Ramp) Failed(courier, dest int32) { r.state(dest).informed[courier] = true }
+func (r *RampCounter) Failed(courier, dest int32) { r.state(dest).informed[courier] = true }
 
 // CourierReset records that a courier has restarted without state: it is informed of no outage.
-func (r *Ramp) CourierReset(courier int32) {
+func (r *RampCounter) CourierReset(courier int32) {
 	for _, x := range r.dests {
 		delete(x.informed, courier)
 	}
@@ -67,7 +67,7 @@
 
 // Reset clears the state of a destination that has recovered fully or at which an outage
 // begins: earlier calls and failures no longer count.
-func (r *Ramp) Reset(dest int32) {
+func (r *RampCounter) Reset(dest int32) {
 	if x := r.dests[dest]; x != nil {
 		x.calls, x.collapsed = nil, false
 		clear(x.informed)
@@ -77,7 +77,7 @@
 // Call counts a call that reaches a recovering destination, where the settings allow n within
 // the collapse time. It reports whether the destination collapses, and whether that violates
 // the rule. After a collapse no call counts until Reset.
-func (r *Ramp) Call(now time.Duration, courier, dest int32, n float64) (collapses, violates bool) {
+func (r *RampCounter) Call(now time.Duration, courier, dest int32, n float64) (collapses, violates bool) {
 	x := r.state(dest)
 	if x.collapsed {
 		return false, false
@@ -102,7 +102,7 @@
 
 // Peak returns the maximum number of calls that any recovering destination got within the
 // collapse time, as a multiple of Bound.
-func (r *Ramp) Peak() (peak float64) {
+func (r *RampCounter) Peak() (peak float64) {
 	for _, x := range r.dests {
 		peak = math.Max(peak, x.peak)
 	}
--- a/internal/emulate/rules/ramp_test.go
+++ b/internal/emulate/rules/ramp_test.go
@@ -13,7 +13,7 @@
 
 // replay makes a call at each of the times, from couriers that are informed of the outage or not,
 // and returns the index of the call at which the destination collapses, or -1.
-func replay(r *Ramp, n float64, informed func(i int) bool, at ...time.Duration) (collapsedAt int, violated bool) {
+func replay(r *RampCounter, n float64, informed func(i int) bool, at ...time.Duration) (collapsedAt int, violated bool) {
 	collapsedAt = -1
 	for i, t := range at {
 		if informed(i) {
@@ -43,15 +43,15 @@
 		n        float64
 		maxCalls int // calls without a collapse
 	}{{0, 2}, {0.25, 3}, {1, 5}, {4, 10}, {9, 17}, {10, 18}, {100, 122}} {
-		collapsedAt, _ := replay(NewRamp(1500*ms), tc.n, allInformed, spaced(tc.maxCalls, ms)...)
+		collapsedAt, _ := replay(NewRampCounter(1500*ms), tc.n, allInformed, spaced(tc.maxCalls, ms)...)
 		assert.Equal(t, -1, collapsedAt, "%v: calls at the bound", tc.n)
-		collapsedAt, violated := replay(NewRamp(1500*ms), tc.n, allInformed, spaced(tc.maxCalls+1, ms)...)
+		collapsedAt, violated := replay(NewRampCounter(1500*ms), tc.n, allInformed, spaced(tc.maxCalls+1, ms)...)
 		assert.Equal(t, tc.maxCalls, collapsedAt, "%v: one call over the bound", tc.n)
 		assert.True(t, violated)
-		collapsedAt, _ = replay(NewRamp(1500*ms), tc.n, allInformed, spaced(50*tc.maxCalls, 1501*ms/time.Duration(tc.maxCalls))...)
+		collapsedAt, _ = replay(NewRampCounter(1500*ms), tc.n, allInformed, spaced(50*tc.maxCalls, 1501*ms/time.Duration(tc.maxCalls))...)
 		assert.Equal(t, -1, collapsedAt, "%v: calls at the bound in every window", tc.n)
 	}
-	r := NewRamp(1500 * ms)
+	r := NewRampCounter(1500 * ms)
 	late := append(spaced(3, 0), time.Hour+1400*ms, time.Hour+1400*ms, time.Hour+1501*ms, time.Hour+1600*ms, time.Hour+1600*ms, time.Hour+1700*ms)
 	collapsedAt, _ := replay(r, 1, allInformed, late...)
 	assert.Equal(t, 8, collapsedAt, "the sixth call in a sliding window, though no aligned window has over five")
@@ -73,11 +73,11 @@
 		{func(i int) bool { return i < 4 }, false}, // two thirds of six
 		{func(i int) bool { return i < 5 }, true},
 	} {
-		collapsedAt, broken := replay(NewRamp(1500*ms), 1, tc.informed, spaced(6, ms)...)
+		collapsedAt, broken := replay(NewRampCounter(1500*ms), 1, tc.informed, spaced(6, ms)...)
 		assert.Equal(t, 5, collapsedAt)
 		assert.Equal(t, tc.violated, broken)
 	}
-	r := NewRamp(1500 * ms)
+	r := NewRampCounter(1500 * ms)
 	for i := range 6 {
 		r.Failed(int32(i), 1)
 	}
@@ -116,7 +116,7 @@
 				want = i
 			}
 		}
-		collapsedAt, _ := replay(NewRamp(1500*ms), n, allInformed, at...)
+		collapsedAt, _ := replay(NewRampCounter(1500*ms), n, allInformed, at...)
 		if collapsedAt != want {
 			t.Fatalf("collapses at call %d, want %d", collapsedAt, want)
 		}
--- a/internal/emulate/scenario.go
+++ b/internal/emulate/scenario.go
@@ -26,14 +26,14 @@
 // Scenario describes a run. Its schema is internal/schema/emulate.schema.json;
 // library/base.json has a value for every field that is not a list.
 type Scenario struct {
-	Name     string   `json:"name"`
-	About    string   `json:"about"`
-	Extends  []string `json:"extends,omitempty"`
-	Seconds  float64  `json:"seconds"`
-	Couriers int      `json:"couriers"`
-	TickMs   float64  `json:"tick_ms"`
-	Dormancy bool     `json:"dormancy"` // couriers unload idle destinations
-	Partners struct {
+	Name       string   `json:"name"`
+	About      string   `json:"about"`
+	Extends    []string `json:"extends,omitempty"`
+	Seconds    float64  `json:"seconds"`
+	Couriers   int      `json:"couriers"`
+	TickMs     float64  `json:"tick_ms"`
+	UnloadIdle bool     `json:"dormancy"` // couriers unload idle destinations
+	Partners   struct {
 		Count             int     `json:"count"`
 		Active            int     `json:"active"` // partners that get traffic; zero means all
 		Endpoints         Range   `json:"endpoints"`
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -68,7 +68,7 @@
 	cumulativeWeights []float64 // of the partners that get traffic
 	partitions        []partition
 	checker           *rules.Checker
-	ramp              *rules.Ramp
+	ramp              *rules.RampCounter
 	result            Result
 	lastSerial        uint32
 	lastKey           uint64
@@ -168,7 +168,7 @@
 	lost              bool // no response arrives, or the connection is not established
 	refused           bool // the connection is refused
 	done              bool
-	answer            partner.Answer
+	answer            partner.Response
 }
 
 const (
@@ -224,7 +224,7 @@
 			RestartGrace: 1500 * time.Millisecond, ResultSlack: 20*time.Millisecond + 2*seconds(s.TickMs/1000),
 		})
 	}
-	w.ramp = rules.NewRamp(seconds(s.Partners.CollapseTimeS))
+	w.ramp = rules.NewRampCounter(seconds(s.Partners.CollapseTimeS))
 	w.peerMessages = map[int32]snowjunction.PeerMessagesReceived{}
 	w.makePartners(o.Seed)
 	if err := w.makeCouriers(o); err != nil {
@@ -263,12 +263,12 @@
 			limit, span = 0, 0
 		}
 		f := partner.Profile{
-			Limit: limit, Span: span, Counting: r.Float64() < p.CountingShare, Tells: p.RetryAfterShare, Report: r.Float64() < p.ReportShare,
-			Refresh: seconds(uniform(r, p.RefreshMs) / 1000), Capacity: capacity, Latency: seconds(uniform(r, p.LatencyMs) / 1000), LeastWait: seconds(uniform(r, p.MinRetryAfterS)),
-			Queue: p.Queue, ColdShare: p.ColdShare, WarmUp: seconds(p.WarmUpS), FallMultiple: p.CollapseMultiple, FallTime: seconds(p.CollapseTimeS), FallSlack: p.CollapseSlack, FallRoot: p.CollapseRootSlack,
+			Limit: limit, Window: span, CountsRejected: r.Float64() < p.CountingShare, RetryAfterShare: p.RetryAfterShare, ReportsLimit: r.Float64() < p.ReportShare,
+			MaxReportAge: seconds(uniform(r, p.RefreshMs) / 1000), Capacity: capacity, Latency: seconds(uniform(r, p.LatencyMs) / 1000), MinRetryAfter: seconds(uniform(r, p.MinRetryAfterS)),
+			Queue: p.Queue, ColdShare: p.ColdShare, WarmUp: seconds(p.WarmUpS), CollapseMultiple: p.CollapseMultiple, CollapseWindow: seconds(p.CollapseTimeS), CollapseSlack: p.CollapseSlack, CollapseRootSlack: p.CollapseRootSlack,
 		}
 		x := &partnerState{Partner: partner.New(f, r.Uint64()), number: int32(i), fullLoadRate: rate}
-		x.Blind = true
+		x.SkipChecks = true
 		if p.Errors > 0 {
 			x.Add(partner.Fault{Kind: partner.Error, Until: time.Duration(math.MaxInt64), Share: p.Errors})
 		}
@@ -339,7 +339,7 @@
 func (w *world) scheduleEvents() {
 	for _, f := range w.scenario.Faults {
 		k, ok := map[string]partner.Kind{
-			"errors": partner.Error, "shut": partner.Shut, "silent": partner.Silent, "reset": partner.Reset, "slow": partner.Slow, "cut": partner.Cut,
+			"errors": partner.Error, "shut": partner.Reject, "silent": partner.Silent, "reset": partner.Reset, "slow": partner.Slow, "cut": partner.ReducedLimit,
 		}[f.Kind]
 		for _, i := range w.sample(f.Share, len(w.partners)) {
 			x := w.partners[i]
@@ -372,7 +372,7 @@
 					times = math.Max(times, 1)
 				}
 				x.Add(partner.Fault{
-					Kind: k, From: seconds(span.At), Until: seconds(span.At + span.For), Share: f.Calls, Times: times, Cold: cold,
+					Kind: k, From: seconds(span.At), Until: seconds(span.At + span.For), Share: f.Calls, Factor: times, Cold: cold,
 				})
 			}
 		}
@@ -500,9 +500,9 @@
 
 // countRampCall counts a call that reaches a partner against the bound of a recovering one.
 func (w *world) countRampCall(p *partnerState, courier int32) {
-	allowed, cold := p.Cold(w.now)
+	allowed, cold := p.ColdAllowance(w.now)
 	if !cold {
-		if !p.Out(w.now) {
+		if !p.InOutage(w.now) {
 			w.ramp.Reset(p.number)
 		}
 		return
@@ -523,7 +523,7 @@
 // counter.
 func (w *world) recordRampFailure(courier, dest int32) {
 	p := w.partners[dest]
-	if _, cold := p.Cold(w.now); cold || p.Out(w.now) {
+	if _, cold := p.ColdAllowance(w.now); cold || p.InOutage(w.now) {
 		w.ramp.Failed(courier, dest)
 	}
 }
@@ -603,7 +603,7 @@
 		return false, 100 * time.Millisecond
 	}
 	p := w.partners[d]
-	return p.Room(w.now, p.incoming+more)
+	return p.WouldServe(w.now, p.incoming+more)
 }
 
 // Works reports whether an endpoint would answer.
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -30,7 +30,7 @@
 func newTestPlan(t *testing.T, text string) *Plan {
 	f, err := Parse("test", []byte(text))
 	require.NoError(t, err)
-	p, err := Make(f, "")
+	p, err := NewPlan(f, "")
 	require.NoError(t, err)
 	return p
 }
@@ -56,7 +56,7 @@
 // with one worker and with four.
 func TestResumeAfterInterruption(t *testing.T) {
 	p := newTestPlan(t, smallExperiment)
-	uninterrupted, err := Play(context.Background(), p, Options{Out: t.TempDir(), Build: "b", Jobs: 1})
+	uninterrupted, err := Execute(context.Background(), p, Options{Out: t.TempDir(), Build: "b", Jobs: 1})
 	require.NoError(t, err)
 	want := outputFiles(t, p, uninterrupted)
 	assert.Len(t, want, 8, "two tables, one summary, two plots in two formats, one report")
@@ -70,7 +70,7 @@
 				cancel()
 			}
 		}}
-		_, err := Play(ctx, p, o)
+		_, err := Execute(ctx, p, o)
 		require.ErrorIs(t, err, context.Canceled)
 		require.Less(t, played, len(p.Runs)+1)
 		// a kill in the middle of writing a line
@@ -81,7 +81,7 @@
 		require.NoError(t, f.Close())
 
 		o.Progress = func(int, int) { played++ }
-		resumed, err := Play(context.Background(), p, o)
+		resumed, err := Execute(context.Background(), p, o)
 		require.NoError(t, err)
 		assert.Equal(t, len(p.Runs), played, "stopped after %d", stop)
 		assert.Equal(t, want, outputFiles(t, p, resumed))
@@ -94,13 +94,13 @@
 	path := filepath.Join(dir, resultsFile)
 	o := Options{Out: dir, Build: "b", Jobs: 2}
 	require.NoError(t, os.WriteFile(path, []byte(`{"key":"x","build":"a","values":{}}`+"\n"), 0o600))
-	_, err := Play(context.Background(), p, o)
+	_, err := Execute(context.Background(), p, o)
 	assert.ErrorContains(t, err, "line 1: of another build")
 	require.NoError(t, os.WriteFile(path, []byte("{\n"), 0o600))
-	_, err = Play(context.Background(), p, o)
+	_, err = Execute(context.Background(), p, o)
 	assert.ErrorContains(t, err, "line 1")
 	o.Fresh = true
-	_, err = Play(context.Background(), p, o)
+	_, err = Execute(context.Background(), p, o)
 	assert.NoError(t, err)
 }
 
@@ -217,7 +217,7 @@
 	} {
 		f, err := Parse("test", []byte(strings.Replace(smallExperiment, was, x[0], 1)))
 		if err == nil {
-			_, err = Make(f, "")
+			_, err = NewPlan(f, "")
 		}
 		require.Error(t, err, x[0])
 		assert.Contains(t, err.Error(), x[1], x[0])
@@ -227,7 +227,7 @@
 	many = strings.Replace(many, `[0.1, 0.8], "also": [{"pointer": "/tuning/ledger_ratio", "values": [0.2, 0.3]}]`, `[0.1, 0.2, 0.3, 0.4, 0.5, 0.6]`, 1)
 	f, err := Parse("test", []byte(many))
 	require.NoError(t, err)
-	_, err = Make(f, "")
+	_, err = NewPlan(f, "")
 	assert.ErrorContains(t, err, "more than")
 }
 
@@ -235,7 +235,7 @@
 func TestRunFails(t *testing.T) {
 	p := newTestPlan(t, smallExperiment)
 	p.Runs[7].Policy = "none"
-	_, err := Play(context.Background(), p, Options{Out: t.TempDir(), Build: "b", Jobs: 2})
+	_, err := Execute(context.Background(), p, Options{Out: t.TempDir(), Build: "b", Jobs: 2})
 	assert.ErrorContains(t, err, `seed 2: no policy "none"`)
 	assert.False(t, errors.Is(err, context.Canceled))
 }
@@ -246,7 +246,7 @@
 	for _, name := range Library.Names() {
 		f, dir, err := Read(name)
 		require.NoError(t, err)
-		p, err := Make(f, dir)
+		p, err := NewPlan(f, dir)
 		require.NoError(t, err, name)
 		assert.NotEmpty(t, p.Runs)
 		assert.Equal(t, name, f.Name)
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -199,9 +199,9 @@
 // maxRuns limits the size of a grid.
 const maxRuns = 100_000
 
-// Make expands the grid and parses the scenario of every cell, so that an error in the last one is
+// NewPlan expands the grid and parses the scenario of every cell, so that an error in the last one is
 // reported before the first run starts. dir is the directory in which a scenario file is looked up.
-func Make(f *File, dir string) (*Plan, error) {
+func NewPlan(f *File, dir string) (*Plan, error) {
 	p := &Plan{File: f}
 	base, err := emulate.Text(dir, f.Scenario)
 	if err != nil {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -23,10 +23,10 @@
 // resultsFile has one JSON line for each run, in the order in which the runs finished.
 const resultsFile = "runs.jsonl"
 
-// Play executes the runs that have no result in the output directory yet and returns all results
+// Execute executes the runs that have no result in the output directory yet and returns all results
 // in the plan's order. If the context is canceled, it returns the context's error and keeps the
 // finished results.
-func Play(ctx context.Context, p *Plan, o Options) ([]map[string]float64, error) {
+func Execute(ctx context.Context, p *Plan, o Options) ([]map[string]float64, error) {
 	if err := os.MkdirAll(o.Out, 0o755); err != nil {
 		return nil, err
 	}
--- a/internal/gauge/gauge.go
+++ b/internal/gauge/gauge.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Held reports the bytes of live heap per item for the n items that build returns, as the metric
+// HeapPerItem reports the bytes of live heap per item for the n items that build returns, as the metric
 // heap-B/ITEM.
-func Held(b *testing.B, n int, item string, build func() any) {
+func HeapPerItem(b *testing.B, n int, item string, build func() any) {
 	b.Helper()
 	var total float64
 	for b.Loop() {
@@ -32,9 +32,9 @@
 	return float64(s.HeapAlloc)
 }
 
-// CPU reports the CPU time of this process per item for the n items that f processes, as the metric
+// CPUPerItem reports the CPU time of this process per item for the n items that f processes, as the metric
 // cpu-ns/ITEM. The time includes the garbage collector's.
-func CPU(b *testing.B, n int, item string, f func()) {
+func CPUPerItem(b *testing.B, n int, item string, f func()) {
 	b.Helper()
 	var total time.Duration
 	for b.Loop() {
--- a/internal/groups/capacity_test.go
+++ b/internal/groups/capacity_test.go
@@ -24,7 +24,7 @@
 func BenchmarkListedDestination(b *testing.B) {
 	for _, n := range []int{10_000, 32_768, 130_000, 400_000, 1_300_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			gauge.Held(b, n, "destination", func() any { return fleetTable(n) })
+			gauge.HeapPerItem(b, n, "destination", func() any { return fleetTable(n) })
 		})
 	}
 }
--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -25,17 +25,17 @@
 // Merge adds the recorded values of another histogram.
 func (h *Histogram) Merge(other *Histogram) { h.h.Merge(other.h) }
 
-// N returns the number of recorded durations.
-func (h *Histogram) N() int64 { return h.h.TotalCount() }
+// Count returns the number of recorded durations.
+func (h *Histogram) Count() int64 { return h.h.TotalCount() }
 
-// Mean returns the mean in milliseconds.
-func (h *Histogram) Mean() float64 { return h.h.Mean() / 1000 }
+// MeanMs returns the mean in milliseconds.
+func (h *Histogram) MeanMs() float64 { return h.h.Mean() / 1000 }
 
-// Max returns the longest duration in milliseconds.
-func (h *Histogram) Max() float64 { return float64(h.h.Max()) / 1000 }
+// MaxMs returns the longest duration in milliseconds.
+func (h *Histogram) MaxMs() float64 { return float64(h.h.Max()) / 1000 }
 
-// Ms returns the value at a percentile (0 to 100) in milliseconds.
-func (h *Histogram) Ms(percentile float64) float64 {
+// PercentileMs returns the value at a percentile (0 to 100) in milliseconds.
+func (h *Histogram) PercentileMs(percentile float64) float64 {
 	return float64(h.h.ValueAtQuantile(percentile)) / 1000
 }
 
@@ -43,7 +43,7 @@
 type Bucket struct {
 	FromMs float64 `json:"from_ms"`
 	ToMs   float64 `json:"to_ms"`
-	N      int64   `json:"n"`
+	Count  int64   `json:"n"`
 }
 
 // firstBucketMicros is the width of the first bucket in microseconds.
@@ -52,7 +52,7 @@
 // Buckets returns the whole histogram in adjacent buckets. The upper bound of each bucket is twice
 // that of the bucket before it.
 func (h *Histogram) Buckets() (out []Bucket) {
-	if h.N() == 0 {
+	if h.Count() == 0 {
 		return nil
 	}
 	from, to := int64(0), int64(firstBucketMicros)
@@ -63,7 +63,7 @@
 			from, to = to, 2*to
 			b = Bucket{FromMs: float64(from) / 1000, ToMs: float64(to) / 1000}
 		}
-		b.N += bar.Count
+		b.Count += bar.Count
 	}
 	return append(out, b)
 }
--- a/internal/latency/latency_test.go
+++ b/internal/latency/latency_test.go
@@ -24,11 +24,11 @@
 		last, n := 0.0, int64(0)
 		for _, b := range h.Buckets() {
 			assert.Equal(t, last, b.FromMs)
-			assert.Equal(t, want[b.ToMs], b.N)
+			assert.Equal(t, want[b.ToMs], b.Count)
 			last = b.ToMs
-			n += b.N
+			n += b.Count
 		}
-		assert.Equal(t, h.N(), n)
+		assert.Equal(t, h.Count(), n)
 	})
 }
 
@@ -38,8 +38,8 @@
 	a.Add(0)
 	b.Add(time.Hour)
 	a.Merge(b)
-	assert.Equal(t, int64(2), a.N())
-	assert.InDelta(t, 0.001, a.Ms(50), 1e-9)
-	assert.InDelta(t, 1000, a.Max(), 20)
-	assert.InDelta(t, 500, a.Mean(), 10)
+	assert.Equal(t, int64(2), a.Count())
+	assert.InDelta(t, 0.001, a.PercentileMs(50), 1e-9)
+	assert.InDelta(t, 1000, a.MaxMs(), 20)
+	assert.InDelta(t, 500, a.MeanMs(), 10)
 }
--- a/internal/lease/capacity_test.go
+++ b/internal/lease/capacity_test.go
@@ -60,7 +60,7 @@
 	const n = 4_000
 	for _, failing := range []int{0, 120} {
 		b.Run(fmt.Sprintf("failing=%d", failing), func(b *testing.B) {
-			gauge.Held(b, n, "account", func() any {
+			gauge.HeapPerItem(b, n, "account", func() any {
 				ledgers := map[uint32]*QuotaLedger{}
 				for dest := range uint32(n) {
 					l := NewQuotaLedger(SlowStart{InitialShare: 0.2, LoadFactor: 1.8, WarmUp: 14 * time.Second, MinObservers: 425})
--- a/internal/measure/directory.go
+++ b/internal/measure/directory.go
@@ -72,7 +72,7 @@
 
 // directoryTestbed is a set of partners with a directory and a courier's state directory.
 type directoryTestbed struct {
-	*rig.Kitchen
+	*rig.Environment
 	dir string
 }
 
@@ -85,10 +85,10 @@
 	for d := range o.Partners {
 		specs = append(specs, standin.Spec{
 			Destination: uint32(d + 1), Endpoints: 2,
-			Profile: partner.Profile{Latency: 20 * time.Millisecond, Limit: 60, Report: true, Tells: 1},
+			Profile: partner.Profile{Latency: 20 * time.Millisecond, Limit: 60, ReportsLimit: true, RetryAfterShare: 1},
 		})
 	}
-	k, err := rig.NewKitchen(dir, specs)
+	k, err := rig.NewEnvironment(dir, specs)
 	if err != nil {
 		os.RemoveAll(dir)
 		return nil, err
@@ -103,7 +103,7 @@
 
 func (t *directoryTestbed) startCourier(exe string, file map[string]any) (*rig.Courier, *load.Client, error) {
 	c, err := rig.Start(exe, rig.Config{
-		Dir: t.dir, Discovery: t.Directory.Addr(), Settings: rig.Large(48, 1000, 1000), MemoryMB: 64, Sockets: 512, OperatorDirectory: file,
+		Dir: t.dir, Discovery: t.Directory.Addr(), Settings: rig.LargeSettings(48, 1000, 1000), MemoryMB: 64, Sockets: 512, OperatorDirectory: file,
 	})
 	if err != nil {
 		return nil, nil, err
@@ -123,8 +123,8 @@
 				return
 			case <-t.C:
 			}
-			m := load.Message{ID: fmt.Sprintf("%s%d", name, n), Class: "status", Tenant: "town", Destination: uint32(n%o.Partners + 1), Left: 8 * time.Second}
-			wg.Go(func() { _, _, _ = client.Add(m) })
+			m := load.Message{ID: fmt.Sprintf("%s%d", name, n), Class: "status", Tenant: "town", Destination: uint32(n%o.Partners + 1), TTL: 8 * time.Second}
+			wg.Go(func() { _, _, _ = client.Submit(m) })
 		}
 	})
 	return &wg
@@ -167,7 +167,7 @@
 		return err
 	}
 	for _, kind := range []string{"directory up", "directory down, list kept"} {
-		t.Directory.Down(kind != "directory up")
+		t.Directory.SetSilent(kind != "directory up")
 		histogram := newLatencyHistogram()
 		for n := range o.Starts {
 			startedAt := time.Now()
@@ -183,8 +183,8 @@
 				return err
 			}
 		}
-		f.FirstMs[kind], f.FirstMaxMs[kind] = histogram.Ms(50), histogram.Max()
-		fmt.Fprintf(out, "first delivery after the start of the process, %s: median %.1f ms, maximum %.1f ms of %d\n", kind, histogram.Ms(50), histogram.Max(), o.Starts)
+		f.FirstMs[kind], f.FirstMaxMs[kind] = histogram.PercentileMs(50), histogram.MaxMs()
+		fmt.Fprintf(out, "first delivery after the start of the process, %s: median %.1f ms, maximum %.1f ms of %d\n", kind, histogram.PercentileMs(50), histogram.MaxMs(), o.Starts)
 	}
 	return nil
 }
@@ -194,12 +194,12 @@
 	delivered, accepted := false, false
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		if !accepted {
-			v, _, _ := client.Add(load.Message{ID: id, Class: "status", Tenant: "town", Destination: destination, Left: 8 * time.Second})
-			if accepted = v == load.Taken; !accepted {
+			v, _, _ := client.Submit(load.Message{ID: id, Class: "status", Tenant: "town", Destination: destination, TTL: 8 * time.Second})
+			if accepted = v == load.Accepted; !accepted {
 				continue
 			}
 		}
-		if _ = t.Farm.With(destination, func(p *partner.Partner) { delivered = p.Seen(id) }); delivered {
+		if _ = t.Farm.With(destination, func(p *partner.Partner) { delivered = p.WasDelivered(id) }); delivered {
 			return nil
 		}
 	}
@@ -221,7 +221,7 @@
 	done := make(chan struct{})
 	wg := o.sendMessages(client, "a", done)
 	time.Sleep(5 * time.Second)
-	t.Directory.Down(true)
+	t.Directory.SetSilent(true)
 	time.Sleep(200 * time.Millisecond)
 	c.Kill()
 	close(done)
@@ -251,35 +251,35 @@
 		}
 	}
 	generation := t.Directory.Replace(remaining)
-	t.Directory.Down(false)
-	for deadline := time.Now().Add(10 * time.Second); t.Directory.Heard() < generation; time.Sleep(time.Millisecond) {
+	t.Directory.SetSilent(false)
+	for deadline := time.Now().Add(10 * time.Second); t.Directory.LastWatchedGeneration() < generation; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			return fmt.Errorf("the courier did not confirm the new list: %s", c.Tail())
 		}
 	}
 	for i, x := range list { // the stand-in counts calls from here on, after a grace period of 1 s
 		if i%4 == 0 || i%4 == 2 {
-			t.Farm.Drains(x.HostPort)
+			t.Farm.MarkDraining(x.HostPort)
 			f.Drained++
 		}
 	}
 	time.Sleep(5 * time.Second)
 	close(done)
 	wg.Wait()
-	t.Farm.Each(func(_ uint32, p *partner.Partner) { f.CallsAfterTakeover += p.Counts.Drained })
+	t.Farm.Each(func(_ uint32, p *partner.Partner) { f.CallsAfterTakeover += p.Counts.AfterDrain })
 	line, err := c.Counters(false)
 	if err != nil {
 		return err
 	}
-	f.JournalShare = rig.Number(line, "learnt", "writes") / max(rig.Number(line, "learnt", "journal_writes"), 1)
-	f.ByteShare = rig.Number(line, "learnt", "bytes") / max(rig.Number(line, "learnt", "journal_bytes"), 1)
-	f.ListWrites = rig.Number(line, "directory", "written")
+	f.JournalShare = rig.NumberAt(line, "learnt", "writes") / max(rig.NumberAt(line, "learnt", "journal_writes"), 1)
+	f.ByteShare = rig.NumberAt(line, "learnt", "bytes") / max(rig.NumberAt(line, "learnt", "journal_bytes"), 1)
+	f.ListWrites = rig.NumberAt(line, "directory", "written")
 	if f.FolderBytes, err = folderBytes(filepath.Join(t.dir, "state"), "journal-"); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "takeover: %d endpoints left, %d calls to them later than 1 s after the courier confirmed the new list\n", f.Drained, f.CallsAfterTakeover)
 	fmt.Fprintf(out, "learned state: %.0f writes, %.2f%% of the journal's %.0f, and %.2f%% of its bytes; the list written %.0f times; %d bytes on disk beside the journal\n",
-		rig.Number(line, "learnt", "writes"), 100*f.JournalShare, rig.Number(line, "learnt", "journal_writes"), 100*f.ByteShare, f.ListWrites, f.FolderBytes)
+		rig.NumberAt(line, "learnt", "writes"), 100*f.JournalShare, rig.NumberAt(line, "learnt", "journal_writes"), 100*f.ByteShare, f.ListWrites, f.FolderBytes)
 	return nil
 }
 
@@ -453,7 +453,7 @@
 				} else {
 					g += r.G / float64(seeds)
 					p99 += r.P99Ms / float64(seeds)
-					broken += r.Broken()
+					broken += r.Violations()
 				}
 				mu.Unlock()
 			}
--- a/internal/measure/emulator.go
+++ b/internal/measure/emulator.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Seconds, s.Couriers, s.Partners.Count, s.Dormancy = m.Seconds, m.Couriers, size, dormancy
+	s.Seconds, s.Couriers, s.Partners.Count, s.UnloadIdle = m.Seconds, m.Couriers, size, dormancy
 	s.Load.Full, s.Load.Level = m.Rate/loadLevel, loadLevel
 	return s, nil
 }
--- a/internal/measure/hollow.go
+++ b/internal/measure/hollow.go
@@ -221,10 +221,10 @@
 		c.serial++
 		m := newMessage(c.number, c.serial, destination, keyed)
 		r := core.Request{
-			ID: m.ID, Class: m.Class, Tenant: m.Tenant, Destination: m.Destination, TimeLeft: m.Left,
-			Body: standin.Body(0, 0, time.Now().Add(m.Left)),
+			ID: m.ID, Class: m.Class, Tenant: m.Tenant, Destination: m.Destination, TimeLeft: m.TTL,
+			Body: standin.Body(0, 0, time.Now().Add(m.TTL)),
 		}
-		if m.Keyed {
+		if m.HasIdempotencyKey {
 			r.IdempotencyKey = m.ID
 		}
 		if c.members != nil {
@@ -370,7 +370,7 @@
 	if answer.Status == 0 && !answer.Reset {
 		return // silent partner: the call ends with the caller's timeout
 	}
-	loop.After(answer.After, func() {
+	loop.After(answer.Delay, func() {
 		if call.onResult == nil {
 			return
 		}
--- a/internal/measure/hostile.go
+++ b/internal/measure/hostile.go
@@ -51,8 +51,8 @@
 	return list
 }
 
-// HostilePlugins writes the misbehaving plug-ins into a directory.
-func HostilePlugins(folder string) error {
+// WriteHostilePlugins writes the misbehaving plug-ins into a directory.
+func WriteHostilePlugins(folder string) error {
 	for _, m := range misbehavingPlugins() {
 		if err := writePlugin(folder, m); err != nil {
 			return err
@@ -70,31 +70,31 @@
 	}
 	defer os.RemoveAll(dir)
 	folder := filepath.Join(dir, "plugins")
-	if err := HostilePlugins(folder); err != nil {
+	if err := WriteHostilePlugins(folder); err != nil {
 		return err
 	}
 	var specs []standin.Spec
 	for d := range uint32(9) {
 		specs = append(specs, standin.Spec{
 			Destination: d + 1, Endpoints: 2, HTTP2: d%2 == 1,
-			Profile: partner.Profile{Latency: 5 * time.Millisecond, Limit: 400, Report: true, Tells: 1},
+			Profile: partner.Profile{Latency: 5 * time.Millisecond, Limit: 400, ReportsLimit: true, RetryAfterShare: 1},
 		})
 	}
-	kitchen, err := rig.NewKitchen(dir, specs)
+	kitchen, err := rig.NewEnvironment(dir, specs)
 	if err != nil {
 		return err
 	}
 	defer kitchen.Close()
 	farm, directory := kitchen.Farm, kitchen.Directory
 	c, err := rig.Start(o.Exe, rig.Config{
-		Dir: dir, Discovery: directory.Addr(), Settings: rig.Large(64, 2000, 5000), MemoryMB: 192, Sockets: 1024, Push: kitchen.Push,
+		Dir: dir, Discovery: directory.Addr(), Settings: rig.LargeSettings(64, 2000, 5000), MemoryMB: 192, Sockets: 1024, Push: kitchen.Push,
 		Plugins: map[string]any{"folder": folder},
 	})
 	if err != nil {
 		return err
 	}
 	defer c.Kill()
-	for d, kind := range map[uint32]partner.Kind{4: partner.Error, 5: partner.Shut, 8: partner.Reset} {
+	for d, kind := range map[uint32]partner.Kind{4: partner.Error, 5: partner.Reject, 8: partner.Reset} {
 		if err := farm.With(d, func(p *partner.Partner) {
 			p.Add(partner.Fault{Kind: kind, Until: time.Hour, Share: 0.2})
 		}); err != nil {
@@ -110,12 +110,12 @@
 			for n := range o.Messages / o.Lanes {
 				m := load.Message{
 					ID: fmt.Sprintf("h%d-%d", lane, n), Class: "status", Tenant: "town", Destination: uint32(lane%9 + 1),
-					Left: 3 * time.Second, Push: lane%3 == 0,
+					TTL: 3 * time.Second, Push: lane%3 == 0,
 				}
 				if lane%2 == 0 {
-					m.Class, m.Keyed, m.Key, m.Seq = "order", true, uint64(lane+1), uint64(n+1)
+					m.Class, m.HasIdempotencyKey, m.Key, m.Seq = "order", true, uint64(lane+1), uint64(n+1)
 				}
-				if v, after, _ := client.Add(m); v == load.Refused {
+				if v, after, _ := client.Submit(m); v == load.Rejected {
 					time.Sleep(min(max(after, 5*time.Millisecond), 50*time.Millisecond))
 				}
 			}
@@ -142,7 +142,7 @@
 	<-polling
 	account := kitchen.Settle(client, 10*time.Second)
 	for d := uint32(1); d <= 9; d++ {
-		x := client.Account(kitchen.Delivered, directory.Notices(), func(m load.Message) bool { return m.Destination == d })
+		x := client.CountResults(kitchen.Delivered, directory.Notices(), func(m load.Message) bool { return m.Destination == d })
 		fmt.Fprintf(out, "destination %d: %+v\n", d, x)
 	}
 	n := kitchen.Counts()
@@ -155,8 +155,8 @@
 		return err
 	}
 	fmt.Fprintf(out, "%+v\ncalls %d, copies %d, out of order %d, during a retry-after delay %d, after a drain %d; the courier uses %.1f MB\nplug-ins %v\n%v turns %v longest %v us\n",
-		account, n.Calls, n.Copies, n.OutOfOrder, n.InWait, n.Drained, float64(resident)/1e6, counters["plugins"], counters["n"], counters["turns"], counters["longest_turn_us"])
-	if violations := account.Open + account.Doubled + account.Unheard + n.Broken(); violations > 0 {
+		account, n.Calls, n.Duplicates, n.OutOfOrder, n.DuringRetryAfter, n.AfterDrain, float64(resident)/1e6, counters["plugins"], counters["n"], counters["turns"], counters["longest_turn_us"])
+	if violations := account.Open + account.Doubled + account.Unheard + n.Violations(); violations > 0 {
 		return fmt.Errorf("%d rule violations", violations)
 	}
 	return nil
--- a/internal/measure/idle.go
+++ b/internal/measure/idle.go
@@ -141,7 +141,7 @@
 	return r, nil
 }
 
-func (p *standinProcess) order(o standin.Order) (standin.Reply, error) {
+func (p *standinProcess) order(o standin.Command) (standin.Reply, error) {
 	b, err := json.Marshal(o)
 	if err == nil {
 		_, err = p.in.Write(append(b, '\n'))
@@ -184,7 +184,7 @@
 	}
 }
 
-func (t *idleTestbed) orderAll(from, to uint32, o standin.Order) error {
+func (t *idleTestbed) orderAll(from, to uint32, o standin.Command) error {
 	for _, f := range t.standins {
 		x := o
 		x.From, x.To = max(from, f.first), min(to, f.last)
@@ -202,7 +202,7 @@
 	out := map[uint32]partner.Counts{}
 	t.limits = map[uint32]float64{}
 	for _, f := range t.standins {
-		r, err := f.order(standin.Order{Do: "stats"})
+		r, err := f.order(standin.Command{Do: "stats"})
 		if err != nil {
 			return nil, err
 		}
@@ -216,14 +216,14 @@
 func (t *idleTestbed) seen(sent []load.Message) (map[string]bool, error) {
 	out := map[string]bool{}
 	for _, f := range t.standins {
-		var ids []standin.Ask
+		var ids []standin.MessageRef
 		for _, m := range sent {
 			if m.Destination >= f.first && m.Destination <= f.last {
-				ids = append(ids, standin.Ask{Destination: m.Destination, ID: m.ID})
+				ids = append(ids, standin.MessageRef{Destination: m.Destination, ID: m.ID})
 			}
 		}
 		for part := range slices.Chunk(ids, 2000) {
-			r, err := f.order(standin.Order{Do: "seen", IDs: part})
+			r, err := f.order(standin.Command{Do: "seen", IDs: part})
 			if err != nil {
 				return nil, err
 			}
@@ -247,7 +247,7 @@
 			return err
 		}
 		t.standins = append(t.standins, f)
-		r, err := f.order(standin.Order{Do: "list"})
+		r, err := f.order(standin.Command{Do: "list"})
 		if err != nil {
 			return err
 		}
@@ -269,7 +269,7 @@
 		return err
 	}
 	t.courier, err = rig.Start(o.Exe, rig.Config{
-		Dir: dir, Discovery: t.directory.Addr(), Settings: rig.Large(96, 8000, 2000), MemoryMB: 192, Sockets: 1024,
+		Dir: dir, Discovery: t.directory.Addr(), Settings: rig.LargeSettings(96, 8000, 2000), MemoryMB: 192, Sockets: 1024,
 		Idle: map[string]any{
 			"sleep_after_s": 1, "careful_first": true, "memory_kb": 65536, "list_mb": 256, "list_entries": 1000000,
 		},
@@ -284,7 +284,7 @@
 // awaitConfirmed waits until the courier confirms a generation of the list.
 func (t *idleTestbed) awaitConfirmed(generation uint64) error {
 	for deadline := time.Now().Add(time.Minute); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-		if t.directory.Heard() >= generation {
+		if t.directory.LastWatchedGeneration() >= generation {
 			return nil
 		}
 	}
@@ -295,8 +295,8 @@
 func (t *idleTestbed) sendTraffic(name string, d time.Duration) {
 	n := 0
 	for end := time.Now().Add(d); time.Now().Before(end); n++ {
-		_, _, _ = t.client.Add(load.Message{
-			ID: fmt.Sprintf("%s-%d", name, n), Class: "status", Tenant: "town", Left: 8 * time.Second,
+		_, _, _ = t.client.Submit(load.Message{
+			ID: fmt.Sprintf("%s-%d", name, n), Class: "status", Tenant: "town", TTL: 8 * time.Second,
 			Destination: uint32(n%t.options.Active + 1),
 		})
 		time.Sleep(100 * time.Millisecond)
@@ -329,7 +329,7 @@
 		}
 	}
 	line, err := t.courier.Counters(false)
-	return rig.Number(line, "idle", "change_ns") / 1000, err
+	return rig.NumberAt(line, "idle", "change_ns") / 1000, err
 }
 
 // memory returns the live heap and the resident memory after garbage collection, in bytes.
@@ -337,7 +337,7 @@
 	if line, err = t.courier.Counters(true); err != nil {
 		return
 	}
-	heap = int64(rig.Number(line, "heap"))
+	heap = int64(rig.NumberAt(line, "heap"))
 	resident, err = t.courier.Resident()
 	return
 }
@@ -349,7 +349,7 @@
 		if err != nil {
 			return err
 		}
-		if rig.Number(line, "idle", "awake") <= float64(t.options.Active) && rig.Number(line, "held") == 0 {
+		if rig.NumberAt(line, "idle", "awake") <= float64(t.options.Active) && rig.NumberAt(line, "held") == 0 {
 			return nil
 		}
 	}
@@ -415,7 +415,7 @@
 		if err != nil {
 			return f, err
 		}
-		f.LongestTurnMs = max(f.LongestTurnMs, rig.Number(line, "longest_turn_us")/1000)
+		f.LongestTurnMs = max(f.LongestTurnMs, rig.NumberAt(line, "longest_turn_us")/1000)
 		if x, err = testbed.measureCPU(fmt.Sprintf("all%d", round), cpuFor); err != nil {
 			return f, err
 		}
@@ -477,10 +477,10 @@
 		wg.Go(func() {
 			for d := range work {
 				m := load.Message{
-					ID: fmt.Sprintf("once-%d", d), Class: "status", Tenant: "town", Left: 8 * time.Second, Destination: uint32(d),
+					ID: fmt.Sprintf("once-%d", d), Class: "status", Tenant: "town", TTL: 8 * time.Second, Destination: uint32(d),
 				}
 				for attempt := 0; attempt < 20; attempt++ {
-					if v, after, _ := t.client.Add(m); v != load.Refused {
+					if v, after, _ := t.client.Submit(m); v != load.Rejected {
 						break
 					} else {
 						time.Sleep(max(after, 20*time.Millisecond))
@@ -511,7 +511,7 @@
 		return result, err
 	}
 	limits := t.limits
-	for _, o := range []standin.Order{{Do: "limit", Factor: factor}, {Do: "chill"}, {Do: "reset"}} {
+	for _, o := range []standin.Command{{Do: "limit", Factor: factor}, {Do: "chill"}, {Do: "reset"}} {
 		if err := t.orderAll(from, to, o); err != nil {
 			return result, err
 		}
@@ -520,11 +520,11 @@
 	for d := from; d <= to; d++ {
 		for n := range max(int(3*limits[d]), 1) {
 			m := load.Message{
-				ID: fmt.Sprintf("%s-%d-%d", name, d, n), Class: "order", Tenant: "town", Left: 20 * time.Second,
-				Destination: d, Keyed: true, Key: uint64(d)<<8 + uint64(n%4) + 1, Seq: uint64(n + 1),
+				ID: fmt.Sprintf("%s-%d-%d", name, d, n), Class: "order", Tenant: "town", TTL: 20 * time.Second,
+				Destination: d, HasIdempotencyKey: true, Key: uint64(d)<<8 + uint64(n%4) + 1, Seq: uint64(n + 1),
 			}
 			if n%4 == 3 {
-				m.Class, m.Left, m.Keyed, m.Key = "status", 8*time.Second, false, 0
+				m.Class, m.TTL, m.HasIdempotencyKey, m.Key = "status", 8*time.Second, false, 0
 			}
 			burst = append(burst, m)
 		}
@@ -537,7 +537,7 @@
 		wg.Go(func() {
 			for _, m := range burst {
 				if int(m.Destination-from)%lanes == lane {
-					_, _, _ = t.client.Add(m)
+					_, _, _ = t.client.Submit(m)
 				}
 			}
 		})
@@ -552,7 +552,7 @@
 		if err != nil {
 			return result, err
 		}
-		account := t.client.Account(func(_ uint32, id string) bool { return seen[id] }, t.directory.Notices(),
+		account := t.client.CountResults(func(_ uint32, id string) bool { return seen[id] }, t.directory.Notices(),
 			func(m load.Message) bool { return ours[m.ID] })
 		result.Taken, result.Refused, result.Unheard, result.Delivered, result.Open, result.Doubled = account.Taken, account.Refused, account.Unheard+account.Failed, account.Delivered, account.Open, account.Doubled
 		if result.Seconds = time.Since(startedAt).Seconds(); account.Open == 0 || time.Now().After(deadline) {
@@ -565,8 +565,8 @@
 	}
 	for d := from; d <= to; d++ {
 		n := counts[d]
-		result.Calls, result.TurnedAway, result.OverLimit, result.Late = result.Calls+n.Calls, result.TurnedAway+n.Refused, result.OverLimit+n.Over, result.Late+n.Late
-		result.Fell, result.Duplicates, result.OutOfOrder, result.InWait = result.Fell+n.Fell, result.Duplicates+n.Copies, result.OutOfOrder+n.OutOfOrder, result.InWait+n.InWait
+		result.Calls, result.TurnedAway, result.OverLimit, result.Late = result.Calls+n.Calls, result.TurnedAway+n.Refused, result.OverLimit+n.OverLimit, result.Late+n.Late
+		result.Fell, result.Duplicates, result.OutOfOrder, result.InWait = result.Fell+n.Collapses, result.Duplicates+n.Duplicates, result.OutOfOrder+n.OutOfOrder, result.InWait+n.DuringRetryAfter
 		result.PeakOverLimit = max(result.PeakOverLimit, n.Peak)
 	}
 	return result, nil
--- a/internal/measure/plugins.go
+++ b/internal/measure/plugins.go
@@ -170,7 +170,7 @@
 			}
 			durations.Add(time.Since(startedAt))
 		}
-		costs[m.Engine+" "+string(h)] = CallCost{1000 * durations.Ms(50), 1000 * durations.Ms(99)}
+		costs[m.Engine+" "+string(h)] = CallCost{1000 * durations.PercentileMs(50), 1000 * durations.PercentileMs(99)}
 	}
 	return rig.Resident(cmd.Process.Pid)
 }
@@ -197,13 +197,13 @@
 	for d := range uint32(otherDestinations + 1) {
 		specs = append(specs, standin.Spec{Destination: d + 1, Endpoints: 2, Profile: partner.Profile{Latency: 20 * time.Millisecond}})
 	}
-	kitchen, err := rig.NewKitchen(dir, specs)
+	kitchen, err := rig.NewEnvironment(dir, specs)
 	if err != nil {
 		return l, 0, err
 	}
 	defer kitchen.Close()
 	c, err := rig.Start(o.Exe, rig.Config{
-		Dir: dir, Discovery: kitchen.Directory.Addr(), Settings: rig.Large(64, 4000, 5000), MemoryMB: 192, Sockets: 1024,
+		Dir: dir, Discovery: kitchen.Directory.Addr(), Settings: rig.LargeSettings(64, 4000, 5000), MemoryMB: 192, Sockets: 1024,
 		Plugins: map[string]any{"folder": folder},
 	})
 	if err != nil {
@@ -221,11 +221,11 @@
 			for n := 0; time.Since(startedAt) < o.For; n++ {
 				d := uint32(lane%(otherDestinations+1) + 1)
 				sentAt := time.Now()
-				v, after, _ := client.Add(load.Message{
-					ID: fmt.Sprintf("l%d-%d", lane, n), Class: "status", Tenant: "town", Left: 8 * time.Second, Destination: d,
+				v, after, _ := client.Submit(load.Message{
+					ID: fmt.Sprintf("l%d-%d", lane, n), Class: "status", Tenant: "town", TTL: 8 * time.Second, Destination: d,
 				})
 				elapsed := time.Since(sentAt)
-				if v == load.Refused {
+				if v == load.Rejected {
 					time.Sleep(max(after, 10*time.Millisecond))
 					continue
 				}
@@ -246,8 +246,8 @@
 		}
 	}
 	wg.Wait()
-	l.PerSecond, l.OthersPS = float64(all.N())/o.For.Seconds(), float64(others.N())/o.For.Seconds()
-	l.P99Ms, l.OthersP99 = all.Ms(99), others.Ms(99)
+	l.PerSecond, l.OthersPS = float64(all.Count())/o.For.Seconds(), float64(others.Count())/o.For.Seconds()
+	l.P99Ms, l.OthersP99 = all.PercentileMs(99), others.PercentileMs(99)
 	account := kitchen.Settle(client, 10*time.Second)
 	l.Open, l.Doubled, l.Unheard = account.Open, account.Doubled, account.Unheard
 	resident, err = c.Resident()
@@ -295,7 +295,7 @@
 			return err
 		}
 		startedAt := time.Now()
-		if err := c.Reload(); err != nil {
+		if err := c.ReloadPlugins(); err != nil {
 			return err
 		}
 		f.ReloadMs = float64(time.Since(startedAt).Microseconds()) / 1000
--- a/internal/measure/scale.go
+++ b/internal/measure/scale.go
@@ -42,13 +42,13 @@
 	Seconds float64    `json:"measured_s"`
 	StartS  float64    `json:"start_s"` // seconds until every courier held the list
 
-	Real      *CourierFigures    `json:"real,omitempty"`   // mean of the real couriers
-	Hollow    *CourierFigures    `json:"hollow,omitempty"` // mean of the simulated couriers
-	Carrier   *RoleFigures       `json:"carrier,omitempty"`
-	Keeper    *RoleFigures       `json:"keeper,omitempty"`
-	Directory DirectoryTraffic   `json:"directory"`
-	Start     StartTraffic       `json:"start"`
-	Force     PropagationFigures `json:"in_force"`
+	Real           *CourierFigures    `json:"real,omitempty"`   // mean of the real couriers
+	Simulated      *CourierFigures    `json:"hollow,omitempty"` // mean of the simulated couriers
+	QuotaRequester *RoleFigures       `json:"carrier,omitempty"`
+	LeaseOwner     *RoleFigures       `json:"keeper,omitempty"`
+	Directory      DirectoryTraffic   `json:"directory"`
+	Start          StartTraffic       `json:"start"`
+	Propagation    PropagationFigures `json:"in_force"`
 
 	Messages            float64 `json:"messages_per_s"`        // submitted
 	DatagramsPerMessage float64 `json:"datagrams_per_message"` // peer messages, without the announcements of simulated couriers
@@ -84,7 +84,7 @@
 
 // ForwardFigures holds what one courier forwards to others and receives from them.
 type ForwardFigures struct {
-	Handed     float64 `json:"handed_per_s"`    // by its own clients
+	Submitted  float64 `json:"handed_per_s"`    // by its own clients
 	Forwarded  float64 `json:"forwarded_per_s"` // of these, forwarded to an owner
 	Share      float64 `json:"forwarded_share"`
 	Bytes      float64 `json:"forwarded_bytes_per_s"`
@@ -96,18 +96,18 @@
 
 // StartTraffic holds how many bytes the directory sends to one courier when it starts.
 type StartTraffic struct {
-	Bytes     float64 `json:"bytes"`           // mean of all couriers at the start of the run
-	Over      float64 `json:"over_budget"`     // ratio to the start budget
-	Restarted float64 `json:"restarted_bytes"` // mean of the restarted simulated couriers, which keep no state
-	Again     int     `json:"restarted"`
-	Real      float64 `json:"restarted_real_bytes"`
-	AgainReal int     `json:"restarted_real"`
+	Bytes                   float64 `json:"bytes"`           // mean of all couriers at the start of the run
+	BudgetRatio             float64 `json:"over_budget"`     // ratio to the start budget
+	RestartedSimulatedBytes float64 `json:"restarted_bytes"` // mean of the restarted simulated couriers, which keep no state
+	RestartedSimulated      int     `json:"restarted"`
+	RestartedRealBytes      float64 `json:"restarted_real_bytes"`
+	RestartedReal           int     `json:"restarted_real"`
 }
 
 // RoleFigures holds the figures of a simulated courier in one role.
 type RoleFigures struct {
 	StateBytes    float64 `json:"state_bytes"`
-	Accounts      float64 `json:"accounts"`
+	QuotaLedgers  float64 `json:"accounts"`
 	Sent          float64 `json:"datagrams_sent_per_s"`
 	SentBytes     float64 `json:"bytes_sent_per_s"`
 	Received      float64 `json:"datagrams_received_per_s"`
@@ -127,13 +127,13 @@
 // PropagationFigures holds the delay from a list change to the next watch request of a courier that
 // confirms it.
 type PropagationFigures struct {
-	Changes int     `json:"changes"`
-	Expect  int     `json:"expected"` // number of pairs of a change and a courier that it affects
-	Heard   int64   `json:"heard"`
-	MeanMs  float64 `json:"mean_ms"`
-	P90Ms   float64 `json:"p90_ms"`
-	P99Ms   float64 `json:"p99_ms"`
-	LastMs  float64 `json:"last_ms"`
+	Changes   int     `json:"changes"`
+	Expected  int     `json:"expected"` // number of pairs of a change and a courier that it affects
+	Confirmed int64   `json:"heard"`
+	MeanMs    float64 `json:"mean_ms"`
+	P90Ms     float64 `json:"p90_ms"`
+	P99Ms     float64 `json:"p99_ms"`
+	LastMs    float64 `json:"last_ms"`
 }
 
 // machineLimits reads the memory and file descriptor limits of the machine.
@@ -197,10 +197,10 @@
 func newMessage(courier, serial, destination int, keyed bool) load.Message {
 	m := load.Message{
 		ID: fmt.Sprintf("c%d-%d", courier, serial), Class: "status", Tenant: "town",
-		Destination: uint32(destination + 1), Left: 8 * time.Second,
+		Destination: uint32(destination + 1), TTL: 8 * time.Second,
 	}
 	if keyed {
-		m.Class, m.Keyed = "order", true
+		m.Class, m.HasIdempotencyKey = "order", true
 	}
 	return m
 }
@@ -220,7 +220,7 @@
 	simulated         map[int]*simulatedCourier
 	mu                sync.Mutex
 	real              map[int]*realCourier
-	directoryAddrs    map[int]*standin.Door // of real couriers and of restarted ones
+	directoryAddrs    map[int]*standin.DedicatedAddress // of real couriers and of restarted ones
 	restartedCouriers map[int]bool
 	propagation       propagation
 	submitted         atomic.Int64 // messages submitted to real couriers
@@ -244,7 +244,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &fleet{exe: o.Exe, machine: m, simulated: map[int]*simulatedCourier{}, real: map[int]*realCourier{}, directoryAddrs: map[int]*standin.Door{}, restartedCouriers: map[int]bool{}, stopping: make(chan struct{})}
+	t := &fleet{exe: o.Exe, machine: m, simulated: map[int]*simulatedCourier{}, real: map[int]*realCourier{}, directoryAddrs: map[int]*standin.DedicatedAddress{}, restartedCouriers: map[int]bool{}, stopping: make(chan struct{})}
 	t.plan = p
 	defer t.close()
 	if t.dir, err = os.MkdirTemp("", "snowjunction-scale-"); err != nil {
@@ -260,7 +260,7 @@
 	}
 	f = &ScaleFigures{Machine: describeMachine(), Plan: p, StartS: time.Since(startedAt).Seconds()}
 	f.Start.Bytes = float64(t.directory.Traffic().Out) / float64(p.Couriers)
-	f.Start.Over = f.Start.Bytes / scale.StartBudget
+	f.Start.BudgetRatio = f.Start.Bytes / scale.StartBudget
 	t.startTraffic()
 	f.Directory.StartOut = float64(t.directory.Traffic().Out)
 	if !t.sleep(seconds(p.Settle)) {
@@ -352,8 +352,8 @@
 	}
 	t.discovery = t.directory.Addr()
 	t.propagation.delays, t.propagation.confirmed = latency.New(10*time.Minute, 3), map[string]uint64{}
-	t.directory.Watched(t.propagation.onWatch)
-	t.settings = rig.Large(48, 1000, 1.5*p.Events)
+	t.directory.OnWatch(t.propagation.onWatch)
+	t.settings = rig.LargeSettings(48, 1000, 1.5*p.Events)
 	t.lists = platform.ListLimits{Bytes: maxListBytes(len(t.list)), Entries: max(len(t.list), platform.DefaultListLimits.Entries)}
 	t.columns = []string{"x0", "x1"}
 	t.names = config.Names{Zones: map[string]int{}, Kinds: map[string]int{"k": 0}}
@@ -383,13 +383,13 @@
 	fmt.Fprintln(out, f.Machine)
 	fmt.Fprintf(out, "%d couriers, %d of them real; %d destinations of %d endpoints, share down %g; %d zones, %d regions; %.4g messages a second submitted\n",
 		p.Couriers, p.Real, p.Destinations, p.Endpoints, p.Down, p.Zones, p.Regions, f.Messages)
-	fmt.Fprintf(out, "%d restarts, %d cuts, %d changes in %.1f s; all couriers held the list after %.1f s\n", p.Restarts, p.Cuts, f.Force.Changes, f.Seconds, f.StartS)
+	fmt.Fprintf(out, "%d restarts, %d cuts, %d changes in %.1f s; all couriers held the list after %.1f s\n", p.Restarts, p.Cuts, f.Propagation.Changes, f.Seconds, f.StartS)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "per courier and second\tstate B\theap B\tdatagrams out\tB out\tdatagrams in\tB in\tcore")
 	for _, x := range []struct {
 		name string
 		c    *CourierFigures
-	}{{"courier, real", f.Real}, {"courier, simulated", f.Hollow}} {
+	}{{"courier, real", f.Real}, {"courier, simulated", f.Simulated}} {
 		if x.c != nil {
 			fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.2f\t%.0f\t%.2f\t%.0f\t%.4f\n", x.name, x.c.StateBytes, x.c.HeapBytes, x.c.Sent, x.c.SentBytes, x.c.Received, x.c.ReceivedBytes, x.c.CPU)
 		}
@@ -397,7 +397,7 @@
 	for _, x := range []struct {
 		name string
 		r    *RoleFigures
-	}{{"  as quota requester", f.Carrier}, {"  as lease owner", f.Keeper}} {
+	}{{"  as quota requester", f.QuotaRequester}, {"  as lease owner", f.LeaseOwner}} {
 		if x.r != nil {
 			fmt.Fprintf(w, "%s\t%.0f\t\t%.2f\t%.0f\t%.2f\t%.0f\t\n", x.name, x.r.StateBytes, x.r.Sent, x.r.SentBytes, x.r.Received, x.r.ReceivedBytes)
 		}
@@ -406,12 +406,12 @@
 	fmt.Fprintf(w, "directory\t%.0f\t\t%.2f answers\t%.0f\t%.2f calls\t%.0f\t%.4f at most\n", d.StateBytes, d.Calls, d.Out, d.Calls, d.In, d.Answering)
 	w.Flush()
 	fmt.Fprintf(out, "a change is in force after (ms): mean %.1f, 0.9 %.1f, 0.99 %.1f, last %.1f; %d of %d confirmed\n",
-		f.Force.MeanMs, f.Force.P90Ms, f.Force.P99Ms, f.Force.LastMs, f.Force.Heard, f.Force.Expect)
+		f.Propagation.MeanMs, f.Propagation.P90Ms, f.Propagation.P99Ms, f.Propagation.LastMs, f.Propagation.Confirmed, f.Propagation.Expected)
 	fmt.Fprintf(out, "datagrams per message: %.2f with %.1f bytes in all, without the announcements of simulated couriers\n", f.DatagramsPerMessage, f.BytesPerMessage)
 	fmt.Fprintf(out, "delivered %.4g, rejected %.4g a second; datagrams: %.4f lost, %.4g a second dropped by a cut, %.0f dropped as unknown or invalid, %.0f by queue overflow\n",
 		f.Delivered, f.Rejected, f.Lost, f.Cut, f.Dropped, f.Overflowed)
-	if f.Hollow != nil {
-		fmt.Fprintf(out, "announcements of simulated couriers: %.2f per courier and second; %.0f in all before the measurement\n", f.Hollow.Announcements, f.StartAnnouncements)
+	if f.Simulated != nil {
+		fmt.Fprintf(out, "announcements of simulated couriers: %.2f per courier and second; %.0f in all before the measurement\n", f.Simulated.Announcements, f.StartAnnouncements)
 	}
 	f.printParts(out)
 	fmt.Fprintf(out, "the directory sent %.0f bytes until all couriers held the list; heap of this process per simulated courier: %.0f bytes\n", d.StartOut, f.HeapBytes)
--- a/internal/measure/scalefit.go
+++ b/internal/measure/scalefit.go
@@ -15,31 +15,31 @@
 	of   func(f *ScaleFigures) (float64, bool)
 }{
 	{"carrier: state, B", func(f *ScaleFigures) (float64, bool) {
-		return roleFigure(f.Carrier, func(r *RoleFigures) float64 { return r.StateBytes })
+		return roleFigure(f.QuotaRequester, func(r *RoleFigures) float64 { return r.StateBytes })
 	}},
 	{"carrier: datagrams out /s", func(f *ScaleFigures) (float64, bool) {
-		return roleFigure(f.Carrier, func(r *RoleFigures) float64 { return r.Sent })
+		return roleFigure(f.QuotaRequester, func(r *RoleFigures) float64 { return r.Sent })
 	}},
 	{"carrier: B out /s", func(f *ScaleFigures) (float64, bool) {
-		return roleFigure(f.Carrier, func(r *RoleFigures) float64 { return r.SentBytes })
+		return roleFigure(f.QuotaRequester, func(r *RoleFigures) float64 { return r.SentBytes })
 	}},
 	{"carrier: B in /s", func(f *ScaleFigures) (float64, bool) {
-		return roleFigure(f.Carrier, func(r *RoleFigures) float64 { return r.ReceivedBytes })
+		return roleFigure(f.QuotaRequester, func(r *RoleFigures) float64 { return r.ReceivedBytes })
 	}},
 	{"keeper: state, B", func(f *ScaleFigures) (float64, bool) {
-		return roleFigure(f.Keeper, func(r *RoleFigures) float64 { return r.StateBytes })
+		return roleFigure(f.LeaseOwner, func(r *RoleFigures) float64 { return r.StateBytes })
 	}},
 	{"keeper: datagrams out /s", func(f *ScaleFigures) (float64, bool) {
-		return roleFigure(f.Keeper, func(r *RoleFigures) float64 { return r.Sent })
+		return roleFigure(f.LeaseOwner, func(r *RoleFigures) float64 { return r.Sent })
 	}},
 	{"keeper: B out /s", func(f *ScaleFigures) (float64, bool) {
-		return roleFigure(f.Keeper, func(r *RoleFigures) float64 { return r.SentBytes })
+		return roleFigure(f.LeaseOwner, func(r *RoleFigures) float64 { return r.SentBytes })
 	}},
 	{"keeper: B in /s", func(f *ScaleFigures) (float64, bool) {
-		return roleFigure(f.Keeper, func(r *RoleFigures) float64 { return r.ReceivedBytes })
+		return roleFigure(f.LeaseOwner, func(r *RoleFigures) float64 { return r.ReceivedBytes })
 	}},
 	{"hollow courier: core", func(f *ScaleFigures) (float64, bool) {
-		return courierFigure(f.Hollow, func(c *CourierFigures) float64 { return c.CPU })
+		return courierFigure(f.Simulated, func(c *CourierFigures) float64 { return c.CPU })
 	}},
 	{"real courier: core", func(f *ScaleFigures) (float64, bool) {
 		return courierFigure(f.Real, func(c *CourierFigures) float64 { return c.CPU })
@@ -53,15 +53,15 @@
 	{"directory: B out at the start", func(f *ScaleFigures) (float64, bool) { return f.Directory.StartOut, true }},
 	{"courier: list told at the start, B", func(f *ScaleFigures) (float64, bool) { return f.Start.Bytes, true }},
 	{"hollow courier: list held, B", func(f *ScaleFigures) (float64, bool) {
-		return courierFigure(f.Hollow, func(c *CourierFigures) float64 { return c.ListBytes })
+		return courierFigure(f.Simulated, func(c *CourierFigures) float64 { return c.ListBytes })
 	}},
 	{"hollow courier: forwarded, B /s", func(f *ScaleFigures) (float64, bool) {
-		if f.Hollow == nil || f.Hollow.Forwarding == nil {
+		if f.Simulated == nil || f.Simulated.Forwarding == nil {
 			return 0, false
 		}
-		return f.Hollow.Forwarding.Bytes, true
+		return f.Simulated.Forwarding.Bytes, true
 	}},
-	{"last change in force, ms", func(f *ScaleFigures) (float64, bool) { return f.Force.LastMs, f.Force.Heard > 0 }},
+	{"last change in force, ms", func(f *ScaleFigures) (float64, bool) { return f.Propagation.LastMs, f.Propagation.Confirmed > 0 }},
 }
 
 func roleFigure(r *RoleFigures, of func(*RoleFigures) float64) (float64, bool) {
@@ -78,8 +78,8 @@
 	return of(c), true
 }
 
-// Fitted holds the runs of a fit and the fitted lines.
-type Fitted struct {
+// FitFigures holds the runs of a fit and the fitted lines.
+type FitFigures struct {
 	Against string                `json:"against"`
 	Sizes   []float64             `json:"sizes"`
 	Lines   map[string]scale.Line `json:"lines"`
@@ -112,7 +112,7 @@
 
 // fit measures five sizes and prints a fitted line for each total.
 func (o Scale) fit(out io.Writer) error {
-	fitted := Fitted{Against: o.Fit, Lines: map[string]scale.Line{}}
+	fitted := FitFigures{Against: o.Fit, Lines: map[string]scale.Line{}}
 	for _, v := range o.sizes() {
 		x, err := o.runPlan(o.planOfSize(v))
 		if err != nil {
@@ -127,7 +127,7 @@
 }
 
 // print writes the fitted lines. A total that a run does not have is left out.
-func (f *Fitted) print(out io.Writer) {
+func (f *FitFigures) print(out io.Writer) {
 	fmt.Fprintf(out, "-- against %s, %d sizes up to %g\n", f.Against, len(f.Sizes), f.Sizes[len(f.Sizes)-1])
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "total\tslope\t± (95%)\tat 0\t")
@@ -185,19 +185,19 @@
 	agreed.Agreements = []scale.Agreement{
 		scale.Compare("messages /s", a.Messages, b.Messages),
 		scale.Compare("delivered /s", a.Delivered, b.Delivered),
-		scale.Compare("datagrams out /s", a.Real.Sent, b.Hollow.Sent),
-		scale.Compare("B out /s", a.Real.SentBytes, b.Hollow.SentBytes),
-		scale.Compare("datagrams in /s", a.Real.Received, b.Hollow.Received),
-		scale.Compare("B in /s", a.Real.ReceivedBytes, b.Hollow.ReceivedBytes),
+		scale.Compare("datagrams out /s", a.Real.Sent, b.Simulated.Sent),
+		scale.Compare("B out /s", a.Real.SentBytes, b.Simulated.SentBytes),
+		scale.Compare("datagrams in /s", a.Real.Received, b.Simulated.Received),
+		scale.Compare("B in /s", a.Real.ReceivedBytes, b.Simulated.ReceivedBytes),
 		scale.Compare("directory: B out /s", a.Directory.Out, b.Directory.Out),
 		scale.Compare("directory: B in /s", a.Directory.In, b.Directory.In),
 	}
 	if o.Partitions > 0 {
 		agreed.Agreements = append(agreed.Agreements,
-			scale.Compare("forwarded /s", a.Real.Forwarding.Forwarded, b.Hollow.Forwarding.Forwarded),
-			scale.Compare("B forwarded /s", a.Real.Forwarding.Bytes, b.Hollow.Forwarding.Bytes),
+			scale.Compare("forwarded /s", a.Real.Forwarding.Forwarded, b.Simulated.Forwarding.Forwarded),
+			scale.Compare("B forwarded /s", a.Real.Forwarding.Bytes, b.Simulated.Forwarding.Bytes),
 			scale.Compare("list told at the start, B", a.Start.Bytes, b.Start.Bytes),
-			scale.Compare("list held, B", a.Real.ListBytes, b.Hollow.ListBytes))
+			scale.Compare("list held, B", a.Real.ListBytes, b.Simulated.ListBytes))
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "simulated against real\treal\tsimulated\tdifference")
--- a/internal/measure/scaleparts.go
+++ b/internal/measure/scaleparts.go
@@ -88,7 +88,7 @@
 	d := t.directoryAddrs[n]
 	if d == nil && (t.restartedCouriers[n] || t.plan.IsReal(n)) {
 		var err error
-		if d, err = t.directory.Door(); err != nil {
+		if d, err = t.directory.OpenDedicatedAddress(); err != nil {
 			return "", err
 		}
 		t.directoryAddrs[n] = d
@@ -104,7 +104,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.restartedCouriers[n] = true; t.directoryAddrs[n] != nil {
-		t.directoryAddrs[n].Again()
+		t.directoryAddrs[n].ResetStart()
 	}
 }
 
@@ -119,14 +119,14 @@
 			continue
 		}
 		if t.plan.IsReal(n) {
-			real += float64(d.Started())
-			f.AgainReal++
+			real += float64(d.StartBytes())
+			f.RestartedReal++
 		} else {
-			simulated += float64(d.Started())
-			f.Again++
+			simulated += float64(d.StartBytes())
+			f.RestartedSimulated++
 		}
 	}
-	f.Restarted, f.Real = simulated/float64(max(1, f.Again)), real/float64(max(1, f.AgainReal))
+	f.RestartedSimulatedBytes, f.RestartedRealBytes = simulated/float64(max(1, f.RestartedSimulated)), real/float64(max(1, f.RestartedReal))
 }
 
 // affectedPairs returns the number of pairs of a list change and a courier that it affects.
@@ -146,29 +146,29 @@
 		return nil
 	}
 	f := &ForwardFigures{
-		Handed: each("handed"), Forwarded: each("forwarded"), Bytes: each("forward_bytes"), Moved: each("moved"),
+		Submitted: each("handed"), Forwarded: each("forwarded"), Bytes: each("forward_bytes"), Moved: each("moved"),
 		NoOwner: each("no_owner"), Unanswered: each("lost"), Open: open / float64(n),
 	}
-	if f.Handed > 0 {
-		f.Share = f.Forwarded / f.Handed
+	if f.Submitted > 0 {
+		f.Share = f.Forwarded / f.Submitted
 	}
 	return f
 }
 
 func (f *ScaleFigures) printParts(out io.Writer) {
-	fmt.Fprintf(out, "the list of one courier: %.0f bytes received at the start, %.3g times the budget of %d", f.Start.Bytes, f.Start.Over, scale.StartBudget)
+	fmt.Fprintf(out, "the list of one courier: %.0f bytes received at the start, %.3g times the budget of %d", f.Start.Bytes, f.Start.BudgetRatio, scale.StartBudget)
 	for _, x := range []struct {
 		name string
 		c    *CourierFigures
-	}{{"real", f.Real}, {"simulated", f.Hollow}} {
+	}{{"real", f.Real}, {"simulated", f.Simulated}} {
 		if x.c != nil {
 			fmt.Fprintf(out, "; %s: %.0f entries held in %.0f bytes", x.name, x.c.ListEntries, x.c.ListBytes)
 		}
 	}
 	fmt.Fprintln(out)
-	if f.Start.Again+f.Start.AgainReal > 0 {
+	if f.Start.RestartedSimulated+f.Start.RestartedReal > 0 {
 		fmt.Fprintf(out, "received by a restarted courier: %.0f bytes (%d simulated ones, without stored state), %.0f bytes (%d real ones, with stored state)\n",
-			f.Start.Restarted, f.Start.Again, f.Start.Real, f.Start.AgainReal)
+			f.Start.RestartedSimulatedBytes, f.Start.RestartedSimulated, f.Start.RestartedRealBytes, f.Start.RestartedReal)
 	}
 	if f.Plan.Partitions == 0 {
 		return
@@ -179,10 +179,10 @@
 	for _, x := range []struct {
 		name string
 		c    *CourierFigures
-	}{{"courier, real", f.Real}, {"courier, simulated", f.Hollow}} {
+	}{{"courier, real", f.Real}, {"courier, simulated", f.Simulated}} {
 		if x.c != nil && x.c.Forwarding != nil {
 			n := x.c.Forwarding
-			fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.3f\t%.1f\t%.3f\t%.3f\t%.3f\t%.2f\n", x.name, n.Handed, n.Forwarded, n.Share, n.Bytes, n.Moved, n.NoOwner, n.Unanswered, n.Open)
+			fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.3f\t%.1f\t%.3f\t%.3f\t%.3f\t%.2f\n", x.name, n.Submitted, n.Forwarded, n.Share, n.Bytes, n.Moved, n.NoOwner, n.Unanswered, n.Open)
 		}
 	}
 	w.Flush()
@@ -197,7 +197,7 @@
 func forwardCounters(line map[string]any) map[string]float64 {
 	out := map[string]float64{}
 	for name, key := range forwardCounterNames {
-		out[name] = rig.Number(line, "n", key)
+		out[name] = rig.NumberAt(line, "n", key)
 	}
 	return out
 }
--- a/internal/measure/scalerun.go
+++ b/internal/measure/scalerun.go
@@ -76,7 +76,7 @@
 
 // memberSettings returns the settings of a courier.
 func (t *fleet) memberSettings(n int) map[string]any {
-	return rig.Member(t.settings, n, t.plan.Couriers, t.plan.Zone(n), t.zones)
+	return rig.MemberSettings(t.settings, n, t.plan.Couriers, t.plan.Zone(n), t.zones)
 }
 
 // start starts all couriers and waits until each holds the list.
@@ -265,7 +265,7 @@
 		t.mu.Unlock()
 		x := newMessage(m.number, serial, destination, keyed)
 		t.tasks.Go(func() {
-			if v, _, _ := client.Add(x); v != load.Unheard {
+			if v, _, _ := client.Submit(x); v != load.NoResponse {
 				t.submitted.Add(1)
 			}
 		})
@@ -294,7 +294,7 @@
 		return err
 	}
 	for _, name := range datagramCounterNames {
-		m.pastCounters[name] += rig.Number(line, "datagrams", name)
+		m.pastCounters[name] += rig.NumberAt(line, "datagrams", name)
 	}
 	for name, v := range forwardCounters(line) {
 		m.pastCounters[name] += v
@@ -349,7 +349,7 @@
 			return r, err
 		}
 		for _, name := range datagramCounterNames {
-			r.real[name] += m.pastCounters[name] + rig.Number(line, "datagrams", name)
+			r.real[name] += m.pastCounters[name] + rig.NumberAt(line, "datagrams", name)
 		}
 		cpu, err := m.courier.CPU()
 		if err != nil {
@@ -359,12 +359,12 @@
 		for name, v := range forwardCounters(line) {
 			r.real[name] += m.pastCounters[name] + v
 		}
-		r.real["open"] += rig.Number(line, "kinds", platform.ForwardKind)
-		r.real["entries"] += rig.Number(line, "idle", "listed")
-		r.real["list"] += rig.Number(line, "idle", "table_bytes")
-		r.invalid += rig.Number(line, "n", "unread")
-		r.realState += rig.Number(line, "state", "carried_bytes") + rig.Number(line, "state", "account_bytes")
-		r.realHeap += rig.Number(line, "heap")
+		r.real["open"] += rig.NumberAt(line, "kinds", platform.ForwardKind)
+		r.real["entries"] += rig.NumberAt(line, "idle", "listed")
+		r.real["list"] += rig.NumberAt(line, "idle", "table_bytes")
+		r.invalid += rig.NumberAt(line, "n", "unread")
+		r.realState += rig.NumberAt(line, "state", "carried_bytes") + rig.NumberAt(line, "state", "account_bytes")
+		r.realHeap += rig.NumberAt(line, "heap")
 		if rss, err := m.courier.Resident(); err == nil {
 			r.realRSS += float64(rss)
 		}
@@ -477,15 +477,15 @@
 		f.Real.StateBytes, f.Real.HeapBytes, f.Real.ResidentBytes = to.realState/float64(n), to.realHeap/float64(n), to.realRSS/float64(n)
 	}
 	if n := float64(t.plan.Couriers - t.plan.Real); n > 0 {
-		f.Hollow = figures(int(n), from.simulated, to.simulated)
-		f.Hollow.StateBytes = (to.state + to.accountBytes) / n
+		f.Simulated = figures(int(n), from.simulated, to.simulated)
+		f.Simulated.StateBytes = (to.state + to.accountBytes) / n
 		role := func(a, b roleTraffic) *RoleFigures {
 			d := b.plus(a, -1)
 			k := n * f.Seconds
 			return &RoleFigures{Sent: d.Sent / k, SentBytes: d.SentBytes / k, Received: d.Received / k, ReceivedBytes: d.ReceivedBytes / k}
 		}
-		f.Carrier, f.Keeper = role(from.requestTraffic, to.requestTraffic), role(from.ownerTraffic, to.ownerTraffic)
-		f.Carrier.StateBytes, f.Keeper.StateBytes, f.Keeper.Accounts = to.state/n, to.accountBytes/n, to.accounts/n
+		f.QuotaRequester, f.LeaseOwner = role(from.requestTraffic, to.requestTraffic), role(from.ownerTraffic, to.ownerTraffic)
+		f.QuotaRequester.StateBytes, f.LeaseOwner.StateBytes, f.LeaseOwner.QuotaLedgers = to.state/n, to.accountBytes/n, to.accounts/n
 	}
 	f.Directory = DirectoryTraffic{
 		StateBytes: float64(to.directory.Bytes), Calls: rate(float64(from.directory.Calls), float64(to.directory.Calls)),
@@ -499,8 +499,8 @@
 		f.Lost = max(0, 1-received/sent)
 	}
 	f.Cut = rate(from.cut, to.cut)
-	if f.Hollow != nil {
-		f.Hollow.Announcements = rate(from.announcements, to.announcements) / float64(f.Hollow.Couriers)
+	if f.Simulated != nil {
+		f.Simulated.Announcements = rate(from.announcements, to.announcements) / float64(f.Simulated.Couriers)
 		f.StartAnnouncements = from.announcements
 	}
 	f.Overflowed = both(to, "crowded")
@@ -517,9 +517,9 @@
 	t.propagation.mu.Lock()
 	defer t.propagation.mu.Unlock()
 	h := t.propagation.delays
-	f.Force = PropagationFigures{Changes: len(t.propagation.changes), Expect: t.affectedPairs(), Heard: t.propagation.confirmations}
+	f.Propagation = PropagationFigures{Changes: len(t.propagation.changes), Expected: t.affectedPairs(), Confirmed: t.propagation.confirmations}
 	if t.propagation.confirmations > 0 {
-		f.Force.MeanMs, f.Force.P90Ms, f.Force.P99Ms, f.Force.LastMs = h.Mean(), h.Ms(90), h.Ms(99), h.Max()
+		f.Propagation.MeanMs, f.Propagation.P90Ms, f.Propagation.P99Ms, f.Propagation.LastMs = h.MeanMs(), h.PercentileMs(90), h.PercentileMs(99), h.MaxMs()
 	}
 }
 
--- a/internal/measure/start.go
+++ b/internal/measure/start.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		return "", nil, err
 	}
-	d.Down(down)
+	d.SetSilent(down)
 	return d.Addr(), d.Close, nil
 }
 
@@ -311,14 +311,14 @@
 // measureOnce starts a process and adds the duration of each step.
 func (o Start) measureOnce(dir, directoryAddr string, list []standin.Instance, durations map[string][]float64, f *StartFigures) error {
 	c, err := rig.Start(o.Exe, rig.Config{
-		Dir: dir, Discovery: directoryAddr, Settings: rig.Large(48, 100000, 1000), MemoryMB: o.MemoryMB, Sockets: 256, DiskMB: o.DiskMB,
-		Known: list, OperatorDirectory: o.directorySettings(),
+		Dir: dir, Discovery: directoryAddr, Settings: rig.LargeSettings(48, 100000, 1000), MemoryMB: o.MemoryMB, Sockets: 256, DiskMB: o.DiskMB,
+		KnownInstances: list, OperatorDirectory: o.directorySettings(),
 	})
 	if err != nil {
 		return err
 	}
 	defer c.Kill()
-	startedAt := c.Begun
+	startedAt := c.StartedAt
 	if text, err := requestLine(c.Addr, "*1\r\n$4\r\nPING\r\n"); err != nil || text != "+PONG\r\n" {
 		return fmt.Errorf("the courier answers %q, %v", text, err)
 	}
@@ -331,10 +331,10 @@
 	if err != nil {
 		return err
 	}
-	courierMs := rig.Number(line, "ms")
+	courierMs := rig.NumberAt(line, "ms")
 	add := func(step string, ms float64) { durations[step] = append(durations[step], ms) }
 	for _, step := range daemon.StartSteps {
-		add(step, rig.Number(line, "steps_ms", step))
+		add(step, rig.NumberAt(line, "steps_ms", step))
 	}
 	add(execStep, milliseconds(readyAt.Sub(startedAt))-courierMs)
 	add(pongStep, total-milliseconds(readyAt.Sub(startedAt)))
--- a/internal/measure/upgrade.go
+++ b/internal/measure/upgrade.go
@@ -79,16 +79,16 @@
 	var specs []standin.Spec
 	for d := range uint32(6) {
 		specs = append(specs, standin.Spec{
-			Destination: d + 1, Endpoints: 2, Profile: partner.Profile{Latency: 15 * time.Millisecond, Limit: 400, Report: true, Tells: 1},
+			Destination: d + 1, Endpoints: 2, Profile: partner.Profile{Latency: 15 * time.Millisecond, Limit: 400, ReportsLimit: true, RetryAfterShare: 1},
 		})
 	}
-	kitchen, err := rig.NewKitchen(dir, specs)
+	kitchen, err := rig.NewEnvironment(dir, specs)
 	if err != nil {
 		return err
 	}
 	defer kitchen.Close()
 	c, err := rig.Start(o.Exe, rig.Config{
-		Dir: dir, Discovery: kitchen.Directory.Addr(), Settings: rig.Large(64, 2000, 5000), MemoryMB: o.MemoryMB, Sockets: o.Sockets, Console: true,
+		Dir: dir, Discovery: kitchen.Directory.Addr(), Settings: rig.LargeSettings(64, 2000, 5000), MemoryMB: o.MemoryMB, Sockets: o.Sockets, Console: true,
 	})
 	if err != nil {
 		return err
@@ -113,11 +113,11 @@
 	for lane := range o.Lanes {
 		wg.Go(func() {
 			for n := 0; running(); n++ {
-				m := load.Message{ID: fmt.Sprintf("u%d-%d", lane, n), Class: "status", Tenant: "town", Destination: uint32(lane%6 + 1), Left: 8 * time.Second}
+				m := load.Message{ID: fmt.Sprintf("u%d-%d", lane, n), Class: "status", Tenant: "town", Destination: uint32(lane%6 + 1), TTL: 8 * time.Second}
 				if lane%2 == 0 {
-					m.Class, m.Keyed, m.Key, m.Seq, m.Left = "order", true, uint64(lane+1), uint64(n+1), 20*time.Second
+					m.Class, m.HasIdempotencyKey, m.Key, m.Seq, m.TTL = "order", true, uint64(lane+1), uint64(n+1), 20*time.Second
 				}
-				if v, after, _ := client.Add(m); v == load.Refused {
+				if v, after, _ := client.Submit(m); v == load.Rejected {
 					time.Sleep(min(max(after, 5*time.Millisecond), 50*time.Millisecond))
 				}
 			}
@@ -167,7 +167,7 @@
 			}
 		}()
 		startedAt := time.Now()
-		x, err := old.Beside()
+		x, err := old.StartSecond()
 		if err != nil {
 			return err
 		}
@@ -185,14 +185,14 @@
 	account := kitchen.Settle(client, 20*time.Second)
 	n := kitchen.Counts()
 	slices.Sort(readyTimes)
-	fmt.Fprintf(out, "%d upgrades, %+v\ncalls %d, copies %d, out of order %d, during a retry-after delay %d\n", o.Upgrades, account, n.Calls, n.Copies, n.OutOfOrder, n.InWait)
+	fmt.Fprintf(out, "%d upgrades, %+v\ncalls %d, copies %d, out of order %d, during a retry-after delay %d\n", o.Upgrades, account, n.Calls, n.Duplicates, n.OutOfOrder, n.DuringRetryAfter)
 	fmt.Fprintf(out, "from start to ready: median %v, longest %v\n", readyTimes[len(readyTimes)/2].Round(time.Millisecond), readyTimes[len(readyTimes)-1].Round(time.Millisecond))
 	fmt.Fprintf(out, "longest time without an answer at the clients' address: %v; %d of %d calls failed\n",
 		time.Duration(pings.longest.Load()).Round(time.Millisecond), pings.failed.Load(), pings.requests.Load())
 	fmt.Fprintf(out, "longest answer of the console: %v; %d of %d calls unanswered\n",
 		time.Duration(telemetry.longest.Load()).Round(time.Millisecond), telemetry.failed.Load(), telemetry.requests.Load())
 	fmt.Fprintf(out, "both processes together: %.1f MB and %d file descriptors at most, sampled\n", float64(memory)/1e6, descriptors)
-	if violations := account.Open + account.Doubled + account.Unheard + n.Broken() + int(pings.failed.Load()+telemetry.failed.Load()); violations > 0 {
+	if violations := account.Open + account.Doubled + account.Unheard + n.Violations() + int(pings.failed.Load()+telemetry.failed.Load()); violations > 0 {
 		return fmt.Errorf("%d rule violations or failed calls", violations)
 	}
 	return nil
--- a/internal/net/capacity_test.go
+++ b/internal/net/capacity_test.go
@@ -28,7 +28,7 @@
 		}
 		b.Cleanup(d.Close)
 		if i == 1 {
-			gauge.CPU(b, n, "datagram", func() {
+			gauge.CPUPerItem(b, n, "datagram", func() {
 				for range n {
 					d.Send(0, []byte("8 bytes."))
 					<-received
--- a/internal/openload/lane.go
+++ b/internal/openload/lane.go
@@ -142,7 +142,7 @@
 	defer l.mu.Unlock()
 	l.failInFlight()
 	for _, x := range l.queue.all() {
-		l.finish(inFlight{x, l.now()}, load.Unheard)
+		l.finish(inFlight{x, l.now()}, load.NoResponse)
 	}
 	l.queue.remove(l.queue.len())
 }
@@ -196,10 +196,10 @@
 // failInFlight ends all messages in flight without a response.
 func (l *lane) failInFlight() {
 	for _, f := range l.pipelined.all() {
-		l.finish(f, load.Unheard)
+		l.finish(f, load.NoResponse)
 	}
 	for _, f := range l.streams {
-		l.finish(f, load.Unheard)
+		l.finish(f, load.NoResponse)
 	}
 	l.pipelined.remove(l.pipelined.len())
 	clear(l.streams)
@@ -265,7 +265,7 @@
 		if err != nil {
 			return
 		}
-		v, _ := load.Answer(strings.TrimSpace(line))
+		v, _ := load.ParseResponse(strings.TrimSpace(line))
 		l.mu.Lock()
 		if l.conn != conn || l.pipelined.len() == 0 {
 			l.mu.Unlock()
@@ -302,12 +302,12 @@
 				if f, ok := l.streams[e.Stream]; ok {
 					delete(l.streams, e.Stream)
 					code, _ := strconv.Atoi(h2.Get(e.Fields, ":status"))
-					l.finish(f, load.Status(code))
+					l.finish(f, load.VerdictForStatus(code))
 				}
 			case h2.Reset:
 				if f, ok := l.streams[e.Stream]; ok {
 					delete(l.streams, e.Stream)
-					l.finish(f, load.Unheard)
+					l.finish(f, load.NoResponse)
 				}
 			case h2.Farewell:
 				done = done || len(l.streams) == 0
--- a/internal/openload/mix.go
+++ b/internal/openload/mix.go
@@ -19,20 +19,20 @@
 // Mix describes the messages to submit. Messages of class order are ordered by key and have an
 // idempotency key; all others are of class status.
 type Mix struct {
-	Rate     float64       // messages per second
-	For      time.Duration // duration of the run
-	Even     bool          // constant intervals instead of a Poisson process
-	Push     float64       // share of messages over HTTP/2; the rest is sent over RESP2
-	Orders   float64       // share of messages of class order
-	PerKey   float64       // mean number of messages per ordering key
-	Keyed    float64       // share of status messages with an idempotency key
-	Skew     float64       // exponent of the Zipf distribution of destinations
-	Resp     []uint32      // destinations over RESP2, most popular first
-	Pushed   []uint32      // destinations over HTTP/2, most popular first
-	Tenant   string
-	Prefix   string // prefix of message IDs
-	Seed     uint64
-	Deadline time.Duration // time to live of orders; status messages have two fifths of it
+	Rate             float64       // messages per second
+	Duration         time.Duration // duration of the run
+	Even             bool          // constant intervals instead of a Poisson process
+	PushShare        float64       // share of messages over HTTP/2; the rest is sent over RESP2
+	OrderShare       float64       // share of messages of class order
+	MessagesPerKey   float64       // mean number of messages per ordering key
+	StatusKeyedShare float64       // share of status messages with an idempotency key
+	Skew             float64       // exponent of the Zipf distribution of destinations
+	RESPDestinations []uint32      // destinations over RESP2, most popular first
+	PushDestinations []uint32      // destinations over HTTP/2, most popular first
+	Tenant           string
+	Prefix           string // prefix of message IDs
+	Seed             uint64
+	Deadline         time.Duration // time to live of orders; status messages have two fifths of it
 }
 
 func (m *Mix) check() error {
@@ -40,15 +40,15 @@
 	switch {
 	case !(m.Rate > 0) || math.IsInf(m.Rate, 0):
 		return errors.New("the rate must be over 0")
-	case m.For <= 0:
+	case m.Duration <= 0:
 		return errors.New("the run time must be greater than 0")
-	case !share(m.Push) || !share(m.Orders) || !share(m.Keyed):
+	case !share(m.PushShare) || !share(m.OrderShare) || !share(m.StatusKeyedShare):
 		return errors.New("shares must be between 0 and 1")
-	case m.PerKey < 1:
+	case m.MessagesPerKey < 1:
 		return errors.New("the mean number of messages per key must be at least 1")
 	case m.Skew < 0:
 		return errors.New("the skew must not be negative")
-	case m.Push < 1 && len(m.Resp) == 0, m.Push > 0 && len(m.Pushed) == 0:
+	case m.PushShare < 1 && len(m.RESPDestinations) == 0, m.PushShare > 0 && len(m.PushDestinations) == 0:
 		return errors.New("a front in use has no destination")
 	}
 	return nil
@@ -82,7 +82,7 @@
 		return nil, err
 	}
 	s := &generator{Mix: m, rng: rand.New(rand.NewPCG(m.Seed, 0x10ad)), currentKeys: map[uint32]*currentKey{}}
-	for i, destinations := range [][]uint32{m.Resp, m.Pushed} {
+	for i, destinations := range [][]uint32{m.RESPDestinations, m.PushDestinations} {
 		sum := 0.0
 		for n := range destinations {
 			sum += math.Pow(float64(n+1), -m.Skew)
@@ -99,23 +99,23 @@
 	} else {
 		s.nextAt += time.Duration(s.rng.ExpFloat64() / s.Rate * float64(time.Second))
 	}
-	if s.nextAt >= s.For {
+	if s.nextAt >= s.Duration {
 		return x, false
 	}
 	s.count++
 	x.dueAt = s.nextAt
 	x.ID = fmt.Sprintf("%s%d", s.Prefix, s.count)
 	x.Tenant = s.Tenant
-	x.Message.Push = s.rng.Float64() < s.Push
+	x.Message.Push = s.rng.Float64() < s.PushShare
 	x.Destination = s.pickDestination(x.Message.Push)
-	x.Keyed = s.rng.Float64() < s.Keyed
-	x.Class, x.Left = "status", s.Deadline*2/5
-	if s.rng.Float64() < s.Orders {
-		x.Class, x.Left, x.Keyed = "order", s.Deadline, true
+	x.HasIdempotencyKey = s.rng.Float64() < s.StatusKeyedShare
+	x.Class, x.TTL = "status", s.Deadline*2/5
+	if s.rng.Float64() < s.OrderShare {
+		x.Class, x.TTL, x.HasIdempotencyKey = "order", s.Deadline, true
 		key := s.currentKeys[x.Destination]
 		if key == nil || key.remaining == 0 {
 			s.lastKey++
-			key = &currentKey{key: s.lastKey, remaining: 1 + int(s.rng.ExpFloat64()*(s.PerKey-1))}
+			key = &currentKey{key: s.lastKey, remaining: 1 + int(s.rng.ExpFloat64()*(s.MessagesPerKey-1))}
 			s.currentKeys[x.Destination] = key
 		}
 		key.remaining--
@@ -127,9 +127,9 @@
 
 // pickDestination draws a destination of a front by popularity.
 func (s *generator) pickDestination(push bool) uint32 {
-	destinations, weights := s.Resp, s.cumulativeWeights[0]
+	destinations, weights := s.RESPDestinations, s.cumulativeWeights[0]
 	if push {
-		destinations, weights = s.Pushed, s.cumulativeWeights[1]
+		destinations, weights = s.PushDestinations, s.cumulativeWeights[1]
 	}
 	at := s.rng.Float64() * weights[len(weights)-1]
 	for i, x := range weights {
--- a/internal/openload/openload_test.go
+++ b/internal/openload/openload_test.go
@@ -18,7 +18,7 @@
 
 func mix() Mix {
 	return Mix{
-		Rate: 2000, For: 300 * time.Millisecond, Push: 0.5, Orders: 0.7, PerKey: 3, Skew: 0.8, Resp: []uint32{1, 2, 3}, Pushed: []uint32{4, 5},
+		Rate: 2000, Duration: 300 * time.Millisecond, PushShare: 0.5, OrderShare: 0.7, MessagesPerKey: 3, Skew: 0.8, RESPDestinations: []uint32{1, 2, 3}, PushDestinations: []uint32{4, 5},
 		Tenant: "town", Seed: 1, Deadline: 20 * time.Second,
 	}
 }
@@ -40,17 +40,17 @@
 	o := options(s)
 	var mu sync.Mutex
 	verdictCounts := map[string]int{}
-	o.Heard = func(m load.Message, v load.Verdict) {
+	o.OnVerdict = func(m load.Message, v load.Verdict) {
 		mu.Lock()
 		defer mu.Unlock()
-		assert.Equal(t, load.Taken, v)
+		assert.Equal(t, load.Accepted, v)
 		verdictCounts[m.ID]++
 	}
 	r, err := Run(context.Background(), o)
 	require.NoError(t, err)
 	assert.Equal(t, r.Due, r.Sent)
 	assert.Len(t, verdictCounts, r.Due)
-	assert.Equal(t, r.Due, s.Taken())
+	assert.Equal(t, r.Due, s.Accepted())
 	require.Len(t, r.Fronts, 2)
 	sum := int64(0)
 	for _, f := range r.Fronts {
@@ -60,7 +60,7 @@
 	}
 	n := int64(0)
 	for _, b := range r.Histogram {
-		n += b.N
+		n += b.Count
 	}
 	assert.Equal(t, sum, n, "the histogram must contain all messages")
 }
@@ -71,7 +71,7 @@
 	for _, share := range []float64{0, 1} {
 		s := openSink(t)
 		o := options(s)
-		o.Even, o.Mix.Push = true, share
+		o.Even, o.Mix.PushShare = true, share
 		s.Hold()
 		var end time.Duration // end of the stall
 		o.Progress = func(at time.Duration, due int) {
@@ -101,10 +101,10 @@
 	for _, share := range []float64{0, 1} {
 		s := openSink(t)
 		o := options(s)
-		o.Mix.Push = share
+		o.Mix.PushShare = share
 		var once sync.Once
-		o.Heard = func(load.Message, load.Verdict) {
-			once.Do(s.Cut)
+		o.OnVerdict = func(load.Message, load.Verdict) {
+			once.Do(s.CloseConnections)
 		}
 		r, err := Run(context.Background(), o)
 		require.NoError(t, err)
@@ -141,9 +141,9 @@
 func TestCancelledRun(t *testing.T) {
 	s := openSink(t)
 	o := options(s)
-	o.For = time.Hour
+	o.Duration = time.Hour
 	ctx, cancel := context.WithCancel(context.Background())
-	o.Heard = func(load.Message, load.Verdict) { cancel() }
+	o.OnVerdict = func(load.Message, load.Verdict) { cancel() }
 	r, err := Run(ctx, o)
 	require.NoError(t, err)
 	assert.Positive(t, r.Due)
@@ -155,9 +155,9 @@
 func TestMix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := mix()
-		m.Rate, m.For = 300, 2*time.Second
-		m.Push = rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "push")
-		m.Orders = rapid.SampledFrom([]float64{0, 0.6, 1}).Draw(t, "orders")
+		m.Rate, m.Duration = 300, 2*time.Second
+		m.PushShare = rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "push")
+		m.OrderShare = rapid.SampledFrom([]float64{0, 0.6, 1}).Draw(t, "orders")
 		m.Even = rapid.Bool().Draw(t, "even")
 		m.Seed = rapid.Uint64().Draw(t, "seed")
 		first, err := newGenerator(m)
@@ -176,16 +176,16 @@
 			assert.False(t, ids[x.ID])
 			last, ids[x.ID] = x.dueAt, true
 			n++
-			list := m.Resp
+			list := m.RESPDestinations
 			if x.Message.Push {
 				push++
-				list = m.Pushed
+				list = m.PushDestinations
 			}
 			assert.Contains(t, list, x.Destination)
 			if x.Class == "order" {
 				orders++
 				assert.Equal(t, seqs[x.Key]+1, x.Seq)
-				assert.True(t, x.Keyed)
+				assert.True(t, x.HasIdempotencyKey)
 				seqs[x.Key] = x.Seq
 			} else {
 				assert.Zero(t, x.Key)
@@ -195,8 +195,8 @@
 			assert.InDelta(t, want, got, 6*math.Sqrt(max(want, 1)))
 		}
 		within(n, 600)
-		within(push, m.Push*n)
-		within(orders, m.Orders*n)
+		within(push, m.PushShare*n)
+		within(orders, m.OrderShare*n)
 	})
 }
 
@@ -204,11 +204,11 @@
 	s := openSink(t)
 	for want, change := range map[string]func(*Options){
 		"rate":        func(o *Options) { o.Rate = 0 },
-		"time":        func(o *Options) { o.For = 0 },
-		"shares":      func(o *Options) { o.Orders = 1.5 },
-		"key":         func(o *Options) { o.PerKey = 0 },
+		"time":        func(o *Options) { o.Duration = 0 },
+		"shares":      func(o *Options) { o.OrderShare = 1.5 },
+		"key":         func(o *Options) { o.MessagesPerKey = 0 },
 		"skew":        func(o *Options) { o.Skew = -1 },
-		"destination": func(o *Options) { o.Pushed = nil },
+		"destination": func(o *Options) { o.PushDestinations = nil },
 		"connection":  func(o *Options) { o.Conns = 0 },
 	} {
 		o := options(s)
--- a/internal/openload/record.go
+++ b/internal/openload/record.go
@@ -37,12 +37,12 @@
 }
 
 func quantiles(h *latency.Histogram) Quantiles {
-	return Quantiles{N: h.N(), Mean: h.Mean(), P50: h.Ms(50), P90: h.Ms(90), P99: h.Ms(99), P999: h.Ms(99.9), Max: h.Max()}
+	return Quantiles{N: h.Count(), Mean: h.MeanMs(), P50: h.PercentileMs(50), P90: h.PercentileMs(90), P99: h.PercentileMs(99), P999: h.PercentileMs(99.9), Max: h.MaxMs()}
 }
 
 // statistics holds the measurements of one lane. Those of all lanes are merged at the end.
 type statistics struct {
-	verdicts        [frontCount][load.Unheard + 1]int
+	verdicts        [frontCount][load.NoResponse + 1]int
 	latency         [frontCount]*latency.Histogram // from due time to response
 	serviceTime     [frontCount]*latency.Histogram // from sending to response, as a closed loop would measure it
 	sendDelay       *latency.Histogram             // from due time to sending
@@ -64,7 +64,7 @@
 func (r *statistics) recordVerdict(f Front, v load.Verdict, due, sentAt, at time.Duration) {
 	r.verdicts[f][v]++
 	r.latency[f].Add(at - due)
-	if v != load.Unheard {
+	if v != load.NoResponse {
 		r.serviceTime[f].Add(at - sentAt)
 	}
 }
@@ -108,15 +108,15 @@
 
 func (r *statistics) result(m Mix, due int, pace *latency.Histogram, elapsed time.Duration) *Result {
 	out := &Result{
-		Rate: m.Rate, Seconds: m.For.Seconds(), Due: due, Sent: int(r.sendDelay.N()), LostConnections: r.lostConnections,
-		SendDelay: quantiles(r.sendDelay), Pace: quantiles(pace), SentRate: float64(r.sendDelay.N()) / elapsed.Seconds(),
+		Rate: m.Rate, Seconds: m.Duration.Seconds(), Due: due, Sent: int(r.sendDelay.Count()), LostConnections: r.lostConnections,
+		SendDelay: quantiles(r.sendDelay), Pace: quantiles(pace), SentRate: float64(r.sendDelay.Count()) / elapsed.Seconds(),
 	}
 	all := newHistogram()
 	for f := range frontCount {
 		v := r.verdicts[f]
 		if x := quantiles(r.latency[f]); x.N > 0 {
 			out.Fronts = append(out.Fronts, FrontResult{
-				Front: f.String(), Accepted: v[load.Taken], Rejected: v[load.Refused], Failed: v[load.Failed], NoResponse: v[load.Unheard],
+				Front: f.String(), Accepted: v[load.Accepted], Rejected: v[load.Rejected], Failed: v[load.Failed], NoResponse: v[load.NoResponse],
 				Latency: x, ServiceTime: quantiles(r.serviceTime[f]),
 			})
 		}
@@ -149,8 +149,8 @@
 	fmt.Fprintf(out, "%d due in %.1f s (%.0f per second), %d sent (%.0f per second); send delay p50 %.2f, p99 %.2f, max %.1f ms; %d connections lost\n",
 		r.Due, r.Seconds, r.Rate, r.Sent, r.SentRate, r.SendDelay.P50, r.SendDelay.P99, r.SendDelay.Max, r.LostConnections)
 	for _, b := range r.Histogram {
-		if b.N > 0 {
-			fmt.Fprintf(out, "%10.3f to %10.3f ms %9d\n", b.FromMs, b.ToMs, b.N)
+		if b.Count > 0 {
+			fmt.Fprintf(out, "%10.3f to %10.3f ms %9d\n", b.FromMs, b.ToMs, b.Count)
 		}
 	}
 	if !r.KeptPace() {
--- a/internal/openload/run.go
+++ b/internal/openload/run.go
@@ -18,7 +18,7 @@
 	Pipeline           int           // maximum number of messages in flight on a connection
 	Settle             time.Duration // how long to wait for responses after the last message
 	// Heard, if not nil, is called with the verdict on each message. Calls may be concurrent.
-	Heard func(load.Message, load.Verdict)
+	OnVerdict func(load.Message, load.Verdict)
 	// Progress, if not nil, is called about once a second and at the end with the elapsed time and
 	// the number of messages passed to connections.
 	Progress func(at time.Duration, due int)
@@ -39,11 +39,11 @@
 	var lanes [frontCount][]*lane
 	var wg sync.WaitGroup
 	for f, addr := range [...]string{o.RespAddr, o.PushAddr} {
-		if f == int(Push) && o.Mix.Push == 0 || f == int(Resp) && o.Mix.Push == 1 {
+		if f == int(Push) && o.Mix.PushShare == 0 || f == int(Resp) && o.Mix.PushShare == 1 {
 			continue
 		}
 		for range o.Conns {
-			l := newLane(addr, Front(f), o.Pipeline, clock, o.Heard)
+			l := newLane(addr, Front(f), o.Pipeline, clock, o.OnVerdict)
 			lanes[f] = append(lanes[f], l)
 			wg.Go(l.run)
 		}
--- a/internal/partition/capacity_test.go
+++ b/internal/partition/capacity_test.go
@@ -24,7 +24,7 @@
 // BenchmarkMembershipAnew measures the processor time of creating a membership, as at a start.
 func BenchmarkMembershipAnew(b *testing.B) {
 	all := fleet(plannedMembers, plannedRegions, 4)
-	gauge.CPU(b, 1, "membership", func() { membership(b, partitions, 1, all) })
+	gauge.CPUPerItem(b, 1, "membership", func() { membership(b, partitions, 1, all) })
 }
 
 // BenchmarkMembershipChange measures what each courier spends when one member leaves or returns.
@@ -33,7 +33,7 @@
 	m := membership(b, partitions, 1, all)
 	without := slices.Delete(slices.Clone(all), 1700, 1701)
 	const turns = 10
-	gauge.CPU(b, 2*turns, "change", func() {
+	gauge.CPUPerItem(b, 2*turns, "change", func() {
 		for range turns {
 			for _, members := range [][]Member{without, all} {
 				var err error
@@ -48,7 +48,7 @@
 // BenchmarkMembershipHeld measures the heap size of a membership, names and addresses included, and
 // the size in bytes of its members in an operator file without spaces.
 func BenchmarkMembershipHeld(b *testing.B) {
-	gauge.Held(b, 1, "membership", func() any { return plannedMembership(b) })
+	gauge.HeapPerItem(b, 1, "membership", func() any { return plannedMembership(b) })
 	n := 0
 	for _, x := range fleet(plannedMembers, plannedRegions, 4) {
 		n += len(fmt.Sprintf(`{"name":%q,"addr":%q,"region":%q,"zone":%q},`, x.Name, x.Addr, x.Region, x.Zone))
@@ -87,7 +87,7 @@
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
 			now, n := longAfterStart, uint32(0)
-			gauge.CPU(b, events, "event", func() {
+			gauge.CPUPerItem(b, events, "event", func() {
 				for range events {
 					n++
 					now += time.Second / 2300
--- a/internal/rig/kitchen.go
+++ b/internal/rig/kitchen.go
@@ -8,22 +8,22 @@
 	"snowjunction/internal/standin/partner"
 )
 
-// Kitchen simulates the environment of a courier: partners and a directory. Partners with HTTP/2
+// Environment simulates the environment of a courier: partners and a directory. Partners with HTTP/2
 // are targets of the push front; the directory lists the others.
-type Kitchen struct {
+type Environment struct {
 	Farm      *standin.Farm
 	Directory *standin.Directory
 	Listed    []standin.Instance
 	Push      map[string]any // configuration file of the push front
 }
 
-// NewKitchen starts the partners and the directory. It writes the push front's documents to dir.
-func NewKitchen(dir string, specs []standin.Spec) (*Kitchen, error) {
+// NewEnvironment starts the partners and the directory. It writes the push front's documents to dir.
+func NewEnvironment(dir string, specs []standin.Spec) (*Environment, error) {
 	farm, err := standin.NewFarm(specs)
 	if err != nil {
 		return nil, err
 	}
-	k := &Kitchen{Farm: farm}
+	k := &Environment{Farm: farm}
 	var pushed []standin.Endpoint
 	for _, e := range farm.Endpoints() {
 		if e.HTTP2 {
@@ -32,7 +32,7 @@
 			k.Listed = append(k.Listed, standin.List([]standin.Endpoint{e})...)
 		}
 	}
-	if k.Push, err = PushFile(dir, standin.List(pushed)); err == nil {
+	if k.Push, err = PushConfig(dir, standin.List(pushed)); err == nil {
 		k.Directory, err = standin.NewDirectory(k.Listed)
 	}
 	if err != nil {
@@ -44,33 +44,33 @@
 
 // Drain makes the directory announce that an endpoint is draining. The farm counts the calls that
 // the endpoint receives after that.
-func (k *Kitchen) Drain(name string) {
+func (k *Environment) Drain(name string) {
 	for _, x := range k.Listed {
 		if x.InstanceID == name {
 			x.Lifecycle = "Terminating"
-			k.Farm.Drains(x.HostPort)
+			k.Farm.MarkDraining(x.HostPort)
 			k.Directory.Change(x)
 		}
 	}
 }
 
 // Delivered reports whether a message has been delivered.
-func (k *Kitchen) Delivered(destination uint32, id string) (seen bool) {
-	_ = k.Farm.With(destination, func(p *partner.Partner) { seen = p.Seen(id) })
+func (k *Environment) Delivered(destination uint32, id string) (seen bool) {
+	_ = k.Farm.With(destination, func(p *partner.Partner) { seen = p.WasDelivered(id) })
 	return seen
 }
 
 // Counts returns the sum of the counters of all partners.
-func (k *Kitchen) Counts() (n partner.Counts) {
+func (k *Environment) Counts() (n partner.Counts) {
 	k.Farm.Each(func(_ uint32, p *partner.Partner) { n.Add(p.Counts) })
 	return n
 }
 
 // Settle waits until every accepted message of a client has a final result, or for the time
 // within, and returns the counts of results.
-func (k *Kitchen) Settle(client *load.Client, within time.Duration) load.Ends {
+func (k *Environment) Settle(client *load.Client, within time.Duration) load.Results {
 	for limit := time.Now().Add(within); ; time.Sleep(200 * time.Millisecond) {
-		e := client.Account(k.Delivered, k.Directory.Notices(), nil)
+		e := client.CountResults(k.Delivered, k.Directory.Notices(), nil)
 		if e.Open == 0 || time.Now().After(limit) {
 			return e
 		}
@@ -78,7 +78,7 @@
 }
 
 // Close stops the directory and the partners.
-func (k *Kitchen) Close() {
+func (k *Environment) Close() {
 	k.Directory.Close()
 	k.Farm.Close()
 }
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// Large returns Settings with the given maximum number of concurrent calls (slots), maximum number
+// LargeSettings returns Settings with the given maximum number of concurrent calls (slots), maximum number
 // of messages held, and quota of the only tenant in messages per second.
-func Large(slots, held int, quota float64) map[string]any {
+func LargeSettings(slots, held int, quota float64) map[string]any {
 	s := Settings()
 	s["family-info"].(map[string]any)["max-calls"] = slots
 	s["limits"].(map[string]any)["most-held"] = held
@@ -61,16 +61,16 @@
 
 // Config is the configuration of a courier to start.
 type Config struct {
-	Dir       string // existing folder for the courier's files
-	Discovery string // address of the directory
-	Settings  map[string]any
-	MemoryMB  int
-	Sockets   int
-	DiskMB    float64            // 0 means 3
-	Known     []standin.Instance // directory list known at the start; nil means none
-	Push      map[string]any     // configuration file of the push front; nil disables it
-	Idle      map[string]any     // configuration file for idle destinations; nil means the defaults
-	Plugins   map[string]any     // configuration file for plug-ins; nil means none
+	Dir            string // existing folder for the courier's files
+	Discovery      string // address of the directory
+	Settings       map[string]any
+	MemoryMB       int
+	Sockets        int
+	DiskMB         float64            // 0 means 3
+	KnownInstances []standin.Instance // directory list known at the start; nil means none
+	Push           map[string]any     // configuration file of the push front; nil disables it
+	Idle           map[string]any     // configuration file for idle destinations; nil means the defaults
+	Plugins        map[string]any     // configuration file for plug-ins; nil means none
 
 	OperatorDirectory map[string]any // configuration file of the directory; nil means the defaults
 	Partitions        map[string]any // configuration file of partitions; nil disables them
@@ -87,7 +87,7 @@
 type Courier struct {
 	Addr, Push string    // addresses of its fronts
 	Console    string    // second address; "" means none
-	Begun      time.Time // start of the process
+	StartedAt  time.Time // start of the process
 
 	exe         string
 	env         []string
@@ -136,8 +136,8 @@
 		"name": fmt.Sprintf("n%d", cfg.Number), "listen": "127.0.0.1:0", "discovery": cfg.Discovery, "seed": fmt.Sprintf("%016x", cfg.Seed),
 		"limits": map[string]any{"memory_mb": cfg.MemoryMB, "sockets": cfg.Sockets, "disk_mb": 3}, "settings": cfg.Settings,
 	}
-	if cfg.Known != nil {
-		config["known"] = map[string]any{"generation": 1, "reset": true, "instances": cfg.Known}
+	if cfg.KnownInstances != nil {
+		config["known"] = map[string]any{"generation": 1, "reset": true, "instances": cfg.KnownInstances}
 	}
 	if cfg.DiskMB > 0 {
 		config["limits"].(map[string]any)["disk_mb"] = cfg.DiskMB
@@ -183,8 +183,10 @@
 	return launch(exe, env, cfg.Console, cfg.Traced)
 }
 
-// Beside starts a second process of the same courier with the same state folder.
-func (c *Courier) Beside() (*Courier, error) { return launch(c.exe, c.env, c.hasConsole, c.traced) }
+// StartSecond starts a second process of the same courier with the same state folder.
+func (c *Courier) StartSecond() (*Courier, error) {
+	return launch(c.exe, c.env, c.hasConsole, c.traced)
+}
 
 // launch starts the process and waits until it listens.
 func launch(exe string, env []string, console, traced bool) (*Courier, error) {
@@ -198,7 +200,7 @@
 	if err != nil {
 		return nil, err
 	}
-	courier.Begun = time.Now()
+	courier.StartedAt = time.Now()
 	if err := courier.cmd.Start(); err != nil {
 		return nil, err
 	}
@@ -260,14 +262,14 @@
 			case c.configReloaded <- line:
 			default:
 			}
-		case standin.TraceLeaves, standin.TraceTold, standin.TraceAttempt, standin.TraceEnd:
+		case standin.TraceSent, standin.TraceRetryAfter, standin.TraceAttempt, standin.TraceFinalResult:
 			if c.traced {
-				t := standin.Trace{What: line["msg"].(string)}
+				t := standin.Trace{Kind: line["msg"].(string)}
 				t.ID, _ = line["id"].(string)
 				t.Outcome, _ = line["outcome"].(string)
-				if t.What == standin.TraceEnd {
+				if t.Kind == standin.TraceFinalResult {
 					t.Outcome, _ = line["as"].(string)
-					t.Left = time.Duration(Number(line, "left_ms")) * time.Millisecond
+					t.Left = time.Duration(NumberAt(line, "left_ms")) * time.Millisecond
 				}
 				c.mu.Lock()
 				c.traces = append(c.traces, t)
@@ -329,8 +331,8 @@
 	}
 }
 
-// Number returns the number at a path in the result of Counters, or 0 if there is none.
-func Number(line map[string]any, path ...string) float64 {
+// NumberAt returns the number at a path in the result of Counters, or 0 if there is none.
+func NumberAt(line map[string]any, path ...string) float64 {
 	var value any = line
 	for _, key := range path {
 		m, _ := value.(map[string]any)
@@ -343,8 +345,8 @@
 // Resident returns the resident memory of the process in bytes.
 func (c *Courier) Resident() (int64, error) { return Resident(c.cmd.Process.Pid) }
 
-// Reload sends SIGHUP and waits until the plug-ins have been replaced. It fails if they were not.
-func (c *Courier) Reload() error {
+// ReloadPlugins sends SIGHUP and waits until the plug-ins have been replaced. It fails if they were not.
+func (c *Courier) ReloadPlugins() error {
 	if err := c.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		return err
 	}
@@ -359,9 +361,9 @@
 	}
 }
 
-// Hup sends SIGHUP and waits until the configuration files have been reloaded. An error contains
+// ReloadConfig sends SIGHUP and waits until the configuration files have been reloaded. An error contains
 // the reason why the courier rejected them.
-func (c *Courier) Hup() error {
+func (c *Courier) ReloadConfig() error {
 	if err := c.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		return err
 	}
@@ -463,8 +465,8 @@
 	}
 }
 
-// PushFile returns the configuration file of the push front and writes its documents to dir.
-func PushFile(dir string, targets []standin.Instance) (map[string]any, error) {
+// PushConfig returns the configuration file of the push front and writes its documents to dir.
+func PushConfig(dir string, targets []standin.Instance) (map[string]any, error) {
 	for name, text := range map[string][]byte{"openapi.json": deploy.OpenAPI, "asyncapi.json": deploy.AsyncAPI} {
 		if err := os.WriteFile(filepath.Join(dir, name), text, 0o600); err != nil {
 			return nil, err
