--- a/internal/scenario/courier.go
+++ b/internal/scenario/courier.go
@@ -22,9 +22,9 @@
 	"snowjunction/internal/rig"
 )
 
-// RunAs is the environment variable that makes the test binary of the courier's command run as the
+// RunAsCourierEnv is the environment variable that makes the test binary of the courier's command run as the
 // courier.
-const RunAs = "RUN_COURIER"
+const RunAsCourierEnv = "RUN_COURIER"
 
 // Target is an entry of the directory list in the courier's configuration.
 type Target struct {
@@ -35,13 +35,13 @@
 // Courier is the program under test: a separate process with a state folder that persists across
 // restarts. Its steps are kill, term, hup, start and exit. Any other text is awaited in the log.
 type Courier struct {
-	Play     *Play
-	Settings map[string]any
-	Limits   map[string]any
-	Targets  []Target
-	Env      []string
-	Peers    map[string]any // settings for peer messages, merged into the configuration
-	Patience time.Duration  // timeout for a log line; 0 means Limit
+	Runner     *Runner
+	Settings   map[string]any
+	Limits     map[string]any
+	Targets    []Target
+	Env        []string
+	Peers      map[string]any // settings for peer messages, merged into the configuration
+	LogTimeout time.Duration  // timeout for a log line; 0 means Limit
 
 	dir, stateDir string
 	cmd           *exec.Cmd
@@ -57,7 +57,7 @@
 	p := New(t)
 	p.Server("discovery")
 	c := &Courier{
-		Play: p, Settings: rig.Settings(), Targets: targets, dir: t.TempDir(),
+		Runner: p, Settings: rig.Settings(), Targets: targets, dir: t.TempDir(),
 		Limits: map[string]any{"memory_mb": 192, "sockets": 1024, "disk_mb": 3},
 	}
 	// The simulated directory does not answer. A request to it waits as long as this grace time allows,
@@ -65,7 +65,7 @@
 	c.Settings["contract"].(map[string]any)["stop-sending-within-ms"] = 60000
 	c.stateDir = filepath.Join(c.dir, "state")
 	require.NoError(t, os.Mkdir(c.stateDir, 0o700))
-	p.On("courier", c.runStep)
+	p.DefineStep("courier", c.runStep)
 	t.Cleanup(func() {
 		c.Stop(syscall.SIGKILL)
 		if t.Failed() {
@@ -75,28 +75,28 @@
 	return c
 }
 
-// Unhurried sets the times of all classes to Limit, so that no call, message or window expires on a
+// ExtendTimeouts sets the times of all classes to Limit, so that no call, message or window expires on a
 // busy machine while a script waits for its next event.
-func (c *Courier) Unhurried() {
+func (c *Courier) ExtendTimeouts() {
 	for _, class := range c.Settings["classes"].([]any) {
 		for _, name := range []string{"promise-ms", "deadline-ms", "window-ms"} {
-			class.(map[string]any)[name] = Limit.Milliseconds()
+			class.(map[string]any)[name] = EventTimeout.Milliseconds()
 		}
 	}
 }
 
-// Beside prepares a second process of the same courier with the same state folder and configuration.
+// SecondProcess prepares a second process of the same courier with the same state folder and configuration.
 // Scripts refer to it by name.
-func (c *Courier) Beside(name string) *Courier {
+func (c *Courier) SecondProcess(name string) *Courier {
 	n := &Courier{
-		Play: c.Play, Settings: c.Settings, Limits: c.Limits, Targets: c.Targets, Env: c.Env, Peers: c.Peers,
+		Runner: c.Runner, Settings: c.Settings, Limits: c.Limits, Targets: c.Targets, Env: c.Env, Peers: c.Peers,
 		dir: c.dir, stateDir: c.stateDir,
 	}
-	c.Play.On(name, n.runStep)
-	c.Play.T.Cleanup(func() {
+	c.Runner.DefineStep(name, n.runStep)
+	c.Runner.T.Cleanup(func() {
 		n.Stop(syscall.SIGKILL)
-		if c.Play.T.Failed() {
-			c.Play.T.Logf("the log of %s:\n%s", name, n.Log())
+		if c.Runner.T.Failed() {
+			c.Runner.T.Logf("the log of %s:\n%s", name, n.Log())
 		}
 	})
 	return n
@@ -144,7 +144,7 @@
 		})
 	}
 	config := map[string]any{
-		"name": "n0", "listen": "127.0.0.1:0", "discovery": c.Play.variables["discovery"], "seed": "8c1f30d27a5be964",
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": c.Runner.variables["discovery"], "seed": "8c1f30d27a5be964",
 		"limits": c.Limits, "settings": c.Settings,
 		"known": map[string]any{"generation": 1, "reset": true, "instances": instances},
 	}
@@ -167,8 +167,8 @@
 	if err != nil {
 		return err
 	}
-	c.Play.Let("client", m[1])
-	c.Play.Let("push", strings.Trim(m[2], `"`))
+	c.Runner.Define("client", m[1])
+	c.Runner.Define("push", strings.Trim(m[2], `"`))
 	return nil
 }
 
@@ -179,7 +179,7 @@
 		return err
 	}
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(append(os.Environ(), RunAs+"=1", "GW_CONFIG="+path, "GW_STATE="+c.stateDir), c.Env...)
+	cmd.Env = append(append(os.Environ(), RunAsCourierEnv+"=1", "GW_CONFIG="+path, "GW_STATE="+c.stateDir), c.Env...)
 	out, err := cmd.StderrPipe()
 	if err != nil {
 		return err
@@ -217,7 +217,7 @@
 // Await waits for a match of pattern in the log after the previous match and returns its submatches.
 func (c *Courier) Await(pattern string) ([]string, error) {
 	re := regexp.MustCompile(pattern)
-	limit := time.After(cmp.Or(c.Patience, Limit))
+	limit := time.After(cmp.Or(c.LogTimeout, EventTimeout))
 	for open := true; ; {
 		c.mu.Lock()
 		text := c.log.String()[c.logRead:]
@@ -269,7 +269,7 @@
 	case err := <-c.exited:
 		c.cmd = nil
 		return err
-	case <-time.After(Limit):
+	case <-time.After(EventTimeout):
 		return fmt.Errorf("the courier did not end in time")
 	}
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -28,11 +28,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Limit is the timeout for an event, after which the test fails.
-const Limit = 90 * time.Second
+// EventTimeout is the timeout for an event, after which the test fails.
+const EventTimeout = 90 * time.Second
 
-// Play runs scripts. It owns their servers, connections and variables.
-type Play struct {
+// Runner runs scripts. It owns their servers, connections and variables.
+type Runner struct {
 	T         *testing.T
 	variables map[string]string
 	servers   map[string]net.Listener
@@ -41,37 +41,37 @@
 }
 
 // New returns a play without servers and connections.
-func New(t *testing.T) *Play {
-	return &Play{
+func New(t *testing.T) *Runner {
+	return &Runner{
 		T: t, variables: map[string]string{}, servers: map[string]net.Listener{},
 		conns: map[string]actor{}, steps: map[string]func(string) error{},
 	}
 }
 
 // Server starts a listener on loopback, defines its address under name, and returns the address.
-func (p *Play) Server(name string) string {
+func (p *Runner) Server(name string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(p.T, err)
 	p.T.Cleanup(func() { l.Close() })
 	p.servers[name] = l
-	p.Let(name, l.Addr().String())
+	p.Define(name, l.Addr().String())
 	return l.Addr().String()
 }
 
 // Listener returns the listener of a server, for tests that accept its connections themselves.
-func (p *Play) Listener(name string) net.Listener { return p.servers[name] }
+func (p *Runner) Listener(name string) net.Listener { return p.servers[name] }
 
-// Let defines a variable.
-func (p *Play) Let(name, value string) { p.variables[name] = value }
+// Define defines a variable.
+func (p *Runner) Define(name, value string) { p.variables[name] = value }
 
 // Name returns the value of a variable.
-func (p *Play) Name(name string) string { return p.variables[name] }
+func (p *Runner) Name(name string) string { return p.variables[name] }
 
-// On defines a step: the line THING wait WORD calls it with WORD.
-func (p *Play) On(thing string, step func(word string) error) { p.steps[thing] = step }
+// DefineStep defines a step: the line THING wait WORD calls it with WORD.
+func (p *Runner) DefineStep(thing string, step func(word string) error) { p.steps[thing] = step }
 
 // Run executes a script. The first line that fails ends the test.
-func (p *Play) Run(script string) {
+func (p *Runner) Run(script string) {
 	p.T.Helper()
 	for i, line := range strings.Split(script, "\n") {
 		if line = strings.TrimSpace(line); line == "" || strings.HasPrefix(line, "#") {
@@ -83,7 +83,7 @@
 }
 
 // runLine executes one line of a script.
-func (p *Play) runLine(line string) error {
+func (p *Runner) runLine(line string) error {
 	who, rest, _ := strings.Cut(line, " ")
 	verb, arg, _ := strings.Cut(strings.TrimSpace(rest), " ")
 	if arg = strings.TrimSpace(arg); strings.HasPrefix(arg, `"`) {
@@ -107,13 +107,13 @@
 		if !ok {
 			return fmt.Errorf("unknown server %s", who)
 		}
-		if err := l.SetDeadline(time.Now().Add(Limit)); err != nil {
+		if err := l.SetDeadline(time.Now().Add(EventTimeout)); err != nil {
 			return err
 		}
 		c, err := l.Accept()
 		return p.register(arg, c, err, verb)
 	case "dial", "h2dial":
-		c, err := net.DialTimeout("tcp", p.variables[who], Limit)
+		c, err := net.DialTimeout("tcp", p.variables[who], EventTimeout)
 		return p.register(arg, c, err, verb)
 	}
 	a := p.conns[who]
@@ -132,12 +132,12 @@
 }
 
 // register registers a connection under a name, unless err is set.
-func (p *Play) register(who string, c net.Conn, err error, verb string) error {
+func (p *Runner) register(who string, c net.Conn, err error, verb string) error {
 	if err != nil {
 		return err
 	}
 	p.T.Cleanup(func() { c.Close() })
-	if err := c.SetDeadline(time.Now().Add(Limit)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(EventTimeout)); err != nil {
 		return err
 	}
 	p.conns[who] = &plainConn{conn: c}
--- a/internal/standin/directory.go
+++ b/internal/standin/directory.go
@@ -186,16 +186,16 @@
 	return d.generation
 }
 
-// Say makes raw the response to every request, until Say is called with nil.
-func (d *Directory) Say(raw []byte) {
+// SetFixedResponse makes raw the response to every request, until Say is called with nil.
+func (d *Directory) SetFixedResponse(raw []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fixedResponse = raw
 	d.notifyWatchers()
 }
 
-// Down makes the directory leave requests for the list unanswered. It still receives notices.
-func (d *Directory) Down(down bool) {
+// SetSilent makes the directory leave requests for the list unanswered. It still receives notices.
+func (d *Directory) SetSilent(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent = down
@@ -208,8 +208,8 @@
 	d.changed = make(chan struct{})
 }
 
-// Heard returns the highest generation that a courier has named in a watch.
-func (d *Directory) Heard() uint64 {
+// LastWatchedGeneration returns the highest generation that a courier has named in a watch.
+func (d *Directory) LastWatchedGeneration() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.lastWatched
--- a/internal/standin/farm.go
+++ b/internal/standin/farm.go
@@ -51,7 +51,7 @@
 	drainingSince   map[string]time.Time // by address: when draining was announced
 	callsByAddr     map[string]int
 	listeners       map[string]net.Listener
-	recordedCalls   []Taken
+	recordedCalls   []RecordedCall
 	recordsCalls    bool     // whether calls are added to recordedCalls
 	lastKitchenCall []string // X-Kitchen header and query of the last call with that header
 }
@@ -63,23 +63,23 @@
 	destination uint32
 }
 
-// Taken is a recorded call to a partner.
-type Taken struct {
+// RecordedCall is a recorded call to a partner.
+type RecordedCall struct {
 	Destination uint32
 	ID          string
 	At          time.Duration // by the farm's clock
-	Wait        time.Duration // retry-after delay in the response; 0 means none
+	RetryAfter  time.Duration // retry-after delay in the response; 0 means none
 }
 
-// Keep makes the farm record every call to its partners from now on.
-func (f *Farm) Keep() {
+// RecordCalls makes the farm record every call to its partners from now on.
+func (f *Farm) RecordCalls() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.recordsCalls = true
 }
 
-// Taken returns the recorded calls. Those to a partner are in the order in which it processed them.
-func (f *Farm) Taken() []Taken {
+// RecordedCalls returns the recorded calls. Those to a partner are in the order in which it processed them.
+func (f *Farm) RecordedCalls() []RecordedCall {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.recordedCalls)
@@ -178,16 +178,16 @@
 	}
 }
 
-// Give makes the partner of another destination answer at the named endpoint, as if the address
+// Reassign makes the partner of another destination answer at the named endpoint, as if the address
 // had been reassigned.
-func (f *Farm) Give(name string, destination uint32) {
+func (f *Farm) Reassign(name string, destination uint32) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hostsByAddr[f.addr(name)] = f.hostsByDestination[destination]
 }
 
-// Drains records that the draining of an endpoint is announced now.
-func (f *Farm) Drains(addr string) {
+// MarkDraining records that the draining of an endpoint is announced now.
+func (f *Farm) MarkDraining(addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.drainingSince == nil {
@@ -207,9 +207,9 @@
 // drainGrace is how long calls to a draining endpoint are still allowed.
 const drainGrace = time.Second
 
-// LastShaped returns the X-Kitchen header and the query of the last call with that header, which a
+// LastKitchenCall returns the X-Kitchen header and the query of the last call with that header, which a
 // plug-in has set.
-func (f *Farm) LastShaped() []string {
+func (f *Farm) LastKitchenCall() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lastKitchenCall
@@ -276,7 +276,7 @@
 		f.sleep(r.Context(), time.Hour)
 		panic(http.ErrAbortHandler)
 	}
-	if !f.sleep(r.Context(), a.After) {
+	if !f.sleep(r.Context(), a.Delay) {
 		panic(http.ErrAbortHandler)
 	}
 	if a.Reset {
@@ -301,12 +301,16 @@
 	retryAfterHeader = "X-RateLimit-Wait-Ms"
 )
 
-func formatLoad(a partner.Answer) string { return fmt.Sprintf("x0=%.3f,x1=%g", a.Left, a.Limit) }
+func formatLoad(a partner.Response) string {
+	return fmt.Sprintf("x0=%.3f,x1=%g", a.RemainingShare, a.Limit)
+}
 
-func formatRetryAfter(a partner.Answer) string { return strconv.FormatInt(a.Wait.Milliseconds(), 10) }
+func formatRetryAfter(a partner.Response) string {
+	return strconv.FormatInt(a.RetryAfter.Milliseconds(), 10)
+}
 
 // Header returns a header of an answer that is not sent over HTTP, or "" if it has no such header.
-func Header(a partner.Answer, name string) string {
+func Header(a partner.Response, name string) string {
 	switch {
 	case name == loadHeader && a.Limit > 0:
 		return formatLoad(a)
@@ -317,7 +321,7 @@
 }
 
 // beginCall passes a call to a partner. The caller must call end once, as for Begin.
-func (f *Farm) beginCall(h *host, id string, body []byte, draining bool) (a partner.Answer, end func(delivered bool)) {
+func (f *Farm) beginCall(h *host, id string, body []byte, draining bool) (a partner.Response, end func(delivered bool)) {
 	c := f.parseCall(id, body)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -325,11 +329,11 @@
 	a = h.partner.Begin(now, c)
 	f.mu.Lock()
 	if f.recordsCalls {
-		f.recordedCalls = append(f.recordedCalls, Taken{Destination: h.destination, ID: id, At: now, Wait: a.Wait})
+		f.recordedCalls = append(f.recordedCalls, RecordedCall{Destination: h.destination, ID: id, At: now, RetryAfter: a.RetryAfter})
 	}
 	f.mu.Unlock()
 	if draining {
-		h.partner.Counts.Drained++
+		h.partner.Counts.AfterDrain++
 	}
 	return a, func(delivered bool) {
 		h.mu.Lock()
@@ -340,7 +344,7 @@
 
 // Begin passes a call to the partner of a destination without a network connection. The caller
 // must call end once the answer has been used or abandoned.
-func (f *Farm) Begin(destination uint32, id string, body []byte) (a partner.Answer, end func(delivered bool), err error) {
+func (f *Farm) Begin(destination uint32, id string, body []byte) (a partner.Response, end func(delivered bool), err error) {
 	h := f.hostsByDestination[destination]
 	if h == nil {
 		return a, nil, fmt.Errorf("no partner for destination %d", destination)
--- a/internal/standin/farm_test.go
+++ b/internal/standin/farm_test.go
@@ -49,7 +49,7 @@
 
 // Calls over both HTTP versions reach the same partner, whose endpoints share its limit.
 func TestFarm(t *testing.T) {
-	f := newTestFarm(t, Spec{Destination: 4, Endpoints: 2, Profile: partner.Profile{Limit: 3.0 / 4096, Span: 4096 * time.Second, Tells: 1, Report: true}})
+	f := newTestFarm(t, Spec{Destination: 4, Endpoints: 2, Profile: partner.Profile{Limit: 3.0 / 4096, Window: 4096 * time.Second, RetryAfterShare: 1, ReportsLimit: true}})
 	ends := f.Endpoints()
 	require.Len(t, ends, 2)
 	for i, c := range []*http.Client{newTestClient(t, false), newTestClient(t, true), newTestClient(t, false), newTestClient(t, true)} {
@@ -63,25 +63,25 @@
 		assert.Equal(t, 429, a.StatusCode)
 		assert.NotEmpty(t, a.Header.Get("X-RateLimit-Wait-Ms"))
 	}
-	r := f.Obey(Order{Do: "stats"})
+	r := f.Execute(Command{Do: "stats"})
 	assert.Equal(t, 3, r.Counts[4].Delivered)
-	assert.Zero(t, r.Counts[4].OutOfOrder+r.Counts[4].Copies+r.Counts[4].Late)
-	r = f.Obey(Order{Do: "seen", IDs: []Ask{{4, "0"}, {4, "3"}, {5, "0"}}})
+	assert.Zero(t, r.Counts[4].OutOfOrder+r.Counts[4].Duplicates+r.Counts[4].Late)
+	r = f.Execute(Command{Do: "seen", IDs: []MessageRef{{4, "0"}, {4, "3"}, {5, "0"}}})
 	assert.Equal(t, []bool{true, false, false}, r.Seen)
 }
 
 // A reset fault breaks the call in both HTTP versions, and nothing is delivered.
 func TestFarmResetsConnections(t *testing.T) {
 	f := newTestFarm(t, Spec{Destination: 1, Endpoints: 1})
-	require.Empty(t, f.Obey(Order{Do: "fault", From: 1, Fault: partner.Reset, For: time.Hour}).Error)
+	require.Empty(t, f.Execute(Command{Do: "fault", From: 1, Fault: partner.Reset, For: time.Hour}).Error)
 	for i, two := range []bool{false, true} {
 		_, err := call(t, newTestClient(t, two), f.Endpoints()[0].Addr, fmt.Sprint(i), nil)
 		assert.Error(t, err)
 	}
-	r := f.Obey(Order{Do: "stats"})
+	r := f.Execute(Command{Do: "stats"})
 	assert.Equal(t, [2]int{2, 0}, [2]int{r.Counts[1].Calls, r.Counts[1].Delivered})
-	assert.NotEmpty(t, f.Obey(Order{Do: "chill", From: 7}).Error, "unknown destination")
-	assert.NotEmpty(t, f.Obey(Order{Do: "dance"}).Error)
+	assert.NotEmpty(t, f.Execute(Command{Do: "chill", From: 7}).Error, "unknown destination")
+	assert.NotEmpty(t, f.Execute(Command{Do: "dance"}).Error)
 }
 
 // hijackableWriter is an HTTP/1.1 response writer over a closeReporter, a connection that calls
@@ -107,13 +107,13 @@
 // can arrive before the end and wrongly count as concurrent.
 func TestFarmEndsCallBeforeReset(t *testing.T) {
 	f := newTestFarm(t, Spec{Destination: 1, Endpoints: 1})
-	f.Obey(Order{Do: "fault", From: 1, Fault: partner.Reset, For: time.Hour})
+	f.Execute(Command{Do: "fault", From: 1, Fault: partner.Reset, For: time.Hour})
 	addr, err := net.ResolveTCPAddr("tcp", f.Endpoints()[0].Addr)
 	require.NoError(t, err)
 	r := httptest.NewRequestWithContext(context.WithValue(t.Context(), http.LocalAddrContextKey, addr), http.MethodPost, "/inbox", nil)
 	r.Header.Set("X-Request-ID", "a")
 	inFlight := func() (n int) {
-		require.NoError(t, f.With(1, func(p *partner.Partner) { n = p.Under() }))
+		require.NoError(t, f.With(1, func(p *partner.Partner) { n = p.InFlight() }))
 		return n
 	}
 	closes := 0
@@ -127,7 +127,7 @@
 // A silent partner keeps the call open until its caller gives up.
 func TestFarmSilentPartner(t *testing.T) {
 	f := newTestFarm(t, Spec{Destination: 1, Endpoints: 1})
-	f.Obey(Order{Do: "fault", From: 1, Fault: partner.Silent, For: time.Hour})
+	f.Execute(Command{Do: "fault", From: 1, Fault: partner.Silent, For: time.Hour})
 	ctx, cancel := context.WithCancel(context.Background())
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.Endpoints()[0].Addr+"/inbox", nil)
 	require.NoError(t, err)
@@ -140,7 +140,7 @@
 		}
 		done <- err
 	}()
-	for f.Obey(Order{Do: "stats"}).Counts[1].Calls == 0 {
+	for f.Execute(Command{Do: "stats"}).Counts[1].Calls == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	select {
@@ -189,12 +189,12 @@
 	assert.Contains(t, text, `"reset":false`)
 	assert.Equal(t, 1, strings.Count(text, `"instanceId":"a"`))
 	assert.NotContains(t, get(t, c, url), `"instanceId":"a"`, "a removed entry must not be listed")
-	assert.EqualValues(t, 1, d.Heard())
+	assert.EqualValues(t, 1, d.LastWatchedGeneration())
 	assert.Contains(t, get(t, c, url+"?after=3&wait_ms=1"), `"instances":[]`, "no changes since generation 3")
 	assert.Contains(t, get(t, c, url+"?after=99&wait_ms=1"), `"reset":true`, "a generation of another directory")
 	waiting := make(chan string, 1)
 	go func() { waiting <- get(t, newTestClient(t, false), url+"?after=3&wait_ms=20000") }()
-	for d.Heard() < 3 {
+	for d.LastWatchedGeneration() < 3 {
 		time.Sleep(time.Millisecond)
 	}
 	d.Replace(list)
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -25,8 +25,8 @@
 	ID, Class, Tenant string
 	Destination       uint32
 	Key, Seq          uint64        // ordering key and sequence number; key 0 means none
-	Keyed             bool          // whether it carries an idempotency key
-	Left              time.Duration // time to live
+	HasIdempotencyKey bool          // whether it carries an idempotency key
+	TTL               time.Duration // time to live
 	Push              bool          // submitted over HTTP/2 instead of RESP2
 }
 
@@ -35,16 +35,16 @@
 
 // The responses.
 const (
-	Taken Verdict = iota
-	Refused
-	Failed  // any other response
-	Unheard // no response: whether the message was accepted is unknown
+	Accepted Verdict = iota
+	Rejected
+	Failed     // any other response
+	NoResponse // no response: whether the message was accepted is unknown
 )
 
 // Client submits messages. It is safe for concurrent use.
 type Client struct {
-	// Within is the timeout for a response. Zero means 5 s.
-	Within time.Duration
+	// Timeout is the timeout for a response. Zero means 5 s.
+	Timeout time.Duration
 	// Overdue reports whether a delivered message was also rightly reported as failed, because its
 	// deadline passed first. Nil means that no message was.
 	Overdue func(dest uint32, id string) bool
@@ -55,7 +55,7 @@
 	mu          sync.Mutex
 	idle        []*conn
 	Sent        []Message
-	Heard       map[string]Verdict // by message ID
+	Verdicts    map[string]Verdict // by message ID
 	finalStates map[string]string  // by message ID: final states read from the push front, which expires them
 }
 
@@ -70,7 +70,7 @@
 	var p http.Protocols
 	p.SetUnencryptedHTTP2(true)
 	return &Client{
-		addr: addr, push: push, Heard: map[string]Verdict{}, finalStates: map[string]string{},
+		addr: addr, push: push, Verdicts: map[string]Verdict{}, finalStates: map[string]string{},
 		http: &http.Client{Transport: &http.Transport{Protocols: &p}},
 	}
 }
@@ -79,7 +79,7 @@
 // waits longer, to distinguish a late response from a missing one.
 const defaultTimeout = 5 * time.Second
 
-func (c *Client) timeout() time.Duration { return cmp.Or(c.Within, defaultTimeout) }
+func (c *Client) timeout() time.Duration { return cmp.Or(c.Timeout, defaultTimeout) }
 
 // Close closes the client's connections.
 func (c *Client) Close() {
@@ -92,30 +92,30 @@
 	c.http.CloseIdleConnections()
 }
 
-// Add submits a message and returns the courier's response and, for Refused, the delay before a
+// Submit submits a message and returns the courier's response and, for Refused, the delay before a
 // retry. An error means that no response came (Unheard).
-func (c *Client) Add(m Message) (Verdict, time.Duration, error) {
+func (c *Client) Submit(m Message) (Verdict, time.Duration, error) {
 	submit := c.submitRESP
 	if m.Push {
 		submit = c.submitPush
 	}
 	v, retryAfter, err := submit(m)
 	if err != nil {
-		v = Unheard
+		v = NoResponse
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.Sent = append(c.Sent, m)
-	c.Heard[m.ID] = v
+	c.Verdicts[m.ID] = v
 	return v, retryAfter, err
 }
 
-func (m Message) body(now time.Time) []byte { return standin.Body(m.Key, m.Seq, now.Add(m.Left)) }
+func (m Message) body(now time.Time) []byte { return standin.Body(m.Key, m.Seq, now.Add(m.TTL)) }
 
 // Command appends the message as a RESP2 command of the platform's front.
 func (m Message) Command(b []byte, now time.Time) []byte {
-	names := fmt.Sprintf("c=%s,t=%s,d=%d,dest=%d", m.Class, m.Tenant, m.Left.Milliseconds(), m.Destination)
-	if m.Keyed {
+	names := fmt.Sprintf("c=%s,t=%s,d=%d,dest=%d", m.Class, m.Tenant, m.TTL.Milliseconds(), m.Destination)
+	if m.HasIdempotencyKey {
 		names += ",k=" + m.ID
 	}
 	words := [...][]byte{[]byte("OUT.ADD"), fmt.Appendf(nil, "%016x", m.Key), []byte(m.ID), []byte(names), m.body(now)}
@@ -131,12 +131,12 @@
 // name and value, and the body.
 func (m Message) Request(now time.Time) (path string, headers [][2]string, body []byte) {
 	headers = [][2]string{
-		{"ttl", strconv.Itoa(max(int(m.Left/time.Second), 1))}, {"message-id", m.ID}, {"message-class", m.Class}, {"tenant", m.Tenant},
+		{"ttl", strconv.Itoa(max(int(m.TTL/time.Second), 1))}, {"message-id", m.ID}, {"message-class", m.Class}, {"tenant", m.Tenant},
 	}
 	if m.Key != 0 {
 		headers = append(headers, [2]string{"order-key", fmt.Sprintf("%016x", m.Key)})
 	}
-	if m.Keyed {
+	if m.HasIdempotencyKey {
 		headers = append(headers, [2]string{"idempotency-key", m.ID})
 	}
 	return fmt.Sprintf("/push/%d", m.Destination), headers, m.body(now)
@@ -147,19 +147,19 @@
 	for used := true; used; {
 		var k *conn
 		if k, used, err = c.acquire(); err != nil {
-			return Unheard, 0, err
+			return NoResponse, 0, err
 		}
 		var line string
 		if line, err = k.roundTrip(command, c.timeout()); err == nil {
 			c.release(k)
-			v, retryAfter = Answer(line)
+			v, retryAfter = ParseResponse(line)
 			return v, retryAfter, nil
 		}
 		k.Close()
 		// The courier may close an idle connection between requests: a request that races with
 		// the close is sent again on another connection.
 	}
-	return Unheard, 0, err
+	return NoResponse, 0, err
 }
 
 func (k *conn) roundTrip(b []byte, timeout time.Duration) (string, error) {
@@ -171,26 +171,26 @@
 	return strings.TrimSpace(line), err
 }
 
-// Answer parses a response line of the platform's front into a verdict and, for Refused, the
+// ParseResponse parses a response line of the platform's front into a verdict and, for Refused, the
 // delay before a retry.
-func Answer(line string) (Verdict, time.Duration) {
+func ParseResponse(line string) (Verdict, time.Duration) {
 	switch {
 	case strings.HasPrefix(line, "+"):
-		return Taken, 0
+		return Accepted, 0
 	case strings.HasPrefix(line, "-BUSY"):
 		ms, _ := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")))
-		return Refused, time.Duration(ms) * time.Millisecond
+		return Rejected, time.Duration(ms) * time.Millisecond
 	}
 	return Failed, 0
 }
 
-// Status returns the verdict for an HTTP status of the push front.
-func Status(code int) Verdict {
+// VerdictForStatus returns the verdict for an HTTP status of the push front.
+func VerdictForStatus(code int) Verdict {
 	switch code {
 	case http.StatusCreated:
-		return Taken
+		return Accepted
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return Refused
+		return Rejected
 	}
 	return Failed
 }
@@ -224,19 +224,19 @@
 	path, headers, body := m.Request(time.Now())
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.push+path, bytes.NewReader(body))
 	if err != nil {
-		return Unheard, 0, err
+		return NoResponse, 0, err
 	}
 	for _, h := range headers {
 		r.Header.Set(h[0], h[1])
 	}
 	a, err := c.http.Do(r)
 	if err != nil {
-		return Unheard, 0, err
+		return NoResponse, 0, err
 	}
 	defer a.Body.Close()
 	_, _ = io.Copy(io.Discard, a.Body)
-	v := Status(a.StatusCode)
-	if v != Refused {
+	v := VerdictForStatus(a.StatusCode)
+	if v != Rejected {
 		return v, 0, nil
 	}
 	wait, _ := strconv.Atoi(a.Header.Get("Retry-After"))
@@ -276,8 +276,8 @@
 	return body.State
 }
 
-// Ends counts messages by the response to their submission and by their final result.
-type Ends struct {
+// Results counts messages by the response to their submission and by their final result.
+type Results struct {
 	Handed, Taken, Refused, Failed, Unheard int
 	Delivered, Returned, Given              int // final results of accepted messages; Given: reported as failed
 	Open                                    int // accepted, without a final result
@@ -286,7 +286,7 @@
 }
 
 // Add adds the counters of x.
-func (e *Ends) Add(x Ends) {
+func (e *Results) Add(x Results) {
 	for _, p := range []struct {
 		to *int
 		v  int
@@ -299,14 +299,14 @@
 	}
 }
 
-// Account compares every submitted message with its final results: delivered reports whether a
+// CountResults compares every submitted message with its final results: delivered reports whether a
 // partner received the message, and notices are those that the directory received. Only messages
 // for which filter returns true are counted; a nil filter selects all.
-func (c *Client) Account(delivered func(dest uint32, id string) bool, notices map[string][]standin.Notice, filter func(Message) bool) (e Ends) {
+func (c *Client) CountResults(delivered func(dest uint32, id string) bool, notices map[string][]standin.Notice, filter func(Message) bool) (e Results) {
 	c.mu.Lock()
 	sent := append([]Message(nil), c.Sent...)
 	verdicts := map[string]Verdict{}
-	for id, v := range c.Heard {
+	for id, v := range c.Verdicts {
 		verdicts[id] = v
 	}
 	c.mu.Unlock()
@@ -316,13 +316,13 @@
 		}
 		e.Handed++
 		switch verdicts[m.ID] {
-		case Refused:
+		case Rejected:
 			e.Refused++
 			continue
 		case Failed:
 			e.Failed++
 			continue
-		case Unheard:
+		case NoResponse:
 			e.Unheard++
 			continue
 		}
--- a/internal/standin/partitions.go
+++ b/internal/standin/partitions.go
@@ -197,9 +197,9 @@
 	return out
 }
 
-// KnowPartitions sets whether the directory supports the request parameters that name partitions.
+// SetPartitionSupport sets whether the directory supports the request parameters that name partitions.
 // Initially it does; otherwise it ignores them.
-func (d *Directory) KnowPartitions(supported bool) {
+func (d *Directory) SetPartitionSupport(supported bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.ignoresPartitions = !supported
--- a/internal/standin/partitions_test.go
+++ b/internal/standin/partitions_test.go
@@ -135,7 +135,7 @@
 
 	waiting := make(chan string, 1)
 	go func() { waiting <- get(t, newTestClient(t, false), base+"?after=1&wait_ms=20000&"+query) }()
-	for d.Heard() < 1 {
+	for d.LastWatchedGeneration() < 1 {
 		time.Sleep(time.Millisecond)
 	}
 	list[1].Lifecycle = "Terminating"
@@ -151,11 +151,11 @@
 	assert.Contains(t, <-waiting, `"instanceId":"a"`)
 
 	assert.Contains(t, get(t, c, base+"?after=9&wait_ms=20000&"+query), `"reset":true`, "a generation of another directory")
-	d.KnowPartitions(false)
+	d.SetPartitionSupport(false)
 	assert.Contains(t, get(t, c, base+"?"+query), `"instanceId":"b"`)
 	assert.NotContains(t, get(t, c, base+"?"+query), `"partitions"`)
 	assert.Contains(t, get(t, c, base+"?partitions=x&of=y"), "200 ", "ignored parameters are not validated")
-	d.KnowPartitions(true)
+	d.SetPartitionSupport(true)
 	for _, bad := range []string{
 		"partitions=64", "of=1", "partitions=0&of=", "partitions=65537&of=1", "partitions=x&of=1", "partitions=64&of=64",
 		"partitions=64&of=1,,2", "partitions=64&of=-1", "partitions=64&of=1&of=2", "partitions=64&partitions=64&of=1",
--- a/internal/standin/partner/partner.go
+++ b/internal/standin/partner/partner.go
@@ -13,24 +13,24 @@
 
 // Profile describes the normal behavior of a partner, without faults.
 type Profile struct {
-	Limit     float64       // rate limit for all couriers together, in calls per second; 0 means no limit
-	Span      time.Duration // length of the limit's fixed windows; 0 means a token bucket
-	Counting  bool          // whether rejected calls count against the limit
-	Tells     float64       // share of the rejections that carry a retry-after delay
-	Report    bool          // whether responses report the limit and the remaining share of it
-	Refresh   time.Duration // maximum age of a report
-	LeastWait time.Duration // minimum retry-after delay
+	Limit           float64       // rate limit for all couriers together, in calls per second; 0 means no limit
+	Window          time.Duration // length of the limit's fixed windows; 0 means a token bucket
+	CountsRejected  bool          // whether rejected calls count against the limit
+	RetryAfterShare float64       // share of the rejections that carry a retry-after delay
+	ReportsLimit    bool          // whether responses report the limit and the remaining share of it
+	MaxReportAge    time.Duration // maximum age of a report
+	MinRetryAfter   time.Duration // minimum retry-after delay
 
 	Capacity float64       // calls per second that it can serve; 0 means unlimited
 	Latency  time.Duration // of a call without contention
 	Queue    int           // maximum concurrent calls; 0 means unlimited
 
-	ColdShare    float64       // share of the capacity available right after recovery
-	WarmUp       time.Duration // time after recovery until the full capacity is available
-	FallMultiple float64       // overload threshold while cold, as a multiple of the present capacity
-	FallTime     time.Duration // sliding window in which the overload is measured; the collapse is permanent
-	FallSlack    float64       // calls allowed beyond the threshold, since a burst may be in flight; 0 means one
-	FallRoot     float64       // further calls allowed, as a multiple of the square root of the threshold
+	ColdShare         float64       // share of the capacity available right after recovery
+	WarmUp            time.Duration // time after recovery until the full capacity is available
+	CollapseMultiple  float64       // overload threshold while cold, as a multiple of the present capacity
+	CollapseWindow    time.Duration // sliding window in which the overload is measured; the collapse is permanent
+	CollapseSlack     float64       // calls allowed beyond the threshold, since a burst may be in flight; 0 means one
+	CollapseRootSlack float64       // further calls allowed, as a multiple of the square root of the threshold
 }
 
 // Kind is a kind of fault.
@@ -40,11 +40,11 @@
 // the latency of all calls.
 const (
 	Error  Kind = iota // status 500 after a short delay; the call may have run
-	Shut               // rejected, possibly with a retry-after delay until the end of the fault
+	Reject             // rejected, possibly with a retry-after delay until the end of the fault
 	Reset              // the connection is reset after the call has been read
 	Silent             // no response
 	Slow
-	Cut // the rate limit is reduced
+	ReducedLimit // the rate limit is reduced
 )
 
 // Fault is a failure mode in force between two times. A partner may have several at once: they
@@ -54,7 +54,7 @@
 	Kind        Kind
 	From, Until time.Duration
 	Share       float64 // share of the calls affected; 0 means all
-	Times       float64 // factor on the latency (Slow) or on the limit (Cut)
+	Factor      float64 // factor on the latency (Slow) or on the limit (Cut)
 	Cold        bool    // the partner recovers cold from the fault, with reduced capacity
 }
 
@@ -66,50 +66,52 @@
 	Due time.Duration // deadline, after which a delivery counts as late; 0 means no deadline
 }
 
-// Answer is a partner's response to a call.
-type Answer struct {
-	Status int           // HTTP status; 0 means that no response is ever sent
-	Reset  bool          // the connection is reset
-	After  time.Duration // delay before the response
-	Wait   time.Duration // retry-after delay of a response with status 429
-	Left   float64       // reported share of the limit that remains
-	Limit  float64       // reported limit in calls per second; 0 means no report
+// Response is a partner's response to a call.
+type Response struct {
+	Status         int           // HTTP status; 0 means that no response is ever sent
+	Reset          bool          // the connection is reset
+	Delay          time.Duration // delay before the response
+	RetryAfter     time.Duration // retry-after delay of a response with status 429
+	RemainingShare float64       // reported share of the limit that remains
+	Limit          float64       // reported limit in calls per second; 0 means no report
 }
 
 // Counts holds a partner's counters.
 type Counts struct {
 	Calls, Delivered, Refused, Failed int
 	Late                              int     // deliveries after their deadline
-	Copies                            int     `json:"Copies"` // calls with a message that was delivered already or is in flight
+	Duplicates                        int     `json:"Copies"` // calls with a message that was delivered already or is in flight
 	OutOfOrder                        int     // calls that overtook another of their key or ran concurrently with it
-	InWait                            int     `json:"InWait"` // calls that arrived during a retry-after delay
+	DuringRetryAfter                  int     `json:"InWait"` // calls that arrived during a retry-after delay
 	Peak                              float64 // highest call count in a window, as a multiple of what the limit allowed
-	Over                              int     `json:"Over"`    // calls beyond the limit
-	Fell                              int     `json:"Fell"`    // collapses under overload
-	Drained                           int     `json:"Drained"` // calls to an endpoint more than a second after it was listed as draining
+	OverLimit                         int     `json:"Over"`    // calls beyond the limit
+	Collapses                         int     `json:"Fell"`    // collapses under overload
+	AfterDrain                        int     `json:"Drained"` // calls to an endpoint more than a second after it was listed as draining
 }
 
 // Add adds the counters of x. Peak becomes the higher of the two.
 func (n *Counts) Add(x Counts) {
 	n.Calls, n.Delivered, n.Refused, n.Failed = n.Calls+x.Calls, n.Delivered+x.Delivered, n.Refused+x.Refused, n.Failed+x.Failed
-	n.Late, n.Copies, n.OutOfOrder, n.InWait = n.Late+x.Late, n.Copies+x.Copies, n.OutOfOrder+x.OutOfOrder, n.InWait+x.InWait
-	n.Over, n.Fell, n.Drained, n.Peak = n.Over+x.Over, n.Fell+x.Fell, n.Drained+x.Drained, max(n.Peak, x.Peak)
+	n.Late, n.Duplicates, n.OutOfOrder, n.DuringRetryAfter = n.Late+x.Late, n.Duplicates+x.Duplicates, n.OutOfOrder+x.OutOfOrder, n.DuringRetryAfter+x.DuringRetryAfter
+	n.OverLimit, n.Collapses, n.AfterDrain, n.Peak = n.OverLimit+x.OverLimit, n.Collapses+x.Collapses, n.AfterDrain+x.AfterDrain, max(n.Peak, x.Peak)
 }
 
-// Broken returns the number of rule violations by the caller that the partner can detect.
-func (n Counts) Broken() int { return n.Copies + n.OutOfOrder + n.InWait + n.Fell + n.Drained }
+// Violations returns the number of rule violations by the caller that the partner can detect.
+func (n Counts) Violations() int {
+	return n.Duplicates + n.OutOfOrder + n.DuringRetryAfter + n.Collapses + n.AfterDrain
+}
 
 // Partner simulates one partner system. It is not safe for concurrent use.
 type Partner struct {
-	Profile Profile
-	Counts  Counts
-	Blind   bool // skips the checks of the sender's obligations, which the caller does itself
-	// Again is how long after a call a duplicate of its message is allowed: an attempt that the
+	Profile    Profile
+	Counts     Counts
+	SkipChecks bool // skips the checks of the sender's obligations, which the caller does itself
+	// DuplicateGrace is how long after a call a duplicate of its message is allowed: an attempt that the
 	// sender abandoned may have run without its knowledge. Zero means never.
-	Again      time.Duration
-	rng        *rand.Rand
-	faults     []Fault
-	uncutLimit float64 // the limit without Cut faults; 0 until the first Cut fault
+	DuplicateGrace time.Duration
+	rng            *rand.Rand
+	faults         []Fault
+	uncutLimit     float64 // the limit without Cut faults; 0 until the first Cut fault
 
 	tokens           float64         // in the token bucket
 	refilledAt       time.Duration   // time of the last refill
@@ -125,7 +127,7 @@
 	collapsed        bool
 	retryAfterUntil  time.Duration // end of the latest retry-after delay
 	retryAfterSentAt time.Duration // when that delay was sent
-	report           Answer
+	report           Response
 	reportAt         time.Duration
 	reported         bool
 
@@ -150,8 +152,8 @@
 // Add adds a fault.
 func (p *Partner) Add(f Fault) { p.faults = append(p.faults, f) }
 
-// Chill makes the partner cold at the given time. Its capacity grows linearly from then on.
-func (p *Partner) Chill(now time.Duration) { p.cold, p.coldSince = true, now }
+// MakeCold makes the partner cold at the given time. Its capacity grows linearly from then on.
+func (p *Partner) MakeCold(now time.Duration) { p.cold, p.coldSince = true, now }
 
 // capacityShare returns the share of the capacity that is available now.
 func (p *Partner) capacityShare(now time.Duration) float64 {
@@ -171,8 +173,8 @@
 // length. A token bucket allows its burst, half a second of calls and at least one, on top of the
 // calls of a second.
 func (p *Partner) windowLimit() (float64, time.Duration) {
-	if p.Profile.Span > 0 {
-		return math.Max(1, math.Floor(p.Profile.Limit*p.Profile.Span.Seconds())), p.Profile.Span
+	if p.Profile.Window > 0 {
+		return math.Max(1, math.Floor(p.Profile.Limit*p.Profile.Window.Seconds())), p.Profile.Window
 	}
 	return p.Profile.Limit + p.burst(), time.Second
 }
@@ -180,7 +182,7 @@
 // effectiveLimit returns the limit in calls per second as enforced: the count of a fixed window is
 // rounded down.
 func (p *Partner) effectiveLimit() float64 {
-	if p.Profile.Span > 0 {
+	if p.Profile.Window > 0 {
 		allowed, span := p.windowLimit()
 		return allowed / span.Seconds()
 	}
@@ -192,26 +194,26 @@
 
 // Begin accepts a call and returns the response to it. The caller must call End once the
 // response has been sent or abandoned.
-func (p *Partner) Begin(now time.Duration, c Call) Answer {
+func (p *Partner) Begin(now time.Duration, c Call) Response {
 	p.Counts.Calls++
 	p.inFlight++
 	p.applyCuts(now)
 	p.checkObligations(now, c)
 	over := p.countAgainstLimit(now)
 	answer := p.answer(now, c, over)
-	if p.Profile.Report && p.Profile.Limit > 0 && answer.Status != 0 {
-		if !p.reported || now-p.reportAt >= p.Profile.Refresh {
+	if p.Profile.ReportsLimit && p.Profile.Limit > 0 && answer.Status != 0 {
+		if !p.reported || now-p.reportAt >= p.Profile.MaxReportAge {
 			p.reported, p.reportAt = true, now
-			p.report = Answer{Left: p.remainingShare(now), Limit: p.effectiveLimit()}
+			p.report = Response{RemainingShare: p.remainingShare(now), Limit: p.effectiveLimit()}
 		}
-		answer.Left, answer.Limit = p.report.Left, p.report.Limit
+		answer.RemainingShare, answer.Limit = p.report.RemainingShare, p.report.Limit
 	}
 	return answer
 }
 
 // applyCuts applies the Cut faults in force to the limit.
 func (p *Partner) applyCuts(now time.Duration) {
-	if !slices.ContainsFunc(p.faults, func(f Fault) bool { return f.Kind == Cut }) {
+	if !slices.ContainsFunc(p.faults, func(f Fault) bool { return f.Kind == ReducedLimit }) {
 		return
 	}
 	if p.uncutLimit == 0 {
@@ -219,8 +221,8 @@
 	}
 	p.Profile.Limit = p.uncutLimit
 	for _, f := range p.faults {
-		if f.Kind == Cut && now >= f.From && now < f.Until {
-			p.Profile.Limit *= f.Times
+		if f.Kind == ReducedLimit && now >= f.From && now < f.Until {
+			p.Profile.Limit *= f.Factor
 		}
 	}
 }
@@ -228,17 +230,17 @@
 // checkObligations checks the sender's obligations: no duplicates, ordering by key, and retry-after
 // delays.
 func (p *Partner) checkObligations(now time.Duration, c Call) {
-	if p.Blind {
+	if p.SkipChecks {
 		return
 	}
 	allowedDuplicate := false
 	if _, ok := p.deliveredByID[c.ID]; ok {
-		if allowedDuplicate = now-p.startedAt[c.ID] < p.Again; !allowedDuplicate {
-			p.Counts.Copies++
+		if allowedDuplicate = now-p.startedAt[c.ID] < p.DuplicateGrace; !allowedDuplicate {
+			p.Counts.Duplicates++
 		}
 	} else {
 		p.deliveredByID[c.ID] = false
-		if p.Again > 0 {
+		if p.DuplicateGrace > 0 {
 			p.startedAt[c.ID] = now
 		}
 	}
@@ -251,7 +253,7 @@
 		p.keys[c.Key] = key
 	}
 	if now < p.retryAfterUntil && now >= p.retryAfterSentAt+retryAfterGrace {
-		p.Counts.InWait++
+		p.Counts.DuringRetryAfter++
 	}
 }
 
@@ -264,13 +266,13 @@
 		return false
 	}
 	allowed, span := p.windowLimit()
-	if p.Profile.Span > 0 {
+	if p.Profile.Window > 0 {
 		if n := int64(now / span); n != p.window {
 			p.window, p.windowCalls, p.windowArrivals = n, 0, 0
 		}
 		p.windowArrivals++
 		over = float64(p.windowCalls) >= allowed
-		if !over || p.Profile.Counting {
+		if !over || p.Profile.CountsRejected {
 			p.windowCalls++
 		}
 		p.Counts.Peak = math.Max(p.Counts.Peak, float64(p.windowArrivals)/allowed)
@@ -282,21 +284,21 @@
 		}
 		p.refilledAt = max(now, 1)
 		over = p.tokens < 1
-		if !over || p.Profile.Counting {
+		if !over || p.Profile.CountsRejected {
 			p.tokens = math.Max(p.tokens-1, -p.burst())
 		}
 		p.recentArrivals = append(since(p.recentArrivals, now-span), now)
 		p.Counts.Peak = math.Max(p.Counts.Peak, float64(len(p.recentArrivals))/math.Floor(allowed))
 	}
 	if over {
-		p.Counts.Over++
+		p.Counts.OverLimit++
 	}
 	return over
 }
 
 // remainingShare returns the remaining share of the limit.
 func (p *Partner) remainingShare(now time.Duration) float64 {
-	if p.Profile.Span > 0 {
+	if p.Profile.Window > 0 {
 		allowed, span := p.windowLimit()
 		if int64(now/span) != p.window {
 			return 1
@@ -316,41 +318,41 @@
 }
 
 // answer decides the response to a call: faults first, then the limit, the queue and the capacity.
-func (p *Partner) answer(now time.Duration, c Call, over bool) Answer {
+func (p *Partner) answer(now time.Duration, c Call, over bool) Response {
 	slow := 1.0
 	for _, f := range p.faults {
 		if now < f.From || now >= f.Until {
 			continue
 		}
 		if f.Kind == Slow {
-			slow *= f.Times
+			slow *= f.Factor
 			continue
 		}
-		if f.Kind == Cut || f.Share > 0 && p.rng.Float64() >= f.Share {
+		if f.Kind == ReducedLimit || f.Share > 0 && p.rng.Float64() >= f.Share {
 			continue
 		}
 		switch f.Kind {
 		case Error:
 			p.Counts.Failed++
-			return Answer{Status: 500, After: p.Profile.Latency / 4}
-		case Shut:
+			return Response{Status: 500, Delay: p.Profile.Latency / 4}
+		case Reject:
 			return p.reject(now, f.Until)
 		case Reset:
 			p.Counts.Failed++
-			return Answer{Reset: true, After: p.Profile.Latency / 4}
+			return Response{Reset: true, Delay: p.Profile.Latency / 4}
 		case Silent:
 			p.Counts.Failed++
-			return Answer{}
+			return Response{}
 		}
 	}
 	if p.collapsed {
 		p.Counts.Failed++
-		return Answer{}
+		return Response{}
 	}
 	p.checkOverload(now)
 	switch {
-	case over && p.Profile.Span > 0:
-		return p.reject(now, time.Duration(p.window+1)*p.Profile.Span)
+	case over && p.Profile.Window > 0:
+		return p.reject(now, time.Duration(p.window+1)*p.Profile.Window)
 	case over:
 		return p.reject(now, now+time.Duration((1-p.tokens)/p.Profile.Limit*float64(time.Second)))
 	case p.Profile.Queue > 0 && p.inFlight > p.Profile.Queue:
@@ -362,46 +364,46 @@
 		p.busyUntil = max(p.busyUntil, now) + perCall
 		duration = max(duration, p.busyUntil-now)
 	}
-	return Answer{Status: 200, After: duration}
+	return Response{Status: 200, Delay: duration}
 }
 
-// Cold returns the number of calls that the partner withstands per FallTime while it recovers
+// ColdAllowance returns the number of calls that the partner withstands per FallTime while it recovers
 // from an outage. cold is false if the partner is warm, collapsed or in an outage.
-func (p *Partner) Cold(now time.Duration) (allowed float64, cold bool) {
+func (p *Partner) ColdAllowance(now time.Duration) (allowed float64, cold bool) {
 	f := p.Profile
 	share := p.capacityShare(now)
-	if f.FallMultiple <= 0 || f.Capacity <= 0 || share >= 1 || p.collapsed || p.Out(now) {
+	if f.CollapseMultiple <= 0 || f.Capacity <= 0 || share >= 1 || p.collapsed || p.InOutage(now) {
 		return 0, false
 	}
-	return f.FallMultiple * share * f.Capacity * f.FallTime.Seconds(), true
+	return f.CollapseMultiple * share * f.Capacity * f.CollapseWindow.Seconds(), true
 }
 
-// Out reports whether the partner is in an outage from which it recovers cold, or has collapsed.
-func (p *Partner) Out(now time.Duration) bool {
+// InOutage reports whether the partner is in an outage from which it recovers cold, or has collapsed.
+func (p *Partner) InOutage(now time.Duration) bool {
 	return p.collapsed || slices.ContainsFunc(p.faults, func(f Fault) bool { return f.Cold && now >= f.From && now < f.Until })
 }
 
 // checkOverload makes a cold partner collapse if it receives far more calls than it can serve.
 func (p *Partner) checkOverload(now time.Duration) {
 	f := p.Profile
-	if f.FallMultiple <= 0 || f.Capacity <= 0 || p.capacityShare(now) >= 1 {
+	if f.CollapseMultiple <= 0 || f.Capacity <= 0 || p.capacityShare(now) >= 1 {
 		p.recentWork = p.recentWork[:0]
 		return
 	}
-	p.recentWork = append(since(p.recentWork, now-f.FallTime), now)
-	allowed := f.FallMultiple * p.capacityShare(now) * f.Capacity * f.FallTime.Seconds()
-	if float64(len(p.recentWork)) > allowed+math.Max(f.FallSlack+f.FallRoot*math.Sqrt(allowed), 1) {
+	p.recentWork = append(since(p.recentWork, now-f.CollapseWindow), now)
+	allowed := f.CollapseMultiple * p.capacityShare(now) * f.Capacity * f.CollapseWindow.Seconds()
+	if float64(len(p.recentWork)) > allowed+math.Max(f.CollapseSlack+f.CollapseRootSlack*math.Sqrt(allowed), 1) {
 		p.collapsed = true
-		p.Counts.Fell++
+		p.Counts.Collapses++
 	}
 }
 
-// Room reports whether a call that arrives now, after inTransit others, would be served. If
+// WouldServe reports whether a call that arrives now, after inTransit others, would be served. If
 // not, it returns a delay after which one may be. It is meant for callers that may read the
 // partner's internal state, such as an optimal baseline.
-func (p *Partner) Room(now time.Duration, inTransit int) (ok bool, wait time.Duration) {
+func (p *Partner) WouldServe(now time.Duration, inTransit int) (ok bool, wait time.Duration) {
 	for _, f := range p.faults {
-		if now >= f.From && now < f.Until && f.Kind != Slow && f.Kind != Cut && f.Share == 0 {
+		if now >= f.From && now < f.Until && f.Kind != Slow && f.Kind != ReducedLimit && f.Share == 0 {
 			return false, f.Until - now
 		}
 	}
@@ -411,16 +413,16 @@
 	case p.Profile.Queue > 0 && p.inFlight+inTransit >= p.Profile.Queue:
 		return false, p.Profile.Latency / 4
 	}
-	if p.Profile.FallMultiple > 0 && p.Profile.Capacity > 0 {
+	if p.Profile.CollapseMultiple > 0 && p.Profile.Capacity > 0 {
 		if share := p.capacityShare(now); share < 1 {
 			n := 1 + inTransit
 			for _, at := range p.recentWork {
-				if at >= now-p.Profile.FallTime {
+				if at >= now-p.Profile.CollapseWindow {
 					n++
 				}
 			}
-			if float64(n) > p.Profile.FallMultiple*share*p.Profile.Capacity*p.Profile.FallTime.Seconds()*0.9 {
-				return false, p.Profile.FallTime / 8
+			if float64(n) > p.Profile.CollapseMultiple*share*p.Profile.Capacity*p.Profile.CollapseWindow.Seconds()*0.9 {
+				return false, p.Profile.CollapseWindow / 8
 			}
 		}
 	}
@@ -428,7 +430,7 @@
 		return true, 0
 	}
 	allowed, span := p.windowLimit()
-	if p.Profile.Span > 0 {
+	if p.Profile.Window > 0 {
 		n, counted := int64(now/span), 0
 		if n == p.window {
 			counted = p.windowCalls
@@ -450,22 +452,22 @@
 
 // reject rejects a call. If the end of the condition is known (until is after now), a share of
 // the rejections given by Profile.Tells carries it as a retry-after delay.
-func (p *Partner) reject(now, until time.Duration) Answer {
+func (p *Partner) reject(now, until time.Duration) Response {
 	p.Counts.Refused++
-	if until > now && p.rng.Float64() < p.Profile.Tells {
-		wait := max(until-now+time.Millisecond-1, p.Profile.LeastWait).Truncate(time.Millisecond)
+	if until > now && p.rng.Float64() < p.Profile.RetryAfterShare {
+		wait := max(until-now+time.Millisecond-1, p.Profile.MinRetryAfter).Truncate(time.Millisecond)
 		if now+wait > p.retryAfterUntil {
 			p.retryAfterUntil, p.retryAfterSentAt = now+wait, now
 		}
-		return Answer{Status: 429, Wait: wait, After: p.Profile.Latency / 8}
+		return Response{Status: 429, RetryAfter: wait, Delay: p.Profile.Latency / 8}
 	}
-	return Answer{Status: 503, After: p.Profile.Latency / 8}
+	return Response{Status: 503, Delay: p.Profile.Latency / 8}
 }
 
 // End records the end of a call. delivered is whether a response with status 200 was written.
 func (p *Partner) End(now time.Duration, c Call, delivered bool) {
 	p.inFlight--
-	if p.Blind {
+	if p.SkipChecks {
 		if delivered {
 			p.Counts.Delivered++
 		}
@@ -490,11 +492,11 @@
 	}
 }
 
-// Under returns the number of calls in flight.
-func (p *Partner) Under() int { return p.inFlight }
+// InFlight returns the number of calls in flight.
+func (p *Partner) InFlight() int { return p.inFlight }
 
-// Late reports whether a message was delivered after its deadline.
-func (p *Partner) Late(id string) bool { return p.deliveredLate[id] }
+// DeliveredLate reports whether a message was delivered after its deadline.
+func (p *Partner) DeliveredLate(id string) bool { return p.deliveredLate[id] }
 
-// Seen reports whether a message has been delivered.
-func (p *Partner) Seen(id string) bool { return p.deliveredByID[id] }
+// WasDelivered reports whether a message has been delivered.
+func (p *Partner) WasDelivered(id string) bool { return p.deliveredByID[id] }
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -31,12 +31,12 @@
 	for i := range p.Partners {
 		rng := rand.New(rand.NewPCG(p.Seed, uint64(p.First)+uint64(i)))
 		profile := partner.Profile{
-			Limit: 2 + 3*rng.Float64(), Counting: rng.Float64() < 0.5, Tells: 0.5 + 0.4*rng.Float64(), Report: true,
-			Refresh: time.Duration(120+530*rng.Float64()) * time.Millisecond,
-			Latency: time.Duration(60+280*rng.Float64()) * time.Millisecond,
-			Queue:   32, ColdShare: 0.2, WarmUp: 14 * time.Second, FallMultiple: 2, FallTime: 1500 * time.Millisecond,
+			Limit: 2 + 3*rng.Float64(), CountsRejected: rng.Float64() < 0.5, RetryAfterShare: 0.5 + 0.4*rng.Float64(), ReportsLimit: true,
+			MaxReportAge: time.Duration(120+530*rng.Float64()) * time.Millisecond,
+			Latency:      time.Duration(60+280*rng.Float64()) * time.Millisecond,
+			Queue:        32, ColdShare: 0.2, WarmUp: 14 * time.Second, CollapseMultiple: 2, CollapseWindow: 1500 * time.Millisecond,
 		}
-		profile.Span = []time.Duration{0, time.Second, 2 * time.Second}[rng.IntN(3)]
+		profile.Window = []time.Duration{0, time.Second, 2 * time.Second}[rng.IntN(3)]
 		profile.Capacity = 3 * profile.Limit
 		specs = append(specs, Spec{
 			Destination: p.First + uint32(i), Endpoints: p.Endpoints, HTTP2: rng.Float64() < p.HTTP2, Profile: profile,
@@ -46,9 +46,9 @@
 	return specs
 }
 
-// Order is a command to a farm, a line of JSON. It applies to the destinations from From to To,
+// Command is a command to a farm, a line of JSON. It applies to the destinations from From to To,
 // both included; To 0 means only From.
-type Order struct {
+type Command struct {
 	Do       string  `json:"do"` // list, stats, seen, limit, chill, reset or fault
 	From, To uint32  `json:",omitempty"`
 	Factor   float64 `json:",omitempty"` // limit: factor on the present limit
@@ -59,11 +59,11 @@
 	Times float64       `json:",omitempty"`
 	Cold  bool          `json:",omitempty"`
 
-	IDs []Ask `json:",omitempty"` // seen
+	IDs []MessageRef `json:",omitempty"` // seen
 }
 
-// Ask identifies a message by its destination and ID.
-type Ask struct {
+// MessageRef identifies a message by its destination and ID.
+type MessageRef struct {
 	Destination uint32
 	ID          string
 }
@@ -78,8 +78,8 @@
 	Seen      []bool                    `json:",omitempty"`
 }
 
-// Obey executes an order.
-func (f *Farm) Obey(o Order) (r Reply) {
+// Execute executes an order.
+func (f *Farm) Execute(o Command) (r Reply) {
 	each := func(do func(d uint32, p *partner.Partner)) {
 		for d := o.From; d <= max(o.From, o.To); d++ {
 			if err := f.With(d, func(p *partner.Partner) { do(d, p) }); err != nil {
@@ -103,19 +103,19 @@
 	case "seen":
 		for _, x := range o.IDs {
 			seen := false
-			_ = f.With(x.Destination, func(p *partner.Partner) { seen = p.Seen(x.ID) })
+			_ = f.With(x.Destination, func(p *partner.Partner) { seen = p.WasDelivered(x.ID) })
 			r.Seen = append(r.Seen, seen)
 		}
 	case "limit":
 		each(func(_ uint32, p *partner.Partner) { p.Profile.Limit *= o.Factor })
 	case "chill":
-		each(func(_ uint32, p *partner.Partner) { p.Chill(now) })
+		each(func(_ uint32, p *partner.Partner) { p.MakeCold(now) })
 	case "reset":
 		each(func(_ uint32, p *partner.Partner) { p.Counts = partner.Counts{} })
 	case "fault":
 		each(func(_ uint32, p *partner.Partner) {
 			p.Add(partner.Fault{
-				Kind: o.Fault, From: now, Until: now + o.For, Share: o.Share, Times: o.Times, Cold: o.Cold,
+				Kind: o.Fault, From: now, Until: now + o.For, Share: o.Share, Factor: o.Times, Cold: o.Cold,
 			})
 		})
 	default:
@@ -166,12 +166,12 @@
 			if !ok {
 				return nil
 			}
-			var o Order
+			var o Command
 			r := Reply{}
 			if err := json.Unmarshal(line, &o); err != nil {
 				r.Error = err.Error()
 			} else {
-				r = farm.Obey(o)
+				r = farm.Execute(o)
 			}
 			if err := encoder.Encode(r); err != nil {
 				return err
--- a/internal/standin/sink/sink.go
+++ b/internal/standin/sink/sink.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Cut closes all connections.
-func (s *Sink) Cut() {
+// CloseConnections closes all connections.
+func (s *Sink) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -70,8 +70,8 @@
 	}
 }
 
-// Taken returns the number of messages accepted.
-func (s *Sink) Taken() int {
+// Accepted returns the number of messages accepted.
+func (s *Sink) Accepted() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.accepted
@@ -83,7 +83,7 @@
 		l.Close()
 	}
 	s.Release()
-	s.Cut()
+	s.CloseConnections()
 	s.wg.Wait()
 }
 
--- a/internal/standin/traffic.go
+++ b/internal/standin/traffic.go
@@ -78,46 +78,46 @@
 	return t
 }
 
-// Watched sets a function to be called for each watch request with the connection that it came
+// OnWatch sets a function to be called for each watch request with the connection that it came
 // over, the generation that the client has, and a function that reports whether the watch covers a
 // destination. onWatch may be called concurrently.
-func (d *Directory) Watched(onWatch func(from string, generation uint64, concerns func(destination uint32) bool)) {
+func (d *Directory) OnWatch(onWatch func(from string, generation uint64, concerns func(destination uint32) bool)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.onWatch = onWatch
 }
 
-// Door is a dedicated additional address of a directory for a single client, whose traffic is
+// DedicatedAddress is a dedicated additional address of a directory for a single client, whose traffic is
 // counted separately.
-type Door struct {
+type DedicatedAddress struct {
 	Addr            string
 	traffic         trafficCounter
 	sentBeforeStart atomic.Int64 // bytes sent before the client's last start
 	sentAtStart     atomic.Int64 // bytes sent at the first watch after the client's first request; -1 until then
 }
 
-// Door opens an additional address. It is closed with the directory.
-func (d *Directory) Door() (*Door, error) {
+// OpenDedicatedAddress opens an additional address. It is closed with the directory.
+func (d *Directory) OpenDedicatedAddress() (*DedicatedAddress, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("open an additional address of the directory: %w", err)
 	}
-	x := &Door{Addr: l.Addr().String()}
+	x := &DedicatedAddress{Addr: l.Addr().String()}
 	x.sentAtStart.Store(-1)
 	d.serving.Go(func() { _ = d.server.Serve(dedicatedListener{x.traffic.countBytes(d.traffic.countBytes(l)), x}) })
 	return x, nil
 }
 
-// Again prepares for a restart of the client, which must not be connected.
-func (x *Door) Again() {
+// ResetStart prepares for a restart of the client, which must not be connected.
+func (x *DedicatedAddress) ResetStart() {
 	x.traffic.calls.Store(0)
 	x.sentAtStart.Store(-1)
 	x.sentBeforeStart.Store(x.traffic.out.Load())
 }
 
-// Started returns the number of bytes sent for the client's last start: up to the watch that
+// StartBytes returns the number of bytes sent for the client's last start: up to the watch that
 // follows the first response, or up to now.
-func (x *Door) Started() int64 {
+func (x *DedicatedAddress) StartBytes() int64 {
 	n := x.sentAtStart.Load()
 	if n < 0 {
 		n = x.traffic.out.Load()
@@ -127,12 +127,12 @@
 
 type dedicatedListener struct {
 	net.Listener
-	dedicated *Door
+	dedicated *DedicatedAddress
 }
 
 type dedicatedConn struct {
 	net.Conn
-	dedicated *Door
+	dedicated *DedicatedAddress
 }
 
 // Accept returns the next connection, marked with its dedicated address.
@@ -157,7 +157,7 @@
 
 // countRequest counts a request for the list at its dedicated address, if it came through one.
 func countRequest(r *http.Request, watching bool) {
-	if x, ok := r.Context().Value(dedicatedContextKey{}).(*Door); ok && x.traffic.calls.Add(1) > 1 && watching {
+	if x, ok := r.Context().Value(dedicatedContextKey{}).(*DedicatedAddress); ok && x.traffic.calls.Add(1) > 1 && watching {
 		x.sentAtStart.CompareAndSwap(-1, x.traffic.out.Load())
 	}
 }
--- a/internal/standin/traffic_test.go
+++ b/internal/standin/traffic_test.go
@@ -15,7 +15,7 @@
 
 // A call without a network connection reaches the same partner as one over HTTP.
 func TestCallWithoutConnection(t *testing.T) {
-	f := newTestFarm(t, Spec{Destination: 4, Endpoints: 1, Profile: partner.Profile{Limit: 1.0 / 4096, Span: 1 << 42, Tells: 1, Report: true}})
+	f := newTestFarm(t, Spec{Destination: 4, Endpoints: 1, Profile: partner.Profile{Limit: 1.0 / 4096, Window: 1 << 42, RetryAfterShare: 1, ReportsLimit: true}})
 	a, end, err := f.Begin(4, "a", nil)
 	require.NoError(t, err)
 	end(a.Status == 200)
@@ -30,7 +30,7 @@
 	assert.Empty(t, Header(a, "X-RateLimit-Wait-Ms"))
 	assert.NotEmpty(t, Header(c, "X-RateLimit-Wait-Ms"))
 	assert.Empty(t, Header(c, "X-Other"))
-	assert.Equal(t, partner.Counts{Calls: 3, Delivered: 1}, partner.Counts{Calls: f.Obey(Order{Do: "stats"}).Counts[4].Calls, Delivered: f.Obey(Order{Do: "stats"}).Counts[4].Delivered})
+	assert.Equal(t, partner.Counts{Calls: 3, Delivered: 1}, partner.Counts{Calls: f.Execute(Command{Do: "stats"}).Counts[4].Calls, Delivered: f.Execute(Command{Do: "stats"}).Counts[4].Delivered})
 	_, _, err = f.Begin(5, "a", nil)
 	assert.Error(t, err)
 }
@@ -42,7 +42,7 @@
 	t.Cleanup(d.Close)
 	generations := make(chan uint64, 4)
 	covered := make(chan []bool, 4)
-	d.Watched(func(_ string, generation uint64, concerns func(uint32) bool) {
+	d.OnWatch(func(_ string, generation uint64, concerns func(uint32) bool) {
 		generations <- generation
 		covered <- []bool{concerns(1), concerns(2)}
 	})
@@ -72,8 +72,8 @@
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
 	seen := make(chan string, 2)
-	d.Watched(func(from string, _ uint64, _ func(uint32) bool) { seen <- from })
-	dedicated, err := d.Door()
+	d.OnWatch(func(from string, _ uint64, _ func(uint32) bool) { seen <- from })
+	dedicated, err := d.OpenDedicatedAddress()
 	require.NoError(t, err)
 	reuse := func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1) })
@@ -97,27 +97,27 @@
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
 	for _, first := range []string{"", "?after=1&wait_ms=1"} { // a client without and with a stored list
-		dedicated, err := d.Door()
+		dedicated, err := d.OpenDedicatedAddress()
 		require.NoError(t, err)
 		c, url := newTestClient(t, false), "http://"+dedicated.Addr+"/discovery/hosts"
-		assert.Zero(t, dedicated.Started())
+		assert.Zero(t, dedicated.StartBytes())
 		before := d.Traffic().Out
 		text := get(t, c, url+first)
-		started := dedicated.Started()
+		started := dedicated.StartBytes()
 		assert.Greater(t, started, int64(len(text)))
 		assert.Equal(t, d.Traffic().Out-before, started)
 		get(t, c, "http://"+d.Addr()+"/discovery/hosts")
-		assert.Equal(t, started, dedicated.Started(), "traffic of other clients does not count")
+		assert.Equal(t, started, dedicated.StartBytes(), "traffic of other clients does not count")
 		for range 3 {
 			get(t, c, url+"?after=1&wait_ms=1")
-			assert.Equal(t, started, dedicated.Started(), "later watches do not count")
+			assert.Equal(t, started, dedicated.StartBytes(), "later watches do not count")
 		}
-		dedicated.Again()
-		assert.Zero(t, dedicated.Started())
+		dedicated.ResetStart()
+		assert.Zero(t, dedicated.StartBytes())
 		get(t, c, url+"?after=1&wait_ms=1")
-		again := dedicated.Started()
+		again := dedicated.StartBytes()
 		assert.Positive(t, again)
 		get(t, c, url)
-		assert.Greater(t, dedicated.Started(), again, "the start continues until a watch follows")
+		assert.Greater(t, dedicated.StartBytes(), again, "the start continues until a watch follows")
 	}
 }
--- a/internal/standin/waits.go
+++ b/internal/standin/waits.go
@@ -11,7 +11,7 @@
 
 // Trace is an event of a message from a courier's log at level debug.
 type Trace struct {
-	What    string // TraceLeaves, TraceTold, TraceAttempt or TraceEnd
+	Kind    string // TraceLeaves, TraceTold, TraceAttempt or TraceEnd
 	ID      string
 	Outcome string        // outcome of an attempt, or the final result of the message
 	Left    time.Duration // with TraceEnd: time left until the message's deadline
@@ -19,10 +19,10 @@
 
 // The kinds of trace. The values are log messages of the daemon.
 const (
-	TraceLeaves  = "leaves"       // an attempt was sent
-	TraceTold    = "told to wait" // its response, with a retry-after delay, was read
-	TraceAttempt = "attempt"      // the attempt ended
-	TraceEnd     = "end"          // the message has its final result
+	TraceSent        = "leaves"       // an attempt was sent
+	TraceRetryAfter  = "told to wait" // its response, with a retry-after delay, was read
+	TraceAttempt     = "attempt"      // the attempt ended
+	TraceFinalResult = "end"          // the message has its final result
 )
 
 var tracePattern = regexp.MustCompile(`(?m)^.*msg=(leaves|"told to wait"|attempt|end) .*?id=(\S+) (?:.*outcome=(\S+)|.* as=(\S+) left_ms=(\S+))?.*$`)
@@ -30,39 +30,41 @@
 // Traces returns the traces in a courier's log of format text, in their order.
 func Traces(log string) (list []Trace) {
 	for _, m := range tracePattern.FindAllStringSubmatch(log, -1) {
-		t := Trace{What: m[1], ID: m[2], Outcome: m[3] + m[4]}
+		t := Trace{Kind: m[1], ID: m[2], Outcome: m[3] + m[4]}
 		ms, _ := strconv.Atoi(m[5])
 		t.Left = time.Duration(ms) * time.Millisecond
-		if t.What == `"`+TraceTold+`"` {
-			t.What = TraceTold
+		if t.Kind == `"`+TraceRetryAfter+`"` {
+			t.Kind = TraceRetryAfter
 		}
 		list = append(list, t)
 	}
 	return list
 }
 
-// BrokenWait is a call that was sent during a retry-after delay, or a retry-after delay that the
+// RetryAfterViolation is a call that was sent during a retry-after delay, or a retry-after delay that the
 // courier has not read.
-type BrokenWait struct {
+type RetryAfterViolation struct {
 	Destination uint32
-	Why         string
+	Reason      string
 	Unread      bool // the delay has not been read yet, but may still be
 }
 
-func (b BrokenWait) String() string { return fmt.Sprintf("destination %d: %s", b.Destination, b.Why) }
+func (b RetryAfterViolation) String() string {
+	return fmt.Sprintf("destination %d: %s", b.Destination, b.Reason)
+}
 
-// BrokenWaits returns the calls that the courier sent after it had read a retry-after delay of
+// RetryAfterViolations returns the calls that the courier sent after it had read a retry-after delay of
 // their partner. A call that a partner sees late may have been sent before: the check therefore
 // uses the order of the courier's own log lines, which is that of its decisions and does not depend
 // on how long either side takes. Every retry-after delay must be read, unless its attempt was
 // abandoned.
-func BrokenWaits(taken []Taken, traces []Trace) (broken []BrokenWait) {
+func RetryAfterViolations(taken []RecordedCall, traces []Trace) (broken []RetryAfterViolation) {
 	sentAt, readAt, abandoned := map[string][]int{}, map[string][]int{}, map[string]int{} // positions in traces, by message ID
 	for at, t := range traces {
-		switch t.What {
-		case TraceLeaves:
+		switch t.Kind {
+		case TraceSent:
 			sentAt[t.ID] = append(sentAt[t.ID], at)
-		case TraceTold:
+		case TraceRetryAfter:
 			readAt[t.ID] = append(readAt[t.ID], at)
 		case TraceAttempt:
 			if t.Outcome == "timed_out" || t.Outcome == "cancelled" {
@@ -85,22 +87,22 @@
 				}
 			}
 			if c.At < w.until && arrivals[c.ID] > before {
-				broken = append(broken, BrokenWait{
-					Destination: c.Destination, Why: fmt.Sprintf("%s at %v, call %d, during a retry-after delay until %v", c.ID, c.At, arrivals[c.ID], w.until),
+				broken = append(broken, RetryAfterViolation{
+					Destination: c.Destination, Reason: fmt.Sprintf("%s at %v, call %d, during a retry-after delay until %v", c.ID, c.At, arrivals[c.ID], w.until),
 				})
 			}
 		}
-		if c.Wait == 0 {
+		if c.RetryAfter == 0 {
 			continue
 		}
 		n := rejections[c.ID]
 		rejections[c.ID]++
 		switch {
 		case n < len(readAt[c.ID]):
-			waits[c.Destination] = append(waits[c.Destination], wait{c.At + c.Wait, readAt[c.ID][n]})
+			waits[c.Destination] = append(waits[c.Destination], wait{c.At + c.RetryAfter, readAt[c.ID][n]})
 		case abandoned[c.ID] == 0:
-			broken = append(broken, BrokenWait{
-				Destination: c.Destination, Why: fmt.Sprintf("the retry-after delay sent for %s at %v was not read", c.ID, c.At), Unread: true,
+			broken = append(broken, RetryAfterViolation{
+				Destination: c.Destination, Reason: fmt.Sprintf("the retry-after delay sent for %s at %v was not read", c.ID, c.At), Unread: true,
 			})
 		}
 	}
@@ -119,10 +121,10 @@
 	finals, expired, readLate, readInTime := map[string]int{}, map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, t := range traces {
 		switch {
-		case t.What == TraceEnd:
+		case t.Kind == TraceFinalResult:
 			finals[t.ID]++
 			expired[t.ID] = t.Outcome == "failed" && t.Left < expiredSlack
-		case t.What == TraceAttempt && t.Outcome == "ok": // for a late response it follows TraceEnd
+		case t.Kind == TraceAttempt && t.Outcome == "ok": // for a late response it follows TraceEnd
 			readLate[t.ID] = finals[t.ID] > 0
 			readInTime[t.ID] = readInTime[t.ID] || finals[t.ID] == 0
 		}
@@ -132,7 +134,7 @@
 			return false
 		}
 		late := false
-		_ = f.With(destination, func(p *partner.Partner) { late = p.Late(id) })
+		_ = f.With(destination, func(p *partner.Partner) { late = p.DeliveredLate(id) })
 		return late || readLate[id]
 	}
 }
--- a/internal/standin/waits_test.go
+++ b/internal/standin/waits_test.go
@@ -18,25 +18,25 @@
 	line := func(what, id, more string) string {
 		return "time=x level=DEBUG msg=" + what + " courier=n0 id=" + id + " dest=5" + more + "\n"
 	}
-	taken := []Taken{
-		{Destination: 5, ID: "a", At: 1, Wait: time.Hour}, {Destination: 5, ID: "b", At: time.Minute}, {Destination: 6, ID: "c", At: time.Minute},
+	taken := []RecordedCall{
+		{Destination: 5, ID: "a", At: 1, RetryAfter: time.Hour}, {Destination: 5, ID: "b", At: time.Minute}, {Destination: 6, ID: "c", At: time.Minute},
 	}
 	log := func(b string, more ...string) []Trace {
 		return Traces(line("leaves", "a", "") + strings.Replace(b, "X", line(`"told to wait"`, "a", ""), 1) + line("leaves", "c", "") + strings.Join(more, ""))
 	}
 	b := line("leaves", "b", "")
-	assert.Empty(t, BrokenWaits(taken, log(b+"X")))
-	assert.Equal(t, []BrokenWait{{5, "b at 1m0s, call 1, during a retry-after delay until 1h0m0.000000001s", false}}, BrokenWaits(taken, log("X"+b)))
-	assert.Len(t, BrokenWaits(append(taken, Taken{Destination: 5, ID: "a", At: time.Minute}), log(b+"X", line("leaves", "a", ""))), 1, "retry of the rejected message")
-	assert.Empty(t, BrokenWaits(append(taken, Taken{Destination: 5, ID: "a", At: 2 * time.Hour}), log(b+"X", line("leaves", "a", ""))))
-	assert.Equal(t, []BrokenWait{{5, "the retry-after delay sent for a at 1ns was not read", true}}, BrokenWaits(taken, log(b)))
-	assert.Empty(t, BrokenWaits(taken, log(b, line("attempt", "a", " class=status outcome=timed_out took_ms=1"))), "the attempt was abandoned")
-	assert.Len(t, BrokenWaits(taken, log(b, line("attempt", "a", " class=status outcome=full took_ms=1"))), 1)
+	assert.Empty(t, RetryAfterViolations(taken, log(b+"X")))
+	assert.Equal(t, []RetryAfterViolation{{5, "b at 1m0s, call 1, during a retry-after delay until 1h0m0.000000001s", false}}, RetryAfterViolations(taken, log("X"+b)))
+	assert.Len(t, RetryAfterViolations(append(taken, RecordedCall{Destination: 5, ID: "a", At: time.Minute}), log(b+"X", line("leaves", "a", ""))), 1, "retry of the rejected message")
+	assert.Empty(t, RetryAfterViolations(append(taken, RecordedCall{Destination: 5, ID: "a", At: 2 * time.Hour}), log(b+"X", line("leaves", "a", ""))))
+	assert.Equal(t, []RetryAfterViolation{{5, "the retry-after delay sent for a at 1ns was not read", true}}, RetryAfterViolations(taken, log(b)))
+	assert.Empty(t, RetryAfterViolations(taken, log(b, line("attempt", "a", " class=status outcome=timed_out took_ms=1"))), "the attempt was abandoned")
+	assert.Len(t, RetryAfterViolations(taken, log(b, line("attempt", "a", " class=status outcome=full took_ms=1"))), 1)
 }
 
 // Each kind of trace is parsed, in order; other log lines are ignored.
 func TestTraces(t *testing.T) {
-	assert.Equal(t, []Trace{{TraceLeaves, "a", "", 0}, {TraceTold, "a", "", 0}, {TraceAttempt, "a", "full", 0}, {TraceEnd, "a", "failed", -4 * time.Millisecond}}, Traces(
+	assert.Equal(t, []Trace{{TraceSent, "a", "", 0}, {TraceRetryAfter, "a", "", 0}, {TraceAttempt, "a", "full", 0}, {TraceFinalResult, "a", "failed", -4 * time.Millisecond}}, Traces(
 		"time=x level=DEBUG msg=leaves courier=n0 id=a dest=5\n"+
 			"time=x level=INFO msg=ready courier=n0 id=a dest=5\n"+
 			"time=x level=DEBUG msg=\"told to wait\" courier=n0 id=a dest=5\n"+
@@ -57,9 +57,9 @@
 			p.End(at, c, true)
 		}
 	}))
-	attempt := func(id, outcome string) Trace { return Trace{What: TraceAttempt, ID: id, Outcome: outcome} }
+	attempt := func(id, outcome string) Trace { return Trace{Kind: TraceAttempt, ID: id, Outcome: outcome} }
 	end := func(id, as string, left time.Duration) Trace {
-		return Trace{What: TraceEnd, ID: id, Outcome: as, Left: left * time.Millisecond}
+		return Trace{Kind: TraceFinalResult, ID: id, Outcome: as, Left: left * time.Millisecond}
 	}
 	for _, tc := range []struct {
 		id     string
--- a/internal/store/capacity_test.go
+++ b/internal/store/capacity_test.go
@@ -37,7 +37,7 @@
 func BenchmarkHeldEvent(b *testing.B) {
 	const n = 100_000
 	var disk int64
-	gauge.Held(b, n, "event", func() any {
+	gauge.HeapPerItem(b, n, "event", func() any {
 		j := newBacklog(b, b.TempDir(), n)
 		disk = j.Size()
 		b.Cleanup(func() { j.Close() })
@@ -54,7 +54,7 @@
 			j := newBacklog(b, dir, n)
 			size := float64(j.Size()) / 1e6
 			j.Close()
-			gauge.CPU(b, n, "event", func() {
+			gauge.CPUPerItem(b, n, "event", func() {
 				j, left, err := Load(Options{Dir: dir, Bytes: 1 << 40, Log: slog.New(slog.DiscardHandler)})
 				if err != nil || len(left) != n {
 					b.Fatal(err, len(left))
