--- a/internal/plugin/breaker/breaker.go
+++ b/internal/plugin/breaker/breaker.go
@@ -1,13 +1,15 @@
-// Package breaker decides when a plug-in is in quarantine: a circuit breaker. It
-// does no I/O, reads no clock and starts no goroutine; times are handed in, as
-// the time since a moment of the caller's choice.
+// Package breaker implements the circuit breaker that quarantines a failing
+// plug-in. It does no I/O, reads no clock and starts no goroutine; the caller
+// passes the current time as the duration since an origin of its choice.
 //
-// Closed, every call goes to the plug-in. Once Failures of the last Window calls
-// have failed, or Row in a row, it opens: calls pass the plug-in by, for Rest at
-// first and twice as long each time it opens again, up to RestMost. Then it is
-// half open: one call at a time goes to the plug-in, as a trial, and after Trials
-// good ones in a row the breaker closes; a bad one opens it anew. A plug-in that
-// has kept well for Forgive begins at Rest again.
+// While the breaker is closed, every call goes to the plug-in. It opens when
+// MaxFailures of the last WindowCalls calls have failed, or MaxConsecutive calls
+// in a row. While it is open, calls skip the plug-in: for MinOpenTime at first,
+// and for twice as long each time it opens again, up to MaxOpenTime. It then
+// becomes half open: one probe call at a time goes to the plug-in. The breaker
+// closes after ProbeSuccesses successful probes in a row and opens again after a
+// failed one. A call that succeeds ResetAfter or more after the breaker closed
+// resets the open time to MinOpenTime.
 package breaker
 
 import (
@@ -15,23 +17,23 @@
 	"time"
 )
 
-// Config are the breaker's bounds.
+// Config holds the thresholds and durations of a breaker.
 type Config struct {
-	Window   int // calls that are looked back on, 1 to 64
-	Failures int // of these, that open it
-	Row      int // failures in a row that open it
-	Trials   int // good calls in a row that close it
-	Rest     time.Duration
-	RestMost time.Duration
-	Forgive  time.Duration
+	WindowCalls int           // number of recent calls taken into account, 1 to 64
+	MaxFailures int           // failures among them that open the breaker
+	Row         int           // consecutive failures that open the breaker
+	Trials      int           // consecutive successful probes that close the breaker
+	MinOpenTime time.Duration // first open time
+	MaxOpenTime time.Duration // limit of the doubling open time
+	ResetAfter  time.Duration // time since closing after which a success resets the open time
 }
 
-// Default are the bounds of plug-ins.
+// Default is the configuration used for plug-ins.
 var Default = Config{
-	Window: 50, Failures: 10, Row: 3, Trials: 5, Rest: 5 * time.Second, RestMost: 5 * time.Minute, Forgive: 10 * time.Minute,
+	WindowCalls: 50, MaxFailures: 10, Row: 3, Trials: 5, MinOpenTime: 5 * time.Second, MaxOpenTime: 5 * time.Minute, ResetAfter: 10 * time.Minute,
 }
 
-// State is a breaker's state.
+// State is the state of a breaker.
 type State int
 
 // The states.
@@ -43,105 +45,105 @@
 
 func (s State) String() string { return [...]string{"closed", "open", "half open"}[s] }
 
-// Breaker is one plug-in's.
+// Breaker is the circuit breaker of one plug-in.
 type Breaker struct {
-	cfg    Config
-	state  State
-	past   uint64 // the last calls, a bit each: set where it failed
-	row    int    // failures in a row
-	good   int    // trials in a row
-	trying bool
-	epoch  uint64 // calls of an earlier one say nothing any more
-	rest   time.Duration
-	until  time.Duration
-	closed time.Duration // when it closed last
+	cfg                 Config
+	state               State
+	failureBits         uint64        // results of the last calls, one bit each, set for a failure
+	consecutiveFailures int           // consecutive failures
+	probeSuccesses      int           // consecutive successful probes
+	probing             bool          // a probe is running
+	epoch               uint64        // incremented on a state change; results of earlier epochs are ignored
+	openTime            time.Duration // next open time
+	openUntil           time.Duration // when the breaker becomes half open
+	closedAt            time.Duration // when it last closed
 }
 
 // New returns a closed breaker.
 func New(cfg Config) *Breaker {
-	cfg.Window = min(max(cfg.Window, 1), 64)
-	return &Breaker{cfg: cfg, rest: cfg.Rest}
+	cfg.WindowCalls = min(max(cfg.WindowCalls, 1), 64)
+	return &Breaker{cfg: cfg, openTime: cfg.MinOpenTime}
 }
 
-// State is the state at a time.
+// State returns the state at the given time.
 func (b *Breaker) State(now time.Duration) State {
-	if b.state == Open && now >= b.until {
+	if b.state == Open && now >= b.openUntil {
 		return HalfOpen
 	}
 	return b.state
 }
 
-// Until is when a breaker that is open lets a trial through.
-func (b *Breaker) Until() time.Duration { return b.until }
+// OpenUntil returns when an open breaker allows the first probe.
+func (b *Breaker) Until() time.Duration { return b.openUntil }
 
-// Ticket is a call's, to be handed back with its outcome.
+// Ticket identifies an allowed call. It is passed back with the result of the call.
 type Ticket struct {
 	epoch uint64
-	trial bool
+	probe bool
 }
 
-// Allow tells whether a call may go to the plug-in. Each call that may must be
-// handed back with Done.
+// Allow reports whether a call may go to the plug-in. Each allowed call must be
+// ended with Record, or with Release if it was not made.
 func (b *Breaker) Allow(now time.Duration) (Ticket, bool) {
-	if b.state == Open && now >= b.until {
-		b.state, b.good, b.trying = HalfOpen, 0, false
+	if b.state == Open && now >= b.openUntil {
+		b.state, b.probeSuccesses, b.probing = HalfOpen, 0, false
 		b.epoch++
 	}
 	switch {
-	case b.state == Open, b.state == HalfOpen && b.trying:
+	case b.state == Open, b.state == HalfOpen && b.probing:
 		return Ticket{}, false
 	case b.state == HalfOpen:
-		b.trying = true
+		b.probing = true
 		return Ticket{b.epoch, true}, true
 	}
 	return Ticket{epoch: b.epoch}, true
 }
 
-// Done tells how a call went. It returns true where that has changed the state.
+// Record records the result of a call. It returns true if the state has changed.
 func (b *Breaker) Done(now time.Duration, t Ticket, ok bool) (changed bool) {
 	if t.epoch != b.epoch {
 		return false
 	}
-	if t.trial {
-		b.trying = false
+	if t.probe {
+		b.probing = false
 		if !ok {
 			b.open(now)
 			return true
 		}
-		if b.good++; b.good >= b.cfg.Trials {
-			b.state, b.past, b.row, b.closed = Closed, 0, 0, now
+		if b.probeSuccesses++; b.probeSuccesses >= b.cfg.Trials {
+			b.state, b.failureBits, b.consecutiveFailures, b.closedAt = Closed, 0, 0, now
 			b.epoch++
 			return true
 		}
 		return false
 	}
-	b.past = b.past << 1 & (1<<b.cfg.Window - 1)
-	b.row++
+	b.failureBits = b.failureBits << 1 & (1<<b.cfg.WindowCalls - 1)
+	b.consecutiveFailures++
 	if ok {
-		b.row = 0
-		if now-b.closed >= b.cfg.Forgive {
-			b.rest = b.cfg.Rest
+		b.consecutiveFailures = 0
+		if now-b.closedAt >= b.cfg.ResetAfter {
+			b.openTime = b.cfg.MinOpenTime
 		}
 	} else {
-		b.past |= 1
+		b.failureBits |= 1
 	}
-	if b.row >= b.cfg.Row || bits.OnesCount64(b.past) >= b.cfg.Failures {
+	if b.consecutiveFailures >= b.cfg.Row || bits.OnesCount64(b.failureBits) >= b.cfg.MaxFailures {
 		b.open(now)
 		return true
 	}
 	return false
 }
 
-// Undo hands back the ticket of a call that did not go to the plug-in after all.
+// Release returns the ticket of an allowed call that was not made.
 func (b *Breaker) Undo(t Ticket) {
-	if t.trial && t.epoch == b.epoch {
-		b.trying = false
+	if t.probe && t.epoch == b.epoch {
+		b.probing = false
 	}
 }
 
 func (b *Breaker) open(now time.Duration) {
-	b.state, b.until = Open, now+b.rest
-	b.rest = min(2*b.rest, b.cfg.RestMost)
-	b.past, b.row = 0, 0
+	b.state, b.openUntil = Open, now+b.openTime
+	b.openTime = min(2*b.openTime, b.cfg.MaxOpenTime)
+	b.failureBits, b.consecutiveFailures = 0, 0
 	b.epoch++
 }
--- a/internal/plugin/breaker/breaker_test.go
+++ b/internal/plugin/breaker/breaker_test.go
@@ -10,11 +10,10 @@
 )
 
 func config() Config {
-	return Config{Window: 10, Failures: 4, Row: 3, Trials: 2, Rest: time.Second, RestMost: 4 * time.Second, Forgive: time.Minute}
+	return Config{WindowCalls: 10, MaxFailures: 4, Row: 3, Trials: 2, MinOpenTime: time.Second, MaxOpenTime: 4 * time.Second, ResetAfter: time.Minute}
 }
 
-// run makes calls in turn, one a millisecond, and returns how many were let
-// through.
+// run makes one call per millisecond and returns how many were allowed.
 func run(b *Breaker, now time.Duration, outcomes ...bool) (through int) {
 	for i, ok := range outcomes {
 		at := now + time.Duration(i)*time.Millisecond
@@ -26,16 +25,16 @@
 	return through
 }
 
-func TestOpensAfterARow(t *testing.T) {
+func TestOpensAfterConsecutiveFailures(t *testing.T) {
 	b := New(config())
 	assert.Equal(t, 4, run(b, 0, true, false, true, true))
 	assert.Equal(t, Closed, b.State(time.Millisecond))
-	assert.Equal(t, 3, run(b, 10*time.Millisecond, false, false, false, true, true), "the others pass it by")
+	assert.Equal(t, 3, run(b, 10*time.Millisecond, false, false, false, true, true), "the remaining calls skip the plug-in")
 	assert.Equal(t, Open, b.State(20*time.Millisecond))
 }
 
-// Failures between good calls open it, too, but not those of long ago.
-func TestOpensByShare(t *testing.T) {
+// Failures between successful calls open the breaker as well, unless they are outside the window.
+func TestOpensAfterFailuresInWindow(t *testing.T) {
 	b := New(config())
 	run(b, 0, false, true, false, true, false, true)
 	assert.Equal(t, Closed, b.State(0))
@@ -45,9 +44,9 @@
 	assert.Equal(t, Open, b.State(0))
 }
 
-// The way back: one trial at a time, two good ones close it, a bad one opens it
-// for twice as long, up to a bound; after a good while it begins anew.
-func TestWayBack(t *testing.T) {
+// A half-open breaker allows one probe at a time. Two successful probes close it, and a failed one
+// opens it for twice as long, up to a limit. After a long healthy period the open time is reset.
+func TestHalfOpenProbesAndOpenTime(t *testing.T) {
 	b := New(config())
 	now := time.Duration(0)
 	for _, rest := range []time.Duration{1, 2, 4, 4} {
@@ -69,15 +68,15 @@
 	assert.True(t, b.Done(now, second, true))
 	require.Equal(t, Closed, b.State(now))
 	run(b, now+30*time.Second, true, false, false, false)
-	assert.Equal(t, now+30*time.Second+3*time.Millisecond+4*time.Second, b.Until(), "not yet forgiven")
+	assert.Equal(t, now+30*time.Second+3*time.Millisecond+4*time.Second, b.Until(), "the open time is not yet reset")
 	now = b.Until()
 	run(b, now, true, true)
 	run(b, now+2*time.Minute, true, false, false, false)
 	assert.Equal(t, now+2*time.Minute+3*time.Millisecond+time.Second, b.Until())
 }
 
-// Calls that were out when it opened say nothing later.
-func TestLateOutcomes(t *testing.T) {
+// Results of calls that were running when the breaker opened are ignored.
+func TestLateResultsAreIgnored(t *testing.T) {
 	b := New(config())
 	late, _ := b.Allow(0)
 	run(b, 0, false, false, false)
@@ -85,13 +84,13 @@
 	assert.False(t, b.Done(0, late, false))
 	assert.Equal(t, until, b.Until())
 	trial, _ := b.Allow(until)
-	assert.False(t, b.Done(until, late, true), "nor is it a trial")
+	assert.False(t, b.Done(until, late, true), "it is not a probe either")
 	assert.True(t, b.Done(until, trial, false))
 }
 
-// Whatever happens, it always lets a call through again after its rest, and
-// never more than one at a time until trials have gone well.
-func TestNeverStuck(t *testing.T) {
+// For any sequence of events, the breaker allows a call again after its open time, and at most
+// one probe at a time while it is half open.
+func TestAllowsCallAfterMaxOpenTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, now := New(config()), time.Duration(0)
 		var out []Ticket
@@ -102,7 +101,7 @@
 			}
 			trials := 0
 			for _, k := range out {
-				if k.trial && k.epoch == b.epoch {
+				if k.probe && k.epoch == b.epoch {
 					trials++
 				}
 			}
@@ -116,7 +115,7 @@
 		for _, k := range out {
 			b.Done(now, k, true)
 		}
-		_, ok := b.Allow(now + config().RestMost)
+		_, ok := b.Allow(now + config().MaxOpenTime)
 		require.True(t, ok)
 	})
 }
--- a/internal/plugin/check.go
+++ b/internal/plugin/check.go
@@ -13,17 +13,17 @@
 	"snowjunction/internal/plugin/manifest"
 )
 
-// Try starts a plug-in's host, has it answer calls in turn, and ends it. An error
-// means that the plug-in cannot be made ready.
+// Try starts the host of a plug-in, makes the calls in turn, and stops the host. A non-empty why
+// means that the plug-in cannot be loaded.
 func Try(command []string, m *manifest.Manifest, log io.Writer, calls ...host.Call) (answers []host.Answer, why string) {
 	loop := core.NewLoop(time.Now)
 	s := New(Config{Loop: loop, Command: command, Log: slog.New(slog.NewTextHandler(log, nil))})
-	p := &plug{set: s, m: m, breaker: breaker.New(breaker.Default), memory: engine.NewMemory(nil), fixed: map[guard.Rule]uint64{}}
+	p := &instance{set: s, manifest: m, breaker: breaker.New(breaker.Default), memory: engine.NewMemory(nil), corrections: map[guard.Rule]uint64{}}
 	samples := m.Samples
 	m.Samples = nil
 	defer func() { m.Samples = samples }()
 	up := false
-	p.onUp = func(err string) { why, up = err, true; p.onUp = nil }
+	p.onStarted = func(err string) { why, up = err, true; p.onStarted = nil }
 	p.start()
 	loop.RunUntil(func() bool { return up })
 	for _, c := range calls {
@@ -31,23 +31,23 @@
 			break
 		}
 		done := false
-		x := &call{hook: c.Hook, text: c.Call, done: func(r *reply) {
-			a := host.Answer{Out: r.out()}
+		x := &call{hook: c.Hook, input: c.Call, done: func(r *reply) {
+			a := host.Answer{Out: r.output()}
 			if r == nil {
-				a.Error = p.lastWhy
+				a.Error = p.lastError
 			}
 			answers, done = append(answers, a), true
 		}}
-		p.push(x, s.cfg.SampleWithin)
+		p.enqueue(x, s.cfg.SampleWithin)
 		loop.RunUntil(func() bool { return done })
 	}
 	p.retire()
-	loop.RunUntil(func() bool { return p.proc == nil })
+	loop.RunUntil(func() bool { return p.process == nil })
 	return answers, why
 }
 
-// Check has a plug-in answer its sample cases and returns a line for each that it
-// answers otherwise.
+// Check runs the samples of a plug-in. It returns a line for each sample whose answer differs from
+// the expected one.
 func Check(command []string, m *manifest.Manifest) (mistakes []string) {
 	var calls []host.Call
 	for _, x := range m.Samples {
@@ -61,7 +61,7 @@
 		x := m.Samples[i]
 		if a.Error != "" {
 			mistakes = append(mistakes, "sample "+x.Name+": "+a.Error)
-		} else if why := Differs(x.Want, a.Out); why != "" {
+		} else if why := Difference(x.Want, a.Out); why != "" {
 			mistakes = append(mistakes, "sample "+x.Name+": "+why)
 		}
 	}
--- a/internal/plugin/engine/engine.go
+++ b/internal/plugin/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine runs a plug-in's code in the host process: a Starlark script or
-// a WebAssembly module. Every call gets JSON and returns JSON (docs/plugins.md
-// has the protocol). Code reaches nothing but what it is given, its memory of
-// keys and values, and a log.
+// Package engine runs the code of a plug-in in the host process: a Starlark script
+// or a WebAssembly module. Each call takes JSON and returns JSON (docs/plugins.md
+// describes the protocol). The code can access only the call's input, its
+// key-value store and a log.
 package engine
 
 import (
@@ -13,29 +13,30 @@
 	"snowjunction/internal/plugin/manifest"
 )
 
-// Reasons for which a call ends without an answer.
+// Errors of a call that ends without a valid answer.
 var (
-	ErrTime  = errors.New("over its time")
-	ErrSteps = errors.New("over its steps")
-	ErrTrap  = errors.New("it broke off")
-	ErrForm  = errors.New("its answer has no form that is known")
+	ErrTime      = errors.New("time limit exceeded")
+	ErrStepLimit = errors.New("step limit exceeded")
+	ErrTrap      = errors.New("the code aborted")
+	ErrForm      = errors.New("invalid answer")
 )
 
-// Engine is a plug-in's code, ready to be called. It is used by one goroutine.
+// Engine is the loaded code of a plug-in. It must be used by one goroutine only.
 type Engine interface {
-	// Call asks the plug-in. Its errors wrap the reasons.
+	// Call calls a hook of the plug-in. Its errors wrap one of the errors above.
 	Call(ctx context.Context, h manifest.Hook, call []byte) ([]byte, error)
 	Close()
 }
 
-// Host is what code can reach.
+// Host is the interface that the code of a plug-in can access.
 type Host interface {
 	Log(text string)
 	Get(key string) (string, bool)
-	Set(key, value string) bool // false: there is no room
+	Set(key, value string) bool // returns false if the store is full
 }
 
-// Open makes a plug-in's code ready, in a time that bounds a new begin of a module later, too.
+// Open loads the code of a plug-in. The timeout also applies each time a WebAssembly module is
+// instantiated again later.
 func Open(m *manifest.Manifest, h Host, within time.Duration) (Engine, error) {
 	switch m.Engine {
 	case "starlark":
@@ -46,25 +47,25 @@
 	return nil, fmt.Errorf("no engine %q", m.Engine)
 }
 
-// answerMost bounds what a call may return.
-const answerMost = 256 << 10
+// maxAnswerBytes limits the size of the answer to a call.
+const maxAnswerBytes = 256 << 10
 
-// Memory is a plug-in's keys and values, bounded.
+// Memory is the size-limited key-value store of a plug-in.
 type Memory struct {
 	Values  map[string]string
 	changed map[string]string
 	size    int
 }
 
-// Bounds of a memory.
+// Limits of a key-value store. Sizes are in bytes.
 const (
-	KeysMost   = 64
-	KeyMost    = 64
-	ValueMost  = 1024
-	MemoryMost = 16 << 10
+	MaxKeys       = 64
+	MaxKeyBytes   = 64
+	MaxValueBytes = 1024
+	MaxStoreBytes = 16 << 10
 )
 
-// NewMemory returns a memory that holds what fits of values.
+// NewMemory returns a store that holds those of the values that fit.
 func NewMemory(values map[string]string) *Memory {
 	m := &Memory{Values: map[string]string{}}
 	for k, v := range values {
@@ -74,14 +75,14 @@
 	return m
 }
 
-// Get returns a value.
+// Get returns the value of a key and whether the key exists.
 func (m *Memory) Get(key string) (string, bool) {
 	v, ok := m.Values[key]
 	return v, ok
 }
 
-// Set keeps a value, or forgets the key with an empty one. It returns false
-// where there is no room.
+// Set stores a value. An empty value deletes the key. Set returns false if the key or
+// the value is invalid or the store is full.
 func (m *Memory) Set(key, value string) bool {
 	old, had := m.Values[key]
 	size := m.size + len(value) - len(old)
@@ -92,26 +93,27 @@
 		if had {
 			m.size -= len(key) + len(old)
 			delete(m.Values, key)
-			m.change(key, "")
+			m.recordChange(key, "")
 		}
 		return true
 	}
-	if key == "" || len(key) > KeyMost || len(value) > ValueMost || size > MemoryMost || !had && len(m.Values) >= KeysMost {
+	if key == "" || len(key) > MaxKeyBytes || len(value) > MaxValueBytes || size > MaxStoreBytes || !had && len(m.Values) >= MaxKeys {
 		return false
 	}
 	m.Values[key], m.size = value, size
-	m.change(key, value)
+	m.recordChange(key, value)
 	return true
 }
 
-func (m *Memory) change(key, value string) {
+func (m *Memory) recordChange(key, value string) {
 	if m.changed == nil {
 		m.changed = map[string]string{}
 	}
 	m.changed[key] = value
 }
 
-// Changes returns what has been set since it was last asked; nil: nothing.
+// Changes returns the values set since the previous call of Changes, or nil if there are none.
+// Deleted keys have an empty value.
 func (m *Memory) Changes() map[string]string {
 	c := m.changed
 	m.changed = nil
--- a/internal/plugin/engine/engine_test.go
+++ b/internal/plugin/engine/engine_test.go
@@ -16,36 +16,37 @@
 	"snowjunction/internal/plugin/manifest"
 )
 
-// ready is for code to be made ready: a module takes, with the race detector on a busy machine, over
-// a minute.
-const ready = 5 * time.Minute
+// openTimeout is the timeout for loading code: with the race detector on a busy machine, loading a module
+// takes over a minute.
+const openTimeout = 5 * time.Minute
 
-type host struct {
+type testHost struct {
 	*Memory
 	log []string
 }
 
-func (h *host) Log(text string) { h.log = append(h.log, text) }
+func (h *testHost) Log(text string) { h.log = append(h.log, text) }
 
-func newHost() *host { return &host{Memory: NewMemory(nil)} }
+func newHost() *testHost { return &testHost{Memory: NewMemory(nil)} }
 
-func openScript(t *testing.T, text string, hooks ...manifest.Hook) (Engine, *host) {
+func openScript(t *testing.T, text string, hooks ...manifest.Hook) (Engine, *testHost) {
 	h := newHost()
 	e, err := Open(&manifest.Manifest{
 		Name: "s", Engine: "starlark", Code: "s.star", Text: []byte(text), Hooks: hooks,
 		Budget: manifest.Budget{TimeMs: 10, Steps: 100_000, MemoryMB: 16},
-	}, h, ready)
+	}, h, openTimeout)
 	require.NoError(t, err)
 	t.Cleanup(e.Close)
 	return e, h
 }
 
-// ask calls with a time that a busy machine keeps too: what is to end by itself, ends before it.
-func ask(e Engine, h manifest.Hook, call string) (string, error) {
-	return askFor(time.Minute, e, h, call)
+// callHook calls a hook with a timeout that is long enough for a busy machine. Calls that end by themselves
+// end before it.
+func callHook(e Engine, h manifest.Hook, call string) (string, error) {
+	return callHookFor(time.Minute, e, h, call)
 }
 
-func askFor(within time.Duration, e Engine, h manifest.Hook, call string) (string, error) {
+func callHookFor(within time.Duration, e Engine, h manifest.Hook, call string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	b, err := e.Call(ctx, h, []byte(call))
@@ -61,18 +62,18 @@
         return None
     return {"wait_ms": len(call.answer_text), "n": recall("n"), "body": call.body}
 `, manifest.Read)
-	out, err := ask(e, manifest.Read, `{"status":200}`)
+	out, err := callHook(e, manifest.Read, `{"status":200}`)
 	require.NoError(t, err)
 	assert.Equal(t, "{}", out)
-	out, err = ask(e, manifest.Read, `{"status":503,"answer":"aGVsbG8=","body":"/w=="}`)
+	out, err = callHook(e, manifest.Read, `{"status":503,"answer":"aGVsbG8=","body":"/w=="}`)
 	require.NoError(t, err)
 	assert.JSONEq(t, `{"wait_ms":5,"n":"xx","body":"/w=="}`, out)
 	assert.Equal(t, []string{"status 200", "status 503"}, h.log)
 	assert.Equal(t, map[string]string{"n": "xx"}, h.Changes())
 }
 
-// Whatever a script does ends its call alone.
-func TestStarlarkMisbehaves(t *testing.T) {
+// A misbehaving script fails only its own call; the next call is answered.
+func TestStarlarkErrorsEndOnlyTheCall(t *testing.T) {
 	e, _ := openScript(t, `
 def read(call):
     if call.id == "loop":
@@ -91,48 +92,48 @@
     return {}
 `, manifest.Read)
 	for id, want := range map[string]error{
-		"loop": ErrSteps, "trap": ErrTrap, "form": ErrForm, "huge": ErrForm, "nan": ErrForm, "missing": ErrTrap,
+		"loop": ErrStepLimit, "trap": ErrTrap, "form": ErrForm, "huge": ErrForm, "nan": ErrForm, "missing": ErrTrap,
 	} {
-		_, err := ask(e, manifest.Read, `{"id":"`+id+`"}`)
+		_, err := callHook(e, manifest.Read, `{"id":"`+id+`"}`)
 		assert.ErrorIs(t, err, want, id)
-		out, err := ask(e, manifest.Read, `{"id":"well"}`)
+		out, err := callHook(e, manifest.Read, `{"id":"well"}`)
 		assert.NoError(t, err)
 		assert.Equal(t, "{}", out)
 	}
-	_, err := ask(e, manifest.Read, `not json`)
+	_, err := callHook(e, manifest.Read, `not json`)
 	assert.Error(t, err)
-	_, err = ask(e, manifest.Shape, `{}`)
+	_, err = callHook(e, manifest.Shape, `{}`)
 	assert.ErrorIs(t, err, ErrForm)
 }
 
-func TestStarlarkOverItsTime(t *testing.T) {
+func TestStarlarkTimeLimit(t *testing.T) {
 	h := newHost()
 	e, err := Open(&manifest.Manifest{
 		Engine: "starlark", Code: "s.star", Hooks: []manifest.Hook{manifest.Read}, Budget: manifest.Budget{Steps: 1 << 40},
 		Text: []byte("def read(call):\n    for i in range(1000000000):\n        pass\n"),
-	}, h, ready)
+	}, h, openTimeout)
 	require.NoError(t, err)
-	_, err = askFor(300*time.Millisecond, e, manifest.Read, `{}`)
+	_, err = callHookFor(300*time.Millisecond, e, manifest.Read, `{}`)
 	assert.ErrorIs(t, err, ErrTime)
 }
 
-func TestScriptsThatCannotBeOpened(t *testing.T) {
+func TestInvalidScripts(t *testing.T) {
 	for text, want := range map[string]string{
 		"def read(call:\n":                 "s.star",
 		"x = 1":                            "must define read(call)",
 		"def read(): pass":                 "must define read(call)",
 		"def read(call): pass\nfail('no')": "no",
-		"def read(call): pass\nx = [i for i in range(1000000000)]": "steps",
+		"def read(call): pass\nx = [i for i in range(1000000000)]": "step limit exceeded",
 		"load('other.star', 'x')\ndef read(c): pass":               "load",
 	} {
 		_, err := Open(&manifest.Manifest{
 			Engine: "starlark", Code: "s.star", Text: []byte(text), Hooks: []manifest.Hook{manifest.Read}, Budget: manifest.Budget{Steps: 100_000},
-		}, newHost(), ready)
+		}, newHost(), openTimeout)
 		assert.ErrorContains(t, err, want, text)
 	}
 }
 
-// build compiles a Go program to a WebAssembly module.
+// build compiles the Go program in dir to a WebAssembly module.
 func build(t *testing.T, dir string) []byte {
 	out := filepath.Join(t.TempDir(), "m.wasm")
 	cmd := exec.Command("go", "build", "-buildmode=c-shared", "-o", out, ".")
@@ -145,7 +146,7 @@
 	return b
 }
 
-// The example module makes of its samples what they say, and remembers.
+// The example module answers its samples as expected and keeps values between calls.
 func TestWasmExample(t *testing.T) {
 	dir := "../../../example/plugins-wasm/hints"
 	code := build(t, dir)
@@ -155,7 +156,7 @@
 	m, err := manifest.Load(copied)
 	require.NoError(t, err)
 	h := newHost()
-	e, err := Open(m, h, ready)
+	e, err := Open(m, h, openTimeout)
 	require.NoError(t, err)
 	defer e.Close()
 	require.NotEmpty(t, m.Samples)
@@ -171,13 +172,13 @@
 	assert.Equal(t, map[string]string{"hints": "2"}, h.Changes())
 }
 
-// Whatever a module does ends its call alone: the next one is answered.
-func TestWasmMisbehaves(t *testing.T) {
+// A misbehaving module fails only its own call; the next call is answered.
+func TestWasmErrorsEndOnlyTheCall(t *testing.T) {
 	m := &manifest.Manifest{
 		Name: "hostile", Engine: "wasm", Code: "m.wasm", Text: build(t, "testdata/hostile"), Hooks: []manifest.Hook{manifest.Read},
 		Budget: manifest.Budget{TimeMs: 300, MemoryMB: 24},
 	}
-	e, err := Open(m, newHost(), ready)
+	e, err := Open(m, newHost(), openTimeout)
 	require.NoError(t, err)
 	defer e.Close()
 	for id, want := range map[string]error{
@@ -187,37 +188,37 @@
 		if want == ErrTime {
 			within = 2 * time.Second
 		}
-		_, err := askFor(within, e, manifest.Read, `{"id":"`+id+`"}`)
+		_, err := callHookFor(within, e, manifest.Read, `{"id":"`+id+`"}`)
 		assert.ErrorIs(t, err, want, id)
-		out, err := ask(e, manifest.Read, `{"id":"well"}`)
+		out, err := callHook(e, manifest.Read, `{"id":"well"}`)
 		require.NoError(t, err, "after %s", id)
 		assert.JSONEq(t, `{"outcome":"well"}`, out)
 	}
-	// Endless recursion ends by its memory or by its time, whichever is first.
-	_, err = askFor(2*time.Second, e, manifest.Read, `{"id":"deep"}`)
+	// Endless recursion ends at the memory limit or the time limit, whichever comes first.
+	_, err = callHookFor(2*time.Second, e, manifest.Read, `{"id":"deep"}`)
 	assert.Error(t, err)
 	m.Hooks = append(m.Hooks, manifest.Admit)
-	_, err = Open(m, newHost(), ready)
+	_, err = Open(m, newHost(), openTimeout)
 	assert.ErrorContains(t, err, "call_admit")
 	m.Hooks = m.Hooks[:1]
 	_, err = Open(m, newHost(), time.Nanosecond)
-	assert.Error(t, err, "not ready in time")
+	assert.Error(t, err, "not loaded within the timeout")
 	m.Text = []byte("no module")
-	_, err = Open(m, newHost(), ready)
+	_, err = Open(m, newHost(), openTimeout)
 	assert.Error(t, err)
 }
 
 func TestMemory(t *testing.T) {
 	m := NewMemory(map[string]string{"a": "1"})
-	assert.Nil(t, m.Changes(), "what it began with is no change")
+	assert.Nil(t, m.Changes(), "initial values are not changes")
 	assert.True(t, m.Set("b", "2"))
 	assert.True(t, m.Set("a", ""))
 	assert.Equal(t, map[string]string{"a": "", "b": "2"}, m.Changes())
 	_, ok := m.Get("a")
 	assert.False(t, ok)
 	assert.False(t, m.Set("", "x"))
-	assert.False(t, m.Set(strings.Repeat("k", KeyMost+1), "x"))
-	assert.False(t, m.Set("k", strings.Repeat("v", ValueMost+1)))
+	assert.False(t, m.Set(strings.Repeat("k", MaxKeyBytes+1), "x"))
+	assert.False(t, m.Set("k", strings.Repeat("v", MaxValueBytes+1)))
 	n := 0
 	for i := 0; m.Set(strings.Repeat("k", i%60+1)+string(rune('a'+i/60)), strings.Repeat("v", 900)); i++ {
 		n++
@@ -225,5 +226,5 @@
 	assert.Less(t, n, 20, "16 KB in all")
 	b, err := json.Marshal(m.Values)
 	require.NoError(t, err)
-	assert.Less(t, len(b), MemoryMost+2048)
+	assert.Less(t, len(b), MaxStoreBytes+2048)
 }
--- a/internal/plugin/engine/starlark.go
+++ b/internal/plugin/engine/starlark.go
@@ -14,16 +14,16 @@
 	"snowjunction/internal/plugin/manifest"
 )
 
-// script is a Starlark script: a function for each hook, which gets the call and
-// returns None or a dict.
+// script is a Starlark script. It defines a function for each hook, which takes the
+// call and returns None or a dict.
 type script struct {
-	m     *manifest.Manifest
-	host  Host
-	hooks map[manifest.Hook]*starlark.Function
+	manifest *manifest.Manifest
+	host     Host
+	hooks    map[manifest.Hook]*starlark.Function
 }
 
 func openStarlark(m *manifest.Manifest, h Host) (Engine, error) {
-	s := &script{m: m, host: h, hooks: map[manifest.Hook]*starlark.Function{}}
+	s := &script{manifest: m, host: h, hooks: map[manifest.Hook]*starlark.Function{}}
 	predeclared := starlark.StringDict{
 		"json": starjson.Module,
 		"recall": starlark.NewBuiltin("recall", func(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
@@ -45,25 +45,25 @@
 			return starlark.Bool(h.Set(key, value)), nil
 		}),
 	}
-	thread := s.thread(context.Background())
+	thread := s.newThread(context.Background())
 	globals, err := starlark.ExecFileOptions(&syntax.FileOptions{}, thread, m.Code, m.Text, predeclared)
 	if err != nil {
-		return nil, s.reason(context.Background(), err)
+		return nil, s.callError(context.Background(), err)
 	}
 	globals.Freeze()
 	for _, hook := range m.Hooks {
 		f, ok := globals[string(hook)].(*starlark.Function)
 		if !ok || f.NumParams() != 1 {
-			return nil, fmt.Errorf("%s: it must define %s(call)", m.Code, hook)
+			return nil, fmt.Errorf("%s: the script must define %s(call)", m.Code, hook)
 		}
 		s.hooks[hook] = f
 	}
 	return s, nil
 }
 
-func (s *script) thread(ctx context.Context) *starlark.Thread {
-	t := &starlark.Thread{Name: s.m.Name, Print: func(_ *starlark.Thread, text string) { s.host.Log(text) }}
-	t.SetMaxExecutionSteps(uint64(s.m.Budget.Steps))
+func (s *script) newThread(ctx context.Context) *starlark.Thread {
+	t := &starlark.Thread{Name: s.manifest.Name, Print: func(_ *starlark.Thread, text string) { s.host.Log(text) }}
+	t.SetMaxExecutionSteps(uint64(s.manifest.Budget.Steps))
 	if ctx.Done() != nil {
 		stop := context.AfterFunc(ctx, func() { t.Cancel("time") })
 		t.SetLocal("stop", stop)
@@ -71,13 +71,13 @@
 	return t
 }
 
-func (s *script) reason(ctx context.Context, err error) error {
+func (s *script) callError(ctx context.Context, err error) error {
 	text := err.Error()
 	switch {
 	case ctx.Err() != nil:
 		return ErrTime
 	case strings.Contains(text, "too many steps"):
-		return ErrSteps
+		return ErrStepLimit
 	}
 	if e, ok := err.(*starlark.EvalError); ok {
 		text = e.Msg
@@ -90,7 +90,7 @@
 	if f == nil {
 		return nil, fmt.Errorf("%w: no hook %s", ErrForm, h)
 	}
-	t := s.thread(ctx)
+	t := s.newThread(ctx)
 	defer func() {
 		if stop, ok := t.Local("stop").(func() bool); ok {
 			stop()
@@ -101,11 +101,11 @@
 	}()
 	arg, err := starlark.Call(t, starjson.Module.Members["decode"], starlark.Tuple{starlark.String(call)}, nil)
 	if err != nil {
-		return nil, s.reason(ctx, err)
+		return nil, s.callError(ctx, err)
 	}
-	v, err := starlark.Call(t, f, starlark.Tuple{fields(arg)}, nil)
+	v, err := starlark.Call(t, f, starlark.Tuple{callStruct(arg)}, nil)
 	if err != nil {
-		return nil, s.reason(ctx, err)
+		return nil, s.callError(ctx, err)
 	}
 	switch v := v.(type) {
 	case starlark.NoneType:
@@ -123,16 +123,16 @@
 		if err != nil {
 			return nil, fmt.Errorf("%w: %v", ErrForm, err)
 		}
-		if s, _ := starlark.AsString(text); len(s) <= answerMost {
+		if s, _ := starlark.AsString(text); len(s) <= maxAnswerBytes {
 			return []byte(s), nil
 		}
-		return nil, fmt.Errorf("%w: over %d bytes", ErrForm, answerMost)
+		return nil, fmt.Errorf("%w: over %d bytes", ErrForm, maxAnswerBytes)
 	}
-	return nil, fmt.Errorf("%w: %s returns a %s, not None or a dict", ErrForm, h, v.Type())
+	return nil, fmt.Errorf("%w: %s returned a %s instead of None or a dict", ErrForm, h, v.Type())
 }
 
-// fields makes the call's members attributes, and its body bytes.
-func fields(v starlark.Value) starlark.Value {
+// callStruct converts the call to a struct, with its body decoded to bytes.
+func callStruct(v starlark.Value) starlark.Value {
 	d, ok := v.(*starlark.Dict)
 	if !ok {
 		return v
--- a/internal/plugin/engine/testdata/hostile/main.go
+++ b/internal/plugin/engine/testdata/hostile/main.go
@@ -1,6 +1,6 @@
 //go:build wasip1
 
-// A plug-in that does what a plug-in must not, as its call's id says.
+// A misbehaving plug-in. The id of the call selects the kind of misbehaviour.
 package main
 
 import (
--- a/internal/plugin/guard/guard.go
+++ b/internal/plugin/guard/guard.go
@@ -1,19 +1,19 @@
-// Package guard is what everything passes that a plug-in says. It does no I/O
-// and keeps no time: it holds a word against what is known without the plug-in,
-// and lets it make things safer, never less safe.
+// Package guard checks all output of plug-ins. It does no I/O and reads no clock. It
+// compares the output with what is known without the plug-in, and accepts only
+// changes that are at least as safe.
 //
 // The rules, by which corrections are counted:
 //
-//	outcome   a reading may turn a success into a failure that may have run; it
-//	          may not turn 'may have run' into 'never ran', nor any failure into
-//	wait      a wait may be told where the partner told none, or longer than it
-//	          told; not shorter, and at most WaitMost
-//	          a success, nor a refusal into anything that is sent again sooner
-//	header    no header that the protocol owns, none that breaks a line, few and
-//	          short ones
-//	path      a suffix and a query of plain characters, bounded
-//	body      a transform only where it is allowed, and bounded
-//	number    what is no number is none
+//	outcome   a plug-in may turn a success into a failure that may have run. It may
+//	          not turn "may have run" into "never ran", a failure into a success,
+//	          or a rejection into an outcome that is retried sooner
+//	wait      a plug-in may set a retry-after delay if the partner sent none, or
+//	          lengthen it up to MaxWait. It may not shorten it
+//	header    no headers owned by the protocol, no line breaks, and limits on the
+//	          number and the length of headers
+//	path      a suffix and a query of a restricted character set and length
+//	body      a body may be replaced only if allowed, and up to a size limit
+//	number    values that are not finite numbers are ignored
 package guard
 
 import (
@@ -24,39 +24,39 @@
 	"snowjunction"
 )
 
-// Rule names what was corrected.
+// Rule identifies the rule by which output was corrected.
 type Rule string
 
 // The rules.
 const (
-	Outcome Rule = "outcome"
-	Wait    Rule = "wait"
-	Header  Rule = "header"
-	Path    Rule = "path"
-	Body    Rule = "body"
-	Number  Rule = "number"
+	RuleOutcome Rule = "outcome"
+	RuleWait    Rule = "wait"
+	RuleHeader  Rule = "header"
+	RulePath    Rule = "path"
+	RuleBody    Rule = "body"
+	RuleNumber  Rule = "number"
 )
 
-// Bounds of what a plug-in may say.
+// Limits of the output of a plug-in. Lengths are in bytes.
 const (
-	WaitMost    = 10 * time.Minute
-	AfterMost   = time.Hour
-	HeadersMost = 16
-	NameMost    = 64
-	ValueMost   = 1024
-	PathMost    = 512
-	BodyMost    = 64 << 10
+	MaxWait             = 10 * time.Minute
+	MaxRetryAfter       = time.Hour
+	MaxHeaders          = 16
+	MaxHeaderNameBytes  = 64
+	MaxHeaderValueBytes = 1024
+	MaxPathBytes        = 512
+	MaxBodyBytes        = 64 << 10
 )
 
-// Reading is what becomes of an attempt: known from the protocol, or as a
-// plug-in reads it.
+// Reading is the outcome of an attempt, as known from the protocol or as interpreted
+// by a plug-in.
 type Reading struct {
-	Outcome snowjunction.Outcome
-	Wait    time.Duration // with Full; 0: none
+	Outcome    snowjunction.Outcome
+	RetryAfter time.Duration // retry-after delay; zero means none
 }
 
-// ran tells that an attempt with that outcome may have run.
-func ran(o snowjunction.Outcome) bool {
+// mayHaveRun reports whether an attempt with the outcome may have run at the endpoint.
+func mayHaveRun(o snowjunction.Outcome) bool {
 	switch o {
 	case snowjunction.Rejected, snowjunction.ConnectFailed, snowjunction.NotSent:
 		return false
@@ -64,99 +64,99 @@
 	return true
 }
 
-// Said is a plug-in's word on an answer. What it leaves out stays as it is.
-type Said struct {
+// Interpretation is a plug-in's interpretation of an answer. Omitted values remain unchanged.
+type Interpretation struct {
 	Outcome string  // "", ok, error or full
-	WaitMs  float64 // with HasWait
+	WaitMs  float64 // valid if HasWait is set
 	HasWait bool
 }
 
-// Read holds a plug-in's word on an answer against what the protocol makes of
-// it. Corrections are the rules that it broke; the reading keeps them all.
-func Read(known Reading, s Said) (r Reading, corrections []Rule) {
+// CheckReading merges a plug-in's interpretation of an answer into the reading known from
+// the protocol. The result obeys all rules; corrections lists the rules that were violated.
+func CheckReading(known Reading, s Interpretation) (r Reading, corrections []Rule) {
 	r = known
 	correct := func(rule Rule) { corrections = append(corrections, rule) }
 	switch s.Outcome {
 	case "":
 	case "ok":
 		if known.Outcome != snowjunction.OK {
-			correct(Outcome)
+			correct(RuleOutcome)
 		}
 	case "error":
 		switch {
 		case known.Outcome == snowjunction.OK:
 			r.Outcome = snowjunction.Error
-		case !ran(known.Outcome):
-			// To count it as one that may have run would let it be repeated
-			// without the rest that a refusal brings.
-			correct(Outcome)
+		case !mayHaveRun(known.Outcome):
+			// An attempt counted as "may have run" would be retried without the delay that
+			// follows a rejection.
+			correct(RuleOutcome)
 		}
 	case "full":
 		if known.Outcome != snowjunction.Rejected {
-			correct(Outcome)
+			correct(RuleOutcome)
 		}
 	default:
-		correct(Outcome)
+		correct(RuleOutcome)
 	}
 	if !s.HasWait {
 		return r, corrections
 	}
 	switch {
 	case math.IsNaN(s.WaitMs) || math.IsInf(s.WaitMs, 0):
-		correct(Number)
+		correct(RuleNumber)
 		return r, corrections
 	case r.Outcome == snowjunction.OK:
-		correct(Wait) // a delivery tells no wait
+		correct(RuleWait) // a delivered message has no retry-after delay
 		return r, corrections
 	}
-	wait := time.Duration(math.Min(math.Max(s.WaitMs, 0), float64(WaitMost/time.Millisecond)) * float64(time.Millisecond))
-	if s.WaitMs < 0 || s.WaitMs > float64(WaitMost/time.Millisecond) {
-		correct(Wait)
+	wait := time.Duration(math.Min(math.Max(s.WaitMs, 0), float64(MaxWait/time.Millisecond)) * float64(time.Millisecond))
+	if s.WaitMs < 0 || s.WaitMs > float64(MaxWait/time.Millisecond) {
+		correct(RuleWait)
 	}
-	if wait < known.Wait {
+	if wait < known.RetryAfter {
 		if s.WaitMs >= 0 {
-			correct(Wait)
+			correct(RuleWait)
 		}
-		wait = known.Wait
+		wait = known.RetryAfter
 	}
-	r.Wait = wait
+	r.RetryAfter = wait
 	return r, corrections
 }
 
-// Admit holds a plug-in's fixed response to its bounds: after how long a client
-// may come back.
-func Admit(ms float64) (after time.Duration, corrections []Rule) {
+// CheckAdmit limits the retry-after delay in milliseconds that a plug-in sets for the client of
+// a refused message.
+func CheckAdmit(ms float64) (after time.Duration, corrections []Rule) {
 	switch {
 	case math.IsNaN(ms) || math.IsInf(ms, 0):
-		return 0, []Rule{Number}
+		return 0, []Rule{RuleNumber}
 	case ms < 0:
-		return 0, []Rule{Wait}
-	case ms > float64(AfterMost/time.Millisecond):
-		return AfterMost, []Rule{Wait}
+		return 0, []Rule{RuleWait}
+	case ms > float64(MaxRetryAfter/time.Millisecond):
+		return MaxRetryAfter, []Rule{RuleWait}
 	}
 	return time.Duration(ms * float64(time.Millisecond)), nil
 }
 
-// HeaderField is a header that a plug-in adds.
+// HeaderField is a header added by a plug-in.
 type HeaderField struct{ Name, Value string }
 
-// Shape is what a plug-in makes of a request.
+// Shape holds a plug-in's changes to a request.
 type Shape struct {
 	Headers []HeaderField
-	Suffix  string // of the path
+	Suffix  string // appended to the path
 	Query   string
 	Body    []byte
 	HasBody bool
 }
 
-// Allowed tells what a plug-in may touch in a request.
-type Allowed struct {
+// Permissions holds the parts of a request that a plug-in may change.
+type Permissions struct {
 	Headers, Path, Body bool
 }
 
-// owned are headers of the protocols: a plug-in that sets one could change what
-// a call is, or where it ends.
-var owned = map[string]bool{
+// protocolHeaders lists the headers owned by the protocols. A plug-in that set one could
+// change the meaning of a call or where it ends.
+var protocolHeaders = map[string]bool{
 	"x-request-id": true, "idempotency-key": true, "x-timeout-ms": true, "content-length": true,
 	"transfer-encoding": true, "host": true, "connection": true, "keep-alive": true, "upgrade": true, "te": true,
 	"trailer": true, "proxy-connection": true, "proxy-authorization": true, "expect": true, "content-encoding": true,
@@ -164,35 +164,35 @@
 	"message-class": true, "tenant": true, "ttl": true, "http2-settings": true, "date": true,
 }
 
-// Shaped holds a plug-in's shape to what it may touch.
-func Shaped(s Shape, a Allowed) (out Shape, corrections []Rule) {
+// CheckShape removes the changes that a plug-in may not make.
+func CheckShape(s Shape, a Permissions) (out Shape, corrections []Rule) {
 	broken := map[Rule]bool{}
 	seen := map[string]bool{}
 	for _, h := range s.Headers {
 		name := strings.ToLower(h.Name)
-		if !a.Headers || len(out.Headers) >= HeadersMost || owned[name] || seen[name] || !token(h.Name) || !value(h.Value) {
-			broken[Header] = true
+		if !a.Headers || len(out.Headers) >= MaxHeaders || protocolHeaders[name] || seen[name] || !isToken(h.Name) || !isHeaderValue(h.Value) {
+			broken[RuleHeader] = true
 			continue
 		}
 		seen[name] = true
 		out.Headers = append(out.Headers, h)
 	}
 	if s.Suffix != "" || s.Query != "" {
-		if a.Path && plain(s.Suffix, "/-._~") && plain(s.Query, "-._~=&%+") && !strings.Contains("/"+s.Suffix+"/", "/../") &&
-			!strings.Contains("/"+s.Suffix+"/", "/./") && len(s.Suffix)+len(s.Query) <= PathMost {
+		if a.Path && consistsOf(s.Suffix, "/-._~") && consistsOf(s.Query, "-._~=&%+") && !strings.Contains("/"+s.Suffix+"/", "/../") &&
+			!strings.Contains("/"+s.Suffix+"/", "/./") && len(s.Suffix)+len(s.Query) <= MaxPathBytes {
 			out.Suffix, out.Query = s.Suffix, s.Query
 		} else {
-			broken[Path] = true
+			broken[RulePath] = true
 		}
 	}
 	if s.HasBody {
-		if a.Body && len(s.Body) <= BodyMost {
+		if a.Body && len(s.Body) <= MaxBodyBytes {
 			out.Body, out.HasBody = s.Body, true
 		} else {
-			broken[Body] = true
+			broken[RuleBody] = true
 		}
 	}
-	for _, r := range []Rule{Header, Path, Body} {
+	for _, r := range []Rule{RuleHeader, RulePath, RuleBody} {
 		if broken[r] {
 			corrections = append(corrections, r)
 		}
@@ -200,23 +200,23 @@
 	return out, corrections
 }
 
-// token tells whether s can be a header's name (RFC 9110, section 5.6.2).
-func token(s string) bool {
-	if s == "" || len(s) > NameMost {
+// isToken reports whether s is a valid header name (RFC 9110, section 5.6.2) of allowed length.
+func isToken(s string) bool {
+	if s == "" || len(s) > MaxHeaderNameBytes {
 		return false
 	}
 	for _, c := range []byte(s) {
-		if !letter(c) && !strings.ContainsRune("!#$%&'*+-.^_`|~", rune(c)) {
+		if !isAlphanumeric(c) && !strings.ContainsRune("!#$%&'*+-.^_`|~", rune(c)) {
 			return false
 		}
 	}
 	return true
 }
 
-// value tells whether s can be a header's value: printable ASCII within its
-// length, without blanks at its ends.
-func value(s string) bool {
-	if len(s) > ValueMost || strings.TrimSpace(s) != s {
+// isHeaderValue reports whether s is a valid header value: printable ASCII of allowed length,
+// without leading or trailing white space.
+func isHeaderValue(s string) bool {
+	if len(s) > MaxHeaderValueBytes || strings.TrimSpace(s) != s {
 		return false
 	}
 	for _, c := range []byte(s) {
@@ -227,15 +227,15 @@
 	return true
 }
 
-func plain(s, also string) bool {
+func consistsOf(s, also string) bool {
 	for _, c := range []byte(s) {
-		if !letter(c) && !strings.ContainsRune(also, rune(c)) {
+		if !isAlphanumeric(c) && !strings.ContainsRune(also, rune(c)) {
 			return false
 		}
 	}
 	return true
 }
 
-func letter(c byte) bool {
+func isAlphanumeric(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
 }
--- a/internal/plugin/guard/guard_test.go
+++ b/internal/plugin/guard/guard_test.go
@@ -16,68 +16,68 @@
 
 const ms = time.Millisecond
 
-func TestRead(t *testing.T) {
+func TestCheckReading(t *testing.T) {
 	ok, failed, lost := Reading{Outcome: snowjunction.OK}, Reading{Outcome: snowjunction.Error}, Reading{Outcome: snowjunction.Reset}
-	full, told := Reading{Outcome: snowjunction.Rejected}, Reading{Outcome: snowjunction.Rejected, Wait: 500 * ms}
-	wait := func(v float64) Said { return Said{HasWait: true, WaitMs: v} }
+	full, told := Reading{Outcome: snowjunction.Rejected}, Reading{Outcome: snowjunction.Rejected, RetryAfter: 500 * ms}
+	wait := func(v float64) Interpretation { return Interpretation{HasWait: true, WaitMs: v} }
 	for _, tc := range []struct {
 		name  string
 		known Reading
-		said  Said
+		said  Interpretation
 		want  Reading
 		rules []Rule
 	}{
-		{"nothing said", ok, Said{}, ok, nil},
-		{"a success that is none", ok, Said{Outcome: "error"}, failed, nil},
-		{"and is to be waited for", ok, Said{Outcome: "error", HasWait: true, WaitMs: 200}, Reading{snowjunction.Error, 200 * ms}, nil},
-		{"never ran, says it, to a 500", failed, Said{Outcome: "full"}, failed, []Rule{Outcome}},
-		{"deliver again, says it, to a 200", ok, Said{Outcome: "full"}, ok, []Rule{Outcome}},
-		{"a failure that is none, says it", failed, Said{Outcome: "ok"}, failed, []Rule{Outcome}},
-		{"nor a reset", lost, Said{Outcome: "ok"}, lost, []Rule{Outcome}},
-		{"a refusal that may have run", told, Said{Outcome: "error"}, told, []Rule{Outcome}},
-		{"a refusal that went well", full, Said{Outcome: "ok"}, full, []Rule{Outcome}},
-		{"an outcome of its own", failed, Said{Outcome: "moot"}, failed, []Rule{Outcome}},
-		{"a wait where none was told", full, wait(700), Reading{snowjunction.Rejected, 700 * ms}, nil},
-		{"a longer one", told, wait(700), Reading{snowjunction.Rejected, 700 * ms}, nil},
-		{"a shorter one", told, wait(100), told, []Rule{Wait}},
-		{"none at all", told, wait(0), told, []Rule{Wait}},
-		{"-1", told, wait(-1), told, []Rule{Wait}},
-		{"ten years", full, wait(10 * 365 * 24 * 3600e3), Reading{snowjunction.Rejected, WaitMost}, []Rule{Wait}},
-		{"not a number", told, wait(math.NaN()), told, []Rule{Number}},
-		{"for ever", told, wait(math.Inf(1)), told, []Rule{Number}},
-		{"a wait with a delivery", ok, wait(100), ok, []Rule{Wait}},
-		{"a wait after an error", failed, wait(100), Reading{snowjunction.Error, 100 * ms}, nil},
+		{"no output", ok, Interpretation{}, ok, nil},
+		{"success turned into a failure", ok, Interpretation{Outcome: "error"}, failed, nil},
+		{"with a delay", ok, Interpretation{Outcome: "error", HasWait: true, WaitMs: 200}, Reading{snowjunction.Error, 200 * ms}, nil},
+		{"status 500 turned into never ran", failed, Interpretation{Outcome: "full"}, failed, []Rule{RuleOutcome}},
+		{"status 200 turned into a rejection", ok, Interpretation{Outcome: "full"}, ok, []Rule{RuleOutcome}},
+		{"failure turned into a success", failed, Interpretation{Outcome: "ok"}, failed, []Rule{RuleOutcome}},
+		{"reset turned into a success", lost, Interpretation{Outcome: "ok"}, lost, []Rule{RuleOutcome}},
+		{"rejection turned into may have run", told, Interpretation{Outcome: "error"}, told, []Rule{RuleOutcome}},
+		{"rejection turned into a success", full, Interpretation{Outcome: "ok"}, full, []Rule{RuleOutcome}},
+		{"unknown outcome", failed, Interpretation{Outcome: "moot"}, failed, []Rule{RuleOutcome}},
+		{"delay where the partner sent none", full, wait(700), Reading{snowjunction.Rejected, 700 * ms}, nil},
+		{"longer delay", told, wait(700), Reading{snowjunction.Rejected, 700 * ms}, nil},
+		{"shorter delay", told, wait(100), told, []Rule{RuleWait}},
+		{"zero delay", told, wait(0), told, []Rule{RuleWait}},
+		{"negative delay", told, wait(-1), told, []Rule{RuleWait}},
+		{"delay of ten years", full, wait(10 * 365 * 24 * 3600e3), Reading{snowjunction.Rejected, MaxWait}, []Rule{RuleWait}},
+		{"not a number", told, wait(math.NaN()), told, []Rule{RuleNumber}},
+		{"infinite delay", told, wait(math.Inf(1)), told, []Rule{RuleNumber}},
+		{"delay with a success", ok, wait(100), ok, []Rule{RuleWait}},
+		{"delay after an error", failed, wait(100), Reading{snowjunction.Error, 100 * ms}, nil},
 	} {
-		got, rules := Read(tc.known, tc.said)
+		got, rules := CheckReading(tc.known, tc.said)
 		assert.Equal(t, tc.want, got, tc.name)
 		assert.Equal(t, tc.rules, rules, tc.name)
 	}
 }
 
-// Whatever is said, a reading is never less safe than what is known.
-func TestReadIsNeverLessSafe(t *testing.T) {
+// For any plug-in output, the resulting reading is at least as safe as the known one.
+func TestCheckReadingIsNeverLessSafe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		known := Reading{Outcome: snowjunction.Outcome(rapid.IntRange(0, int(snowjunction.NotSent)).Draw(t, "known"))}
 		if known.Outcome == snowjunction.Rejected {
-			known.Wait = time.Duration(rapid.IntRange(0, 1e6).Draw(t, "told")) * ms
+			known.RetryAfter = time.Duration(rapid.IntRange(0, 1e6).Draw(t, "told")) * ms
 		}
-		s := Said{
+		s := Interpretation{
 			Outcome: rapid.SampledFrom([]string{"", "ok", "error", "full", "moot", "x"}).Draw(t, "outcome"),
 			HasWait: rapid.Bool().Draw(t, "has"), WaitMs: rapid.Float64().Draw(t, "wait"),
 		}
-		got, rules := Read(known, s)
+		got, rules := CheckReading(known, s)
 		require.True(t, got.Outcome == known.Outcome || known.Outcome == snowjunction.OK && got.Outcome == snowjunction.Error)
-		require.GreaterOrEqual(t, got.Wait, known.Wait)
-		require.LessOrEqual(t, got.Wait, max(known.Wait, WaitMost))
+		require.GreaterOrEqual(t, got.RetryAfter, known.RetryAfter)
+		require.LessOrEqual(t, got.RetryAfter, max(known.RetryAfter, MaxWait))
 		if got == known && s.Outcome != "" && s.Outcome != "error" && !(s.Outcome == "ok" && known.Outcome == snowjunction.OK) &&
 			!(s.Outcome == "full" && known.Outcome == snowjunction.Rejected) {
-			require.NotEmpty(t, rules, "what is not taken is counted")
+			require.NotEmpty(t, rules, "ignored output is counted as a correction")
 		}
 	})
 }
 
-func TestShaped(t *testing.T) {
-	all := Allowed{Headers: true, Path: true, Body: true}
+func TestCheckShape(t *testing.T) {
+	all := Permissions{Headers: true, Path: true, Body: true}
 	many := []HeaderField{}
 	for i := range 10000 {
 		many = append(many, HeaderField{fmt.Sprintf("X-%d", i), "v"})
@@ -85,39 +85,39 @@
 	for _, tc := range []struct {
 		name  string
 		in    Shape
-		allow Allowed
+		allow Permissions
 		want  Shape
 		rules []Rule
 	}{
-		{"plain", Shape{Headers: []HeaderField{{"X-Partner", "kitchen 7"}}, Suffix: "v2/orders", Query: "a=1&b=%20"}, all,
+		{"valid", Shape{Headers: []HeaderField{{"X-Partner", "kitchen 7"}}, Suffix: "v2/orders", Query: "a=1&b=%20"}, all,
 			Shape{Headers: []HeaderField{{"X-Partner", "kitchen 7"}}, Suffix: "v2/orders", Query: "a=1&b=%20"}, nil},
 		{"line breaks", Shape{Headers: []HeaderField{{"X-A", "b\r\nX-Request-ID: other"}, {"X\n", "v"}, {"X-B", "c"}}}, all,
-			Shape{Headers: []HeaderField{{"X-B", "c"}}}, []Rule{Header}},
-		{"ten thousand", Shape{Headers: many}, all, Shape{Headers: many[:HeadersMost]}, []Rule{Header}},
-		{"the protocol's own", Shape{Headers: []HeaderField{{"X-ReQuest-ID", "x"}, {"idempotency-key", "x"}, {"Content-Length", "0"}, {":path", "/"}, {"Host", "x"}}}, all,
-			Shape{}, []Rule{Header}},
-		{"twice", Shape{Headers: []HeaderField{{"X-A", "1"}, {"x-a", "2"}}}, all, Shape{Headers: []HeaderField{{"X-A", "1"}}}, []Rule{Header}},
-		{"too long", Shape{Headers: []HeaderField{{"X-A", strings.Repeat("v", ValueMost+1)}, {strings.Repeat("n", NameMost+1), "v"}}}, all, Shape{}, []Rule{Header}},
-		{"another place", Shape{Suffix: "../other"}, all, Shape{}, []Rule{Path}},
-		{"a line in the path", Shape{Suffix: "a b"}, all, Shape{}, []Rule{Path}},
-		{"a fragment", Shape{Query: "a#b"}, all, Shape{}, []Rule{Path}},
-		{"a long path", Shape{Suffix: strings.Repeat("a", PathMost+1)}, all, Shape{}, []Rule{Path}},
-		{"a body", Shape{Body: []byte("x"), HasBody: true}, all, Shape{Body: []byte("x"), HasBody: true}, nil},
-		{"a huge body", Shape{Body: make([]byte, BodyMost+1), HasBody: true}, all, Shape{}, []Rule{Body}},
-		{"nothing allowed", Shape{Headers: []HeaderField{{"X-A", "1"}}, Suffix: "a", Body: []byte("x"), HasBody: true}, Allowed{}, Shape{}, []Rule{Header, Path, Body}},
+			Shape{Headers: []HeaderField{{"X-B", "c"}}}, []Rule{RuleHeader}},
+		{"ten thousand headers", Shape{Headers: many}, all, Shape{Headers: many[:MaxHeaders]}, []Rule{RuleHeader}},
+		{"protocol headers", Shape{Headers: []HeaderField{{"X-ReQuest-ID", "x"}, {"idempotency-key", "x"}, {"Content-Length", "0"}, {":path", "/"}, {"Host", "x"}}}, all,
+			Shape{}, []Rule{RuleHeader}},
+		{"duplicate header", Shape{Headers: []HeaderField{{"X-A", "1"}, {"x-a", "2"}}}, all, Shape{Headers: []HeaderField{{"X-A", "1"}}}, []Rule{RuleHeader}},
+		{"too long name and value", Shape{Headers: []HeaderField{{"X-A", strings.Repeat("v", MaxHeaderValueBytes+1)}, {strings.Repeat("n", MaxHeaderNameBytes+1), "v"}}}, all, Shape{}, []Rule{RuleHeader}},
+		{"parent directory in the path", Shape{Suffix: "../other"}, all, Shape{}, []Rule{RulePath}},
+		{"space in the path", Shape{Suffix: "a b"}, all, Shape{}, []Rule{RulePath}},
+		{"fragment in the query", Shape{Query: "a#b"}, all, Shape{}, []Rule{RulePath}},
+		{"too long path", Shape{Suffix: strings.Repeat("a", MaxPathBytes+1)}, all, Shape{}, []Rule{RulePath}},
+		{"body", Shape{Body: []byte("x"), HasBody: true}, all, Shape{Body: []byte("x"), HasBody: true}, nil},
+		{"too long body", Shape{Body: make([]byte, MaxBodyBytes+1), HasBody: true}, all, Shape{}, []Rule{RuleBody}},
+		{"nothing allowed", Shape{Headers: []HeaderField{{"X-A", "1"}}, Suffix: "a", Body: []byte("x"), HasBody: true}, Permissions{}, Shape{}, []Rule{RuleHeader, RulePath, RuleBody}},
 	} {
-		got, rules := Shaped(tc.in, tc.allow)
+		got, rules := CheckShape(tc.in, tc.allow)
 		assert.Equal(t, tc.want, got, tc.name)
 		assert.Equal(t, tc.rules, rules, tc.name)
 	}
 }
 
-func TestAdmit(t *testing.T) {
-	for v, want := range map[float64]time.Duration{0: 0, 1500: 1500 * ms, -1: 0, 1e15: AfterMost, math.Inf(1): 0} {
-		got, rules := Admit(v)
+func TestCheckAdmit(t *testing.T) {
+	for v, want := range map[float64]time.Duration{0: 0, 1500: 1500 * ms, -1: 0, 1e15: MaxRetryAfter, math.Inf(1): 0} {
+		got, rules := CheckAdmit(v)
 		assert.Equal(t, want, got, "%v", v)
 		assert.Equal(t, want == 0 && v != 0 || v > 1e9, len(rules) > 0, "%v", v)
 	}
-	_, rules := Admit(math.NaN())
-	assert.Equal(t, []Rule{Number}, rules)
+	_, rules := CheckAdmit(math.NaN())
+	assert.Equal(t, []Rule{RuleNumber}, rules)
 }
--- a/internal/plugin/host/host.go
+++ b/internal/plugin/host/host.go
@@ -1,8 +1,10 @@
-// Package host is the process in which one plug-in runs, and what passes between
-// it and the courier: frames, each a length of four bytes, big-endian, and JSON.
+// Package host implements the host process, which runs one plug-in, and the protocol
+// between it and the courier. The protocol consists of frames: a length of four
+// bytes, big-endian, followed by JSON.
 //
-// The first frame names the plug-in, with its code and what it remembers; the
-// host answers once it is ready. Then each call gets one answer, in order.
+// The first frame contains the manifest of the plug-in, its code and its stored
+// values. The host answers once the plug-in is loaded. It then answers each call
+// with one frame, in order.
 package host
 
 import (
@@ -26,28 +28,28 @@
 	"snowjunction/internal/plugin/manifest"
 )
 
-// Hello is the first frame.
+// Hello is the first frame from the courier to the host.
 type Hello struct {
 	Manifest *manifest.Manifest `json:"manifest"`
 	Code     []byte             `json:"code"`
 	Memory   map[string]string  `json:"memory,omitempty"`
-	Within   time.Duration      `json:"within"` // it may take so long to be ready
+	Within   time.Duration      `json:"within"` // time limit for loading the plug-in
 }
 
-// Call is a call's frame.
+// Call is the frame of a call.
 type Call struct {
 	ID   uint64          `json:"id"`
 	Hook manifest.Hook   `json:"hook"`
 	Call json.RawMessage `json:"call"`
 
-	Within time.Duration `json:"within"` // it may take so long: mostly the plug-in's budget
+	Within time.Duration `json:"within"` // time limit of the call: usually the plug-in's budget
 
-	// With Recall, Memory takes the place of what the plug-in remembers.
-	Recall bool              `json:"recall,omitempty"`
-	Memory map[string]string `json:"memory,omitempty"`
+	// If Recall is set, Memory replaces the stored values of the plug-in.
+	ReplaceMemory bool              `json:"recall,omitempty"`
+	Memory        map[string]string `json:"memory,omitempty"`
 }
 
-// Answer is the answer's frame; that to Hello has the ID 0.
+// Answer is the frame that answers a Call or, with the ID 0, Hello.
 type Answer struct {
 	ID      uint64            `json:"id"`
 	Hook    manifest.Hook     `json:"hook,omitempty"` // of the call
@@ -58,11 +60,11 @@
 	Log     []string          `json:"log,omitempty"`
 }
 
-// FrameMost bounds a frame: a module's code has to go into one.
-const FrameMost = 32 << 20
+// MaxFrameBytes limits the size of a frame in bytes. The code of a module must fit into one frame.
+const MaxFrameBytes = 32 << 20
 
-// ErrFrame tells of a frame that cannot be read.
-var ErrFrame = errors.New("not a frame")
+// ErrFrame is the error of a frame that is too long or cannot be decoded.
+var ErrFrame = errors.New("invalid frame")
 
 // Write writes a frame.
 func Write(w io.Writer, v any) error {
@@ -70,14 +72,14 @@
 	if err != nil {
 		return err
 	}
-	if len(b) > FrameMost {
-		return fmt.Errorf("%w: over %d bytes", ErrFrame, FrameMost)
+	if len(b) > MaxFrameBytes {
+		return fmt.Errorf("%w: over %d bytes", ErrFrame, MaxFrameBytes)
 	}
 	_, err = w.Write(append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(b)), uint32(len(b))), b...))
 	return err
 }
 
-// Read reads a frame of at most so many bytes.
+// Read reads a frame of at most most bytes into v.
 func Read(r io.Reader, most int, v any) error {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -85,7 +87,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n > uint32(most) {
-		return fmt.Errorf("%w: %d bytes, at most %d are taken", ErrFrame, n, most)
+		return fmt.Errorf("%w: %d bytes exceed the limit of %d", ErrFrame, n, most)
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(r, b); err != nil {
@@ -97,35 +99,35 @@
 	return nil
 }
 
-// A call may have the heap grow by its budget's memory beyond heapOwn; that is
-// looked at every watchEvery. What is allocated faster meets the system's bound, which
-// has to leave room for what only counts there, such as 8 MB of stack a thread.
+// During a call the heap may grow to the plug-in's memory budget plus hostHeapBytes, which is
+// checked every heapCheckInterval. Faster allocations are stopped by the operating system's limit.
+// That limit has to leave room for memory that only it counts, such as 8 MB of stack per thread.
 const (
-	heapOwn    = 48 << 20
-	systemOwn  = 256 << 20
-	watchEvery = 2 * time.Millisecond
+	hostHeapBytes      = 48 << 20
+	systemReserveBytes = 256 << 20
+	heapCheckInterval  = 2 * time.Millisecond
 )
 
-// logMost bounds the lines that one call may log.
-const logMost = 4
+// maxLogLines limits the lines that one call may log.
+const maxLogLines = 4
 
-// talker is what the plug-in's code reaches.
-type talker struct {
+// codeHost implements engine.Host for the code of the plug-in.
+type codeHost struct {
 	*engine.Memory
 	log []string
 }
 
-func (t *talker) Log(text string) {
-	if len(t.log) < logMost {
-		t.log = append(t.log, text[:min(len(text), engine.ValueMost)])
+func (t *codeHost) Log(text string) {
+	if len(t.log) < maxLogLines {
+		t.log = append(t.log, text[:min(len(text), engine.MaxValueBytes)])
 	}
 }
 
-// Serve is the host process: it ends when in does.
+// Serve runs the host process. It returns when in ends.
 func Serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReader(in)
 	var hello Hello
-	if err := Read(r, FrameMost, &hello); err != nil {
+	if err := Read(r, MaxFrameBytes, &hello); err != nil {
 		return err
 	}
 	m := hello.Manifest
@@ -133,8 +135,8 @@
 		return fmt.Errorf("%w: no manifest", ErrFrame)
 	}
 	m.Text = hello.Code
-	confine(m.Budget.MemoryMB)
-	t := &talker{Memory: engine.NewMemory(hello.Memory)}
+	limitResources(m.Budget.MemoryMB)
+	t := &codeHost{Memory: engine.NewMemory(hello.Memory)}
 	e, err := engine.Open(m, t, hello.Within)
 	if err != nil {
 		return Write(out, Answer{Error: err.Error()})
@@ -145,17 +147,17 @@
 	}
 	for {
 		var c Call
-		if err := Read(r, FrameMost, &c); errors.Is(err, io.EOF) {
+		if err := Read(r, MaxFrameBytes, &c); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return err
 		}
 		t.log = nil
-		if c.Recall {
+		if c.ReplaceMemory {
 			t.Memory = engine.NewMemory(c.Memory)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), c.Within)
-		watch := watchHeap(uint64(m.Budget.MemoryMB)<<20 + heapOwn)
+		watch := watchHeap(uint64(m.Budget.MemoryMB)<<20 + hostHeapBytes)
 		text, err := e.Call(ctx, c.Hook, c.Call)
 		watch.Stop()
 		cancel()
@@ -164,7 +166,7 @@
 			err = engine.ErrForm
 		}
 		if err != nil {
-			a.Out, a.Error, a.Reason = nil, err.Error(), reason(err)
+			a.Out, a.Error, a.Reason = nil, err.Error(), reasonCode(err)
 		}
 		if err := Write(out, a); err != nil {
 			return err
@@ -172,8 +174,8 @@
 	}
 }
 
-func reason(err error) string {
-	for name, of := range map[string]error{"time": engine.ErrTime, "steps": engine.ErrSteps, "form": engine.ErrForm} {
+func reasonCode(err error) string {
+	for name, of := range map[string]error{"time": engine.ErrTime, "steps": engine.ErrStepLimit, "form": engine.ErrForm} {
 		if errors.Is(err, of) {
 			return name
 		}
@@ -181,24 +183,24 @@
 	return "trap"
 }
 
-// rlimitData bounds the private memory that a process may write to (Linux).
+// rlimitData is RLIMIT_DATA of Linux: the limit of the private writable memory of a process.
 const rlimitData = 2
 
-// confine bounds the process's memory, files and priority. What the system does
-// not allow is left: the courier ends a host that runs over its time anyway.
-func confine(memoryMB int) {
-	most := uint64(memoryMB)<<20 + systemOwn + mapped()
-	runtime.GOMAXPROCS(2) // one to look at the heap
-	debug.SetMemoryLimit(int64(memoryMB)<<20 + heapOwn)
+// limitResources limits the memory and file sizes of the process and lowers its priority. Limits that
+// the system does not allow are skipped: the courier kills a host that exceeds its time limit anyway.
+func limitResources(memoryMB int) {
+	most := uint64(memoryMB)<<20 + systemReserveBytes + privateMappedBytes()
+	runtime.GOMAXPROCS(2) // the second thread checks the heap
+	debug.SetMemoryLimit(int64(memoryMB)<<20 + hostHeapBytes)
 	_ = syscall.Setrlimit(rlimitData, &syscall.Rlimit{Cur: most, Max: most})
 	_ = syscall.Setrlimit(syscall.RLIMIT_CORE, &syscall.Rlimit{})
 	_ = syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{})
 	_ = syscall.Setpriority(syscall.PRIO_PROCESS, 0, 10)
 }
 
-// mapped is the private memory that the process may write to already (Linux): the
-// system's bound counts it, and a race detector maps a lot.
-func mapped() uint64 {
+// privateMappedBytes returns the size of the private writable memory that is already mapped (Linux).
+// The system's limit includes it, and the race detector maps a large amount.
+func privateMappedBytes() uint64 {
 	b, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
 		return 0
@@ -211,19 +213,19 @@
 	return pages * uint64(os.Getpagesize())
 }
 
-// watchHeap ends the process where a call has the heap grow too much, until the
-// timer is stopped. Calls are mostly over before it looks.
+// watchHeap exits the process if the heap exceeds most bytes. It checks until the returned timer
+// is stopped. Most calls end before the first check.
 func watchHeap(most uint64) *time.Timer {
 	heap := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	var t *time.Timer
-	t = time.AfterFunc(watchEvery, func() {
+	t = time.AfterFunc(heapCheckInterval, func() {
 		if metrics.Read(heap); heap[0].Value.Uint64() > most {
-			os.Exit(exitMemory)
+			os.Exit(exitMemoryLimit)
 		}
-		t.Reset(watchEvery)
+		t.Reset(heapCheckInterval)
 	})
 	return t
 }
 
-// exitMemory is the exit code of a host whose plug-in took too much memory.
-const exitMemory = 9
+// exitMemoryLimit is the exit code of a host whose plug-in exceeded its memory budget.
+const exitMemoryLimit = 9
--- a/internal/plugin/manifest/manifest.go
+++ b/internal/plugin/manifest/manifest.go
@@ -1,6 +1,6 @@
-// Package manifest reads a plug-in's folder: its manifest, manifest.json, its
-// code and its sample cases, samples/*.json. What it holds has been checked; it
-// is not changed afterwards.
+// Package manifest reads the folder of a plug-in: its manifest (manifest.json), its
+// code and its samples (samples/*.json). A loaded Manifest has been validated and must
+// not be modified.
 package manifest
 
 import (
@@ -16,27 +16,27 @@
 	"snowjunction/internal/schema"
 )
 
-// Hook is a moment at which a plug-in is asked.
+// Hook is a point in the processing of a message at which plug-ins are called.
 type Hook string
 
 // The hooks.
 const (
-	Admit Hook = "admit" // before a message is taken on
-	Shape Hook = "shape" // before an attempt leaves
-	Read  Hook = "read"  // when its answer has come
-	Ended Hook = "ended" // when a message has its end
+	Admit Hook = "admit" // before a message is accepted
+	Shape Hook = "shape" // before the request of an attempt is sent
+	Read  Hook = "read"  // after the answer to an attempt has been received
+	Ended Hook = "ended" // after a message has reached its final state
 )
 
-// Manifest is what a plug-in's folder says.
+// Manifest is the content of a plug-in's folder.
 type Manifest struct {
 	Name     string `json:"name"`
 	Version  string `json:"version"`
 	Protocol int    `json:"protocol"`
 	About    string `json:"about,omitempty"`
 	Engine   string `json:"engine"` // starlark or wasm
-	Code     string `json:"code"`   // the file's name
+	Code     string `json:"code"`   // file name
 	Hooks    []Hook `json:"hooks"`
-	Order    int    `json:"order,omitempty"` // lower ones are asked first
+	Order    int    `json:"order,omitempty"` // plug-ins with lower values are called first
 	Sees     Sees   `json:"sees,omitzero"`
 	Touches  struct {
 		Headers bool `json:"headers,omitempty"`
@@ -46,33 +46,33 @@
 	Budget Budget `json:"budget,omitzero"`
 
 	Dir     string   `json:"-"`
-	Text    []byte   `json:"-"` // the code
+	Text    []byte   `json:"-"` // content of the code file
 	Samples []Sample `json:"-"`
 }
 
-// Sees narrows the flows that a plug-in sees; an empty list means all.
+// Sees restricts the flows for which a plug-in is called. An empty list matches all.
 type Sees struct {
 	Destinations []uint32 `json:"destinations,omitempty"`
 	Classes      []string `json:"classes,omitempty"`
 	Tenants      []string `json:"tenants,omitempty"`
 }
 
-// Flow tells whether a flow is seen.
-func (s Sees) Flow(destination uint32, class, tenant string) bool {
+// Matches reports whether a flow matches.
+func (s Sees) Matches(destination uint32, class, tenant string) bool {
 	return (len(s.Destinations) == 0 || slices.Contains(s.Destinations, destination)) &&
 		(len(s.Classes) == 0 || slices.Contains(s.Classes, class)) &&
 		(len(s.Tenants) == 0 || slices.Contains(s.Tenants, tenant))
 }
 
-// Budget bounds one call.
+// Budget limits the resources of one call.
 type Budget struct {
 	TimeMs    int `json:"time_ms,omitempty"`
 	Steps     int `json:"steps,omitempty"`
-	MemoryMB  int `json:"memory_mb,omitempty"`  // of the host process, beyond its own
-	BodyBytes int `json:"body_bytes,omitempty"` // of a body that is shown
+	MemoryMB  int `json:"memory_mb,omitempty"`  // of the host process, in addition to its own needs
+	BodyBytes int `json:"body_bytes,omitempty"` // of a body that is passed to the plug-in
 }
 
-// The budgets where none are given.
+// Default budget.
 const (
 	DefaultTimeMs    = 10
 	DefaultSteps     = 200_000
@@ -80,18 +80,18 @@
 	DefaultBodyBytes = 4096
 )
 
-// Time is the budget's time.
+// Time returns the time limit.
 func (b Budget) Time() time.Duration { return time.Duration(b.TimeMs) * time.Millisecond }
 
-// Has tells whether a plug-in serves a hook.
+// Has reports whether the plug-in serves a hook.
 func (m *Manifest) Has(h Hook) bool { return slices.Contains(m.Hooks, h) }
 
-// Allowed is what it may touch in a request.
-func (m *Manifest) Allowed() guard.Allowed {
-	return guard.Allowed{Headers: m.Touches.Headers, Path: m.Touches.Path, Body: m.Touches.Body}
+// Permissions returns the parts of a request that the plug-in may change.
+func (m *Manifest) Permissions() guard.Permissions {
+	return guard.Permissions{Headers: m.Touches.Headers, Path: m.Touches.Path, Body: m.Touches.Body}
 }
 
-// Sample is a call with what the plug-in must make of it.
+// Sample is a test case: a call and its expected answer.
 type Sample struct {
 	Name string          `json:"-"`
 	Hook Hook            `json:"hook"`
@@ -99,14 +99,14 @@
 	Want json.RawMessage `json:"want"`
 }
 
-// Bounds of a folder.
+// Limits of a folder: file sizes in bytes and the number of samples.
 const (
-	codeMost    = 16 << 20
-	sampleMost  = 256 << 10
-	samplesMost = 256
+	maxCodeBytes   = 16 << 20
+	maxSampleBytes = 256 << 10
+	maxSamples     = 256
 )
 
-// Load reads the plug-in in a folder.
+// Load reads the plug-in in the folder dir.
 func Load(dir string) (*Manifest, error) {
 	path := filepath.Join(dir, "manifest.json")
 	b, err := os.ReadFile(path)
@@ -131,34 +131,34 @@
 			*d.v = d.other
 		}
 	}
-	if m.Text, err = read(filepath.Join(dir, m.Code), codeMost); err != nil {
+	if m.Text, err = readFile(filepath.Join(dir, m.Code), maxCodeBytes); err != nil {
 		return nil, fmt.Errorf("plug-in %s: %w", m.Name, err)
 	}
-	return m, m.samples()
+	return m, m.loadSamples()
 }
 
-func read(path string, most int64) ([]byte, error) {
+func readFile(path string, most int64) ([]byte, error) {
 	i, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if !i.Mode().IsRegular() || i.Size() > most {
-		return nil, fmt.Errorf("%s: a file of at most %d bytes is wanted", path, most)
+		return nil, fmt.Errorf("%s: expected a regular file of at most %d bytes", path, most)
 	}
 	return os.ReadFile(path)
 }
 
-func (m *Manifest) samples() error {
+func (m *Manifest) loadSamples() error {
 	paths, err := filepath.Glob(filepath.Join(m.Dir, "samples", "*.json"))
 	if err != nil {
 		return err
 	}
-	if len(paths) > samplesMost {
-		return fmt.Errorf("plug-in %s: %d samples, at most %d are taken", m.Name, len(paths), samplesMost)
+	if len(paths) > maxSamples {
+		return fmt.Errorf("plug-in %s: %d samples exceed the limit of %d", m.Name, len(paths), maxSamples)
 	}
 	slices.Sort(paths)
 	for _, path := range paths {
-		b, err := read(path, sampleMost)
+		b, err := readFile(path, maxSampleBytes)
 		if err != nil {
 			return fmt.Errorf("plug-in %s: %w", m.Name, err)
 		}
@@ -174,9 +174,8 @@
 	return nil
 }
 
-// LoadAll reads the plug-ins in the folders of a folder, in the order in which
-// they are asked. An error names every one that cannot be taken; the others are
-// returned all the same.
+// LoadAll reads the plug-ins in the subfolders of dir and returns them in the order in which they
+// are called. The error names every plug-in that cannot be loaded; the others are still returned.
 func LoadAll(dir string) (list []*Manifest, err error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -191,7 +190,7 @@
 		}
 		m, err := Load(path)
 		if err == nil && names[m.Name] != "" {
-			err = fmt.Errorf("plug-in %s: the folders %s and %s both hold it", m.Name, names[m.Name], path)
+			err = fmt.Errorf("plug-in %s: the folders %s and %s both contain a plug-in of this name", m.Name, names[m.Name], path)
 		}
 		if err != nil {
 			wrong = append(wrong, err)
--- a/internal/plugin/plugin.go
+++ b/internal/plugin/plugin.go
@@ -1,9 +1,9 @@
-// Package plugin is the courier's side of plug-ins. Each has a host process; its
-// calls go there one after another. A flow waits for an answer within the
-// plug-in's budget and goes on without it after that, and everything that comes
-// back passes the guard.
+// Package plugin implements the courier's side of plug-ins. Each plug-in has a host
+// process, which gets one call at a time. A flow waits for an answer up to the time
+// limit in the plug-in's budget and then continues without it. All answers are
+// checked by package guard.
 //
-// A Set belongs to the loop's goroutine.
+// A Set may be used by the goroutine of its event loop only.
 package plugin
 
 import (
@@ -27,139 +27,137 @@
 	"snowjunction/internal/store"
 )
 
-// Config is what a set needs to know.
+// Config configures a Set.
 type Config struct {
 	Loop    *core.Loop
 	Log     *slog.Logger
-	Command []string // that starts a host process
+	Command []string // command line that starts a host process
 	Breaker breaker.Config
 
-	// Bodies are the destinations to which a plug-in may send another body, if its
-	// manifest says so too.
+	// Bodies are the destinations for which a plug-in may replace the body, provided that its
+	// manifest allows it too.
 	Bodies []uint32
 
-	StartWithin  time.Duration // for a host to be ready; 0: a minute
-	SampleWithin time.Duration // for a sample to be answered; 0: 5 s
-	AnswerWithin time.Duration // for a call, in place of its plug-in's budget; 0: that
+	StartWithin  time.Duration // time limit for starting a host; zero means one minute
+	SampleWithin time.Duration // time limit for answering a sample; zero means 5 s
+	AnswerWithin time.Duration // time limit of a call; zero means the time in the plug-in's budget
 }
 
-// Set is the plug-ins that are loaded, in the order in which they are asked.
+// Set is the set of loaded plug-ins, in the order in which they are called.
 type Set struct {
-	cfg   Config
-	begun time.Time
-	plugs []*plug
-	sees  map[manifest.Hook]bool
-	last  uint64
-}
-
-// plug is a plug-in at work.
-type plug struct {
-	set     *Set
-	m       *manifest.Manifest
-	proc    *process // nil: none runs
-	ready   bool
-	breaker *breaker.Breaker
-	memory  *engine.Memory
-	out     *call // in the host
-	queue   []*call
-	counts  Counts
-	fixed   map[guard.Rule]uint64
-	told    time.Duration // when corrections were logged last
-	untold  int           // corrections since
-	retired bool          // it ends once its calls have: another version serves
-	recall  bool          // the host's memory is not the one that counts
-	again   time.Duration // after which its host was started again last
-	lastWhy string
-	onUp    func(err string)
-}
-
-// Counts are a plug-in's.
+	cfg        Config
+	startedAt  time.Time
+	instances  []*instance
+	served     map[manifest.Hook]bool
+	lastCallID uint64
+}
+
+// instance is a loaded plug-in.
+type instance struct {
+	set                 *Set
+	manifest            *manifest.Manifest
+	process             *process // nil if no process runs
+	ready               bool
+	breaker             *breaker.Breaker
+	memory              *engine.Memory
+	inFlight            *call // call in progress in the host
+	queue               []*call
+	counts              Counts
+	corrections         map[guard.Rule]uint64
+	correctionsLoggedAt time.Duration // when corrections were last logged
+	unloggedCorrections int           // corrections since then
+	retired             bool          // replaced or removed; ends when its calls have ended
+	replaceMemory       bool          // the next call has to replace the host's stored values
+	restartDelay        time.Duration // delay before the last restart of its host
+	lastError           string
+	onStarted           func(err string)
+}
+
+// Counts holds the counters of a plug-in.
 type Counts struct {
 	Calls, Answered, Failed, Late, Passed, Crashed, Corrected uint64
 }
 
-// call is one question to one plug-in.
+// call is one call of a hook of one plug-in.
 type call struct {
-	id     uint64
-	hook   manifest.Hook
-	text   json.RawMessage
-	ticket breaker.Ticket
-	within time.Duration
-	done   func(*reply) // nil: without an answer; called once
-	limit  *core.Timer
-	sent   bool
-	over   bool // nobody waits for it any more
+	id        uint64
+	hook      manifest.Hook
+	input     json.RawMessage
+	ticket    breaker.Ticket
+	timeLimit time.Duration
+	done      func(*reply) // called once, with nil if there is no answer
+	timer     *core.Timer
+	sent      bool
+	finished  bool // done has been called
 }
 
-// queueMost bounds the calls that wait for one plug-in.
-const queueMost = 256
+// maxQueuedCalls limits the calls that wait for one plug-in.
+const maxQueuedCalls = 256
 
-// overtime is how long after its budget a host may still be at a call: it ends
-// that itself, unless it cannot any more.
-const overtime = 100 * time.Millisecond
+// killGrace is how long after the time limit of a call its host process is killed if it has not
+// ended the call itself.
+const killGrace = 100 * time.Millisecond
 
-// New returns a set without plug-ins.
+// New returns an empty set.
 func New(cfg Config) *Set {
 	if cfg.Breaker == (breaker.Config{}) {
 		cfg.Breaker = breaker.Default
 	}
 	if cfg.SampleWithin <= 0 {
-		cfg.SampleWithin = sampleWithin
+		cfg.SampleWithin = defaultSampleTimeout
 	}
-	s := &Set{cfg: cfg, begun: cfg.Loop.Now(), sees: map[manifest.Hook]bool{}}
+	s := &Set{cfg: cfg, startedAt: cfg.Loop.Now(), served: map[manifest.Hook]bool{}}
 	s.AllowStart(cfg.StartWithin)
 	return s
 }
 
-func (s *Set) now() time.Duration { return s.cfg.Loop.Now().Sub(s.begun) }
+func (s *Set) now() time.Duration { return s.cfg.Loop.Now().Sub(s.startedAt) }
 
-// Replace puts other plug-ins in the place of those loaded, all or none: they
-// take over once each of them is ready and makes of its samples what it should.
-// Those that have not changed stay. done is called once; an error says why
-// nothing has changed.
+// Replace replaces the loaded plug-ins by those in list, all or none: the new ones take over
+// once each of them is loaded and answers its samples as expected. Unchanged plug-ins keep
+// running. done is called once, with an error text if nothing has changed, or else with "".
 func (s *Set) Replace(list []*manifest.Manifest, done func(err string)) {
-	next, waiting, failed := []*plug{}, 0, ""
+	next, waiting, failed := []*instance{}, 0, ""
 	finish := func() {
 		if waiting > 0 {
 			return
 		}
 		if failed != "" {
 			for _, p := range next {
-				if !slices.Contains(s.plugs, p) {
+				if !slices.Contains(s.instances, p) {
 					p.retire()
 				}
 			}
 			done(failed)
 			return
 		}
-		// What a plug-in remembers survives, and nothing of what its samples have
-		// had it remember.
+		// The stored values of a plug-in are kept. Values stored during its samples are dropped.
 		for _, x := range next {
-			if !slices.Contains(s.plugs, x) {
-				x.memory, x.recall = engine.NewMemory(s.remembered(x.m.Name)), true
+			if !slices.Contains(s.instances, x) {
+				x.memory, x.replaceMemory = engine.NewMemory(s.storedValues(x.manifest.Name)), true
 			}
 		}
-		for _, p := range s.plugs {
+		for _, p := range s.instances {
 			if !slices.Contains(next, p) {
 				p.retire()
 			}
 		}
-		s.plugs = next
-		s.sees = map[manifest.Hook]bool{}
+		s.instances = next
+		s.served = map[manifest.Hook]bool{}
 		for _, p := range next {
-			for _, h := range p.m.Hooks {
-				s.sees[h] = true
+			for _, h := range p.manifest.Hooks {
+				s.served[h] = true
 			}
 		}
 		done("")
 	}
-	var fresh []*plug
+	var fresh []*instance
 	for _, m := range list {
-		if p := s.same(m); p != nil {
+		if p := s.findUnchanged(m); p != nil {
 			next = append(next, p)
 			continue
 		}
-		p := &plug{set: s, m: m, breaker: breaker.New(s.cfg.Breaker), memory: engine.NewMemory(nil), fixed: map[guard.Rule]uint64{}}
+		p := &instance{set: s, manifest: m, breaker: breaker.New(s.cfg.Breaker), memory: engine.NewMemory(nil), corrections: map[guard.Rule]uint64{}}
 		next, fresh = append(next, p), append(fresh, p)
 		waiting++
 	}
@@ -168,10 +166,10 @@
 		return
 	}
 	for _, p := range fresh {
-		p.onUp = func(err string) {
-			p.onUp = nil
+		p.onStarted = func(err string) {
+			p.onStarted = nil
 			if waiting--; err != "" && failed == "" {
-				failed = "plug-in " + p.m.Name + ": " + err
+				failed = "plug-in " + p.manifest.Name + ": " + err
 			}
 			finish()
 		}
@@ -179,138 +177,141 @@
 	}
 }
 
-// same is the loaded plug-in that m describes unchanged, if any.
-func (s *Set) same(m *manifest.Manifest) *plug {
+// findUnchanged returns the loaded plug-in whose manifest and code equal those of m, or nil.
+func (s *Set) findUnchanged(m *manifest.Manifest) *instance {
 	a, _ := json.Marshal(m)
-	for _, p := range s.plugs {
-		b, _ := json.Marshal(p.m)
-		if string(a) == string(b) && string(p.m.Text) == string(m.Text) {
+	for _, p := range s.instances {
+		b, _ := json.Marshal(p.manifest)
+		if string(a) == string(b) && string(p.manifest.Text) == string(m.Text) {
 			return p
 		}
 	}
 	return nil
 }
 
-func (s *Set) remembered(name string) map[string]string {
-	for _, p := range s.plugs {
-		if p.m.Name == name {
+func (s *Set) storedValues(name string) map[string]string {
+	for _, p := range s.instances {
+		if p.manifest.Name == name {
 			return p.memory.Values
 		}
 	}
 	return nil
 }
 
-// AllowBodies names the destinations to which plug-ins may send other bodies.
+// AllowBodies sets the destinations for which plug-ins may replace the body.
 func (s *Set) AllowBodies(destinations []uint32) { s.cfg.Bodies = destinations }
 
-// AllowStart says how long hosts may take to be ready from now on; 0: a minute.
-func (s *Set) AllowStart(within time.Duration) { s.cfg.StartWithin = cmp.Or(within, startWithin) }
+// AllowStart sets the time limit for starting hosts; zero means one minute.
+func (s *Set) AllowStart(within time.Duration) {
+	s.cfg.StartWithin = cmp.Or(within, defaultStartTimeout)
+}
 
-// Close ends all host processes.
+// Close kills all host processes and unloads the plug-ins.
 func (s *Set) Close() {
-	for _, p := range s.plugs {
+	for _, p := range s.instances {
 		p.retire()
-		if p.proc != nil {
-			p.proc.kill()
+		if p.process != nil {
+			p.process.kill()
 		}
 	}
-	s.plugs, s.sees = nil, map[manifest.Hook]bool{}
+	s.instances, s.served = nil, map[manifest.Hook]bool{}
 }
 
-// retire lets the calls that a plug-in has begun end, and then the plug-in.
-func (p *plug) retire() {
+// retire ends the plug-in when its remaining calls have ended.
+func (p *instance) retire() {
 	p.retired = true
-	if p.out == nil && len(p.queue) == 0 && p.proc != nil {
-		p.proc.kill()
+	if p.inFlight == nil && len(p.queue) == 0 && p.process != nil {
+		p.process.kill()
 	}
 }
 
-func (p *plug) start() {
+func (p *instance) start() {
 	p.ready = false
 	var self *process
 	within := p.set.cfg.StartWithin
-	hello := host.Hello{Manifest: p.m, Code: p.m.Text, Memory: maps.Clone(p.memory.Values), Within: within}
+	hello := host.Hello{Manifest: p.manifest, Code: p.manifest.Text, Memory: maps.Clone(p.memory.Values), Within: within}
 	self = startProcess(p.set.cfg.Command, hello, p.set.cfg.Loop.Post,
 		func(a host.Answer, err error) {
 			if err == nil && a.Error == "" {
-				p.up(self)
+				p.hostReady(self)
 				return
 			}
 			why := a.Error
 			if why == "" {
-				why = "its host does not start: " + err.Error()
+				why = "the host process does not start: " + err.Error()
 			}
 			self.kill()
-			if p.onUp != nil {
-				p.onUp(why)
+			if p.onStarted != nil {
+				p.onStarted(why)
 			} else {
-				p.set.cfg.Log.Warn("plug-in cannot start again", "plugin", p.m.Name, "err", why)
+				p.set.cfg.Log.Warn("plug-in cannot start again", "plugin", p.manifest.Name, "err", why)
 			}
 		},
 		func(r *reply) {
-			if p.proc == self {
-				p.answer(r)
+			if p.process == self {
+				p.handleAnswer(r)
 			}
 		},
-		func() { p.gone(self) })
-	p.proc = self
+		func() { p.hostExited(self) })
+	p.process = self
 	p.set.cfg.Loop.After(within, func() {
-		if p.proc == self && !p.ready {
-			why := fmt.Sprintf("its host is not ready within %v", within)
-			if p.onUp != nil {
-				p.onUp(why)
+		if p.process == self && !p.ready {
+			why := fmt.Sprintf("the host process is not ready within %v", within)
+			if p.onStarted != nil {
+				p.onStarted(why)
 			} else {
-				p.set.cfg.Log.Warn("plug-in cannot start again", "plugin", p.m.Name, "err", why)
+				p.set.cfg.Log.Warn("plug-in cannot start again", "plugin", p.manifest.Name, "err", why)
 			}
 			self.kill()
 		}
 	})
 }
 
-// startWithin is how long a host may take to be ready: a module is compiled then.
-const startWithin = time.Minute
+// defaultStartTimeout covers loading the code, which includes compiling a WebAssembly module.
+const defaultStartTimeout = time.Minute
 
-// up begins the work of a host that is ready, with the samples if it is new.
-func (p *plug) up(self *process) {
-	if p.proc != self {
+// hostReady starts sending calls to a loaded plug-in. A new plug-in has to answer its samples first.
+func (p *instance) hostReady(self *process) {
+	if p.process != self {
 		return
 	}
 	p.ready = true
-	if p.onUp == nil {
-		p.next()
+	if p.onStarted == nil {
+		p.sendNext()
 		return
 	}
-	p.sample(0)
+	p.runSample(0)
 }
 
-// sample has the plug-in answer its sample cases in turn.
-func (p *plug) sample(i int) {
-	if i == len(p.m.Samples) {
-		p.onUp("")
+// runSample calls the plug-in with sample i and then with the following ones.
+func (p *instance) runSample(i int) {
+	if i == len(p.manifest.Samples) {
+		p.onStarted("")
 		return
 	}
-	x := p.m.Samples[i]
-	p.push(&call{hook: x.Hook, text: x.Call, done: func(r *reply) {
-		why := Differs(x.Want, r.out())
+	x := p.manifest.Samples[i]
+	p.enqueue(&call{hook: x.Hook, input: x.Call, done: func(r *reply) {
+		why := Difference(x.Want, r.output())
 		if r == nil {
-			why += ": " + p.lastWhy
+			why += ": " + p.lastError
 		}
 		switch {
-		case p.onUp == nil:
+		case p.onStarted == nil:
 		case why != "":
-			p.onUp("sample " + x.Name + ": " + why)
+			p.onStarted("sample " + x.Name + ": " + why)
 		default:
-			p.sample(i + 1)
+			p.runSample(i + 1)
 		}
 	}}, p.set.cfg.SampleWithin)
 }
 
-// sampleWithin is generous, and no matter of the plug-in's budget: a sample shows what is said, not
-// how fast.
-const sampleWithin = 5 * time.Second
+// defaultSampleTimeout is long and independent of the plug-in's budget: a sample checks the answer,
+// not its latency.
+const defaultSampleTimeout = 5 * time.Second
 
-// Differs says how an answer is other than wanted; "": it is not.
-func Differs(want, out json.RawMessage) string {
+// Difference describes the difference between the expected and the actual answer, or returns "" if
+// they are equal.
+func Difference(want, out json.RawMessage) string {
 	if out == nil {
 		return "no answer"
 	}
@@ -321,53 +322,53 @@
 	x, _ := json.Marshal(a)
 	y, _ := json.Marshal(b)
 	if string(x) != string(y) {
-		return "wanted " + string(x) + ", got " + string(y)
+		return "expected " + string(x) + ", got " + string(y)
 	}
 	return ""
 }
 
-// gone ends the call that was in a host that has ended, and starts another host
-// where the plug-in goes on.
-func (p *plug) gone(self *process) {
-	if p.proc != self {
+// hostExited ends the call that was in progress in a host that has exited, and restarts the host
+// unless the plug-in is new or retired.
+func (p *instance) hostExited(self *process) {
+	if p.process != self {
 		return
 	}
-	p.proc, p.ready = nil, false
-	if p.out != nil {
+	p.process, p.ready = nil, false
+	if p.inFlight != nil {
 		p.counts.Crashed++
-		p.end(p.out, nil, "its host has ended")
+		p.completeCall(p.inFlight, nil, "the host process has exited")
 	}
-	if p.onUp != nil {
-		p.onUp("its host has ended")
+	if p.onStarted != nil {
+		p.onStarted("the host process has exited")
 		return
 	}
 	if p.retired {
 		for _, c := range p.queue {
-			p.pass(c)
+			p.skipCall(c)
 		}
 		p.queue = nil
 		return
 	}
-	p.again = min(max(2*p.again, restartAfter), restartMost)
-	p.set.cfg.Loop.After(p.again, func() {
-		if p.proc == nil && !p.retired {
+	p.restartDelay = min(max(2*p.restartDelay, minRestartDelay), maxRestartDelay)
+	p.set.cfg.Loop.After(p.restartDelay, func() {
+		if p.process == nil && !p.retired {
 			p.start()
 		}
 	})
 }
 
-// A host that ends is started again after a while, which doubles until a call has
-// been answered: one that ends at once is not started all the time.
+// A host that exits is restarted after a delay, which doubles until a call has been answered, so
+// that a host that exits at once is not restarted continuously.
 const (
-	restartAfter = 20 * time.Millisecond
-	restartMost  = 5 * time.Second
+	minRestartDelay = 20 * time.Millisecond
+	maxRestartDelay = 5 * time.Second
 )
 
-// ask puts a question to a plug-in. done is called once, perhaps within ask,
-// with nil where there is no answer.
-func (p *plug) ask(h manifest.Hook, v any, done func(*reply)) {
+// request calls a hook of the plug-in. done is called once, possibly before request returns, with
+// nil if there is no answer.
+func (p *instance) request(h manifest.Hook, v any, done func(*reply)) {
 	ticket, ok := p.breaker.Allow(p.set.now())
-	if !ok || len(p.queue) >= queueMost || p.proc == nil || !p.ready && len(p.queue) > 0 {
+	if !ok || len(p.queue) >= maxQueuedCalls || p.process == nil || !p.ready && len(p.queue) > 0 {
 		if ok {
 			p.breaker.Undo(ticket)
 		}
@@ -382,143 +383,143 @@
 		done(nil)
 		return
 	}
-	p.push(&call{hook: h, text: text, ticket: ticket, done: done}, cmp.Or(p.set.cfg.AnswerWithin, p.m.Budget.Time()))
+	p.enqueue(&call{hook: h, input: text, ticket: ticket, done: done}, cmp.Or(p.set.cfg.AnswerWithin, p.manifest.Budget.Time()))
 }
 
-func (p *plug) push(c *call, within time.Duration) {
-	p.set.last++
-	c.id, c.within = p.set.last, within
+func (p *instance) enqueue(c *call, within time.Duration) {
+	p.set.lastCallID++
+	c.id, c.timeLimit = p.set.lastCallID, within
 	p.counts.Calls++
-	c.limit = p.set.cfg.Loop.After(within, func() { p.late(c) })
+	c.timer = p.set.cfg.Loop.After(within, func() { p.expire(c) })
 	p.queue = append(p.queue, c)
-	p.next()
+	p.sendNext()
 }
 
-// next sends the first call that waits, if the host is free.
-func (p *plug) next() {
-	for p.ready && p.out == nil && len(p.queue) > 0 {
+// sendNext sends the first queued call if the host is idle.
+func (p *instance) sendNext() {
+	for p.ready && p.inFlight == nil && len(p.queue) > 0 {
 		c := p.queue[0]
 		p.queue = p.queue[1:]
-		if c.over {
+		if c.finished {
 			continue
 		}
 		c.sent = true
-		p.out = c
-		x := host.Call{ID: c.id, Hook: c.hook, Call: c.text, Within: c.within, Recall: p.recall}
-		if p.recall {
-			x.Memory, p.recall = maps.Clone(p.memory.Values), false
+		p.inFlight = c
+		x := host.Call{ID: c.id, Hook: c.hook, Call: c.input, Within: c.timeLimit, ReplaceMemory: p.replaceMemory}
+		if p.replaceMemory {
+			x.Memory, p.replaceMemory = maps.Clone(p.memory.Values), false
 		}
-		if !p.proc.send(x) {
-			p.proc.kill()
+		if !p.process.send(x) {
+			p.process.kill()
 		}
 	}
-	if p.retired && p.out == nil && len(p.queue) == 0 && p.proc != nil {
-		p.proc.kill()
+	if p.retired && p.inFlight == nil && len(p.queue) == 0 && p.process != nil {
+		p.process.kill()
 	}
 }
 
-// late goes on without a call that has run out of its budget. A host that stays
-// at it is ended a moment later.
-func (p *plug) late(c *call) {
-	if c.over {
+// expire ends a call that has exceeded its time limit. A host that does not end the call within
+// killGrace is killed.
+func (p *instance) expire(c *call) {
+	if c.finished {
 		return
 	}
 	p.counts.Late++
-	if !c.sent { // others took the time: that is not this call's fault
-		p.pass(c)
+	if !c.sent { // queued behind other calls: not counted as a failure of the plug-in
+		p.skipCall(c)
 		return
 	}
-	p.fail(c, "over its time")
-	proc := p.proc
-	p.set.cfg.Loop.After(overtime, func() {
-		if p.out == c && p.proc == proc && proc != nil {
+	p.failCall(c, "time limit exceeded")
+	proc := p.process
+	p.set.cfg.Loop.After(killGrace, func() {
+		if p.inFlight == c && p.process == proc && proc != nil {
 			proc.kill()
 		}
 	})
 }
 
-// answer takes what the host says.
-func (p *plug) answer(r *reply) {
-	c := p.out
+// handleAnswer handles an answer from the host.
+func (p *instance) handleAnswer(r *reply) {
+	c := p.inFlight
 	if c == nil || c.id != r.ID || c.hook != r.Hook {
-		p.proc.kill() // it answers what was not asked
+		p.process.kill() // the answer does not match the call
 		return
 	}
 	for k, v := range r.Changes {
 		p.memory.Set(k, v)
 	}
-	p.memory.Changes() // they are nobody's here
+	p.memory.Changes() // reset the list of changes, which the courier does not use
 	for _, line := range r.Log[:min(len(r.Log), 4)] {
-		p.set.cfg.Log.Info("plug-in prints", "plugin", p.m.Name, "text", line)
+		p.set.cfg.Log.Info("plug-in output", "plugin", p.manifest.Name, "text", line)
 	}
-	p.end(c, r, r.Error)
+	p.completeCall(c, r, r.Error)
 }
 
-// end frees the host and ends its call.
-func (p *plug) end(c *call, r *reply, why string) {
-	p.out = nil
-	if !c.over {
+// completeCall ends the call in progress and sends the next one.
+func (p *instance) completeCall(c *call, r *reply, why string) {
+	p.inFlight = nil
+	if !c.finished {
 		if why != "" {
-			p.fail(c, why)
+			p.failCall(c, why)
 		} else {
 			p.counts.Answered++
-			p.again = 0
-			p.judge(c, true)
-			p.finish(c, r)
+			p.restartDelay = 0
+			p.recordResult(c, true)
+			p.finishCall(c, r)
 		}
 	}
-	p.next()
+	p.sendNext()
 }
 
-func (p *plug) fail(c *call, why string) {
+func (p *instance) failCall(c *call, why string) {
 	p.counts.Failed++
-	p.lastWhy = why
-	p.set.cfg.Log.Warn("plug-in failed, the flow goes on without it", "plugin", p.m.Name, "hook", c.hook, "err", why)
-	p.judge(c, false)
-	p.finish(c, nil)
+	p.lastError = why
+	p.set.cfg.Log.Warn("plug-in call failed; continuing without its answer", "plugin", p.manifest.Name, "hook", c.hook, "err", why)
+	p.recordResult(c, false)
+	p.finishCall(c, nil)
 }
 
-// pass goes on without having asked.
-func (p *plug) pass(c *call) {
-	if !c.over {
+// skip ends a call that was not sent.
+func (p *instance) skipCall(c *call) {
+	if !c.finished {
 		p.counts.Passed++
 		p.breaker.Undo(c.ticket)
-		p.finish(c, nil)
+		p.finishCall(c, nil)
 	}
 }
 
-func (p *plug) finish(c *call, r *reply) {
-	c.over = true
-	c.limit.Stop()
+func (p *instance) finishCall(c *call, r *reply) {
+	c.finished = true
+	c.timer.Stop()
 	c.done(r)
 }
 
-func (p *plug) judge(c *call, ok bool) {
+func (p *instance) recordResult(c *call, ok bool) {
 	now := p.set.now()
-	if p.onUp == nil && p.breaker.Done(now, c.ticket, ok) {
-		p.set.cfg.Log.Info("plug-in quarantine", "plugin", p.m.Name, "state", p.breaker.State(now).String(),
+	if p.onStarted == nil && p.breaker.Done(now, c.ticket, ok) {
+		p.set.cfg.Log.Info("plug-in quarantine", "plugin", p.manifest.Name, "state", p.breaker.State(now).String(),
 			"until_s", math.Round((p.breaker.Until()-now).Seconds()*10)/10)
 	}
 }
 
-// correct books what the guard has corrected; a line a minute tells of it.
-func (p *plug) correct(rules []guard.Rule) {
+// countCorrections counts the corrections made by the guard and logs them at most once a minute.
+func (p *instance) countCorrections(rules []guard.Rule) {
 	if len(rules) == 0 {
 		return
 	}
 	for _, r := range rules {
 		p.counts.Corrected++
-		p.fixed[r]++
+		p.corrections[r]++
 	}
-	p.untold += len(rules)
-	if now := p.set.now(); p.told == 0 || now-p.told >= time.Minute {
-		p.told = max(now, 1)
-		p.set.cfg.Log.Warn("plug-in corrected", "plugin", p.m.Name, "rules", rules, "since", p.untold)
-		p.untold = 0
+	p.unloggedCorrections += len(rules)
+	if now := p.set.now(); p.correctionsLoggedAt == 0 || now-p.correctionsLoggedAt >= time.Minute {
+		p.correctionsLoggedAt = max(now, 1)
+		p.set.cfg.Log.Warn("plug-in output corrected", "plugin", p.manifest.Name, "rules", rules, "since", p.unloggedCorrections)
+		p.unloggedCorrections = 0
 	}
 }
 
-// flow is what every hook sees of a message.
+// flow is the part of a hook's input that describes the message.
 type flow struct {
 	ID             string `json:"id"`
 	IdempotencyKey string `json:"idempotency_key,omitempty"`
@@ -526,33 +527,34 @@
 	Class          string `json:"class_name"`
 	Tenant         string `json:"tenant"`
 	Destination    uint32 `json:"destination"`
-	Again          bool   `json:"again"`
+	Resubmitted    bool   `json:"again"`
 	Attempts       int    `json:"attempts"`
 	LeftMs         int64  `json:"left_ms"`
-	Body           string `json:"body,omitempty"` // base64, as far as it is shown
+	Body           string `json:"body,omitempty"` // base64, truncated to the budget's BodyBytes
 }
 
-func (s *Set) flow(m *store.Message, p *plug) flow {
+func (s *Set) flow(m *store.Message, p *instance) flow {
 	f := flow{
 		ID: m.ID, IdempotencyKey: m.IdempotencyKey, Class: m.Class, Tenant: m.Tenant, Destination: m.Destination,
-		Again: m.Resubmitted, Attempts: m.Attempts, LeftMs: m.Deadline.Sub(s.cfg.Loop.Now()).Milliseconds(),
+		Resubmitted: m.Resubmitted, Attempts: m.Attempts, LeftMs: m.Deadline.Sub(s.cfg.Loop.Now()).Milliseconds(),
 	}
 	if m.Key != 0 {
 		f.Key = fmt.Sprintf("%016x", m.Key)
 	}
-	f.Body = base64.StdEncoding.EncodeToString(m.Body[:min(len(m.Body), p.m.Budget.BodyBytes)])
+	f.Body = base64.StdEncoding.EncodeToString(m.Body[:min(len(m.Body), p.manifest.Budget.BodyBytes)])
 	return f
 }
 
-// chain asks the plug-ins that serve a hook and see the message, in turn, until
-// each returns true. It returns false if none does: end is not called then.
-func (s *Set) chain(h manifest.Hook, m *store.Message, each func(p *plug, next func(more bool)), end func()) bool {
-	if !s.sees[h] {
+// callChain calls each in turn for the plug-ins that serve the hook and match the message. each
+// passes false to next to skip the remaining plug-ins. end is called last. callChain returns
+// false, without calling end, if there are no such plug-ins.
+func (s *Set) callChain(h manifest.Hook, m *store.Message, each func(p *instance, next func(more bool)), end func()) bool {
+	if !s.served[h] {
 		return false
 	}
-	var list []*plug
-	for _, p := range s.plugs {
-		if p.m.Has(h) && p.m.Sees.Flow(m.Destination, m.Class, m.Tenant) {
+	var list []*instance
+	for _, p := range s.instances {
+		if p.manifest.Has(h) && p.manifest.Sees.Matches(m.Destination, m.Class, m.Tenant) {
 			list = append(list, p)
 		}
 	}
@@ -577,16 +579,17 @@
 	return true
 }
 
-// Admit asks whether a message may be taken on. It returns false if no plug-in
-// is to be asked; else done is called once, perhaps at once.
+// Admit asks the plug-ins whether a message may be accepted. It returns false if no plug-in
+// applies. Otherwise done is called once, possibly before Admit returns, with the result and
+// the retry-after delay for the client of a refused message.
 func (s *Set) Admit(m *store.Message, done func(pass bool, after time.Duration)) bool {
 	pass, after := true, time.Duration(0)
-	return s.chain(manifest.Admit, m, func(p *plug, next func(bool)) {
-		p.ask(manifest.Admit, s.flow(m, p), func(r *reply) {
+	return s.callChain(manifest.Admit, m, func(p *instance, next func(bool)) {
+		p.request(manifest.Admit, s.flow(m, p), func(r *reply) {
 			if r != nil && r.refuses {
 				var rules []guard.Rule
-				after, rules = guard.Admit(r.afterMs)
-				p.correct(rules)
+				after, rules = guard.CheckAdmit(r.afterMs)
+				p.countCorrections(rules)
 				pass = false
 			}
 			next(pass)
@@ -594,19 +597,19 @@
 	}, func() { done(pass, after) })
 }
 
-// Shape asks what to add to a request, as Admit does.
+// Shape asks the plug-ins for changes to a request. The return value is as for Admit.
 func (s *Set) Shape(m *store.Message, to core.Entry, done func(core.Shape)) bool {
 	shape := core.Shape{}
-	return s.chain(manifest.Shape, m, func(p *plug, next func(bool)) {
-		p.ask(manifest.Shape, struct {
+	return s.callChain(manifest.Shape, m, func(p *instance, next func(bool)) {
+		p.request(manifest.Shape, struct {
 			flow
 			Endpoint string `json:"endpoint"`
 		}{s.flow(m, p), to.Name}, func(r *reply) {
 			if r != nil {
-				p.correct(r.rules)
+				p.countCorrections(r.rules)
 				if r.shape.HasBody && !slices.Contains(s.cfg.Bodies, m.Destination) {
 					r.shape.Body, r.shape.HasBody = nil, false
-					p.correct([]guard.Rule{guard.Body})
+					p.countCorrections([]guard.Rule{guard.RuleBody})
 				}
 				merge(&shape, r.shape)
 			}
@@ -615,12 +618,12 @@
 	}, func() { done(shape) })
 }
 
-// merge adds what a later plug-in shapes: the first word on a header, a path or
-// a body stands.
+// merge adds the changes of a later plug-in. The first plug-in that sets a header, the path or the
+// body takes precedence.
 func merge(to *core.Shape, x guard.Shape) {
 	for _, h := range x.Headers {
 		there := slices.ContainsFunc(to.Headers, func(y core.HeaderField) bool { return strings.EqualFold(h.Name, y.Name) })
-		if !there && len(to.Headers) < guard.HeadersMost {
+		if !there && len(to.Headers) < guard.MaxHeaders {
 			to.Headers = append(to.Headers, core.HeaderField{Name: h.Name, Value: h.Value})
 		}
 	}
@@ -632,53 +635,53 @@
 	}
 }
 
-// ReadsAnswers tells whether any plug-in reads the answers to a message.
+// ReadsAnswers reports whether any plug-in interprets the answers to a message.
 func (s *Set) ReadsAnswers(m *store.Message) bool {
-	return s.sees[manifest.Read] && slices.ContainsFunc(s.plugs, func(p *plug) bool {
-		return p.m.Has(manifest.Read) && p.m.Sees.Flow(m.Destination, m.Class, m.Tenant)
+	return s.served[manifest.Read] && slices.ContainsFunc(s.instances, func(p *instance) bool {
+		return p.manifest.Has(manifest.Read) && p.manifest.Sees.Matches(m.Destination, m.Class, m.Tenant)
 	})
 }
 
-// Read asks what an answer means, as Admit does.
+// Read asks the plug-ins to interpret an answer. The return value is as for Admit.
 func (s *Set) Read(m *store.Message, to core.Entry, r core.Result, done func(core.Result)) bool {
 	if r.Answer == nil {
-		return false // there is nothing to read
+		return false // no answer was received
 	}
-	return s.chain(manifest.Read, m, func(p *plug, next func(bool)) {
+	return s.callChain(manifest.Read, m, func(p *instance, next func(bool)) {
 		headers := map[string]string{}
 		for i, h := range r.Answer.Headers {
-			if i == headersShown {
+			if i == maxHeadersShown {
 				break
 			}
 			headers[strings.ToLower(h.Name)] = h.Value
 		}
-		p.ask(manifest.Read, struct {
+		p.request(manifest.Read, struct {
 			flow
 			Endpoint string            `json:"endpoint"`
 			Status   int               `json:"status"`
 			Headers  map[string]string `json:"headers"`
-			Answer   string            `json:"answer,omitempty"` // base64, as far as it is shown
+			Answer   string            `json:"answer,omitempty"` // base64, truncated to the budget's BodyBytes
 		}{
 			s.flow(m, p), to.Name, r.Answer.Status, headers,
-			base64.StdEncoding.EncodeToString(r.Answer.Body[:min(len(r.Answer.Body), p.m.Budget.BodyBytes)]),
+			base64.StdEncoding.EncodeToString(r.Answer.Body[:min(len(r.Answer.Body), p.manifest.Budget.BodyBytes)]),
 		}, func(x *reply) {
 			if x != nil {
-				got, rules := guard.Read(guard.Reading{Outcome: r.Outcome, Wait: r.RetryAfter}, x.word)
-				p.correct(rules)
-				r.Outcome, r.RetryAfter = got.Outcome, got.Wait
+				got, rules := guard.CheckReading(guard.Reading{Outcome: r.Outcome, RetryAfter: r.RetryAfter}, x.interpretation)
+				p.countCorrections(rules)
+				r.Outcome, r.RetryAfter = got.Outcome, got.RetryAfter
 			}
 			next(true)
 		})
 	}, func() { done(r) })
 }
 
-// headersShown bounds the headers of an answer that a plug-in is shown.
-const headersShown = 64
+// maxHeadersShown limits the headers of an answer that are passed to a plug-in.
+const maxHeadersShown = 64
 
-// Ended tells the plug-ins that want to know. Nothing waits for them.
+// Ended notifies the plug-ins of a message's final state. It does not wait for them.
 func (s *Set) Ended(m *store.Message) {
-	s.chain(manifest.Ended, m, func(p *plug, next func(bool)) {
-		p.ask(manifest.Ended, struct {
+	s.callChain(manifest.Ended, m, func(p *instance, next func(bool)) {
+		p.request(manifest.Ended, struct {
 			flow
 			State string `json:"state"`
 		}{s.flow(m, p), m.State.String()}, func(*reply) {})
@@ -686,7 +689,7 @@
 	}, func() {})
 }
 
-// Status is what is told of a plug-in.
+// Status is the state of a plug-in as reported to operators.
 type Status struct {
 	Name    string `json:"name"`
 	Version string `json:"version"`
@@ -696,19 +699,19 @@
 	Rules map[guard.Rule]uint64 `json:"rules,omitempty"`
 }
 
-// List tells of the plug-ins, in the order in which they are asked.
+// List returns the status of the plug-ins in the order in which they are called.
 func (s *Set) List() []Status {
 	var list []Status
-	for _, p := range s.plugs {
+	for _, p := range s.instances {
 		list = append(list, Status{
-			Name: p.m.Name, Version: p.m.Version, Engine: p.m.Engine, State: p.breaker.State(s.now()).String(),
-			Counts: p.counts, Rules: maps.Clone(p.fixed),
+			Name: p.manifest.Name, Version: p.manifest.Version, Engine: p.manifest.Engine, State: p.breaker.State(s.now()).String(),
+			Counts: p.counts, Rules: maps.Clone(p.corrections),
 		})
 	}
 	return list
 }
 
-// LogValue puts their counters in one line of the log.
+// LogValue returns the state and the counters of all plug-ins as one log value.
 func (s *Set) LogValue() slog.Value {
 	var attrs []slog.Attr
 	for _, x := range s.List() {
--- a/internal/plugin/process.go
+++ b/internal/plugin/process.go
@@ -9,8 +9,8 @@
 	"snowjunction/internal/plugin/host"
 )
 
-// process is a host process with the goroutines that write to it and read from
-// it. They post what happens; nothing here waits on the loop, nor the loop here.
+// process is a host process with the goroutines that write to it and read from it. The goroutines
+// post events to the loop. They never wait for the loop, and the loop never waits for them.
 type process struct {
 	cmd   *exec.Cmd
 	calls chan any
@@ -18,24 +18,23 @@
 	quit  chan struct{}
 }
 
-// callsMost bounds the calls that are on their way into a host: the courier has
-// one out at a time, and one more may replace it.
-const callsMost = 4
+// maxPendingCalls limits the calls waiting to be written to a host. The courier sends one call at a
+// time, and another one may follow a call that timed out.
+const maxPendingCalls = 4
 
-// answerMost bounds a host's frame.
-const answerMost = 1 << 20
+// maxAnswerFrameBytes limits a frame from the host.
+const maxAnswerFrameBytes = 1 << 20
 
-// startProcess starts a host for hello's plug-in. up is posted with an error or nil once the
-// plug-in is ready or cannot be made so; answer for each answer, read and guarded
-// as far as that can be done away from the loop; gone once, when the process has
-// ended.
+// startProcess starts a host for the plug-in in hello. It posts onStarted once, when the plug-in is
+// loaded or with the error if it cannot be loaded; onAnswer for each answer, parsed and checked as far
+// as this is possible outside the loop; and onExit once, when the process has exited.
 func startProcess(command []string, hello host.Hello, post func(func()),
-	up func(a host.Answer, err error), answer func(*reply), gone func()) *process {
-	p := &process{calls: make(chan any, callsMost), quit: make(chan struct{})}
+	onStarted func(a host.Answer, err error), onAnswer func(*reply), onExit func()) *process {
+	p := &process{calls: make(chan any, maxPendingCalls), quit: make(chan struct{})}
 	go func() {
-		defer post(gone)
+		defer post(onExit)
 		cmd := exec.Command(command[0], command[1:]...)
-		cmd.Env = []string{"SNOWJUNCTION_PLUGIN_HOST=1"} // nothing of the courier's own
+		cmd.Env = []string{"SNOWJUNCTION_PLUGIN_HOST=1"} // the courier's environment is not passed on
 		in, err := cmd.StdinPipe()
 		var out io.ReadCloser
 		if err == nil {
@@ -45,11 +44,11 @@
 			err = cmd.Start()
 		}
 		if err != nil {
-			post(func() { up(host.Answer{}, err) })
+			post(func() { onStarted(host.Answer{}, err) })
 			return
 		}
 		done := make(chan struct{})
-		go func() { // ends the process when told to
+		go func() { // kills the process on request
 			select {
 			case <-p.quit:
 			case <-done:
@@ -57,7 +56,7 @@
 			_ = cmd.Process.Kill()
 			_ = in.Close()
 		}()
-		go func() { // writes to it
+		go func() { // writes calls to the process
 			if host.Write(in, hello) != nil {
 				return
 			}
@@ -76,17 +75,17 @@
 		}()
 		r := bufio.NewReader(out)
 		var a host.Answer
-		if err = host.Read(r, answerMost, &a); err != nil || a.Error != "" {
-			post(func() { up(a, err) })
+		if err = host.Read(r, maxAnswerFrameBytes, &a); err != nil || a.Error != "" {
+			post(func() { onStarted(a, err) })
 		} else {
-			post(func() { up(a, nil) })
+			post(func() { onStarted(a, nil) })
 			for {
 				var a host.Answer
-				if host.Read(r, answerMost, &a) != nil {
+				if host.Read(r, maxAnswerFrameBytes, &a) != nil {
 					break
 				}
-				x := newReply(a, hello.Manifest.Allowed())
-				post(func() { answer(x) })
+				x := newReply(a, hello.Manifest.Permissions())
+				post(func() { onAnswer(x) })
 			}
 		}
 		close(done)
@@ -95,7 +94,7 @@
 	return p
 }
 
-// send hands a call to the host, or returns false where it takes none.
+// send queues a call for the host. It returns false if the queue is full.
 func (p *process) send(c host.Call) bool {
 	select {
 	case p.calls <- c:
@@ -105,5 +104,5 @@
 	}
 }
 
-// kill ends the process. gone follows.
+// kill kills the process. onExit is posted afterwards.
 func (p *process) kill() { p.once.Do(func() { close(p.quit) }) }
--- a/internal/plugin/reply.go
+++ b/internal/plugin/reply.go
@@ -12,51 +12,51 @@
 	"snowjunction/internal/plugin/manifest"
 )
 
-// reply is what a plug-in says, read. A plug-in may say a lot: reading it, and
-// holding a shape to what is allowed, is done on the goroutine that reads the pipe.
+// reply is the parsed answer of a plug-in. Answers may be large, so they are parsed, and shapes
+// are checked, on the goroutine that reads the pipe.
 type reply struct {
 	host.Answer
-	refuses bool    // admit: with
-	afterMs float64 // when to come back; NaN: no number
-	word    guard.Said
-	shape   guard.Shape
-	rules   []guard.Rule // that the shape broke
+	refuses        bool    // admit: the message is refused
+	afterMs        float64 // admit: retry-after delay in milliseconds; NaN if it is not a number
+	interpretation guard.Interpretation
+	shape          guard.Shape
+	rules          []guard.Rule // rules violated by the shape
 }
 
-func newReply(a host.Answer, allowed guard.Allowed) *reply {
+func newReply(a host.Answer, allowed guard.Permissions) *reply {
 	r := &reply{Answer: a}
 	if a.Out == nil {
 		return r
 	}
 	switch a.Hook {
 	case manifest.Admit:
-		r.admit()
+		r.parseAdmit()
 	case manifest.Shape:
-		r.shaped(allowed)
+		r.parseShape(allowed)
 	case manifest.Read:
-		r.read()
+		r.parseRead()
 	}
 	return r
 }
 
-// out is the answer as it came; nil: there is none.
-func (r *reply) out() json.RawMessage {
+// output returns the answer as received, or nil if there is none.
+func (r *reply) output() json.RawMessage {
 	if r == nil {
 		return nil
 	}
 	return r.Out
 }
 
-func (r *reply) admit() {
+func (r *reply) parseAdmit() {
 	var said struct {
 		AfterMs json.RawMessage `json:"after_ms"`
 	}
 	if json.Unmarshal(r.Out, &said) == nil && said.AfterMs != nil {
-		r.refuses, r.afterMs = true, number(said.AfterMs)
+		r.refuses, r.afterMs = true, parseNumber(said.AfterMs)
 	}
 }
 
-func (r *reply) shaped(allowed guard.Allowed) {
+func (r *reply) parseShape(allowed guard.Permissions) {
 	var said struct {
 		Headers map[string]string `json:"headers"`
 		Suffix  string            `json:"path_suffix"`
@@ -64,7 +64,7 @@
 		Body    *string           `json:"body"`
 	}
 	if json.Unmarshal(r.Out, &said) != nil {
-		r.rules = []guard.Rule{guard.Header}
+		r.rules = []guard.Rule{guard.RuleHeader}
 		return
 	}
 	x := guard.Shape{Suffix: said.Suffix, Query: said.Query}
@@ -75,15 +75,15 @@
 		b, err := base64.StdEncoding.DecodeString(*said.Body)
 		x.Body, x.HasBody = b, err == nil
 		if err != nil {
-			r.rules = append(r.rules, guard.Body)
+			r.rules = append(r.rules, guard.RuleBody)
 		}
 	}
 	var rules []guard.Rule
-	r.shape, rules = guard.Shaped(x, allowed)
+	r.shape, rules = guard.CheckShape(x, allowed)
 	r.rules = append(r.rules, rules...)
 }
 
-func (r *reply) read() {
+func (r *reply) parseRead() {
 	var said struct {
 		Outcome json.RawMessage `json:"outcome"`
 		WaitMs  json.RawMessage `json:"wait_ms"`
@@ -91,16 +91,16 @@
 	if json.Unmarshal(r.Out, &said) != nil {
 		return
 	}
-	if said.Outcome != nil && json.Unmarshal(said.Outcome, &r.word.Outcome) != nil {
-		r.word.Outcome = "?"
+	if said.Outcome != nil && json.Unmarshal(said.Outcome, &r.interpretation.Outcome) != nil {
+		r.interpretation.Outcome = "?"
 	}
-	if r.word.HasWait = said.WaitMs != nil; r.word.HasWait {
-		r.word.WaitMs = number(said.WaitMs)
+	if r.interpretation.HasWait = said.WaitMs != nil; r.interpretation.HasWait {
+		r.interpretation.WaitMs = parseNumber(said.WaitMs)
 	}
 }
 
-// number reads a number; what is none is NaN.
-func number(text json.RawMessage) float64 {
+// parseNumber parses a JSON number. It returns NaN for any other value.
+func parseNumber(text json.RawMessage) float64 {
 	var v float64
 	if json.Unmarshal(text, &v) != nil {
 		return math.NaN()
--- a/internal/plugin/skeleton/skeleton.go
+++ b/internal/plugin/skeleton/skeleton.go
@@ -1,4 +1,4 @@
-// Package skeleton writes a new plug-in that passes its own samples.
+// Package skeleton creates the folder of a new plug-in, with a working example and its samples.
 package skeleton
 
 import (
@@ -13,7 +13,7 @@
   "name": "NAME",
   "version": "0.1.0",
   "protocol": 1,
-  "about": "Reads the wait that a partner tells in a header of its own.",
+  "about": "Reads the retry-after delay from a partner-specific header.",
   "engine": "starlark",
   "code": "plugin.star",
   "hooks": ["read"],
@@ -22,17 +22,17 @@
 }
 `
 
-const code = `# NAME: what the plug-in makes of answers. docs/plugins.md has the protocol.
+const code = `# NAME: interprets answers. docs/plugins.md describes the protocol.
 
 def read(call):
-    """Retry-Later names seconds: they are this partner's own wait hint."""
+    """Retry-Later is this partner's header for the retry-after delay, in seconds."""
     hint = call.headers.get("retry-later")
     if hint == None or not hint.isdigit():
         return None
     return {"wait_ms": int(hint) * 1000}
 `
 
-const told = `{
+const sampleWithDelay = `{
   "hook": "read",
   "call": {"id": "m1", "class_name": "status", "tenant": "town", "destination": 7, "status": 503,
            "headers": {"retry-later": "2"}},
@@ -40,26 +40,26 @@
 }
 `
 
-const silent = `{
+const sampleWithoutDelay = `{
   "hook": "read",
   "call": {"id": "m2", "class_name": "status", "tenant": "town", "destination": 7, "status": 503, "headers": {}},
   "want": {}
 }
 `
 
-var name = regexp.MustCompile("^[a-z][a-z0-9-]{0,31}$")
+var validName = regexp.MustCompile("^[a-z][a-z0-9-]{0,31}$")
 
-// Write makes a folder with a plug-in of its name. It overwrites nothing.
+// Write creates the folder dir with a plug-in of the same name. It does not overwrite files.
 func Write(dir string) error {
 	base := filepath.Base(filepath.Clean(dir))
-	if !name.MatchString(base) {
-		return fmt.Errorf("%q is no name for a plug-in: small letters, digits and '-' are wanted, a letter first", base)
+	if !validName.MatchString(base) {
+		return fmt.Errorf("invalid plug-in name %q: expected lower-case letters, digits and '-', starting with a letter", base)
 	}
 	if err := os.MkdirAll(filepath.Join(dir, "samples"), 0o755); err != nil {
 		return err
 	}
 	for file, text := range map[string]string{
-		"manifest.json": manifest, "plugin.star": code, "samples/told.json": told, "samples/silent.json": silent,
+		"manifest.json": manifest, "plugin.star": code, "samples/told.json": sampleWithDelay, "samples/silent.json": sampleWithoutDelay,
 	} {
 		f, err := os.OpenFile(filepath.Join(dir, file), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 		if err != nil {
