--- a/internal/describe/asyncapi.go
+++ b/internal/describe/asyncapi.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// Life is what is told of a message.
+// Life describes the notices about a message.
 type Life struct {
-	Taken Notice
-	Ended Notice
+	Taken Notice // message "taken": the message was accepted
+	Ended Notice // message "ended": the message has reached its final state
 }
 
-// Notice is a message of the AsyncAPI document: the fields of its payload, in
-// their order, and the states that it tells.
+// Notice is a message of the AsyncAPI document: the fields of its payload in document
+// order, and the message states that it can report.
 type Notice struct {
 	Fields []string
 	States []string
 }
 
-// AsyncAPI reads an AsyncAPI 3.0 document. It needs a channel with the
+// AsyncAPI reads an AsyncAPI 3.0 document. The document must have a channel with the
 // messages "taken" and "ended", and an operation that sends them.
 func AsyncAPI(name string, b []byte) (*Life, error) {
 	root, err := parse(name, b)
@@ -45,13 +45,13 @@
 			m := messages.child(word)
 			switch {
 			case found[word]:
-				m.fail("a second message %q", word)
+				m.fail("duplicate message %q", word)
 			case word == "taken":
 				life.Taken = notice(m.resolve(), []string{"taken"})
 			case word == "ended":
 				life.Ended = notice(m.resolve(), []string{"delivered", "failed", "returned"})
 			default:
-				m.fail("not supported: only taken and ended are told")
+				m.fail("not supported: the only messages are taken and ended")
 			}
 			found[word] = true
 		}
@@ -81,11 +81,10 @@
 	return life, nil
 }
 
-// Withdrawn is the state told of a message that whoever handed it in has deleted.
+// Withdrawn is the state of a message that its client has deleted.
 const Withdrawn = "withdrawn"
 
-// notice reads a message whose payload is an object with the fields that the
-// front knows.
+// notice reads a message. Its payload must be an object with fields that the front supports.
 func notice(n node, states []string) Notice {
 	n.object("payload!", "name", "title", "summary", "description", "contentType")
 	if v := n.child("contentType"); v.there() {
@@ -101,7 +100,7 @@
 		f := properties.child(name).resolve()
 		f.object("type!", "const", "enum", "format", "minimum", "description")
 		if types[name] == "" {
-			properties.child(name).fail("not supported: nothing tells this")
+			properties.child(name).fail("not supported: unknown field")
 			continue
 		}
 		f.child("type").oneOf(types[name])
@@ -117,17 +116,17 @@
 	if c := state.child("const"); c.there() {
 		out.States = append(out.States, c.text())
 	}
-	// A front that serves deleteMessage tells of withdrawn ones; another need not.
+	// The state "withdrawn" is optional: it occurs only if the front serves deleteMessage.
 	got := slices.DeleteFunc(slices.Sorted(slices.Values(out.States)), func(s string) bool { return s == Withdrawn })
 	if !slices.Equal(got, states) {
-		properties.child("state").fail("the states told are %s", strings.Join(states, ", "))
+		properties.child("state").fail("expected the states %s", strings.Join(states, ", "))
 	}
 	for _, r := range p.child("required").list() {
 		if !slices.Contains(out.Fields, r.text()) {
-			r.fail("%q is no property", r.text())
+			r.fail("%q is not a property", r.text())
 		}
 		if r.text() == "after_ms" {
-			r.fail("after_ms is told of returned messages only")
+			r.fail("after_ms cannot be required: only returned messages have it")
 		}
 	}
 	return out
--- a/internal/describe/describe_test.go
+++ b/internal/describe/describe_test.go
@@ -36,8 +36,7 @@
 	assert.Equal(t, []string{"id", "state", "at", "after_ms"}, life.Ended.Fields)
 }
 
-// What a document promises and the front does not keep stops the start, with
-// the place.
+// A document that describes unsupported behaviour is rejected with the location.
 func TestUnsupportedOpenAPI(t *testing.T) {
 	good := deployed(t, "openapi.json")
 	for _, tc := range []struct{ old, new, want string }{
@@ -47,15 +46,15 @@
 		{`"operationId": "messageStatus"`, `"operationId": "other"`, `#/paths/~1message~1{id}/get/operationId`},
 		{`"minimum": 1, "maximum": 3600`, `"multipleOf": 2`, `#/paths/~1push~1{destination}/post/parameters/1/schema/multipleOf: not supported`},
 		{`"#/components/schemas/Id"`, `"other.json#/Id"`, `parameters/2/schema/$ref: only references within`},
-		{`"#/components/schemas/Id"`, `"#/components/schemas/No"`, `leads nowhere`},
+		{`"#/components/schemas/Id"`, `"#/components/schemas/No"`, `does not exist`},
 		{`"name": "Tenant", "in": "header"`, `"name": "Tenant", "in": "cookie"`, `parameters/4/in: "cookie" is not supported`},
-		{`{"name": "Tenant",`, `{"name": "Colour",`, `nothing handles the parameter "colour"`},
+		{`{"name": "Tenant",`, `{"name": "Colour",`, `unsupported parameter "colour" in header`},
 		{`"name": "TTL", "in": "header", "required": true`, `"name": "TTL", "in": "header"`, `needs the required parameter "ttl"`},
-		{`"maxLength": 65536`, `"maxLength": 65537`, `a limit of 1 to 65536 is wanted`},
-		{`"429": {"$ref": "#/components/responses/Later"},`, ``, `answers 429 too`},
+		{`"maxLength": 65536`, `"maxLength": 65537`, `expected a limit of 1 to 65536`},
+		{`"429": {"$ref": "#/components/responses/Later"},`, ``, `also answers 429, which is not described`},
 		{`"429": {`, `"418": {"description": "x"}, "429": {`, `never answers 418`},
 		{`"pattern": "^[0-9A-Fa-f]{1,16}$"`, `"pattern": "("`, `parameters/5/schema/pattern`},
-		{`"required": true, "schema": {"type": "integer", "minimum": 0`, `"schema": {"type": "integer", "minimum": 0`, `parameters/0: a path's parameter`},
+		{`"required": true, "schema": {"type": "integer", "minimum": 0`, `"schema": {"type": "integer", "minimum": 0`, `parameters/0: a path parameter`},
 		{`{`, ``, `not JSON`},
 	} {
 		require.Contains(t, good, tc.old)
@@ -70,11 +69,11 @@
 		{`"3.0.0"`, `"2.6.0"`, `#/asyncapi: version`},
 		{`"channels":`, `"servers": {}, "channels":`, `#/servers: not supported`},
 		{`"action": "send"`, `"action": "receive"`, `#/operations/tellLife/action`},
-		{`"const": "taken"`, `"const": "queued"`, `#/components/messages/taken/payload/properties/state: the states told are taken`},
-		{`"delivered", "failed"`, `"delivered"`, `the states told are delivered, failed, returned`},
+		{`"const": "taken"`, `"const": "queued"`, `#/components/messages/taken/payload/properties/state: expected the states taken`},
+		{`"delivered", "failed"`, `"delivered"`, `expected the states delivered, failed, returned`},
 		{`"after_ms": {"type": "integer"`, `"after_s": {"type": "integer"`, `properties/after_s: not supported`},
-		{`"required": ["id", "state", "at"]`, `"required": ["id", "after_ms"]`, `required/1: after_ms is told`},
-		{`"required": ["id", "state", "at"]`, `"required": ["id", "no"]`, `required/1: "no" is no property`},
+		{`"required": ["id", "state", "at"]`, `"required": ["id", "after_ms"]`, `required/1: after_ms cannot be required`},
+		{`"required": ["id", "state", "at"]`, `"required": ["id", "no"]`, `required/1: "no" is not a property`},
 		{`"taken": {"$ref": "#/components/messages/taken"},`, ``, `no message "taken"`},
 		{`"application/json"`, `"application/xml"`, `#/defaultContentType`},
 	} {
--- a/internal/describe/openapi.go
+++ b/internal/describe/openapi.go
@@ -8,48 +8,48 @@
 	"strings"
 )
 
-// API is what the push front serves.
+// API describes the operations of the push front.
 type API struct {
 	Submit Operation // operationId submitMessage
 	Status Operation // operationId messageStatus
-	Delete Operation // operationId deleteMessage; its Method is empty where it is not described
+	Delete Operation // operationId deleteMessage, optional; Method is empty if it is not in the document
 }
 
-// Operation is one route.
+// Operation is an operation of the API.
 type Operation struct {
 	Method   string
 	Path     []Segment
 	Params   []Param
-	MaxBody  int // bytes of a request's body; 0: none is taken
+	MaxBody  int // maximum size of the request body in bytes; zero means no body
 	Statuses []int
-	from     node
+	from     node // location in the document
 }
 
-// Segment is a part of a path: a word, or a parameter's name.
+// Segment is a segment of a path: either a literal word or a parameter.
 type Segment struct {
 	Word  string
 	Param string
 }
 
-// Param is a parameter and what its values must be.
+// Param describes a parameter and its allowed values.
 type Param struct {
-	Name     string // of a header in lower case
+	Name     string // lower case for headers
 	In       string // path or header
 	Required bool
 	Schema   Schema
 }
 
-// Schema is the part of JSON Schema that is supported.
+// Schema holds the supported keywords of JSON Schema.
 type Schema struct {
 	Type      string // string or integer
 	Pattern   *regexp.Regexp
-	MaxLength int // 0: any
+	MaxLength int // bytes; zero means no limit
 	Enum      []string
 	Min, Max  int
 	bounded   bool // Max is set
 }
 
-// Check tells what is wrong with a value.
+// Check returns an error if the value does not match the schema.
 func (s Schema) Check(value string) error {
 	if s.Type == "integer" {
 		n, err := strconv.Atoi(value)
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// Param returns a parameter by its place and name, or nil.
+// Param returns the parameter with the given location (path or header) and name, or nil.
 func (o *Operation) Param(in, name string) *Param {
 	for i := range o.Params {
 		if p := &o.Params[i]; p.In == in && p.Name == name {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// Match takes a path apart.
+// Match matches a request path and returns the values of its parameters.
 func (o *Operation) Match(path string) (params map[string]string, ok bool) {
 	parts := strings.Split(strings.TrimPrefix(path, "/"), "/")
 	if !strings.HasPrefix(path, "/") || len(parts) != len(o.Path) {
@@ -102,7 +102,7 @@
 	return params, true
 }
 
-// Link builds a path of the operation.
+// Link returns the path of the operation with its parameters replaced by value.
 func (o *Operation) Link(value string) string {
 	var b strings.Builder
 	for _, s := range o.Path {
@@ -142,7 +142,7 @@
 			id := op.child("operationId")
 			switch word := id.oneOf("submitMessage", "messageStatus", "deleteMessage"); {
 			case found[word]:
-				id.fail("a second operation %q", word)
+				id.fail("duplicate operation %q", word)
 			case word == "submitMessage":
 				api.Submit = o
 			case word == "messageStatus":
@@ -167,7 +167,7 @@
 	return api, nil
 }
 
-// check holds the document to what the handlers do.
+// check compares the operations with the implemented handlers.
 func check(api *API) {
 	for _, want := range []struct {
 		op           *Operation
@@ -187,13 +187,13 @@
 			[]int{204, 400, 404, 409, 410, 431}, false, false},
 	} {
 		if want.op.Method == "" {
-			continue // an operation that may be left out
+			continue // optional operation that is not in the document
 		}
 		if want.op.Method != want.method {
-			want.op.from.fail("operation %q is served by %s only", want.id, want.method)
+			want.op.from.fail("operation %q must use the method %s", want.id, want.method)
 		}
 		if want.op.MaxBody > 0 != want.takes {
-			want.op.from.fail("operation %q: whether there is a body does not fit the handler", want.id)
+			want.op.from.fail("operation %q: the presence of a request body does not match the handler", want.id)
 		}
 		for _, p := range want.params {
 			in, name, _ := strings.Cut(p, " ")
@@ -204,12 +204,12 @@
 		for _, p := range want.op.Params {
 			key := p.In + " " + p.Name
 			if !slices.Contains(want.params, key) && !slices.Contains(want.optional, key) {
-				want.op.from.fail("operation %q: nothing handles the parameter %q in %s", want.id, p.Name, p.In)
+				want.op.from.fail("operation %q: unsupported parameter %q in %s", want.id, p.Name, p.In)
 			}
 		}
 		for _, status := range want.statuses {
 			if !slices.Contains(want.op.Statuses, status) {
-				want.op.from.fail("operation %q answers %d too, which is not described", want.id, status)
+				want.op.from.fail("operation %q also answers %d, which is not described", want.id, status)
 			}
 		}
 		for _, status := range want.op.Statuses {
@@ -220,6 +220,7 @@
 	}
 }
 
+// operation reads an operation.
 func operation(n node, path, method string) Operation {
 	n.object("operationId!", "responses!", "parameters", "requestBody", "summary", "description", "tags")
 	o := Operation{Method: method, from: n}
@@ -240,7 +241,7 @@
 	}
 	for _, s := range o.Path {
 		if s.Param != "" && o.Param("path", s.Param) == nil {
-			n.child("parameters").fail("the path's %q is not described", s.Param)
+			n.child("parameters").fail("path parameter %q is not described", s.Param)
 		}
 	}
 	if body := n.child("requestBody"); body.there() {
@@ -255,25 +256,27 @@
 		}
 		status, err := strconv.Atoi(code)
 		if err != nil {
-			responses.child(code).fail("a status code is wanted")
+			responses.child(code).fail("expected a status code")
 		}
 		o.Statuses = append(o.Statuses, status)
 	}
 	return o
 }
 
+// param reads a parameter.
 func param(n node) Param {
 	n.object("name!", "in!", "schema!", "required", "description", "example")
 	p := Param{Name: n.child("name").text(), In: n.child("in").oneOf("path", "header"), Required: n.child("required").bool()}
 	if p.In == "header" {
 		p.Name = strings.ToLower(p.Name)
 	} else if !p.Required {
-		n.fail("a path's parameter is always required")
+		n.fail("a path parameter must be required")
 	}
 	p.Schema = schema(n.child("schema").resolve())
 	return p
 }
 
+// schema reads the schema of a parameter.
 func schema(n node) Schema {
 	n.object("type!", "pattern", "maxLength", "minLength", "enum", "minimum", "maximum", "description", "examples")
 	s := Schema{Type: n.child("type").oneOf("string", "integer"), MaxLength: n.child("maxLength").whole(0)}
@@ -295,7 +298,7 @@
 	return s
 }
 
-// requestBody returns the limit of a body of any bytes.
+// requestBody reads a request body of arbitrary bytes and returns its maximum size.
 func requestBody(n node) int {
 	n.object("content!", "required", "description")
 	content := n.child("content").object("application/octet-stream!")
@@ -305,6 +308,6 @@
 	if n := limit.whole(0); n > 0 && n <= 64<<10 {
 		return n
 	}
-	limit.fail("a limit of 1 to 65536 is wanted")
+	limit.fail("expected a limit of 1 to 65536")
 	return 1
 }
--- a/internal/describe/walk.go
+++ b/internal/describe/walk.go
@@ -1,8 +1,8 @@
-// Package describe reads the descriptions of the push front: its routes,
-// headers and limits from an OpenAPI 3.1 document, and what is told of a
-// message's life from an AsyncAPI 3.0 one. It takes the part of both formats
-// that the front can keep to, and refuses the rest by its JSON pointer, so that
-// no document promises what the program does not do.
+// Package describe reads the API descriptions of the push front: its routes, headers
+// and limits from an OpenAPI 3.1 document, and its notices about messages from an
+// AsyncAPI 3.0 document. It supports only the features of both formats that the front
+// implements. It rejects all others, with their JSON pointer, so that a document cannot
+// describe behaviour that the program does not have.
 package describe
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// Error is what is wrong with a document, and where.
+// Error is an error in a document, with its location.
 type Error struct {
 	Document string
 	Pointer  string // RFC 6901
@@ -23,14 +23,15 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("%s: %s: %s", e.Document, e.Pointer, e.Why) }
 
-// node is a value in a document and its place. Reading goes on past the first
-// thing that is wrong, which is kept in the document.
+// node is a value in a document with its location. Errors do not stop the reading; the first
+// one is stored in the document.
 type node struct {
 	doc *document
 	at  string
 	v   *fastjson.Value
 }
 
+// document is a parsed document with the first error found in it.
 type document struct {
 	name string
 	root *fastjson.Value
@@ -45,12 +46,14 @@
 	return node{&document{name: name, root: v}, "", v}, nil
 }
 
+// fail stores an error at n, unless there already is one.
 func (n node) fail(format string, args ...any) {
 	if n.doc.err == nil {
 		n.doc.err = &Error{n.doc.name, "#" + n.at, fmt.Sprintf(format, args...)}
 	}
 }
 
+// escape encodes a key for a JSON pointer.
 func escape(key string) string {
 	return strings.NewReplacer("~", "~0", "/", "~1").Replace(key)
 }
@@ -59,7 +62,7 @@
 	return strings.NewReplacer("~1", "/", "~0", "~").Replace(key)
 }
 
-// child is a member, which may be missing.
+// child returns a member of an object. The member may be missing.
 func (n node) child(key string) node {
 	var v *fastjson.Value
 	if n.v != nil && n.v.Type() == fastjson.TypeObject {
@@ -70,11 +73,11 @@
 
 func (n node) there() bool { return n.v != nil }
 
-// object checks that n is an object with no members but those named; a name
-// that ends in "!" must be there. Extensions, x-..., are skipped.
+// object checks that n is an object that has no members other than those listed. A name that
+// ends in "!" is required. Extensions (x-...) are ignored.
 func (n node) object(members ...string) node {
 	if n.v == nil || n.v.Type() != fastjson.TypeObject {
-		n.fail("an object is wanted")
+		n.fail("expected an object")
 		return n
 	}
 	known := map[string]bool{}
@@ -92,7 +95,7 @@
 	return n
 }
 
-// keys are the members' names in the order of the document.
+// keys returns the names of the members in document order.
 func (n node) keys() (out []string) {
 	if n.v == nil || n.v.Type() != fastjson.TypeObject {
 		return nil
@@ -107,7 +110,7 @@
 	}
 	items, err := n.v.Array()
 	if err != nil {
-		n.fail("an array is wanted")
+		n.fail("expected an array")
 	}
 	for i, v := range items {
 		out = append(out, node{n.doc, n.at + "/" + strconv.Itoa(i), v})
@@ -121,12 +124,12 @@
 	}
 	b, err := n.v.StringBytes()
 	if err != nil {
-		n.fail("a string is wanted")
+		n.fail("expected a string")
 	}
 	return string(b)
 }
 
-// oneOf is a string that must be one of those named.
+// oneOf returns a string, which must be one of the given words.
 func (n node) oneOf(words ...string) string {
 	s := n.text()
 	if !slices.Contains(words, s) {
@@ -135,14 +138,14 @@
 	return s
 }
 
-// whole is a whole number of 0 or more.
+// wholeNumber returns a non-negative integer, or the default value if it is missing or invalid.
 func (n node) whole(other int) int {
 	if n.v == nil {
 		return other
 	}
 	i, err := n.v.Int()
 	if err != nil || i < 0 {
-		n.fail("a whole number of 0 or more is wanted")
+		n.fail("expected an integer of 0 or more")
 		return other
 	}
 	return i
@@ -154,12 +157,12 @@
 	}
 	b, err := n.v.Bool()
 	if err != nil {
-		n.fail("true or false is wanted")
+		n.fail("expected true or false")
 	}
 	return b
 }
 
-// resolve follows a reference within the document.
+// resolve follows references ($ref) within the document, up to 8 in a chain.
 func (n node) resolve() node {
 	for range 8 {
 		ref := n.child("$ref")
@@ -176,12 +179,12 @@
 			to = to.child(unescape(key))
 		}
 		if !to.there() {
-			ref.fail("%q leads nowhere", ref.text())
+			ref.fail("%q does not exist", ref.text())
 			return to
 		}
 		n = to
 	}
-	n.fail("a reference to itself")
+	n.fail("cyclic or too long chain of references")
 	return n
 }
 
--- a/internal/h2pool/pool.go
+++ b/internal/h2pool/pool.go
@@ -1,57 +1,58 @@
-// Package h2pool decides, for the connections of one HTTP/2 target, where a new call
-// goes, when another connection is dialled, and when one is retired. It does no I/O,
-// reads no clock and starts no goroutine: it is told what each connection holds and the
-// time, and answers.
+// Package h2pool decides, for the connections of one HTTP/2 target, which connection a
+// new call uses, when another connection is dialled, and when a connection is retired. It
+// does no I/O, reads no clock and starts no goroutine: the caller passes the state of the
+// connections and the current time.
 //
 // Calls are packed onto as few connections as their streams allow (RFC 9113, 9.1: a
-// client should not open more than one connection to a host and port): an endpoint's
-// connections are scarce where many couriers share it, and a connection that carries
-// nothing can then end. More are dialled only for streams that the others cannot take,
-// and never more than Config.Most; beyond that a call waits on the connection that will
-// free a stream soonest, until its time is up.
+// client should not open more than one connection to a host and port). Connections to an
+// endpoint that is shared by many couriers are scarce, and packing lets unused ones be
+// closed. Another connection is dialled only if the streams of the existing ones are used
+// up, within the limit in Config. At the limit, a call waits, until its deadline, on the
+// connection that is expected to free a stream first.
 package h2pool
 
 import "time"
 
-// Link is what the pool is told of one connection of a target.
+// Link is the state of one connection of a target.
 type Link struct {
-	Up     bool          // the other side's preface and settings have come
-	Room   int           // streams that it may open besides Open: the peer's limit less those
-	Open   int           // streams under way
-	Queued int           // calls that wait on it for a stream
-	Away   bool          // it takes no further stream: a GOAWAY either way, stream ids spent
-	Opened time.Duration // when it was dialled
-	Used   time.Duration // when a stream last began or ended on it
+	Up     bool          // the peer's preface and settings have been received
+	Room   int           // additional streams that may be opened: the peer's limit minus Open
+	Open   int           // open streams
+	Queued int           // calls waiting for a stream of the connection
+	Away   bool          // no further streams: GOAWAY sent or received, or stream ids exhausted
+	Opened time.Duration // time of dialling
+	Used   time.Duration // time at which a stream last began or ended
 }
 
-// Config bounds the connections of one target.
+// Config holds the limits for the connections of one target.
 type Config struct {
-	Most int           // connections that take streams; under 1 counts as 1
-	Idle time.Duration // one without streams ends after so long; 0: it is not ended for that
-	Age  time.Duration // one older takes no new stream and ends once empty; 0: no such age
+	Most int           // maximum number of usable connections; values below 1 count as 1
+	Idle time.Duration // a connection without streams is closed after this time; zero means never
+	Age  time.Duration // an older connection takes no new streams and is closed when empty; zero means no limit
 }
 
-// Verdict is where a call goes.
+// Verdict is the decision of Pick.
 type Verdict int
 
 const (
-	Use   Verdict = iota // on the link named: it has a stream, or will have once up
-	Dial                 // on a new connection
-	Queue                // on the link named, once one of its streams has ended
+	Use   Verdict = iota // use the returned connection: it has a free stream, or is expected to have one once ready
+	Dial                 // dial a new connection
+	Queue                // wait on the returned connection until one of its streams has ended
 )
 
 func (v Verdict) String() string {
 	return [...]string{"use", "dial", "queue"}[v]
 }
 
-// usable tells whether a link takes new streams at all.
+// usable reports whether a connection accepts new streams in principle.
 func (c Config) usable(now time.Duration, l Link) bool {
 	return !l.Away && (c.Age <= 0 || now-l.Opened < c.Age)
 }
 
-// Pick says where a new call goes, and on which link where it is not Dial. Of the links
-// with a free stream, the fullest takes it, so that others empty; a link that is not up
-// yet takes as many as it is expected to bear.
+// Pick decides which connection a new call uses. It returns the index of the connection, or -1
+// with Dial. Of the connections with a free stream it picks the one with the most open streams,
+// so that others become empty. A connection that is not ready yet gets as many calls as it is
+// expected to have streams.
 func Pick(c Config, now time.Duration, links []Link) (Verdict, int) {
 	best, bestOpen, waiting, live := -1, -1, -1, 0
 	for i, l := range links {
@@ -77,7 +78,7 @@
 	case live < max(c.Most, 1):
 		return Dial, -1
 	}
-	// All are full: the one with the fewest calls per stream frees one soonest.
+	// All are full: the connection with the fewest calls per stream is expected to free one first.
 	least, at := 0.0, -1
 	for i, l := range links {
 		if !c.usable(now, l) {
@@ -91,16 +92,16 @@
 	return Queue, at
 }
 
-// Reason says why a link is retired.
+// Reason is the reason for retiring a connection.
 type Reason int
 
 const (
-	Keep  Reason = iota
-	Idle         // up, and without streams for Config.Idle
-	Spent        // away or aged, and empty now
+	Keep  Reason = iota // not retired
+	Idle                // ready, but without streams for the idle timeout
+	Spent               // accepts no more streams, and is empty
 )
 
-// Retire says whether a link should end now, and why.
+// Retire decides whether a connection should be closed now, and why.
 func Retire(c Config, now time.Duration, l Link) Reason {
 	empty := l.Open == 0 && l.Queued == 0
 	switch {
--- a/internal/h2pool/pool_test.go
+++ b/internal/h2pool/pool_test.go
@@ -18,12 +18,12 @@
 		v     Verdict
 		at    int
 	}{
-		"none yet":                              {nil, Dial, -1},
-		"the fullest with room":                 {[]Link{up(2, 98), up(7, 93), up(0, 100)}, Use, 1},
-		"one that comes up takes what it bears": {[]Link{up(100, 0), {Room: 100, Queued: 3}}, Use, 1},
-		"but no more":                           {[]Link{up(100, 0), {Room: 3, Queued: 3}}, Dial, -1},
-		"away or aged ones take nothing":        {[]Link{{Up: true, Room: 9, Away: true}, {Up: true, Room: 9, Opened: -time.Hour}}, Dial, -1},
-		"at the most, who frees a stream soonest": {[]Link{{Up: true, Open: 10, Queued: 20}, up(4, 0), up(10, 0),
+		"no connections":                                         {nil, Dial, -1},
+		"the fullest with a free stream":                         {[]Link{up(2, 98), up(7, 93), up(0, 100)}, Use, 1},
+		"a connecting one takes as many as its expected streams": {[]Link{up(100, 0), {Room: 100, Queued: 3}}, Use, 1},
+		"but not more":                                           {[]Link{up(100, 0), {Room: 3, Queued: 3}}, Dial, -1},
+		"closing or too old ones are not used":                   {[]Link{{Up: true, Room: 9, Away: true}, {Up: true, Room: 9, Opened: -time.Hour}}, Dial, -1},
+		"at the limit, the one that frees a stream first": {[]Link{{Up: true, Open: 10, Queued: 20}, up(4, 0), up(10, 0),
 			{Up: true, Room: 50, Away: true}}, Queue, 2},
 	} {
 		v, at := Pick(three, 0, tc.links)
@@ -38,7 +38,8 @@
 	}
 }
 
-// Calls at random never take more connections than the most, nor a link without room.
+// With random calls, the pool never exceeds the connection limit and never uses a connection without
+// a free stream.
 func TestPoolHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := Config{Most: rapid.IntRange(0, 5).Draw(t, "most"), Idle: time.Second, Age: 10 * time.Second}
@@ -61,11 +62,11 @@
 					l.Queued++
 				}
 			case len(links) == 0:
-			case !links[i].Up: // it comes up, and who waits takes its streams
+			case !links[i].Up: // it becomes ready, and waiting calls use its streams
 				l := &links[i]
 				l.Up, l.Open, l.Queued = true, min(l.Queued, peer), max(l.Queued-peer, 0)
 				l.Room = peer - l.Open
-			case links[i].Open > 0: // a stream ends, and one who waits takes it
+			case links[i].Open > 0: // a stream ends, and a waiting call uses it
 				l := &links[i]
 				if l.Used = now; l.Queued > 0 {
 					l.Queued--
--- a/internal/proto/h2/conn.go
+++ b/internal/proto/h2/conn.go
@@ -11,40 +11,39 @@
 // Field is a header field.
 type Field = hpack.HeaderField
 
-// Limits bound what the other side can make us keep or do.
+// Limits limits the resources that the peer can make this side use. Sizes are in bytes.
 type Limits struct {
-	Streams     int // open at once by the other side
-	HeaderBytes int // of a decoded header list
-	Body        int // of one message
-	Buffered    int // of all bodies that are not whole yet
+	Streams     int // streams that the peer may have open at once
+	HeaderBytes int // decoded size of a header list
+	Body        int // body of one message
+	Buffered    int // all incomplete bodies together
 }
 
-// Event is news for the user of a Conn.
+// Event is an event returned by Conn.Feed.
 type Event interface{ event() }
 
 type (
-	// Message is a whole request or response.
+	// Message is a complete request or response.
 	Message struct {
 		Stream uint32
 		Fields []Field
 		Body   []byte
-		TooBig bool // headers or body over the limit: what is here is a part
+		TooBig bool // headers or body exceed their limit, and the content is incomplete
 	}
-	// Head tells the client that an answer has begun: its status stands,
-	// whatever becomes of the rest.
+	// Head reports to a client that the headers of a response have been received. Its status
+	// is final, even if the rest of the response fails.
 	Head struct {
 		Stream uint32
 		Fields []Field
 	}
-	// Reset tells that a stream has ended before its message was whole, or
-	// that the other side wants no answer. NotRun tells that the request on
-	// it had no effect.
+	// Reset reports that a stream ended before its message was complete, or that the peer
+	// cancelled its request. NotRun means that the request had no effect on the server.
 	Reset struct {
 		Stream uint32
 		Code   Code
 		NotRun bool
 	}
-	// Farewell tells that the other side opens no more streams, or takes none.
+	// Farewell reports a GOAWAY frame: the peer accepts no further streams.
 	Farewell struct{ Code Code }
 )
 
@@ -53,42 +52,42 @@
 func (Reset) event()    {}
 func (Farewell) event() {}
 
-// Conn is one side of a connection.
+// Conn is one side of an HTTP/2 connection. It is not safe for concurrent use.
 type Conn struct {
 	client bool
 	limits Limits
 	in     []byte
 	out    []byte
-	opened bool // the other side's preface has come
-	met    bool // and its first SETTINGS
+	opened bool // the client's preface has been received
+	met    bool // the peer's first SETTINGS frame has been received
 
 	dec     *hpack.Decoder
 	enc     *hpack.Encoder
 	encoded bytes.Buffer
-	block   []byte // of a header list that goes on in CONTINUATION frames
-	blockOf frame  // its HEADERS frame; stream 0: none
-	parts   int    // frames of it
+	block   []byte // received part of a header block that continues in CONTINUATION frames
+	blockOf frame  // HEADERS frame of that block; stream 0 if there is none
+	parts   int    // frames of that block
 	fields  []Field
-	size    int // of the list being decoded
+	size    int // size of the header list being decoded (section 6.5.2)
 
 	streams    map[uint32]*stream
-	order      []uint32 // with something to send, oldest first
-	seen       uint32   // highest stream the other side has opened
-	lastPeer   uint32   // highest of these that we take
-	nextOwn    uint32   // client: the next to open
-	peerOpen   int
-	window     int64 // we may send
-	credit     int64 // the other side may send
-	used       int64 // of it, not yet given back
-	peerWindow int64 // initial, of streams
-	peerFrame  int
-	peerMost   int // streams that we may have open
-	leaving    bool
-	left       bool // the other side has said farewell
+	order      []uint32 // streams with data to send, oldest first
+	seen       uint32   // highest stream id that the peer has opened
+	lastPeer   uint32   // highest of these that we accepted
+	nextOwn    uint32   // client: id of the next stream to open
+	peerOpen   int      // streams opened by the peer that are still open
+	window     int64    // bytes that we may send
+	credit     int64    // bytes that the peer may send
+	used       int64    // bytes received and processed but not yet added to the receive window
+	peerWindow int64    // initial send window of streams
+	peerFrame  int      // largest frame payload that the peer accepts
+	peerMost   int      // streams that we may have open at once
+	leaving    bool     // we have sent GOAWAY
+	left       bool     // the peer has sent GOAWAY
 	failed     *ConnError
 
-	nuisance float64 // frames that cost only us, leaking with time
-	last     time.Time
+	nuisance float64   // score of useless frames, which decreases over time
+	last     time.Time // time of the last Feed
 	events   []Event
 }
 
@@ -96,31 +95,31 @@
 	id      uint32
 	fields  []Field
 	body    []byte
-	length  int64 // announced; -1: not
+	length  int64 // content-length; -1 if absent
 	tooBig  bool
-	headers bool // have come
-	remote  bool // the other side has ended it
-	local   bool // we have
-	window  int64
-	credit  int64
-	used    int64
-	pending []byte
-	ending  bool // END_STREAM follows what is pending
-	cut     bool // too big: yielded before its end
+	headers bool   // the header list has been received
+	remote  bool   // the peer has ended the stream
+	local   bool   // we have ended the stream
+	window  int64  // bytes that we may send
+	credit  int64  // bytes that the peer may send
+	used    int64  // bytes received that still count against the connection's window
+	pending []byte // body bytes to send
+	ending  bool   // END_STREAM follows the pending bytes
+	cut     bool   // too big: reported before its end
 }
 
-// The nuisance that one connection may be: a frame of a kind that costs only
-// us adds one, and so many leak away each second.
+// Flood protection: a frame that causes work without transferring a message adds one to the score
+// of its connection, and the score decreases by a fixed amount per second.
 const (
 	nuisanceMost = 200
 	nuisanceLeak = 20
 	partsMost    = 16
 )
 
-// NewServer returns the side that accepts.
+// NewServer returns the server side of a connection.
 func NewServer(l Limits) *Conn { return newConn(false, l) }
 
-// NewClient returns the side that dials.
+// NewClient returns the client side of a connection.
 func NewClient(l Limits) *Conn { return newConn(true, l) }
 
 func newConn(client bool, l Limits) *Conn {
@@ -135,8 +134,8 @@
 			c.fields = append(c.fields, f)
 		}
 	})
-	// A longer one is for the list's own limit to find: an error here would
-	// end the whole connection.
+	// Longer strings are left to the limit of the header list, because an error here would end
+	// the whole connection.
 	c.dec.SetMaxStringLength(4 * l.HeaderBytes)
 	if client {
 		c.out = append(c.out, Preface...)
@@ -155,18 +154,19 @@
 	return c
 }
 
-// streamWindow lets a body grow past its limit by so much that this shows.
+// streamWindow returns the receive window of a stream. It is larger than the body limit so that
+// a body over the limit can be detected.
 func (c *Conn) streamWindow() int { return max(c.limits.Body+1024, defaultWindow) }
 
-// Output takes what is to be written.
+// Output returns the bytes to be sent and clears the buffer.
 func (c *Conn) Output() []byte {
 	out := c.out
 	c.out = nil
 	return out
 }
 
-// Feed takes what has come and returns the news in it. After an error, which
-// is a *ConnError, the connection is of no use but for its Output.
+// Feed processes received bytes and returns the resulting events. Errors are of type *ConnError.
+// After an error the connection must be closed once its Output has been sent.
 func (c *Conn) Feed(now time.Time, b []byte) ([]Event, error) {
 	if c.failed != nil {
 		return nil, c.failed
@@ -208,7 +208,7 @@
 			return err
 		}
 		if !ok {
-			c.in = append([]byte(nil), c.in...) // let go of what has been read
+			c.in = append([]byte(nil), c.in...) // release the memory of processed bytes
 			return nil
 		}
 		c.in = rest
@@ -260,7 +260,7 @@
 		return c.farewell(f)
 	case frameWindow:
 		return c.windowUpdate(f)
-	default: // unknown kinds are skipped, but not for free
+	default: // unknown types are ignored but count as useless frames
 		c.nuisance++
 	}
 	return nil
@@ -339,7 +339,7 @@
 	return nil
 }
 
-// idle tells that a stream has never been opened.
+// idle reports whether a stream has never been opened.
 func (c *Conn) idle(id uint32) bool {
 	if id == 0 {
 		return false
@@ -388,8 +388,8 @@
 	return nil
 }
 
-// GoAway says that no further stream of the other side's is taken. Those it
-// has opened go on.
+// GoAway sends a GOAWAY frame: new streams of the peer are no longer accepted. Open streams
+// continue.
 func (c *Conn) GoAway() {
 	if !c.leaving {
 		c.goAway(NoError, "")
@@ -403,16 +403,16 @@
 	c.out = appendFrame(c.out, frameGoAway, 0, 0, append(b, why...))
 }
 
-// Begun tells that a frame or a header list has come in part.
+// Begun reports whether a frame or a header block has been received in part.
 func (c *Conn) Begun() bool { return len(c.in) > 0 || c.blockOf.stream != 0 }
 
-// Open is the number of streams that are open.
+// Open returns the number of open streams.
 func (c *Conn) Open() int { return len(c.streams) }
 
-// Room tells whether another stream may be opened by us.
+// Room reports whether this side may open another stream.
 func (c *Conn) Room() bool { return c.Free() > 0 }
 
-// Free is how many more streams we may open now: none while Closing.
+// Free returns how many more streams this side may open now. It is zero while Closing.
 func (c *Conn) Free() int {
 	if c.Closing() {
 		return 0
@@ -420,11 +420,11 @@
 	return max(c.peerMost-len(c.streams), 0)
 }
 
-// Closing tells that no further stream of ours will be opened: a GOAWAY went either
-// way, the connection failed, or its stream ids are spent.
+// Closing reports whether this side can open no further streams: a GOAWAY was sent or received,
+// the connection failed, or its stream ids are exhausted.
 func (c *Conn) Closing() bool {
 	return c.left || c.leaving || c.failed != nil || c.nextOwn >= maxWindow
 }
 
-// Left tells that the other side takes no further stream.
+// Left reports whether the peer has sent GOAWAY.
 func (c *Conn) Left() bool { return c.left }
--- a/internal/proto/h2/frame.go
+++ b/internal/proto/h2/frame.go
@@ -1,7 +1,7 @@
-// Package h2 speaks HTTP/2 (RFC 9113) without I/O: a Conn is fed what has come
-// and yields whole messages, resets and the other side's farewell; what it
-// wants written it keeps until Output takes it. Framing, streams and flow
-// control are its own; header compression is x/net's hpack.
+// Package h2 implements HTTP/2 (RFC 9113) without I/O. A Conn takes the bytes received
+// and returns whole messages, stream resets and GOAWAY notices. It buffers bytes to be
+// sent until Output returns them. Framing, streams and flow control are implemented
+// here; header compression uses the hpack package of golang.org/x/net.
 package h2
 
 import (
@@ -10,13 +10,13 @@
 	"fmt"
 )
 
-// Preface opens a client's side of a connection.
+// Preface is the connection preface, the first bytes that a client sends (section 3.4).
 const Preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 
 // Code is an error code of RFC 9113, section 7.
 type Code uint32
 
-// The codes used here.
+// Error codes used by this package.
 const (
 	NoError          Code = 0x0
 	ProtocolError    Code = 0x1
@@ -30,7 +30,7 @@
 	EnhanceYourCalm  Code = 0xb
 )
 
-// ConnError ends a connection. The GOAWAY that says so is already in Output.
+// ConnError is a connection error (section 5.4.1). The GOAWAY frame for it is already in Output.
 type ConnError struct {
 	Code Code
 	Why  string
@@ -38,7 +38,7 @@
 
 func (e *ConnError) Error() string { return fmt.Sprintf("HTTP/2 error %#x: %s", uint32(e.Code), e.Why) }
 
-// ErrNoStream tells that a connection takes no further stream.
+// ErrNoStream means that no further stream can be opened on the connection.
 var ErrNoStream = errors.New("no further stream on this connection")
 
 type frameType byte
@@ -77,7 +77,7 @@
 	frameHead     = 9
 	defaultWindow = 65535
 	maxWindow     = 1<<31 - 1
-	minFrameSize  = 16384 // also the largest that we take
+	minFrameSize  = 16384 // also the largest frame that we accept
 	maxFrameSize  = 1<<24 - 1
 )
 
@@ -90,7 +90,7 @@
 
 func (f frame) has(flag byte) bool { return f.flags&flag != 0 }
 
-// next takes one frame off b, or none where it is not whole.
+// next parses the first frame of b. ok is false if the frame is incomplete.
 func next(b []byte) (f frame, rest []byte, ok bool, err *ConnError) {
 	if len(b) < frameHead {
 		return f, b, false, nil
@@ -117,7 +117,7 @@
 	return binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint16(b, id), value)
 }
 
-// unpad strips padding, and the priority fields that HEADERS may carry.
+// unpad returns the payload without padding and without the priority fields of HEADERS.
 func unpad(f frame) ([]byte, *ConnError) {
 	b, pad := f.payload, 0
 	if f.has(flagPadded) {
--- a/internal/proto/h2/h2_test.go
+++ b/internal/proto/h2/h2_test.go
@@ -19,7 +19,7 @@
 	start = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 )
 
-// peer is x/net's framing on the other side of a Conn.
+// peer is the other side of a Conn, built on the framer of golang.org/x/net.
 type peer struct {
 	*http2.Framer
 	t        *testing.T
@@ -45,7 +45,7 @@
 	return p
 }
 
-// feed lets the Conn have what the peer has written.
+// feed passes the bytes written by the peer to the Conn.
 func (p *peer) feed() ([]Event, error) {
 	events, err := p.c.Feed(p.now, append([]byte(nil), p.to.Bytes()...))
 	p.to.Reset()
@@ -53,7 +53,7 @@
 	return events, err
 }
 
-// frames reads all that the Conn has written, as short texts.
+// frames returns the frames written by the Conn as short texts.
 func (p *peer) frames() (out []string) {
 	for {
 		f, err := p.ReadFrame()
@@ -100,14 +100,14 @@
 	assert.Equal(t, "/a", Get(m.Fields, ":path"))
 	assert.Equal(t, "hello", string(m.Body))
 	p.c.Respond(1, []Field{{Name: ":status", Value: "200"}}, []byte("yes"))
-	p.c.Respond(1, []Field{{Name: ":status", Value: "500"}}, nil) // a second answer is none
+	p.c.Respond(1, []Field{{Name: ":status", Value: "500"}}, nil) // a second response is ignored
 	_, err = p.feed()
 	require.NoError(t, err)
 	assert.Equal(t, []string{"HEADERS 1 200", "DATA 1 3 true"}, p.frames())
 	assert.Zero(t, p.c.Open())
 }
 
-// A body waits for both windows, and goes on when they open.
+// A body is sent as far as both flow-control windows allow, and continues when they are updated.
 func TestFlowControlOut(t *testing.T) {
 	p := newPeer(t, NewClient(small))
 	require.NoError(t, p.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 10}))
@@ -141,7 +141,7 @@
 		require.NoError(t, err, name)
 		require.Len(t, events, 1, name)
 		assert.True(t, events[0].(Message).TooBig, name)
-		if !strings.Contains(name, "header") { // what is still on its way is let go by
+		if !strings.Contains(name, "header") { // data that is still in transit is ignored
 			_ = p.WriteData(1, true, make([]byte, 50))
 		}
 		p.c.Respond(1, []Field{{Name: ":status", Value: "413"}}, nil)
@@ -165,7 +165,7 @@
 	_ = p.WriteData(7, true, []byte("x"))
 	events, err = p.feed()
 	require.NoError(t, err)
-	assert.Empty(t, events, "above the last stream nothing runs")
+	assert.Empty(t, events, "streams above the last one in GOAWAY are ignored")
 	assert.Equal(t, []string{"GOAWAY 3 NO_ERROR"}, p.frames())
 }
 
@@ -188,14 +188,14 @@
 		Reset{Stream: 3, Code: InternalError},
 		Reset{Stream: 7, Code: RefusedStream, NotRun: true},
 		Farewell{},
-		Reset{Stream: 5, Code: ProtocolError}, // an interim answer is no end
+		Reset{Stream: 5, Code: ProtocolError}, // an interim response must not end the stream
 	}, events)
 	assert.False(t, p.c.Room())
 	_, err = p.c.Request(nil, nil)
 	assert.ErrorIs(t, err, ErrNoStream)
 }
 
-// Half-done messages must not use up the connection's window for good.
+// Incomplete messages must not use up the connection's receive window permanently: the newest is refused.
 func TestHalfDoneMessagesAreRelieved(t *testing.T) {
 	p := newPeer(t, NewServer(Limits{Streams: 10, HeaderBytes: 1 << 10, Body: 60000, Buffered: 1 << 16}))
 	for _, id := range []uint32{1, 3} {
@@ -255,7 +255,7 @@
 		code Code
 	}{
 		"headers on an even stream": {func(p *peer) { p.headers(2, true, get...) }, ProtocolError},
-		"a stream used again": {func(p *peer) {
+		"stream id reused": {func(p *peer) {
 			p.headers(3, true, get...)
 			p.headers(1, true, get...)
 		}, StreamClosed},
@@ -302,14 +302,14 @@
 		require.NotEmpty(t, frames, name)
 		assert.Contains(t, frames[len(frames)-1], "GOAWAY", name)
 		_, err = p.feed()
-		assert.Error(t, err, "%s: it stays failed", name)
+		assert.Error(t, err, "%s: the error is permanent", name)
 	}
 	c := NewServer(small)
 	_, err := c.Feed(start, []byte("GET / HTTP/1.1\r\n"))
 	assert.ErrorContains(t, err, "preface")
 }
 
-// Frames that ask nothing are borne at a slow pace.
+// PING frames are accepted at a low rate.
 func TestSlowPingsAreBorne(t *testing.T) {
 	p := newPeer(t, NewServer(small))
 	for range 1000 {
@@ -320,7 +320,7 @@
 	}
 }
 
-// Whatever comes, in whatever pieces: no crash, and what is kept is bounded.
+// For any input in pieces of any size, Feed does not panic and the buffered data is limited.
 func FuzzFeed(f *testing.F) {
 	p := &peer{}
 	p.Framer = http2.NewFramer(&p.to, &p.from)
--- a/internal/proto/h2/stream.go
+++ b/internal/proto/h2/stream.go
@@ -28,7 +28,7 @@
 	if c.blockOf.stream == 0 {
 		return &ConnError{ProtocolError, "CONTINUATION of nothing"}
 	}
-	// Without bounds a list could go on for ever, one empty frame at a time.
+	// Without limits a header block could continue forever, one empty frame at a time.
 	c.parts++
 	if c.block = append(c.block, f.payload...); len(c.block) > 2*c.limits.HeaderBytes || c.parts > partsMost {
 		return &ConnError{EnhanceYourCalm, "an endless header list"}
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// headerList takes a whole header list. It is decoded whatever becomes of its
-// stream, as the tables of both sides must agree.
+// headerList processes a complete header block. The block is decoded even if its stream is
+// ignored, to keep the compression tables of both sides in sync.
 func (c *Conn) headerList() *ConnError {
 	f := c.blockOf
 	c.fields, c.size, c.blockOf = nil, 0, frame{}
@@ -57,7 +57,7 @@
 	switch {
 	case s != nil && s.remote:
 		return &ConnError{StreamClosed, "HEADERS behind the end of a stream"}
-	case s != nil && s.headers: // trailers, of which nothing is used
+	case s != nil && s.headers: // trailers, which are ignored
 		if !f.has(flagEndStream) {
 			return &ConnError{ProtocolError, "trailers that are not the end"}
 		}
@@ -67,7 +67,7 @@
 			return &ConnError{StreamClosed, "HEADERS on a closed stream"}
 		}
 		if c.seen = f.stream; c.leaving {
-			return nil // above the last stream of our GOAWAY: it never ran
+			return nil // above the last stream id in our GOAWAY, so the client knows that it did not run
 		}
 		if c.peerOpen >= c.limits.Streams {
 			c.nuisance++
@@ -78,7 +78,7 @@
 		c.lastPeer = f.stream
 		c.peerOpen++
 	case s == nil:
-		return nil // a stream that we have given up
+		return nil // a stream that we have reset
 	}
 	if c.client && interim(fields) {
 		if f.has(flagEndStream) {
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// cut yields a message that is too big before its end has come: the answer
-// need not wait for bytes that nobody wants.
+// completeTooBig reports a message that is too big before its end is received, so that the answer
+// does not wait for bytes that are discarded anyway.
 func (c *Conn) cut(s *stream) *ConnError {
 	s.tooBig, s.cut = true, true
 	return c.whole(s)
@@ -115,8 +115,8 @@
 	return len(fields) > 0 && fields[0].Name == ":status" && strings.HasPrefix(fields[0].Value, "1")
 }
 
-// check holds a header list to RFC 9113, section 8, and returns the length
-// that it announces, or -1.
+// check validates a header list (RFC 9113, section 8). It returns the content-length, or -1 if
+// there is none.
 func check(fields []Field, response bool) (length int64, ok bool) {
 	length = -1
 	pseudo, regular := map[string]bool{}, false
@@ -158,7 +158,7 @@
 	return length, len(pseudo) == known && pseudo[":method"] && pseudo[":scheme"] && pseudo[":path"]
 }
 
-// malformed resets a stream on which something malformed has come.
+// malformed resets a stream after a malformed message.
 func (c *Conn) malformed(s *stream) *ConnError {
 	c.nuisance++
 	c.Reset(s.id, ProtocolError)
@@ -180,7 +180,7 @@
 	}
 	s := c.streams[f.stream]
 	switch {
-	case s == nil, s.cut: // reset by us, or above our GOAWAY: its bytes count all the same
+	case s == nil, s.cut: // reset by us, or above our GOAWAY: its bytes still count against the connection's window
 		c.giveBack(n)
 		c.nuisance++
 		return nil
@@ -207,9 +207,9 @@
 	return nil
 }
 
-// relieve keeps half-done messages from using up the connection's window for
-// good, so that none could ever be whole: the youngest is refused. It never
-// ran and may come again.
+// refuseNewest resets the newest incomplete streams if incomplete messages have used up the
+// connection's receive window, because otherwise none of them could ever be completed. The client
+// may retry a refused request, as it did not run.
 func (c *Conn) relieve() {
 	for c.credit < minFrameSize {
 		var youngest *stream
@@ -225,8 +225,8 @@
 	}
 }
 
-// whole yields a message that is complete. Its bytes are given back to the
-// connection's window only now: so that window bounds all that is half done.
+// complete reports a complete message. Only now are its bytes returned to the connection's receive
+// window, so that this window limits the total size of incomplete messages.
 func (c *Conn) whole(s *stream) *ConnError {
 	if s.length >= 0 && s.length != int64(len(s.body)) && !s.tooBig {
 		return c.malformed(s)
@@ -240,7 +240,8 @@
 	return nil
 }
 
-// giveBack grants the connection's window anew, in large steps.
+// returnCredit adds n processed bytes to the connection's receive window. WINDOW_UPDATE frames are
+// sent only for large amounts.
 func (c *Conn) giveBack(n int64) {
 	c.used += n
 	if c.used >= int64(max(c.limits.Buffered, defaultWindow))/4 || c.used > 0 && c.credit < minFrameSize {
@@ -260,11 +261,11 @@
 	return s
 }
 
-// done drops a stream that both sides have ended.
+// closeIfDone removes a stream that both sides have ended.
 func (c *Conn) done(s *stream) {
 	if s.remote && s.local {
 		if c.drop(s); s.cut {
-			c.sendReset(s.id, NoError) // no need to send the rest
+			c.sendReset(s.id, NoError) // the peer need not send the rest
 		}
 	}
 }
@@ -287,7 +288,7 @@
 	}
 }
 
-// Request opens a stream with a whole request and returns its number.
+// Request opens a stream, sends a complete request on it and returns the stream id.
 func (c *Conn) Request(fields []Field, body []byte) (uint32, error) {
 	if !c.Room() {
 		return 0, ErrNoStream
@@ -298,15 +299,15 @@
 	return s.id, nil
 }
 
-// Respond answers a stream with a whole response. One that has gone is no
-// error: nobody waits for it.
+// Respond sends a complete response on a stream. It does nothing if the stream no longer exists
+// or already has a response.
 func (c *Conn) Respond(id uint32, fields []Field, body []byte) {
 	if s := c.streams[id]; s != nil && !s.local && !s.ending {
 		c.send(s, fields, body)
 	}
 }
 
-// Reset gives a stream up.
+// Reset ends a stream with RST_STREAM.
 func (c *Conn) Reset(id uint32, code Code) {
 	if s := c.streams[id]; s != nil {
 		c.drop(s)
@@ -321,7 +322,7 @@
 func (c *Conn) send(s *stream, fields []Field, body []byte) {
 	c.encoded.Reset()
 	for _, f := range fields {
-		_ = c.enc.WriteField(f) // into memory: it does not fail
+		_ = c.enc.WriteField(f) // writing to memory does not fail
 	}
 	kind, flags := frameHeaders, byte(0)
 	if len(body) == 0 {
@@ -348,7 +349,7 @@
 	c.flush()
 }
 
-// flush sends what the windows allow, the oldest stream first.
+// flush sends as much body data as the windows allow, oldest stream first.
 func (c *Conn) flush() {
 	waiting := c.order
 	c.order = nil
@@ -380,7 +381,7 @@
 	}
 }
 
-// Get returns the first field of that name, or "".
+// Get returns the value of the first field with the given name, or "".
 func Get(fields []Field, name string) string {
 	for _, f := range fields {
 		if f.Name == name {
--- a/internal/proto/http1/http1.go
+++ b/internal/proto/http1/http1.go
@@ -1,5 +1,5 @@
-// Package http1 writes HTTP/1.1 requests and reads responses. The parser does
-// no I/O: it is fed what has come and yields one response after the other.
+// Package http1 writes HTTP/1.1 requests and parses responses. The parser does no I/O:
+// it takes the bytes received and returns the responses in order.
 package http1
 
 import (
@@ -9,28 +9,28 @@
 	"strings"
 )
 
-// Errors that end a connection.
+// Parse errors. The connection must be closed after one of them.
 var (
 	ErrSyntax = errors.New("malformed HTTP/1.1 response")
 	ErrTooBig = errors.New("HTTP/1.1 response too big")
 )
 
 const (
-	maxHead    = 16 << 10 // bytes of status line and headers
+	maxHead    = 16 << 10 // bytes of the status line and the headers
 	maxHeaders = 64
 )
 
-// Response is one response.
+// Response is an HTTP response.
 type Response struct {
 	Status int
-	Close  bool // the connection ends with it
+	Close  bool // the connection closes after this response
 	Body   []byte
 	header []field
 }
 
 type field struct{ name, value string }
 
-// Get returns the first header of that name, in any case, or "".
+// Get returns the value of the first header with the given name, ignoring case, or "".
 func (r *Response) Get(name string) string {
 	for _, f := range r.header {
 		if strings.EqualFold(f.name, name) {
@@ -40,7 +40,7 @@
 	return ""
 }
 
-// Each calls f with every header, in order.
+// Each calls f for every header, in order.
 func (r *Response) Each(f func(name, value string)) {
 	for _, h := range r.header {
 		f(h.name, h.value)
@@ -59,31 +59,31 @@
 	untilClose
 )
 
-// Parser takes responses out of a stream. MaxBody bounds a body.
+// Parser parses the responses of a connection. MaxBody limits a body, in bytes.
 type Parser struct {
 	MaxBody int
-	// Sink, if set, gets the bodies of answers with status 200 piece by piece
-	// as they come; their bounds are its own. An error of it is Next's.
+	// Sink, if set, receives the bodies of responses with status 200 in pieces as they arrive.
+	// MaxBody does not apply to them. Next returns the errors of Sink.
 	Sink   func(b []byte) error
 	buf    []byte
 	at     state
-	left   int // of the body or chunk
-	now    *Response
-	status int // of the first line of the response that has begun; 0: not whole yet
+	left   int       // remaining bytes of the body or chunk
+	now    *Response // response being parsed
+	status int       // status of the response being received; zero until its status line is complete
 }
 
-// Feed adds what has come.
+// Feed adds received bytes.
 func (p *Parser) Feed(b []byte) { p.buf = append(p.buf, b...) }
 
-// Begun tells that part of a response has come.
+// Begun reports whether part of a response has been received.
 func (p *Parser) Begun() bool { return len(p.buf) > 0 || p.at != head }
 
-// Status is that of the first line of a response that has begun and is not
-// whole, also of one that is spoilt behind that line; 0 where there is none.
+// Status returns the status of an incomplete response whose status line is complete, even if
+// the rest is malformed. Otherwise it returns zero.
 func (p *Parser) Status() int { return p.status }
 
-// End takes the end of the stream and returns a response that this makes whole:
-// one without a length of its own.
+// End handles the end of the stream. It returns the current response if its body extends to
+// the end of the connection, or else nil.
 func (p *Parser) End() *Response {
 	if p.at != untilClose {
 		return nil
@@ -91,7 +91,7 @@
 	return p.done()
 }
 
-// Next returns the next whole response, or nil until there is one.
+// Next returns the next complete response, or nil if there is none yet.
 func (p *Parser) Next() (*Response, error) {
 	for {
 		switch p.at {
@@ -101,7 +101,7 @@
 			if !ok || err != nil {
 				return nil, err
 			}
-			if p.now.Status/100 == 1 { // interim: the answer is still to come
+			if p.now.Status/100 == 1 { // interim response: the final one follows
 				p.now, p.at, p.status = nil, head, 0
 				continue
 			}
@@ -164,8 +164,8 @@
 	return r
 }
 
-// firstLine notes the status as soon as its line is whole: it stands whatever
-// becomes of the rest.
+// recordStatus records the status as soon as the status line is complete. The status is final
+// even if the rest of the response fails.
 func (p *Parser) firstLine() {
 	line, _, ok := bytes.Cut(p.buf[:min(len(p.buf), maxHead)], []byte("\r\n"))
 	if status, err := statusLine(string(line)); ok && err == nil && status/100 != 1 {
@@ -241,7 +241,7 @@
 	return status, nil
 }
 
-// frame finds out how the body ends.
+// selectBodyFraming determines how the end of the body is found.
 func (p *Parser) frame() error {
 	coding, length := p.now.Get("Transfer-Encoding"), p.now.Get("Content-Length")
 	switch {
@@ -266,8 +266,8 @@
 	return nil
 }
 
-// Request writes a request. The headers are name and value in turn; they and
-// the path must hold no line break, which is checked where they come from.
+// Request returns an encoded request. headers alternates names and values. The headers and the
+// path must not contain line breaks, which has to be checked by their source.
 func Request(method, path, host string, body []byte, headers ...string) []byte {
 	b := make([]byte, 0, 256+len(body))
 	b = append(b, method...)
--- a/internal/proto/http1/http1_test.go
+++ b/internal/proto/http1/http1_test.go
@@ -51,7 +51,7 @@
 	assert.True(t, r.Close)
 }
 
-// A message counts as delivered from the first line on, whatever comes of the rest.
+// The status counts once the status line is complete, even if the rest of the response is missing.
 func TestCutShort(t *testing.T) {
 	for in, want := range map[string]int{
 		"":                            0,
@@ -68,7 +68,7 @@
 		_, err := p.Next()
 		require.NoError(t, err, in)
 		assert.Equal(t, want, p.Status(), in)
-		assert.Nil(t, p.End(), "%s: its end makes nothing whole", in)
+		assert.Nil(t, p.End(), "%s: the end of the stream does not complete it", in)
 	}
 }
 
@@ -124,8 +124,8 @@
 	})
 }
 
-// A body far over the bound goes to the sink as it comes, with or without a
-// length; the bound holds for all other answers.
+// Bodies of status 200 are passed to the sink as they arrive, with or without a content length, and
+// may exceed the limit. The limit applies to all other responses.
 func TestSink(t *testing.T) {
 	long := strings.Repeat("x", 300)
 	for _, head := range []string{"Content-Length: 300\r\n\r\n" + long, "Transfer-Encoding: chunked\r\n\r\n12c\r\n" + long + "\r\n0\r\n\r\n"} {
@@ -144,12 +144,12 @@
 				got = nil
 			}
 		}
-		assert.Nil(t, got, "the answer is whole")
+		assert.Nil(t, got, "the response is complete")
 		p.Feed([]byte("HTTP/1.1 500 No\r\n" + head))
 		_, err := p.Next()
 		assert.ErrorIs(t, err, ErrTooBig)
 	}
-	spoilt := errors.New("spoilt")
+	spoilt := errors.New("sink failed")
 	p := Parser{Sink: func([]byte) error { return spoilt }}
 	p.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nx"))
 	_, err := p.Next()
--- a/internal/proto/listing/capacity_test.go
+++ b/internal/proto/listing/capacity_test.go
@@ -11,7 +11,7 @@
 	"snowjunction/internal/gauge"
 )
 
-// What an entry of a long list costs to read.
+// BenchmarkReadLongList measures the CPU time per entry of a long list.
 func BenchmarkReadLongList(b *testing.B) {
 	const n = 100_000
 	var text strings.Builder
--- a/internal/proto/listing/listing.go
+++ b/internal/proto/listing/listing.go
@@ -1,6 +1,6 @@
-// Package listing reads a target group's list as discovery writes it, a JSON
-// object of any size, piece by piece as it comes. It does no I/O and holds one
-// entry at a time.
+// Package listing parses the list of a target group as sent by the discovery service: a
+// JSON object of any size, parsed incrementally. It does no I/O and buffers one entry at
+// a time.
 package listing
 
 import (
@@ -12,45 +12,46 @@
 	"github.com/valyala/fastjson"
 )
 
-// Errors that spoil a list.
+// Parse errors. A list with an error is unusable.
 var (
-	ErrSyntax  = errors.New("not a list in JSON")
+	ErrSyntax  = errors.New("invalid JSON list")
 	ErrTooBig  = errors.New("the list is too big")
 	ErrMissing = errors.New("no generation")
 )
 
-// Bounds of what is not bounded by Reader's own.
+// Limits that are not set in Reader.
 const (
-	entryMost = 16 << 10 // bytes of one entry, or of another member's value
-	keyMost   = 256
-	depthMost = 32
+	entryMost = 16 << 10 // bytes of one entry, or of the value of another member
+	keyMost   = 256      // bytes of a member's name
+	depthMost = 32       // nested objects and arrays in one value
 )
 
-// Reader reads one list. Entry is called for each of its instances, with what
-// is the Reader's until the call returns.
+// Reader parses one list. Entry is called for each of its instances. The value is valid only
+// during the call.
 type Reader struct {
 	Entry   func(v *fastjson.Value) error
 	MaxSize int // bytes
 	MaxList int // entries
 
 	Generation uint64
-	Full       bool
-	Entries    int
-	// Partitions is of how many the list's writer has picked those that were asked for; 0: it has
-	// told all, -1: what it says of them cannot be read.
+	Full       bool // the list is complete rather than a set of changes (member "reset")
+	Entries    int  // number of instances read
+	// Partitions is the total number of partitions if the list contains only the requested ones.
+	// Zero means that the list is not partitioned, -1 that the value is invalid.
 	Partitions int
 
 	size   int
 	at     place
 	key    string
-	listed bool // the instances have come
-	known  bool // the generation has come
+	listed bool // the instances have been read
+	known  bool // the generation has been read
 	buf    []byte
 	scan   scan
 	parser fastjson.Parser
 	err    error
 }
 
+// place is a position in the syntax of a list.
 type place int
 
 const (
@@ -59,8 +60,8 @@
 	nextKey               // after a comma
 	colon                 // before :
 	value                 // before a member's value
-	inValue               // in it
-	after                 // after it
+	inValue               // in a member's value
+	after                 // after a member's value
 	element               // in instances: before an entry, or ]
 	nextElem              // after a comma
 	inElem                // in an entry
@@ -74,11 +75,11 @@
 	depth                          int
 }
 
-// take returns how many bytes of b belong to the value, and whether it ends
-// with them.
+// consume returns how many bytes of b belong to the value, and whether the value ends with
+// them.
 func (s *scan) take(b []byte) (n int, ended bool, err error) {
 	for i := 0; i < len(b); i++ {
-		if s.quoted && !s.escaped { // most of a list is text
+		if s.quoted && !s.escaped { // fast path: most of a list consists of strings
 			for i < len(b) && b[i] != '"' && b[i] != '\\' {
 				i++
 			}
@@ -125,10 +126,10 @@
 
 func space(c byte) bool { return c == ' ' || c == '\n' || c == '\t' || c == '\r' }
 
-// Size is how many bytes have come.
+// Size returns the number of bytes received.
 func (r *Reader) Size() int { return r.size }
 
-// Feed reads what has come. After an error it returns that again.
+// Feed parses received bytes. After an error it returns the same error again.
 func (r *Reader) Feed(b []byte) error {
 	if r.err == nil {
 		r.err = r.feed(b)
@@ -173,8 +174,7 @@
 	return nil
 }
 
-// step takes one byte between values. It returns true where a value begins
-// with it.
+// step processes a byte between values. It returns true if a value begins with this byte.
 func (r *Reader) step(c byte) (stay bool, err error) {
 	begin := func(p place) (bool, error) {
 		r.at, r.scan, r.buf = p, scan{}, r.buf[:0]
@@ -192,7 +192,7 @@
 		r.at = value
 	case r.at == value && r.key == "instances" && c == '[':
 		if r.listed {
-			return false, fmt.Errorf("%w: instances come twice", ErrSyntax)
+			return false, fmt.Errorf("%w: duplicate member instances", ErrSyntax)
 		}
 		r.listed, r.at = true, element
 	case r.at == value && c != '}' && c != ']' && c != ',':
@@ -206,12 +206,12 @@
 	case r.at == behind && c == ',':
 		r.at = nextElem
 	default:
-		return false, fmt.Errorf("%w: %q out of place", ErrSyntax, c)
+		return false, fmt.Errorf("%w: unexpected %q", ErrSyntax, c)
 	}
 	return false, nil
 }
 
-// whole takes a value that has come whole.
+// finishValue processes a complete value.
 func (r *Reader) whole() error {
 	v, err := r.parser.ParseBytes(r.buf)
 	if err != nil {
@@ -233,7 +233,7 @@
 		text, _ := v.StringBytes()
 		r.key, r.at = string(text), colon
 		if r.key == "" {
-			r.key = " " // names nothing that is used
+			r.key = " " // matches no known member
 		}
 	default:
 		r.at = after
@@ -260,13 +260,13 @@
 	return nil
 }
 
-// End tells that no more comes. The list must be whole.
+// End must be called after the last byte. It returns an error if the list is incomplete.
 func (r *Reader) End() error {
 	switch {
 	case r.err != nil:
 		return r.err
 	case r.at != end:
-		r.err = fmt.Errorf("%w: it ends too early", ErrSyntax)
+		r.err = fmt.Errorf("%w: unexpected end", ErrSyntax)
 	case !r.known:
 		r.err = ErrMissing
 	}
--- a/internal/proto/listing/listing_test.go
+++ b/internal/proto/listing/listing_test.go
@@ -21,7 +21,7 @@
 const good = ` {"x" : {"deep":[1,{"y":"]}"}]}, "generation": 41, "reset":true ,"instances":[ {"instanceId":"a\"}]","n":[{}]},
 	{"instanceId":"b"}] , "after":null}  `
 
-// However the text is cut into pieces, it reads the same.
+// The result does not depend on the sizes of the pieces.
 func TestPieces(t *testing.T) {
 	for size := 1; size <= len(good); size++ {
 		var got []string
@@ -67,11 +67,11 @@
 			err = r.End()
 		}
 		assert.ErrorIs(t, err, want, "%.60s", text)
-		assert.ErrorIs(t, r.Feed([]byte("{}")), want, "it stays spoilt")
+		assert.ErrorIs(t, r.Feed([]byte("{}")), want, "the error is permanent")
 	}
 }
 
-// What a list says of partitions does not spoil it: who has asked for some judges that.
+// An invalid number of partitions is not a parse error: the caller checks it.
 func TestPartitions(t *testing.T) {
 	for text, want := range map[string]int{"": 0, `,"partitions":16384`: 16384, `,"partitions":"7"`: -1, `,"partitions":0`: -1, `,"partitions":-7`: -1, `,"partitions":null`: -1} {
 		r := reader(&[]string{})
@@ -81,7 +81,7 @@
 	}
 }
 
-// The error of an entry tells which one it was.
+// An error of Entry is returned with the index of the instance.
 func TestEntryRefused(t *testing.T) {
 	r := &Reader{MaxSize: 1000, MaxList: 9, Entry: func(v *fastjson.Value) error {
 		if !v.Exists("cell") {
@@ -92,8 +92,7 @@
 	assert.EqualError(t, r.Feed([]byte(`{"generation":1,"instances":[{"cell":1},{}]}`)), "instances[1]: no cell")
 }
 
-// Whatever comes, the reader neither fails nor holds more than one entry, and
-// takes only what a JSON parser takes too.
+// For any input, the reader does not panic, buffers at most one entry, and accepts only valid JSON.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte(good), 3)
 	f.Add([]byte(`{"generation":1,"instances":[{"a":"\u00e9\\"}],"reset":false}`), 1)
@@ -107,15 +106,15 @@
 				break
 			}
 			if len(r.buf) > entryMost {
-				t.Fatalf("holds %d bytes", len(r.buf))
+				t.Fatalf("%d bytes buffered", len(r.buf))
 			}
 		}
 		if r.End() == nil {
 			if err := fastjson.ValidateBytes(text); err != nil {
-				t.Fatalf("taken, but %v", err)
+				t.Fatalf("accepted, but %v", err)
 			}
 			if n != r.Entries {
-				t.Fatalf("%d entries told, %d counted", n, r.Entries)
+				t.Fatalf("%d entries passed to Entry, %d counted", n, r.Entries)
 			}
 		}
 	})
--- a/internal/proto/oneline/oneline.go
+++ b/internal/proto/oneline/oneline.go
@@ -1,5 +1,6 @@
-// Package oneline reads the one call that a connection to the second address carries: a
-// line of a word and, for some, an argument. It does no I/O.
+// Package oneline parses the call on a connection to the console listener (the second address).
+// Each connection carries one call: a line with a command word and an optional argument. The
+// parser does no I/O.
 package oneline
 
 import (
@@ -8,10 +9,10 @@
 	"strings"
 )
 
-// Most is how long a line may be, its end not counted.
+// Most is the maximum length of a line in bytes, without the line end.
 const Most = 256
 
-// Errors of Feed.
+// Errors returned by Feed.
 var (
 	ErrLong  = errors.New("the line is too long")
 	ErrEmpty = errors.New("a call is wanted")
@@ -19,23 +20,23 @@
 	ErrWords = errors.New("a call is a word and at most one argument")
 )
 
-// Call is what was asked for.
+// Call is a parsed call.
 type Call struct{ Word, Arg string }
 
-// Parser reads one call. Its zero value is ready.
+// Parser parses one call. The zero value is ready to use.
 type Parser struct {
 	held []byte
 	over bool
 }
 
-// Feed takes what has come. ok tells that the line is whole; what follows it is dropped.
+// Feed parses received bytes. ok is true once the line is complete; bytes after it are ignored.
 func (p *Parser) Feed(b []byte) (c Call, ok bool, err error) {
 	if p.over {
 		return c, false, nil
 	}
 	n := bytes.IndexByte(b, '\n')
 	if n < 0 {
-		if p.held = append(p.held, b[:min(len(b), Most+2)]...); len(p.held) > Most+1 { // a \r may be its end's
+		if p.held = append(p.held, b[:min(len(b), Most+2)]...); len(p.held) > Most+1 { // the last byte may be the \r of the line end
 			p.over, p.held = true, nil
 			return c, false, ErrLong
 		}
--- a/internal/proto/oneline/oneline_test.go
+++ b/internal/proto/oneline/oneline_test.go
@@ -23,7 +23,7 @@
 		long + "x\n":          {err: ErrLong},
 		long + long:           {err: ErrLong},
 	} {
-		for _, step := range []int{1, 3, len(in)} { // in pieces of any size
+		for _, step := range []int{1, 3, len(in)} { // received in pieces of different sizes
 			var p Parser
 			var got Call
 			var ok bool
--- a/internal/proto/resp/reply.go
+++ b/internal/proto/resp/reply.go
@@ -6,34 +6,34 @@
 	"strconv"
 )
 
-// Bounds of a reply: more is an error.
+// Limits of a reply. Exceeding one is an error.
 const (
-	MaxReplyLine = 512 // bytes of a simple string or an error, with its mark and without its end
-	MaxReplyBulk = 4 << 10
+	MaxReplyLine = 512     // bytes of a simple string or an error, with the type byte and without the line end
+	MaxReplyBulk = 4 << 10 // bytes of a bulk string
 )
 
-// Errors that end a connection whose replies are read.
+// Errors of ReplyParser. The connection must be closed.
 var (
-	ErrReply    = errors.New("protocol error: no reply that is awaited")
+	ErrReply    = errors.New("protocol error: invalid reply")
 	ErrReplyBig = errors.New("protocol error: the reply is too big")
 )
 
-// ReplyParser takes replies out of a stream: simple strings, errors and bulk strings. Any other
-// kind, a null bulk string among them, is an error.
+// ReplyParser parses the replies of a connection: simple strings, errors and bulk strings. All other
+// types, including null bulk strings, are errors.
 type ReplyParser struct {
 	buf  []byte
-	seen int // of buf, where no line ends
+	seen int // bytes of buf already searched for a line end
 	err  error
 }
 
-// Feed adds what has come.
+// Feed adds received bytes.
 func (p *ReplyParser) Feed(b []byte) { p.buf = append(p.buf, b...) }
 
-// Idle tells that no reply has begun.
+// Idle reports whether no part of a reply is buffered.
 func (p *ReplyParser) Idle() bool { return len(p.buf) == 0 }
 
-// Next returns the next whole reply as it came, with its marks and line ends, or nil until there
-// is one. After an error the stream is of no use. The reply is the caller's to keep.
+// Next returns the next complete reply in its encoded form, or nil if there is none yet. After an
+// error the stream is unusable. The caller may keep the reply.
 func (p *ReplyParser) Next() ([]byte, error) {
 	if p.err != nil || len(p.buf) == 0 {
 		return nil, p.err
@@ -47,7 +47,7 @@
 	return reply, nil
 }
 
-// whole is the length of the first reply; 0: it is not whole yet.
+// replyLength returns the encoded length of the first reply, or zero if it is incomplete.
 func (p *ReplyParser) whole() (int, error) {
 	most := MaxReplyLine
 	switch p.buf[0] {
@@ -59,7 +59,7 @@
 	}
 	at := bytes.IndexByte(p.buf[p.seen:], '\n')
 	switch {
-	case at < 0 && len(p.buf) > most+1: // a \r may be the last
+	case at < 0 && len(p.buf) > most+1: // the last byte may be the \r of the line end
 		return 0, ErrReplyBig
 	case at < 0:
 		p.seen = len(p.buf)
@@ -89,7 +89,7 @@
 	return end + 2, nil
 }
 
-// Command is a command as a client sends it.
+// Command encodes a command as an array of bulk strings.
 func Command(args ...[]byte) []byte {
 	n := 16
 	for _, a := range args {
--- a/internal/proto/resp/reply_test.go
+++ b/internal/proto/resp/reply_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// replies reads all that comes in pieces of a size, until an error.
+// replies parses in, fed in pieces of the given size, until an error.
 func replies(in string, size int) (got []string, err error) {
 	var p ReplyParser
 	for at := 0; at < len(in); at += size {
@@ -69,7 +69,7 @@
 	require.Error(t, err)
 	p.Feed([]byte("+OK\r\n"))
 	_, err = p.Next()
-	assert.Error(t, err, "nothing that comes behind an error counts")
+	assert.Error(t, err, "input after an error is ignored")
 }
 
 func TestCommandIsRead(t *testing.T) {
@@ -82,8 +82,8 @@
 	assert.True(t, p.Idle())
 }
 
-// What a parser makes of a stream does not depend on the pieces in which it comes, is the stream
-// itself up to what is no reply, and takes no more memory than a reply and a piece.
+// The replies do not depend on the sizes of the pieces, are a prefix of the stream, and the parser
+// buffers no more than a reply and a piece.
 func FuzzReplies(f *testing.F) {
 	f.Add([]byte("+OK\r\n-BUSY 40\r\n$2\r\nhi\r\n"), 3)
 	f.Add([]byte("$-1\r\n"), 1)
--- a/internal/proto/resp/resp.go
+++ b/internal/proto/resp/resp.go
@@ -1,5 +1,6 @@
-// Package resp reads the requests of RESP2 clients and writes its answers. The
-// parser does no I/O: it is fed what has come and yields whole commands.
+// Package resp implements RESP2, the Redis serialization protocol: it parses and writes
+// commands and replies. The parsers do no I/O: they take the bytes received and return
+// whole commands or replies.
 package resp
 
 import (
@@ -7,32 +8,32 @@
 	"strconv"
 )
 
-// Bounds of a command: more is an error.
+// Limits of a command. Exceeding one is an error.
 const (
 	MaxArgs  = 16
 	MaxBulk  = 64 << 10 // bytes of one argument
 	MaxTotal = 80 << 10 // bytes of a whole command
-	maxLine  = 32       // of a length line
+	maxLine  = 32       // bytes of a length line
 )
 
-// Errors that end a connection, as no boundary is known any more.
+// Parse errors. The connection must be closed, as command boundaries are no longer known.
 var (
 	ErrSyntax = errors.New("protocol error: expected an array of bulk strings")
 	ErrLength = errors.New("protocol error: invalid length")
 	ErrTooBig = errors.New("protocol error: too big")
 )
 
-// Parser takes commands out of a stream.
+// Parser parses the commands of a connection.
 type Parser struct {
 	buf  []byte
-	pos  int // of the first byte not looked at
-	want int // arguments still to come; 0: between commands
-	size int // of the next argument; -1: its length line is to come
+	pos  int // offset of the first unparsed byte
+	want int // arguments still missing; zero between commands
+	size int // size of the next argument; -1 until its length line is read
 	args [][]byte
-	sum  int
+	sum  int // bytes of all arguments so far
 }
 
-// Feed adds what has come.
+// Feed adds received bytes.
 func (p *Parser) Feed(b []byte) {
 	if p.pos > 0 && p.pos == len(p.buf) {
 		p.buf, p.pos = p.buf[:0], 0
@@ -40,11 +41,11 @@
 	p.buf = append(p.buf, b...)
 }
 
-// Idle tells that no command has begun.
+// Idle reports whether no part of a command is buffered.
 func (p *Parser) Idle() bool { return p.want == 0 && p.pos == len(p.buf) }
 
-// Rest is what has come of a command that is not whole: a parser fed with it stands where
-// this one does.
+// Rest returns the received part of an incomplete command. Feeding it to a new parser
+// restores the state of this one.
 func (p *Parser) Rest() []byte {
 	var b []byte
 	if p.want > 0 {
@@ -59,8 +60,8 @@
 	return append(b, p.buf[p.pos:]...)
 }
 
-// Next returns the next whole command, or nil until there is one. After an
-// error the stream is of no use. The arguments are the caller's to keep.
+// Next returns the next complete command, or nil if there is none yet. After an error the
+// stream is unusable. The caller may keep the arguments.
 func (p *Parser) Next() ([][]byte, error) {
 	for {
 		if p.want == 0 {
@@ -71,7 +72,7 @@
 			if n > MaxArgs {
 				return nil, ErrTooBig
 			}
-			if n <= 0 { // an empty array asks nothing
+			if n <= 0 { // an empty array is ignored
 				continue
 			}
 			p.want, p.size, p.args, p.sum = n, -1, nil, 0
@@ -108,7 +109,7 @@
 	}
 }
 
-// length reads a line such as *3 or $12.
+// length parses a length line such as *3 or $12.
 func (p *Parser) length(mark byte) (n int, ok bool, err error) {
 	rest := p.buf[p.pos:]
 	if len(rest) == 0 {
@@ -141,7 +142,7 @@
 	return 0, false, nil
 }
 
-// compact gives back what has been read, so that the buffer stays bounded.
+// compact discards parsed bytes to keep the buffer small.
 func (p *Parser) compact() {
 	if p.pos == 0 {
 		return
@@ -150,10 +151,11 @@
 	p.pos = 0
 }
 
-// Simple is a simple string such as +OK.
+// Simple encodes a simple string such as +OK.
 func Simple(text string) []byte { return []byte("+" + text + "\r\n") }
 
-// Error is an error answer; text begins with its code, such as ERR.
+// Error encodes an error reply. text begins with an error code such as ERR. Line breaks are
+// replaced by spaces.
 func Error(text string) []byte {
 	b := append([]byte("-"), text...)
 	for i := range b {
@@ -164,7 +166,7 @@
 	return append(b, '\r', '\n')
 }
 
-// Bulk is a bulk string.
+// Bulk encodes a bulk string.
 func Bulk(b []byte) []byte {
 	out := append([]byte("$"), strconv.Itoa(len(b))...)
 	out = append(append(out, '\r', '\n'), b...)
--- a/internal/proto/resp/resp_test.go
+++ b/internal/proto/resp/resp_test.go
@@ -52,7 +52,7 @@
 
 func TestAnswers(t *testing.T) {
 	assert.Equal(t, "+OK\r\n", string(Simple("OK")))
-	assert.Equal(t, "-ERR a  b\r\n", string(Error("ERR a\r\nb")), "no line break gets through")
+	assert.Equal(t, "-ERR a  b\r\n", string(Error("ERR a\r\nb")), "line breaks are replaced")
 	assert.Equal(t, "$2\r\nhi\r\n", string(Bulk([]byte("hi"))))
 }
 
