--- a/internal/describe/asyncapi.go
+++ b/internal/describe/asyncapi.go
@@ -29,7 +29,7 @@
 	if v := root.child("asyncapi"); !strings.HasPrefix(v.text(), "3.0.") {
 		v.fail("version %q is not supported, only 3.0", v.text())
 	}
-	if v := root.child("defaultContentType"); v.there() {
+	if v := root.child("defaultContentType"); v.exists() {
 		v.oneOf("application/json")
 	}
 	root.child("info").object("title!", "version!", "description", "license", "contact")
@@ -87,7 +87,7 @@
 // notice reads a message. Its payload must be an object with fields that the front supports.
 func notice(n node, states []string) Notice {
 	n.object("payload!", "name", "title", "summary", "description", "contentType")
-	if v := n.child("contentType"); v.there() {
+	if v := n.child("contentType"); v.exists() {
 		v.oneOf("application/json")
 	}
 	p := n.child("payload").resolve()
@@ -104,7 +104,7 @@
 			continue
 		}
 		f.child("type").oneOf(types[name])
-		if v := f.child("format"); v.there() {
+		if v := f.child("format"); v.exists() {
 			v.oneOf("date-time")
 		}
 		out.Fields = append(out.Fields, name)
@@ -113,7 +113,7 @@
 	for _, e := range state.child("enum").list() {
 		out.States = append(out.States, e.text())
 	}
-	if c := state.child("const"); c.there() {
+	if c := state.child("const"); c.exists() {
 		out.States = append(out.States, c.text())
 	}
 	// The state "withdrawn" is optional: it occurs only if the front serves deleteMessage.
--- a/internal/describe/describe_test.go
+++ b/internal/describe/describe_test.go
@@ -9,14 +9,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-func deployed(t *testing.T, name string) string {
+func readDeployed(t *testing.T, name string) string {
 	b, err := os.ReadFile("../../deploy/" + name)
 	require.NoError(t, err)
 	return string(b)
 }
 
 func TestDeployedDocuments(t *testing.T) {
-	api, err := OpenAPI("openapi.json", []byte(deployed(t, "openapi.json")))
+	api, err := OpenAPI("openapi.json", []byte(readDeployed(t, "openapi.json")))
 	require.NoError(t, err)
 	assert.Equal(t, 65536, api.Submit.MaxBody)
 	assert.Equal(t, "/message/a", api.Status.Link("a"))
@@ -30,7 +30,7 @@
 	for _, bad := range []string{"", "x", "0", "-1", "3601", "1.5"} {
 		assert.Error(t, ttl.Check(bad), bad)
 	}
-	life, err := AsyncAPI("asyncapi.json", []byte(deployed(t, "asyncapi.json")))
+	life, err := AsyncAPI("asyncapi.json", []byte(readDeployed(t, "asyncapi.json")))
 	require.NoError(t, err)
 	assert.Equal(t, []string{"id", "state"}, life.Taken.Fields)
 	assert.Equal(t, []string{"id", "state", "at", "after_ms"}, life.Ended.Fields)
@@ -38,7 +38,7 @@
 
 // A document that describes unsupported behaviour is rejected with the location.
 func TestUnsupportedOpenAPI(t *testing.T) {
-	good := deployed(t, "openapi.json")
+	good := readDeployed(t, "openapi.json")
 	for _, tc := range []struct{ old, new, want string }{
 		{`"3.1.0"`, `"3.0.3"`, `#/openapi: version`},
 		{`"info":`, `"webhooks": {}, "info":`, `#/webhooks: not supported`},
@@ -64,7 +64,7 @@
 }
 
 func TestUnsupportedAsyncAPI(t *testing.T) {
-	good := deployed(t, "asyncapi.json")
+	good := readDeployed(t, "asyncapi.json")
 	for _, tc := range []struct{ old, new, want string }{
 		{`"3.0.0"`, `"2.6.0"`, `#/asyncapi: version`},
 		{`"channels":`, `"servers": {}, "channels":`, `#/servers: not supported`},
--- a/internal/describe/openapi.go
+++ b/internal/describe/openapi.go
@@ -22,13 +22,13 @@
 	Params   []Param
 	MaxBody  int // maximum size of the request body in bytes; zero means no body
 	Statuses []int
-	from     node // location in the document
+	source   node // location in the document
 }
 
 // Segment is a segment of a path: either a literal word or a parameter.
 type Segment struct {
-	Word  string
-	Param string
+	Literal string
+	Param   string
 }
 
 // Param describes a parameter and its allowed values.
@@ -46,7 +46,7 @@
 	MaxLength int // bytes; zero means no limit
 	Enum      []string
 	Min, Max  int
-	bounded   bool // Max is set
+	hasMax    bool // Max is set
 }
 
 // Check returns an error if the value does not match the schema.
@@ -58,7 +58,7 @@
 			return fmt.Errorf("a whole number is wanted")
 		case n < s.Min:
 			return fmt.Errorf("at least %d is wanted", s.Min)
-		case s.bounded && n > s.Max:
+		case s.hasMax && n > s.Max:
 			return fmt.Errorf("at most %d is wanted", s.Max)
 		}
 		return nil
@@ -95,7 +95,7 @@
 		switch {
 		case s.Param != "":
 			params[s.Param] = parts[i]
-		case s.Word != parts[i]:
+		case s.Literal != parts[i]:
 			return nil, false
 		}
 	}
@@ -110,7 +110,7 @@
 		if s.Param != "" {
 			b.WriteString(value)
 		} else {
-			b.WriteString(s.Word)
+			b.WriteString(s.Literal)
 		}
 	}
 	return b.String()
@@ -159,7 +159,7 @@
 		}
 	}
 	if root.doc.err == nil {
-		check(api)
+		checkOperations(api)
 	}
 	if err := root.doc.error(); err != nil {
 		return nil, err
@@ -167,8 +167,8 @@
 	return api, nil
 }
 
-// check compares the operations with the implemented handlers.
-func check(api *API) {
+// checkOperations compares the operations with the implemented handlers.
+func checkOperations(api *API) {
 	for _, want := range []struct {
 		op           *Operation
 		id, method   string
@@ -190,31 +190,31 @@
 			continue // optional operation that is not in the document
 		}
 		if want.op.Method != want.method {
-			want.op.from.fail("operation %q must use the method %s", want.id, want.method)
+			want.op.source.fail("operation %q must use the method %s", want.id, want.method)
 		}
 		if want.op.MaxBody > 0 != want.takes {
-			want.op.from.fail("operation %q: the presence of a request body does not match the handler", want.id)
+			want.op.source.fail("operation %q: the presence of a request body does not match the handler", want.id)
 		}
 		for _, p := range want.params {
 			in, name, _ := strings.Cut(p, " ")
 			if x := want.op.Param(in, name); x == nil || !x.Required {
-				want.op.from.fail("operation %q needs the required parameter %q in %s", want.id, name, in)
+				want.op.source.fail("operation %q needs the required parameter %q in %s", want.id, name, in)
 			}
 		}
 		for _, p := range want.op.Params {
 			key := p.In + " " + p.Name
 			if !slices.Contains(want.params, key) && !slices.Contains(want.optional, key) {
-				want.op.from.fail("operation %q: unsupported parameter %q in %s", want.id, p.Name, p.In)
+				want.op.source.fail("operation %q: unsupported parameter %q in %s", want.id, p.Name, p.In)
 			}
 		}
 		for _, status := range want.statuses {
 			if !slices.Contains(want.op.Statuses, status) {
-				want.op.from.fail("operation %q also answers %d, which is not described", want.id, status)
+				want.op.source.fail("operation %q also answers %d, which is not described", want.id, status)
 			}
 		}
 		for _, status := range want.op.Statuses {
 			if !slices.Contains(want.statuses, status) {
-				want.op.from.fail("operation %q never answers %d", want.id, status)
+				want.op.source.fail("operation %q never answers %d", want.id, status)
 			}
 		}
 	}
@@ -223,7 +223,7 @@
 // operation reads an operation.
 func operation(n node, path, method string) Operation {
 	n.object("operationId!", "responses!", "parameters", "requestBody", "summary", "description", "tags")
-	o := Operation{Method: method, from: n}
+	o := Operation{Method: method, source: n}
 	for _, part := range strings.Split(strings.TrimPrefix(path, "/"), "/") {
 		name, isParam := strings.CutPrefix(part, "{")
 		name, closed := strings.CutSuffix(name, "}")
@@ -233,7 +233,7 @@
 		case part == "" || strings.ContainsAny(part, "{}"):
 			n.fail("the path %q is not supported", path)
 		default:
-			o.Path = append(o.Path, Segment{Word: part})
+			o.Path = append(o.Path, Segment{Literal: part})
 		}
 	}
 	for _, p := range n.child("parameters").list() {
@@ -244,7 +244,7 @@
 			n.child("parameters").fail("path parameter %q is not described", s.Param)
 		}
 	}
-	if body := n.child("requestBody"); body.there() {
+	if body := n.child("requestBody"); body.exists() {
 		o.MaxBody = requestBody(body.resolve())
 	}
 	responses := n.child("responses")
@@ -279,8 +279,8 @@
 // schema reads the schema of a parameter.
 func schema(n node) Schema {
 	n.object("type!", "pattern", "maxLength", "minLength", "enum", "minimum", "maximum", "description", "examples")
-	s := Schema{Type: n.child("type").oneOf("string", "integer"), MaxLength: n.child("maxLength").whole(0)}
-	if p := n.child("pattern"); p.there() {
+	s := Schema{Type: n.child("type").oneOf("string", "integer"), MaxLength: n.child("maxLength").wholeNumber(0)}
+	if p := n.child("pattern"); p.exists() {
 		re, err := regexp.Compile(p.text())
 		if err != nil {
 			p.fail("%v", err)
@@ -290,9 +290,9 @@
 	for _, e := range n.child("enum").list() {
 		s.Enum = append(s.Enum, e.text())
 	}
-	s.Min, s.Max = n.child("minimum").whole(0), n.child("maximum").whole(0)
-	s.bounded = n.child("maximum").there()
-	if least := n.child("minLength"); least.there() && least.whole(0) != 1 {
+	s.Min, s.Max = n.child("minimum").wholeNumber(0), n.child("maximum").wholeNumber(0)
+	s.hasMax = n.child("maximum").exists()
+	if least := n.child("minLength"); least.exists() && least.wholeNumber(0) != 1 {
 		least.fail("only 1 is supported")
 	}
 	return s
@@ -305,7 +305,7 @@
 	media := content.child("application/octet-stream").object("schema!")
 	s := media.child("schema").resolve().object("type", "maxLength!", "contentEncoding", "description")
 	limit := s.child("maxLength")
-	if n := limit.whole(0); n > 0 && n <= 64<<10 {
+	if n := limit.wholeNumber(0); n > 0 && n <= 64<<10 {
 		return n
 	}
 	limit.fail("expected a limit of 1 to 65536")
--- a/internal/describe/walk.go
+++ b/internal/describe/walk.go
@@ -18,17 +18,17 @@
 type Error struct {
 	Document string
 	Pointer  string // RFC 6901
-	Why      string
+	Reason   string
 }
 
-func (e *Error) Error() string { return fmt.Sprintf("%s: %s: %s", e.Document, e.Pointer, e.Why) }
+func (e *Error) Error() string { return fmt.Sprintf("%s: %s: %s", e.Document, e.Pointer, e.Reason) }
 
 // node is a value in a document with its location. Errors do not stop the reading; the first
 // one is stored in the document.
 type node struct {
-	doc *document
-	at  string
-	v   *fastjson.Value
+	doc     *document
+	pointer string
+	value   *fastjson.Value
 }
 
 // document is a parsed document with the first error found in it.
@@ -49,7 +49,7 @@
 // fail stores an error at n, unless there already is one.
 func (n node) fail(format string, args ...any) {
 	if n.doc.err == nil {
-		n.doc.err = &Error{n.doc.name, "#" + n.at, fmt.Sprintf(format, args...)}
+		n.doc.err = &Error{n.doc.name, "#" + n.pointer, fmt.Sprintf(format, args...)}
 	}
 }
 
@@ -65,25 +65,25 @@
 // child returns a member of an object. The member may be missing.
 func (n node) child(key string) node {
 	var v *fastjson.Value
-	if n.v != nil && n.v.Type() == fastjson.TypeObject {
-		v = n.v.Get(key)
+	if n.value != nil && n.value.Type() == fastjson.TypeObject {
+		v = n.value.Get(key)
 	}
-	return node{n.doc, n.at + "/" + escape(key), v}
+	return node{n.doc, n.pointer + "/" + escape(key), v}
 }
 
-func (n node) there() bool { return n.v != nil }
+func (n node) exists() bool { return n.value != nil }
 
 // object checks that n is an object that has no members other than those listed. A name that
 // ends in "!" is required. Extensions (x-...) are ignored.
 func (n node) object(members ...string) node {
-	if n.v == nil || n.v.Type() != fastjson.TypeObject {
+	if n.value == nil || n.value.Type() != fastjson.TypeObject {
 		n.fail("expected an object")
 		return n
 	}
 	known := map[string]bool{}
 	for _, m := range members {
 		name := strings.TrimSuffix(m, "!")
-		if known[name] = true; name != m && !n.child(name).there() {
+		if known[name] = true; name != m && !n.child(name).exists() {
 			n.fail("%q is missing", name)
 		}
 	}
@@ -97,32 +97,32 @@
 
 // keys returns the names of the members in document order.
 func (n node) keys() (out []string) {
-	if n.v == nil || n.v.Type() != fastjson.TypeObject {
+	if n.value == nil || n.value.Type() != fastjson.TypeObject {
 		return nil
 	}
-	n.v.GetObject().Visit(func(key []byte, _ *fastjson.Value) { out = append(out, string(key)) })
+	n.value.GetObject().Visit(func(key []byte, _ *fastjson.Value) { out = append(out, string(key)) })
 	return out
 }
 
 func (n node) list() (out []node) {
-	if n.v == nil {
+	if n.value == nil {
 		return nil
 	}
-	items, err := n.v.Array()
+	items, err := n.value.Array()
 	if err != nil {
 		n.fail("expected an array")
 	}
 	for i, v := range items {
-		out = append(out, node{n.doc, n.at + "/" + strconv.Itoa(i), v})
+		out = append(out, node{n.doc, n.pointer + "/" + strconv.Itoa(i), v})
 	}
 	return out
 }
 
 func (n node) text() string {
-	if n.v == nil {
+	if n.value == nil {
 		return ""
 	}
-	b, err := n.v.StringBytes()
+	b, err := n.value.StringBytes()
 	if err != nil {
 		n.fail("expected a string")
 	}
@@ -139,23 +139,23 @@
 }
 
 // wholeNumber returns a non-negative integer, or the default value if it is missing or invalid.
-func (n node) whole(other int) int {
-	if n.v == nil {
-		return other
+func (n node) wholeNumber(fallback int) int {
+	if n.value == nil {
+		return fallback
 	}
-	i, err := n.v.Int()
+	i, err := n.value.Int()
 	if err != nil || i < 0 {
 		n.fail("expected an integer of 0 or more")
-		return other
+		return fallback
 	}
 	return i
 }
 
 func (n node) bool() bool {
-	if n.v == nil {
+	if n.value == nil {
 		return false
 	}
-	b, err := n.v.Bool()
+	b, err := n.value.Bool()
 	if err != nil {
 		n.fail("expected true or false")
 	}
@@ -166,19 +166,19 @@
 func (n node) resolve() node {
 	for range 8 {
 		ref := n.child("$ref")
-		if !ref.there() {
+		if !ref.exists() {
 			return n
 		}
 		path, ok := strings.CutPrefix(ref.text(), "#/")
 		if !ok {
 			ref.fail("only references within the document are supported")
-			return node{n.doc, n.at, nil}
+			return node{n.doc, n.pointer, nil}
 		}
 		to := node{n.doc, "", n.doc.root}
 		for _, key := range strings.Split(path, "/") {
 			to = to.child(unescape(key))
 		}
-		if !to.there() {
+		if !to.exists() {
 			ref.fail("%q does not exist", ref.text())
 			return to
 		}
--- a/internal/h2pool/pool.go
+++ b/internal/h2pool/pool.go
@@ -44,8 +44,8 @@
 	return [...]string{"use", "dial", "queue"}[v]
 }
 
-// usable reports whether a connection accepts new streams in principle.
-func (c Config) usable(now time.Duration, l Link) bool {
+// acceptsStreams reports whether a connection accepts new streams in principle.
+func (c Config) acceptsStreams(now time.Duration, l Link) bool {
 	return !l.Away && (c.Age <= 0 || now-l.Opened < c.Age)
 }
 
@@ -56,7 +56,7 @@
 func Pick(c Config, now time.Duration, links []Link) (Verdict, int) {
 	best, bestOpen, waiting, live := -1, -1, -1, 0
 	for i, l := range links {
-		if !c.usable(now, l) {
+		if !c.acceptsStreams(now, l) {
 			continue
 		}
 		live++
@@ -81,7 +81,7 @@
 	// All are full: the connection with the fewest calls per stream is expected to free one first.
 	least, at := 0.0, -1
 	for i, l := range links {
-		if !c.usable(now, l) {
+		if !c.acceptsStreams(now, l) {
 			continue
 		}
 		load := float64(l.Open+l.Queued+1) / float64(max(l.Open+l.Room, 1))
@@ -107,7 +107,7 @@
 	switch {
 	case !empty:
 		return Keep
-	case !c.usable(now, l):
+	case !c.acceptsStreams(now, l):
 		return Spent
 	case l.Up && c.Idle > 0 && now-l.Used >= c.Idle:
 		return Idle
--- a/internal/h2pool/pool_test.go
+++ b/internal/h2pool/pool_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-var three = Config{Most: 3, Idle: time.Second, Age: time.Minute}
+var threeConnections = Config{Most: 3, Idle: time.Second, Age: time.Minute}
 
-func up(open, room int) Link { return Link{Up: true, Open: open, Room: room} }
+func ready(open, room int) Link { return Link{Up: true, Open: open, Room: room} }
 
 func TestPickAndRetire(t *testing.T) {
 	for name, tc := range map[string]struct {
@@ -19,14 +19,14 @@
 		at    int
 	}{
 		"no connections":                                         {nil, Dial, -1},
-		"the fullest with a free stream":                         {[]Link{up(2, 98), up(7, 93), up(0, 100)}, Use, 1},
-		"a connecting one takes as many as its expected streams": {[]Link{up(100, 0), {Room: 100, Queued: 3}}, Use, 1},
-		"but not more":                                           {[]Link{up(100, 0), {Room: 3, Queued: 3}}, Dial, -1},
+		"the fullest with a free stream":                         {[]Link{ready(2, 98), ready(7, 93), ready(0, 100)}, Use, 1},
+		"a connecting one takes as many as its expected streams": {[]Link{ready(100, 0), {Room: 100, Queued: 3}}, Use, 1},
+		"but not more":                                           {[]Link{ready(100, 0), {Room: 3, Queued: 3}}, Dial, -1},
 		"closing or too old ones are not used":                   {[]Link{{Up: true, Room: 9, Away: true}, {Up: true, Room: 9, Opened: -time.Hour}}, Dial, -1},
-		"at the limit, the one that frees a stream first": {[]Link{{Up: true, Open: 10, Queued: 20}, up(4, 0), up(10, 0),
+		"at the limit, the one that frees a stream first": {[]Link{{Up: true, Open: 10, Queued: 20}, ready(4, 0), ready(10, 0),
 			{Up: true, Room: 50, Away: true}}, Queue, 2},
 	} {
-		v, at := Pick(three, 0, tc.links)
+		v, at := Pick(threeConnections, 0, tc.links)
 		assert.Equal(t, [2]any{tc.v, tc.at}, [2]any{v, at}, name)
 	}
 	for l, want := range map[Link]Reason{
@@ -34,13 +34,13 @@
 		{Up: true, Used: -time.Second + 1}: Keep, {Used: -time.Hour}: Keep, {Up: true, Away: true}: Spent,
 		{Up: true, Opened: -time.Minute}: Spent,
 	} {
-		assert.Equal(t, want, Retire(three, 0, l), "%+v", l)
+		assert.Equal(t, want, Retire(threeConnections, 0, l), "%+v", l)
 	}
 }
 
 // With random calls, the pool never exceeds the connection limit and never uses a connection without
 // a free stream.
-func TestPoolHolds(t *testing.T) {
+func TestPoolKeepsItsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := Config{Most: rapid.IntRange(0, 5).Draw(t, "most"), Idle: time.Second, Age: 10 * time.Second}
 		peer, now := rapid.IntRange(1, 8).Draw(t, "streams"), time.Duration(0)
@@ -55,7 +55,7 @@
 					links, at = append(links, Link{Room: peer, Opened: now, Used: now}), len(links)
 				}
 				l := &links[at]
-				assert.True(t, c.usable(now, *l) && (v == Queue || l.Room > l.Queued), "%v", v)
+				assert.True(t, c.acceptsStreams(now, *l) && (v == Queue || l.Room > l.Queued), "%v", v)
 				if v == Use && l.Up {
 					l.Open, l.Room, l.Used = l.Open+1, l.Room-1, now
 				} else {
@@ -78,7 +78,7 @@
 			for _, l := range links {
 				if Retire(c, now, l) == Keep {
 					kept = append(kept, l)
-					if c.usable(now, l) {
+					if c.acceptsStreams(now, l) {
 						live++
 					}
 				}
--- a/internal/proto/h2/conn.go
+++ b/internal/proto/h2/conn.go
@@ -54,66 +54,66 @@
 
 // Conn is one side of an HTTP/2 connection. It is not safe for concurrent use.
 type Conn struct {
-	client bool
-	limits Limits
-	in     []byte
-	out    []byte
-	opened bool // the client's preface has been received
-	met    bool // the peer's first SETTINGS frame has been received
-
-	dec     *hpack.Decoder
-	enc     *hpack.Encoder
-	encoded bytes.Buffer
-	block   []byte // received part of a header block that continues in CONTINUATION frames
-	blockOf frame  // HEADERS frame of that block; stream 0 if there is none
-	parts   int    // frames of that block
-	fields  []Field
-	size    int // size of the header list being decoded (section 6.5.2)
-
-	streams    map[uint32]*stream
-	order      []uint32 // streams with data to send, oldest first
-	seen       uint32   // highest stream id that the peer has opened
-	lastPeer   uint32   // highest of these that we accepted
-	nextOwn    uint32   // client: id of the next stream to open
-	peerOpen   int      // streams opened by the peer that are still open
-	window     int64    // bytes that we may send
-	credit     int64    // bytes that the peer may send
-	used       int64    // bytes received and processed but not yet added to the receive window
-	peerWindow int64    // initial send window of streams
-	peerFrame  int      // largest frame payload that the peer accepts
-	peerMost   int      // streams that we may have open at once
-	leaving    bool     // we have sent GOAWAY
-	left       bool     // the peer has sent GOAWAY
-	failed     *ConnError
-
-	nuisance float64   // score of useless frames, which decreases over time
-	last     time.Time // time of the last Feed
-	events   []Event
+	client           bool
+	limits           Limits
+	inBuffer         []byte
+	outBuffer        []byte
+	prefaceReceived  bool // the client's preface has been received
+	settingsReceived bool // the peer's first SETTINGS frame has been received
+
+	decoder          *hpack.Decoder
+	encoder          *hpack.Encoder
+	encoded          bytes.Buffer
+	headerBlock      []byte // received part of a header block that continues in CONTINUATION frames
+	headerFrame      frame  // HEADERS frame of that block; stream 0 if there is none
+	headerFrameCount int    // frames of that block
+	fields           []Field
+	headerListSize   int // size of the header list being decoded (section 6.5.2)
+
+	streams            map[uint32]*stream
+	sendQueue          []uint32 // streams with data to send, oldest first
+	highestPeerStream  uint32   // highest stream id that the peer has opened
+	lastAcceptedStream uint32   // highest of these that we accepted
+	nextStreamID       uint32   // client: id of the next stream to open
+	openPeerStreams    int      // streams opened by the peer that are still open
+	sendWindow         int64    // bytes that we may send
+	receiveWindow      int64    // bytes that the peer may send
+	unreturnedCredit   int64    // bytes received and processed but not yet added to the receive window
+	peerInitialWindow  int64    // initial send window of streams
+	peerMaxFrameSize   int      // largest frame payload that the peer accepts
+	peerMaxStreams     int      // streams that we may have open at once
+	goAwaySent         bool     // we have sent GOAWAY
+	goAwayReceived     bool     // the peer has sent GOAWAY
+	connError          *ConnError
+
+	floodScore float64   // score of useless frames, which decreases over time
+	lastFeed   time.Time // time of the last Feed
+	events     []Event
 }
 
 type stream struct {
-	id      uint32
-	fields  []Field
-	body    []byte
-	length  int64 // content-length; -1 if absent
-	tooBig  bool
-	headers bool   // the header list has been received
-	remote  bool   // the peer has ended the stream
-	local   bool   // we have ended the stream
-	window  int64  // bytes that we may send
-	credit  int64  // bytes that the peer may send
-	used    int64  // bytes received that still count against the connection's window
-	pending []byte // body bytes to send
-	ending  bool   // END_STREAM follows the pending bytes
-	cut     bool   // too big: reported before its end
+	id               uint32
+	fields           []Field
+	body             []byte
+	contentLength    int64 // content-length; -1 if absent
+	tooBig           bool
+	headersReceived  bool   // the header list has been received
+	remoteClosed     bool   // the peer has ended the stream
+	localClosed      bool   // we have ended the stream
+	sendWindow       int64  // bytes that we may send
+	receiveWindow    int64  // bytes that the peer may send
+	unreturnedCredit int64  // bytes received that still count against the connection's window
+	pending          []byte // body bytes to send
+	endStreamPending bool   // END_STREAM follows the pending bytes
+	reportedEarly    bool   // too big: reported before its end
 }
 
 // Flood protection: a frame that causes work without transferring a message adds one to the score
 // of its connection, and the score decreases by a fixed amount per second.
 const (
-	nuisanceMost = 200
-	nuisanceLeak = 20
-	partsMost    = 16
+	maxFloodScore            = 200
+	floodScoreDecayPerSecond = 20
+	maxHeaderFrames          = 16
 )
 
 // NewServer returns the server side of a connection.
@@ -124,58 +124,58 @@
 
 func newConn(client bool, l Limits) *Conn {
 	c := &Conn{
-		client: client, limits: l, streams: map[uint32]*stream{}, nextOwn: 1, opened: client,
-		window: defaultWindow, peerWindow: defaultWindow, peerFrame: minFrameSize, peerMost: 100,
-		credit: int64(max(l.Buffered, defaultWindow)),
+		client: client, limits: l, streams: map[uint32]*stream{}, nextStreamID: 1, prefaceReceived: client,
+		sendWindow: defaultWindow, peerInitialWindow: defaultWindow, peerMaxFrameSize: minFrameSize, peerMaxStreams: 100,
+		receiveWindow: int64(max(l.Buffered, defaultWindow)),
 	}
-	c.enc = hpack.NewEncoder(&c.encoded)
-	c.dec = hpack.NewDecoder(4096, func(f Field) {
-		if c.size += len(f.Name) + len(f.Value) + 32; c.size <= l.HeaderBytes {
+	c.encoder = hpack.NewEncoder(&c.encoded)
+	c.decoder = hpack.NewDecoder(4096, func(f Field) {
+		if c.headerListSize += len(f.Name) + len(f.Value) + 32; c.headerListSize <= l.HeaderBytes {
 			c.fields = append(c.fields, f)
 		}
 	})
 	// Longer strings are left to the limit of the header list, because an error here would end
 	// the whole connection.
-	c.dec.SetMaxStringLength(4 * l.HeaderBytes)
+	c.decoder.SetMaxStringLength(4 * l.HeaderBytes)
 	if client {
-		c.out = append(c.out, Preface...)
+		c.outBuffer = append(c.outBuffer, Preface...)
 	}
 	var s []byte
 	if client {
 		s = appendSetting(s, settingPush, 0)
 	}
-	s = appendSetting(s, settingConcurrent, uint32(l.Streams))
-	s = appendSetting(s, settingWindow, uint32(c.streamWindow()))
+	s = appendSetting(s, settingMaxStreams, uint32(l.Streams))
+	s = appendSetting(s, settingWindow, uint32(c.initialStreamWindow()))
 	s = appendSetting(s, settingHeaderBytes, uint32(l.HeaderBytes))
-	c.out = appendFrame(c.out, frameSettings, 0, 0, s)
-	if c.credit > defaultWindow {
-		c.grant(0, c.credit-defaultWindow)
+	c.outBuffer = appendFrame(c.outBuffer, frameSettings, 0, 0, s)
+	if c.receiveWindow > defaultWindow {
+		c.sendWindowUpdate(0, c.receiveWindow-defaultWindow)
 	}
 	return c
 }
 
-// streamWindow returns the receive window of a stream. It is larger than the body limit so that
+// initialStreamWindow returns the receive window of a stream. It is larger than the body limit so that
 // a body over the limit can be detected.
-func (c *Conn) streamWindow() int { return max(c.limits.Body+1024, defaultWindow) }
+func (c *Conn) initialStreamWindow() int { return max(c.limits.Body+1024, defaultWindow) }
 
 // Output returns the bytes to be sent and clears the buffer.
 func (c *Conn) Output() []byte {
-	out := c.out
-	c.out = nil
+	out := c.outBuffer
+	c.outBuffer = nil
 	return out
 }
 
 // Feed processes received bytes and returns the resulting events. Errors are of type *ConnError.
 // After an error the connection must be closed once its Output has been sent.
 func (c *Conn) Feed(now time.Time, b []byte) ([]Event, error) {
-	if c.failed != nil {
-		return nil, c.failed
+	if c.connError != nil {
+		return nil, c.connError
 	}
-	if !c.last.IsZero() {
-		c.nuisance = max(0, c.nuisance-nuisanceLeak*now.Sub(c.last).Seconds())
+	if !c.lastFeed.IsZero() {
+		c.floodScore = max(0, c.floodScore-floodScoreDecayPerSecond*now.Sub(c.lastFeed).Seconds())
 	}
-	c.last = now
-	c.in = append(c.in, b...)
+	c.lastFeed = now
+	c.inBuffer = append(c.inBuffer, b...)
 	err := c.read()
 	events := c.events
 	c.events = nil
@@ -187,63 +187,63 @@
 }
 
 func (c *Conn) fail(err *ConnError) {
-	c.failed = err
+	c.connError = err
 	c.goAway(err.Code, err.Why)
 }
 
 func (c *Conn) read() *ConnError {
-	if !c.opened {
-		n := min(len(c.in), len(Preface))
-		if string(c.in[:n]) != Preface[:n] {
+	if !c.prefaceReceived {
+		n := min(len(c.inBuffer), len(Preface))
+		if string(c.inBuffer[:n]) != Preface[:n] {
 			return &ConnError{ProtocolError, "no HTTP/2 preface"}
 		}
 		if n < len(Preface) {
 			return nil
 		}
-		c.in, c.opened = c.in[n:], true
+		c.inBuffer, c.prefaceReceived = c.inBuffer[n:], true
 	}
 	for {
-		f, rest, ok, err := next(c.in)
+		f, rest, ok, err := parseFrame(c.inBuffer)
 		if err != nil {
 			return err
 		}
 		if !ok {
-			c.in = append([]byte(nil), c.in...) // release the memory of processed bytes
+			c.inBuffer = append([]byte(nil), c.inBuffer...) // release the memory of processed bytes
 			return nil
 		}
-		c.in = rest
-		if err := c.frame(f); err != nil {
+		c.inBuffer = rest
+		if err := c.handleFrame(f); err != nil {
 			return err
 		}
-		if c.nuisance > nuisanceMost {
+		if c.floodScore > maxFloodScore {
 			return &ConnError{EnhanceYourCalm, "too many frames that ask nothing"}
 		}
 	}
 }
 
-func (c *Conn) frame(f frame) *ConnError {
+func (c *Conn) handleFrame(f frame) *ConnError {
 	switch {
-	case !c.met && (f.kind != frameSettings || f.has(flagAck)):
+	case !c.settingsReceived && (f.kind != frameSettings || f.has(flagAck)):
 		return &ConnError{ProtocolError, "SETTINGS must come first"}
-	case c.blockOf.stream != 0 && (f.kind != frameContinuation || f.stream != c.blockOf.stream):
+	case c.headerFrame.stream != 0 && (f.kind != frameContinuation || f.stream != c.headerFrame.stream):
 		return &ConnError{ProtocolError, "a header list was cut short"}
 	}
 	switch f.kind {
 	case frameData:
-		return c.data(f)
+		return c.handleData(f)
 	case frameHeaders:
-		return c.headers(f)
+		return c.handleHeaders(f)
 	case frameContinuation:
-		return c.continuation(f)
+		return c.handleContinuation(f)
 	case framePriority:
-		c.nuisance++
+		c.floodScore++
 		if f.stream == 0 || len(f.payload) != 5 {
 			return &ConnError{ProtocolError, "malformed PRIORITY"}
 		}
 	case frameReset:
-		return c.reset(f)
+		return c.handleReset(f)
 	case frameSettings:
-		return c.settings(f)
+		return c.handleSettings(f)
 	case framePush:
 		return &ConnError{ProtocolError, "PUSH_PROMISE, which was declined"}
 	case framePing:
@@ -253,20 +253,20 @@
 		case len(f.payload) != 8:
 			return &ConnError{FrameSizeError, "malformed PING"}
 		case !f.has(flagAck):
-			c.nuisance++
-			c.out = appendFrame(c.out, framePing, flagAck, 0, f.payload)
+			c.floodScore++
+			c.outBuffer = appendFrame(c.outBuffer, framePing, flagAck, 0, f.payload)
 		}
 	case frameGoAway:
-		return c.farewell(f)
+		return c.handleGoAway(f)
 	case frameWindow:
-		return c.windowUpdate(f)
+		return c.handleWindowUpdate(f)
 	default: // unknown types are ignored but count as useless frames
-		c.nuisance++
+		c.floodScore++
 	}
 	return nil
 }
 
-func (c *Conn) settings(f frame) *ConnError {
+func (c *Conn) handleSettings(f frame) *ConnError {
 	switch {
 	case f.stream != 0:
 		return &ConnError{ProtocolError, "SETTINGS on a stream"}
@@ -275,29 +275,29 @@
 	case f.has(flagAck):
 		return nil
 	}
-	if c.met {
-		c.nuisance++
+	if c.settingsReceived {
+		c.floodScore++
 	}
-	c.met = true
+	c.settingsReceived = true
 	for b := f.payload; len(b) > 0; b = b[6:] {
 		v := binary.BigEndian.Uint32(b[2:])
 		switch binary.BigEndian.Uint16(b) {
 		case settingTableSize:
-			c.enc.SetMaxDynamicTableSizeLimit(min(v, 4096))
+			c.encoder.SetMaxDynamicTableSizeLimit(min(v, 4096))
 		case settingPush:
 			if v > 1 || v == 1 && c.client {
 				return &ConnError{ProtocolError, "SETTINGS: push"}
 			}
-		case settingConcurrent:
-			c.peerMost = int(min(v, 1<<20))
+		case settingMaxStreams:
+			c.peerMaxStreams = int(min(v, 1<<20))
 		case settingWindow:
 			if v > maxWindow {
 				return &ConnError{FlowControlError, "SETTINGS: window"}
 			}
-			delta := int64(v) - c.peerWindow
-			c.peerWindow = int64(v)
+			delta := int64(v) - c.peerInitialWindow
+			c.peerInitialWindow = int64(v)
 			for _, s := range c.streams {
-				if s.window += delta; s.window > maxWindow {
+				if s.sendWindow += delta; s.sendWindow > maxWindow {
 					return &ConnError{FlowControlError, "SETTINGS: a stream's window overflows"}
 				}
 			}
@@ -305,15 +305,15 @@
 			if v < minFrameSize || v > maxFrameSize {
 				return &ConnError{ProtocolError, "SETTINGS: frame size"}
 			}
-			c.peerFrame = int(v)
+			c.peerMaxFrameSize = int(v)
 		}
 	}
-	c.out = appendFrame(c.out, frameSettings, flagAck, 0, nil)
+	c.outBuffer = appendFrame(c.outBuffer, frameSettings, flagAck, 0, nil)
 	c.flush()
 	return nil
 }
 
-func (c *Conn) windowUpdate(f frame) *ConnError {
+func (c *Conn) handleWindowUpdate(f frame) *ConnError {
 	if len(f.payload) != 4 {
 		return &ConnError{FrameSizeError, "malformed WINDOW_UPDATE"}
 	}
@@ -322,18 +322,18 @@
 		return &ConnError{ProtocolError, "WINDOW_UPDATE on an idle stream"}
 	}
 	if f.stream == 0 {
-		if c.window += n; n == 0 || c.window > maxWindow {
+		if c.sendWindow += n; n == 0 || c.sendWindow > maxWindow {
 			return &ConnError{FlowControlError, "WINDOW_UPDATE of the connection"}
 		}
 	} else if s := c.streams[f.stream]; s != nil {
-		if s.window += n; n == 0 || s.window > maxWindow {
+		if s.sendWindow += n; n == 0 || s.sendWindow > maxWindow {
 			c.Reset(f.stream, FlowControlError)
 			c.events = append(c.events, Reset{Stream: f.stream, Code: FlowControlError})
 			return nil
 		}
 	}
-	if len(c.order) == 0 {
-		c.nuisance += 0.1
+	if len(c.sendQueue) == 0 {
+		c.floodScore += 0.1
 	}
 	c.flush()
 	return nil
@@ -345,41 +345,41 @@
 		return false
 	}
 	if own := id%2 == 1; own == c.client {
-		return id >= c.nextOwn
+		return id >= c.nextStreamID
 	}
-	return id > c.seen
+	return id > c.highestPeerStream
 }
 
-func (c *Conn) reset(f frame) *ConnError {
+func (c *Conn) handleReset(f frame) *ConnError {
 	switch {
 	case len(f.payload) != 4:
 		return &ConnError{FrameSizeError, "malformed RST_STREAM"}
 	case f.stream == 0 || c.idle(f.stream):
 		return &ConnError{ProtocolError, "RST_STREAM on an idle stream"}
 	}
-	c.nuisance++
+	c.floodScore++
 	s := c.streams[f.stream]
 	if s == nil {
 		return nil
 	}
 	code := Code(binary.BigEndian.Uint32(f.payload))
-	c.drop(s)
+	c.removeStream(s)
 	c.events = append(c.events, Reset{Stream: f.stream, Code: code, NotRun: c.client && code == RefusedStream})
 	return nil
 }
 
-func (c *Conn) farewell(f frame) *ConnError {
+func (c *Conn) handleGoAway(f frame) *ConnError {
 	if f.stream != 0 || len(f.payload) < 8 {
 		return &ConnError{ProtocolError, "malformed GOAWAY"}
 	}
-	c.nuisance++
-	c.left = true
+	c.floodScore++
+	c.goAwayReceived = true
 	last := binary.BigEndian.Uint32(f.payload) & maxWindow
 	code := Code(binary.BigEndian.Uint32(f.payload[4:]))
 	if c.client {
-		for id := uint32(1); id < c.nextOwn; id += 2 {
+		for id := uint32(1); id < c.nextStreamID; id += 2 {
 			if s := c.streams[id]; s != nil && id > last {
-				c.drop(s)
+				c.removeStream(s)
 				c.events = append(c.events, Reset{Stream: id, Code: RefusedStream, NotRun: true})
 			}
 		}
@@ -391,20 +391,20 @@
 // GoAway sends a GOAWAY frame: new streams of the peer are no longer accepted. Open streams
 // continue.
 func (c *Conn) GoAway() {
-	if !c.leaving {
+	if !c.goAwaySent {
 		c.goAway(NoError, "")
 	}
 }
 
 func (c *Conn) goAway(code Code, why string) {
-	c.leaving = true
-	b := binary.BigEndian.AppendUint32(nil, c.lastPeer)
+	c.goAwaySent = true
+	b := binary.BigEndian.AppendUint32(nil, c.lastAcceptedStream)
 	b = binary.BigEndian.AppendUint32(b, uint32(code))
-	c.out = appendFrame(c.out, frameGoAway, 0, 0, append(b, why...))
+	c.outBuffer = appendFrame(c.outBuffer, frameGoAway, 0, 0, append(b, why...))
 }
 
 // Begun reports whether a frame or a header block has been received in part.
-func (c *Conn) Begun() bool { return len(c.in) > 0 || c.blockOf.stream != 0 }
+func (c *Conn) Begun() bool { return len(c.inBuffer) > 0 || c.headerFrame.stream != 0 }
 
 // Open returns the number of open streams.
 func (c *Conn) Open() int { return len(c.streams) }
@@ -417,14 +417,14 @@
 	if c.Closing() {
 		return 0
 	}
-	return max(c.peerMost-len(c.streams), 0)
+	return max(c.peerMaxStreams-len(c.streams), 0)
 }
 
 // Closing reports whether this side can open no further streams: a GOAWAY was sent or received,
 // the connection failed, or its stream ids are exhausted.
 func (c *Conn) Closing() bool {
-	return c.left || c.leaving || c.failed != nil || c.nextOwn >= maxWindow
+	return c.goAwayReceived || c.goAwaySent || c.connError != nil || c.nextStreamID >= maxWindow
 }
 
 // Left reports whether the peer has sent GOAWAY.
-func (c *Conn) Left() bool { return c.left }
+func (c *Conn) Left() bool { return c.goAwayReceived }
--- a/internal/proto/h2/frame.go
+++ b/internal/proto/h2/frame.go
@@ -67,18 +67,18 @@
 const (
 	settingTableSize   = 0x1
 	settingPush        = 0x2
-	settingConcurrent  = 0x3
+	settingMaxStreams  = 0x3
 	settingWindow      = 0x4
 	settingFrameSize   = 0x5
 	settingHeaderBytes = 0x6
 )
 
 const (
-	frameHead     = 9
-	defaultWindow = 65535
-	maxWindow     = 1<<31 - 1
-	minFrameSize  = 16384 // also the largest frame that we accept
-	maxFrameSize  = 1<<24 - 1
+	frameHeaderSize = 9
+	defaultWindow   = 65535
+	maxWindow       = 1<<31 - 1
+	minFrameSize    = 16384 // also the largest frame that we accept
+	maxFrameSize    = 1<<24 - 1
 )
 
 type frame struct {
@@ -90,20 +90,20 @@
 
 func (f frame) has(flag byte) bool { return f.flags&flag != 0 }
 
-// next parses the first frame of b. ok is false if the frame is incomplete.
-func next(b []byte) (f frame, rest []byte, ok bool, err *ConnError) {
-	if len(b) < frameHead {
+// parseFrame parses the first frame of b. ok is false if the frame is incomplete.
+func parseFrame(b []byte) (f frame, rest []byte, ok bool, err *ConnError) {
+	if len(b) < frameHeaderSize {
 		return f, b, false, nil
 	}
 	n := int(b[0])<<16 | int(b[1])<<8 | int(b[2])
 	if n > minFrameSize {
 		return f, b, false, &ConnError{FrameSizeError, "a frame over the size we take"}
 	}
-	if len(b) < frameHead+n {
+	if len(b) < frameHeaderSize+n {
 		return f, b, false, nil
 	}
-	f = frame{frameType(b[3]), b[4], binary.BigEndian.Uint32(b[5:]) & maxWindow, b[frameHead : frameHead+n]}
-	return f, b[frameHead+n:], true, nil
+	f = frame{frameType(b[3]), b[4], binary.BigEndian.Uint32(b[5:]) & maxWindow, b[frameHeaderSize : frameHeaderSize+n]}
+	return f, b[frameHeaderSize+n:], true, nil
 }
 
 func appendFrame(b []byte, kind frameType, flags byte, stream uint32, payload []byte) []byte {
@@ -117,8 +117,8 @@
 	return binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint16(b, id), value)
 }
 
-// unpad returns the payload without padding and without the priority fields of HEADERS.
-func unpad(f frame) ([]byte, *ConnError) {
+// stripPadding returns the payload without padding and without the priority fields of HEADERS.
+func stripPadding(f frame) ([]byte, *ConnError) {
 	b, pad := f.payload, 0
 	if f.has(flagPadded) {
 		if len(b) == 0 {
--- a/internal/proto/h2/h2_test.go
+++ b/internal/proto/h2/h2_test.go
@@ -15,31 +15,31 @@
 )
 
 var (
-	small = Limits{Streams: 2, HeaderBytes: 1 << 10, Body: 100, Buffered: 1 << 16}
-	start = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
+	testLimits = Limits{Streams: 2, HeaderBytes: 1 << 10, Body: 100, Buffered: 1 << 16}
+	start      = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 )
 
 // peer is the other side of a Conn, built on the framer of golang.org/x/net.
 type peer struct {
 	*http2.Framer
-	t        *testing.T
-	c        *Conn
-	now      time.Time
-	to, from bytes.Buffer
-	block    bytes.Buffer
-	enc      *hpack.Encoder
+	t                *testing.T
+	c                *Conn
+	now              time.Time
+	toConn, fromConn bytes.Buffer
+	block            bytes.Buffer
+	enc              *hpack.Encoder
 }
 
 func newPeer(t *testing.T, c *Conn) *peer {
 	p := &peer{t: t, c: c, now: start}
-	p.Framer = http2.NewFramer(&p.to, &p.from)
+	p.Framer = http2.NewFramer(&p.toConn, &p.fromConn)
 	p.AllowIllegalWrites = true
 	p.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	p.enc = hpack.NewEncoder(&p.block)
 	if !c.client {
-		p.to.WriteString(Preface)
+		p.toConn.WriteString(Preface)
 	} else {
-		c.out = c.out[len(Preface):]
+		c.outBuffer = c.outBuffer[len(Preface):]
 	}
 	require.NoError(t, p.WriteSettings())
 	return p
@@ -47,9 +47,9 @@
 
 // feed passes the bytes written by the peer to the Conn.
 func (p *peer) feed() ([]Event, error) {
-	events, err := p.c.Feed(p.now, append([]byte(nil), p.to.Bytes()...))
-	p.to.Reset()
-	p.from.Write(p.c.Output())
+	events, err := p.c.Feed(p.now, append([]byte(nil), p.toConn.Bytes()...))
+	p.toConn.Reset()
+	p.fromConn.Write(p.c.Output())
 	return events, err
 }
 
@@ -86,11 +86,11 @@
 	}))
 }
 
-var get = []string{":method", "GET", ":scheme", "http", ":path", "/a"}
+var getRequest = []string{":method", "GET", ":scheme", "http", ":path", "/a"}
 
 func TestRequestAndResponse(t *testing.T) {
-	p := newPeer(t, NewServer(small))
-	p.headers(1, false, append(get, "content-length", "5")...)
+	p := newPeer(t, NewServer(testLimits))
+	p.headers(1, false, append(getRequest, "content-length", "5")...)
 	require.NoError(t, p.WriteDataPadded(1, false, []byte("he"), make([]byte, 9)))
 	require.NoError(t, p.WriteData(1, true, []byte("llo")))
 	events, err := p.feed()
@@ -108,8 +108,8 @@
 }
 
 // A body is sent as far as both flow-control windows allow, and continues when they are updated.
-func TestFlowControlOut(t *testing.T) {
-	p := newPeer(t, NewClient(small))
+func TestFlowControlOfSentBodies(t *testing.T) {
+	p := newPeer(t, NewClient(testLimits))
 	require.NoError(t, p.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 10}))
 	_, err := p.feed()
 	require.NoError(t, err)
@@ -127,15 +127,15 @@
 
 func TestTooBig(t *testing.T) {
 	for name, send := range map[string]func(p *peer){
-		"announced": func(p *peer) { p.headers(1, false, append(get, "content-length", "101")...) },
+		"announced": func(p *peer) { p.headers(1, false, append(getRequest, "content-length", "101")...) },
 		"body": func(p *peer) {
-			p.headers(1, false, get...)
+			p.headers(1, false, getRequest...)
 			_ = p.WriteData(1, false, make([]byte, 101))
 		},
-		"headers":  func(p *peer) { p.headers(1, true, append(get, "x", strings.Repeat("y", 1000))...) },
-		"a header": func(p *peer) { p.headers(1, true, append(get, "x", strings.Repeat("y", 1500))...) },
+		"headers":  func(p *peer) { p.headers(1, true, append(getRequest, "x", strings.Repeat("y", 1000))...) },
+		"a header": func(p *peer) { p.headers(1, true, append(getRequest, "x", strings.Repeat("y", 1500))...) },
 	} {
-		p := newPeer(t, NewServer(small))
+		p := newPeer(t, NewServer(testLimits))
 		send(p)
 		events, err := p.feed()
 		require.NoError(t, err, name)
@@ -151,17 +151,17 @@
 	}
 }
 
-func TestRefusedAndGoAway(t *testing.T) {
-	p := newPeer(t, NewServer(small))
+func TestRefusedStreamsAndGoAway(t *testing.T) {
+	p := newPeer(t, NewServer(testLimits))
 	for _, id := range []uint32{1, 3, 5} {
-		p.headers(id, true, get...)
+		p.headers(id, true, getRequest...)
 	}
 	events, err := p.feed()
 	require.NoError(t, err)
 	assert.Len(t, events, 2, "two streams at once")
 	assert.Equal(t, []string{"RST 5 REFUSED_STREAM"}, p.frames())
 	p.c.GoAway()
-	p.headers(7, false, get...)
+	p.headers(7, false, getRequest...)
 	_ = p.WriteData(7, true, []byte("x"))
 	events, err = p.feed()
 	require.NoError(t, err)
@@ -169,8 +169,8 @@
 	assert.Equal(t, []string{"GOAWAY 3 NO_ERROR"}, p.frames())
 }
 
-func TestClientLearnsWhatRan(t *testing.T) {
-	p := newPeer(t, NewClient(small))
+func TestClientResetsReportNotRun(t *testing.T) {
+	p := newPeer(t, NewClient(testLimits))
 	_, _ = p.feed()
 	for range 4 {
 		_, err := p.c.Request([]Field{{Name: ":path", Value: "/"}}, nil)
@@ -196,10 +196,10 @@
 }
 
 // Incomplete messages must not use up the connection's receive window permanently: the newest is refused.
-func TestHalfDoneMessagesAreRelieved(t *testing.T) {
+func TestIncompleteMessagesDoNotExhaustWindow(t *testing.T) {
 	p := newPeer(t, NewServer(Limits{Streams: 10, HeaderBytes: 1 << 10, Body: 60000, Buffered: 1 << 16}))
 	for _, id := range []uint32{1, 3} {
-		p.headers(id, false, append(get, "content-length", "48000")...)
+		p.headers(id, false, append(getRequest, "content-length", "48000")...)
 	}
 	for i := range 2 {
 		for _, id := range []uint32{1, 3} {
@@ -219,18 +219,18 @@
 
 func TestMalformedStreams(t *testing.T) {
 	for name, fields := range map[string][]string{
-		"upper case":     append(get, "A", "b"),
-		"no path":        get[:4],
+		"upper case":     append(getRequest, "A", "b"),
+		"no path":        getRequest[:4],
 		"pseudo late":    {":method", "GET", "a", "b", ":scheme", "http", ":path", "/"},
-		"unknown pseudo": append([]string{":x", "y"}, get...),
-		"twice":          append([]string{":path", "/"}, get...),
-		"connection":     append(get, "connection", "close"),
-		"te":             append(get, "te", "gzip"),
-		"line break":     append(get, "a", "b\r\nc: d"),
-		"length":         append(get, "content-length", "5"),
-		"bad length":     append(get, "content-length", "-1"),
+		"unknown pseudo": append([]string{":x", "y"}, getRequest...),
+		"twice":          append([]string{":path", "/"}, getRequest...),
+		"connection":     append(getRequest, "connection", "close"),
+		"te":             append(getRequest, "te", "gzip"),
+		"line break":     append(getRequest, "a", "b\r\nc: d"),
+		"length":         append(getRequest, "content-length", "5"),
+		"bad length":     append(getRequest, "content-length", "-1"),
 	} {
-		p := newPeer(t, NewServer(small))
+		p := newPeer(t, NewServer(testLimits))
 		p.headers(1, true, fields...)
 		events, err := p.feed()
 		require.NoError(t, err, name)
@@ -254,10 +254,10 @@
 		send func(p *peer)
 		code Code
 	}{
-		"headers on an even stream": {func(p *peer) { p.headers(2, true, get...) }, ProtocolError},
+		"headers on an even stream": {func(p *peer) { p.headers(2, true, getRequest...) }, ProtocolError},
 		"stream id reused": {func(p *peer) {
-			p.headers(3, true, get...)
-			p.headers(1, true, get...)
+			p.headers(3, true, getRequest...)
+			p.headers(1, true, getRequest...)
 		}, StreamClosed},
 		"data on an idle stream":   {raw(http2.FrameData, 0, 1, "x"), ProtocolError},
 		"reset of an idle stream":  {raw(http2.FrameRSTStream, 0, 1, "\x00\x00\x00\x00"), ProtocolError},
@@ -287,12 +287,12 @@
 		}, EnhanceYourCalm},
 		"rapid resets": {func(p *peer) {
 			for id := uint32(1); id < 800; id += 2 {
-				p.headers(id, true, get...)
+				p.headers(id, true, getRequest...)
 				_ = p.WriteRSTStream(id, http2.ErrCodeCancel)
 			}
 		}, EnhanceYourCalm},
 	} {
-		p := newPeer(t, NewServer(small))
+		p := newPeer(t, NewServer(testLimits))
 		tc.send(p)
 		_, err := p.feed()
 		var failed *ConnError
@@ -304,14 +304,14 @@
 		_, err = p.feed()
 		assert.Error(t, err, "%s: the error is permanent", name)
 	}
-	c := NewServer(small)
+	c := NewServer(testLimits)
 	_, err := c.Feed(start, []byte("GET / HTTP/1.1\r\n"))
 	assert.ErrorContains(t, err, "preface")
 }
 
 // PING frames are accepted at a low rate.
-func TestSlowPingsAreBorne(t *testing.T) {
-	p := newPeer(t, NewServer(small))
+func TestSlowPingsAreAccepted(t *testing.T) {
+	p := newPeer(t, NewServer(testLimits))
 	for range 1000 {
 		require.NoError(t, p.WritePing(false, [8]byte{}))
 		_, err := p.feed()
@@ -323,17 +323,17 @@
 // For any input in pieces of any size, Feed does not panic and the buffered data is limited.
 func FuzzFeed(f *testing.F) {
 	p := &peer{}
-	p.Framer = http2.NewFramer(&p.to, &p.from)
+	p.Framer = http2.NewFramer(&p.toConn, &p.fromConn)
 	p.enc = hpack.NewEncoder(&p.block)
-	p.to.WriteString(Preface)
+	p.toConn.WriteString(Preface)
 	_ = p.WriteSettings()
 	_ = p.enc.WriteField(Field{Name: ":method", Value: "GET"})
 	_ = p.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: p.block.Bytes(), EndHeaders: true})
 	_ = p.WriteData(1, true, []byte("x"))
-	f.Add(p.to.Bytes(), 7, false)
-	f.Add(p.to.Bytes()[len(Preface):], 1000, true)
+	f.Add(p.toConn.Bytes(), 7, false)
+	f.Add(p.toConn.Bytes()[len(Preface):], 1000, true)
 	f.Fuzz(func(t *testing.T, b []byte, size int, client bool) {
-		c := newConn(client, small)
+		c := newConn(client, testLimits)
 		if client {
 			_, _ = c.Request([]Field{{Name: ":path", Value: "/"}}, []byte("body"))
 		}
@@ -348,8 +348,8 @@
 			if err != nil {
 				return
 			}
-			if len(c.in) > minFrameSize+frameHead || len(c.streams) > small.Streams+1 {
-				t.Fatalf("%d bytes, %d streams kept", len(c.in), len(c.streams))
+			if len(c.inBuffer) > minFrameSize+frameHeaderSize || len(c.streams) > testLimits.Streams+1 {
+				t.Fatalf("%d bytes, %d streams kept", len(c.inBuffer), len(c.streams))
 			}
 		}
 	})
--- a/internal/proto/h2/stream.go
+++ b/internal/proto/h2/stream.go
@@ -6,118 +6,118 @@
 	"strings"
 )
 
-func (c *Conn) headers(f frame) *ConnError {
+func (c *Conn) handleHeaders(f frame) *ConnError {
 	if f.stream == 0 || f.stream%2 == 0 {
 		return &ConnError{ProtocolError, "HEADERS on a stream that is not a client's"}
 	}
 	if c.client && c.idle(f.stream) {
 		return &ConnError{ProtocolError, "HEADERS on a stream not opened"}
 	}
-	b, err := unpad(f)
+	b, err := stripPadding(f)
 	if err != nil {
 		return err
 	}
-	c.blockOf, c.block, c.parts = f, append([]byte(nil), b...), 1
+	c.headerFrame, c.headerBlock, c.headerFrameCount = f, append([]byte(nil), b...), 1
 	if f.has(flagEndHeaders) {
-		return c.headerList()
+		return c.handleHeaderList()
 	}
 	return nil
 }
 
-func (c *Conn) continuation(f frame) *ConnError {
-	if c.blockOf.stream == 0 {
+func (c *Conn) handleContinuation(f frame) *ConnError {
+	if c.headerFrame.stream == 0 {
 		return &ConnError{ProtocolError, "CONTINUATION of nothing"}
 	}
 	// Without limits a header block could continue forever, one empty frame at a time.
-	c.parts++
-	if c.block = append(c.block, f.payload...); len(c.block) > 2*c.limits.HeaderBytes || c.parts > partsMost {
+	c.headerFrameCount++
+	if c.headerBlock = append(c.headerBlock, f.payload...); len(c.headerBlock) > 2*c.limits.HeaderBytes || c.headerFrameCount > maxHeaderFrames {
 		return &ConnError{EnhanceYourCalm, "an endless header list"}
 	}
 	if f.has(flagEndHeaders) {
-		return c.headerList()
+		return c.handleHeaderList()
 	}
 	return nil
 }
 
-// headerList processes a complete header block. The block is decoded even if its stream is
+// handleHeaderList processes a complete header block. The block is decoded even if its stream is
 // ignored, to keep the compression tables of both sides in sync.
-func (c *Conn) headerList() *ConnError {
-	f := c.blockOf
-	c.fields, c.size, c.blockOf = nil, 0, frame{}
-	if _, err := c.dec.Write(c.block); err != nil {
+func (c *Conn) handleHeaderList() *ConnError {
+	f := c.headerFrame
+	c.fields, c.headerListSize, c.headerFrame = nil, 0, frame{}
+	if _, err := c.decoder.Write(c.headerBlock); err != nil {
 		return &ConnError{CompressionError, "header list: " + err.Error()}
 	}
-	if err := c.dec.Close(); err != nil {
+	if err := c.decoder.Close(); err != nil {
 		return &ConnError{CompressionError, "header list: " + err.Error()}
 	}
-	c.block = nil
-	fields, tooBig := c.fields, c.size > c.limits.HeaderBytes
+	c.headerBlock = nil
+	fields, tooBig := c.fields, c.headerListSize > c.limits.HeaderBytes
 	c.fields = nil
 	s := c.streams[f.stream]
 	switch {
-	case s != nil && s.remote:
+	case s != nil && s.remoteClosed:
 		return &ConnError{StreamClosed, "HEADERS behind the end of a stream"}
-	case s != nil && s.headers: // trailers, which are ignored
+	case s != nil && s.headersReceived: // trailers, which are ignored
 		if !f.has(flagEndStream) {
 			return &ConnError{ProtocolError, "trailers that are not the end"}
 		}
-		return c.whole(s)
+		return c.complete(s)
 	case s == nil && !c.client:
-		if f.stream <= c.seen {
+		if f.stream <= c.highestPeerStream {
 			return &ConnError{StreamClosed, "HEADERS on a closed stream"}
 		}
-		if c.seen = f.stream; c.leaving {
+		if c.highestPeerStream = f.stream; c.goAwaySent {
 			return nil // above the last stream id in our GOAWAY, so the client knows that it did not run
 		}
-		if c.peerOpen >= c.limits.Streams {
-			c.nuisance++
+		if c.openPeerStreams >= c.limits.Streams {
+			c.floodScore++
 			c.sendReset(f.stream, RefusedStream)
 			return nil
 		}
-		s = c.open(f.stream)
-		c.lastPeer = f.stream
-		c.peerOpen++
+		s = c.openStream(f.stream)
+		c.lastAcceptedStream = f.stream
+		c.openPeerStreams++
 	case s == nil:
 		return nil // a stream that we have reset
 	}
-	if c.client && interim(fields) {
+	if c.client && isInterim(fields) {
 		if f.has(flagEndStream) {
-			return c.malformed(s)
+			return c.resetMalformed(s)
 		}
 		return nil
 	}
-	s.headers, s.fields, s.tooBig = true, fields, tooBig
+	s.headersReceived, s.fields, s.tooBig = true, fields, tooBig
 	if c.client {
 		c.events = append(c.events, Head{Stream: s.id, Fields: fields})
 	}
-	length, ok := check(fields, c.client)
+	length, ok := checkFields(fields, c.client)
 	if !ok && !tooBig {
-		return c.malformed(s)
+		return c.resetMalformed(s)
 	}
-	s.length = length
+	s.contentLength = length
 	switch {
 	case f.has(flagEndStream):
-		return c.whole(s)
+		return c.complete(s)
 	case tooBig, length > int64(c.limits.Body):
-		return c.cut(s)
+		return c.completeTooBig(s)
 	}
 	return nil
 }
 
 // completeTooBig reports a message that is too big before its end is received, so that the answer
 // does not wait for bytes that are discarded anyway.
-func (c *Conn) cut(s *stream) *ConnError {
-	s.tooBig, s.cut = true, true
-	return c.whole(s)
+func (c *Conn) completeTooBig(s *stream) *ConnError {
+	s.tooBig, s.reportedEarly = true, true
+	return c.complete(s)
 }
 
-func interim(fields []Field) bool {
+func isInterim(fields []Field) bool {
 	return len(fields) > 0 && fields[0].Name == ":status" && strings.HasPrefix(fields[0].Value, "1")
 }
 
-// check validates a header list (RFC 9113, section 8). It returns the content-length, or -1 if
+// checkFields validates a header list (RFC 9113, section 8). It returns the content-length, or -1 if
 // there is none.
-func check(fields []Field, response bool) (length int64, ok bool) {
+func checkFields(fields []Field, response bool) (length int64, ok bool) {
 	length = -1
 	pseudo, regular := map[string]bool{}, false
 	for _, f := range fields {
@@ -158,40 +158,40 @@
 	return length, len(pseudo) == known && pseudo[":method"] && pseudo[":scheme"] && pseudo[":path"]
 }
 
-// malformed resets a stream after a malformed message.
-func (c *Conn) malformed(s *stream) *ConnError {
-	c.nuisance++
+// resetMalformed resets a stream after a malformed message.
+func (c *Conn) resetMalformed(s *stream) *ConnError {
+	c.floodScore++
 	c.Reset(s.id, ProtocolError)
 	c.events = append(c.events, Reset{Stream: s.id, Code: ProtocolError})
 	return nil
 }
 
-func (c *Conn) data(f frame) *ConnError {
+func (c *Conn) handleData(f frame) *ConnError {
 	if f.stream == 0 || c.idle(f.stream) {
 		return &ConnError{ProtocolError, "DATA on an idle stream"}
 	}
 	n := int64(len(f.payload))
-	if c.credit -= n; c.credit < 0 {
+	if c.receiveWindow -= n; c.receiveWindow < 0 {
 		return &ConnError{FlowControlError, "more DATA than the connection's window"}
 	}
-	b, err := unpad(f)
+	b, err := stripPadding(f)
 	if err != nil {
 		return err
 	}
 	s := c.streams[f.stream]
 	switch {
-	case s == nil, s.cut: // reset by us, or above our GOAWAY: its bytes still count against the connection's window
-		c.giveBack(n)
-		c.nuisance++
+	case s == nil, s.reportedEarly: // reset by us, or above our GOAWAY: its bytes still count against the connection's window
+		c.returnCredit(n)
+		c.floodScore++
 		return nil
-	case s.remote || !s.headers:
+	case s.remoteClosed || !s.headersReceived:
 		return &ConnError{StreamClosed, "DATA before its headers or behind its end"}
 	}
 	if len(b) == 0 && !f.has(flagEndStream) {
-		c.nuisance++
+		c.floodScore++
 	}
-	s.used += n
-	if s.credit -= n; s.credit < 0 {
+	s.unreturnedCredit += n
+	if s.receiveWindow -= n; s.receiveWindow < 0 {
 		c.Reset(s.id, FlowControlError)
 		c.events = append(c.events, Reset{Stream: s.id, Code: FlowControlError})
 		return nil
@@ -199,22 +199,22 @@
 	s.body = append(s.body, b...)
 	switch {
 	case len(s.body) > c.limits.Body:
-		return c.cut(s)
+		return c.completeTooBig(s)
 	case f.has(flagEndStream):
-		return c.whole(s)
+		return c.complete(s)
 	}
-	c.relieve()
+	c.refuseNewest()
 	return nil
 }
 
 // refuseNewest resets the newest incomplete streams if incomplete messages have used up the
 // connection's receive window, because otherwise none of them could ever be completed. The client
 // may retry a refused request, as it did not run.
-func (c *Conn) relieve() {
-	for c.credit < minFrameSize {
+func (c *Conn) refuseNewest() {
+	for c.receiveWindow < minFrameSize {
 		var youngest *stream
 		for _, s := range c.streams {
-			if s.used > 0 && (youngest == nil || s.id > youngest.id) {
+			if s.unreturnedCredit > 0 && (youngest == nil || s.id > youngest.id) {
 				youngest = s
 			}
 		}
@@ -227,62 +227,62 @@
 
 // complete reports a complete message. Only now are its bytes returned to the connection's receive
 // window, so that this window limits the total size of incomplete messages.
-func (c *Conn) whole(s *stream) *ConnError {
-	if s.length >= 0 && s.length != int64(len(s.body)) && !s.tooBig {
-		return c.malformed(s)
+func (c *Conn) complete(s *stream) *ConnError {
+	if s.contentLength >= 0 && s.contentLength != int64(len(s.body)) && !s.tooBig {
+		return c.resetMalformed(s)
 	}
-	s.remote = true
-	c.giveBack(s.used)
-	s.used = 0
+	s.remoteClosed = true
+	c.returnCredit(s.unreturnedCredit)
+	s.unreturnedCredit = 0
 	c.events = append(c.events, Message{Stream: s.id, Fields: s.fields, Body: s.body, TooBig: s.tooBig})
 	s.fields, s.body = nil, nil
-	c.done(s)
+	c.closeIfDone(s)
 	return nil
 }
 
 // returnCredit adds n processed bytes to the connection's receive window. WINDOW_UPDATE frames are
 // sent only for large amounts.
-func (c *Conn) giveBack(n int64) {
-	c.used += n
-	if c.used >= int64(max(c.limits.Buffered, defaultWindow))/4 || c.used > 0 && c.credit < minFrameSize {
-		c.credit += c.used
-		c.grant(0, c.used)
-		c.used = 0
+func (c *Conn) returnCredit(n int64) {
+	c.unreturnedCredit += n
+	if c.unreturnedCredit >= int64(max(c.limits.Buffered, defaultWindow))/4 || c.unreturnedCredit > 0 && c.receiveWindow < minFrameSize {
+		c.receiveWindow += c.unreturnedCredit
+		c.sendWindowUpdate(0, c.unreturnedCredit)
+		c.unreturnedCredit = 0
 	}
 }
 
-func (c *Conn) grant(stream uint32, n int64) {
-	c.out = appendFrame(c.out, frameWindow, 0, stream, binary.BigEndian.AppendUint32(nil, uint32(n)))
+func (c *Conn) sendWindowUpdate(stream uint32, n int64) {
+	c.outBuffer = appendFrame(c.outBuffer, frameWindow, 0, stream, binary.BigEndian.AppendUint32(nil, uint32(n)))
 }
 
-func (c *Conn) open(id uint32) *stream {
-	s := &stream{id: id, length: -1, window: c.peerWindow, credit: int64(c.streamWindow())}
+func (c *Conn) openStream(id uint32) *stream {
+	s := &stream{id: id, contentLength: -1, sendWindow: c.peerInitialWindow, receiveWindow: int64(c.initialStreamWindow())}
 	c.streams[id] = s
 	return s
 }
 
 // closeIfDone removes a stream that both sides have ended.
-func (c *Conn) done(s *stream) {
-	if s.remote && s.local {
-		if c.drop(s); s.cut {
+func (c *Conn) closeIfDone(s *stream) {
+	if s.remoteClosed && s.localClosed {
+		if c.removeStream(s); s.reportedEarly {
 			c.sendReset(s.id, NoError) // the peer need not send the rest
 		}
 	}
 }
 
-func (c *Conn) drop(s *stream) {
+func (c *Conn) removeStream(s *stream) {
 	if c.streams[s.id] != s {
 		return
 	}
 	delete(c.streams, s.id)
-	c.giveBack(s.used)
-	s.used, s.pending = 0, nil
+	c.returnCredit(s.unreturnedCredit)
+	s.unreturnedCredit, s.pending = 0, nil
 	if s.id%2 == 1 && !c.client {
-		c.peerOpen--
+		c.openPeerStreams--
 	}
-	for i, id := range c.order {
+	for i, id := range c.sendQueue {
 		if id == s.id {
-			c.order = append(c.order[:i], c.order[i+1:]...)
+			c.sendQueue = append(c.sendQueue[:i], c.sendQueue[i+1:]...)
 			break
 		}
 	}
@@ -293,8 +293,8 @@
 	if !c.Room() {
 		return 0, ErrNoStream
 	}
-	s := c.open(c.nextOwn)
-	c.nextOwn += 2
+	s := c.openStream(c.nextStreamID)
+	c.nextStreamID += 2
 	c.send(s, fields, body)
 	return s.id, nil
 }
@@ -302,7 +302,7 @@
 // Respond sends a complete response on a stream. It does nothing if the stream no longer exists
 // or already has a response.
 func (c *Conn) Respond(id uint32, fields []Field, body []byte) {
-	if s := c.streams[id]; s != nil && !s.local && !s.ending {
+	if s := c.streams[id]; s != nil && !s.localClosed && !s.endStreamPending {
 		c.send(s, fields, body)
 	}
 }
@@ -310,56 +310,56 @@
 // Reset ends a stream with RST_STREAM.
 func (c *Conn) Reset(id uint32, code Code) {
 	if s := c.streams[id]; s != nil {
-		c.drop(s)
+		c.removeStream(s)
 		c.sendReset(id, code)
 	}
 }
 
 func (c *Conn) sendReset(id uint32, code Code) {
-	c.out = appendFrame(c.out, frameReset, 0, id, binary.BigEndian.AppendUint32(nil, uint32(code)))
+	c.outBuffer = appendFrame(c.outBuffer, frameReset, 0, id, binary.BigEndian.AppendUint32(nil, uint32(code)))
 }
 
 func (c *Conn) send(s *stream, fields []Field, body []byte) {
 	c.encoded.Reset()
 	for _, f := range fields {
-		_ = c.enc.WriteField(f) // writing to memory does not fail
+		_ = c.encoder.WriteField(f) // writing to memory does not fail
 	}
 	kind, flags := frameHeaders, byte(0)
 	if len(body) == 0 {
 		flags = flagEndStream
 	}
 	for b := c.encoded.Bytes(); ; {
-		n := min(len(b), c.peerFrame)
+		n := min(len(b), c.peerMaxFrameSize)
 		if n == len(b) {
 			flags |= flagEndHeaders
 		}
-		c.out = appendFrame(c.out, kind, flags, s.id, b[:n])
+		c.outBuffer = appendFrame(c.outBuffer, kind, flags, s.id, b[:n])
 		if b = b[n:]; len(b) == 0 {
 			break
 		}
 		kind, flags = frameContinuation, 0
 	}
 	if len(body) == 0 {
-		s.local = true
-		c.done(s)
+		s.localClosed = true
+		c.closeIfDone(s)
 		return
 	}
-	s.pending, s.ending = body, true
-	c.order = append(c.order, s.id)
+	s.pending, s.endStreamPending = body, true
+	c.sendQueue = append(c.sendQueue, s.id)
 	c.flush()
 }
 
 // flush sends as much body data as the windows allow, oldest stream first.
 func (c *Conn) flush() {
-	waiting := c.order
-	c.order = nil
+	waiting := c.sendQueue
+	c.sendQueue = nil
 	for _, id := range waiting {
 		s := c.streams[id]
 		if s == nil {
 			continue
 		}
 		for len(s.pending) > 0 {
-			n := min(int64(len(s.pending)), s.window, c.window, int64(c.peerFrame))
+			n := min(int64(len(s.pending)), s.sendWindow, c.sendWindow, int64(c.peerMaxFrameSize))
 			if n <= 0 {
 				break
 			}
@@ -367,17 +367,17 @@
 			if n == int64(len(s.pending)) {
 				flags = flagEndStream
 			}
-			c.out = appendFrame(c.out, frameData, flags, id, s.pending[:n])
+			c.outBuffer = appendFrame(c.outBuffer, frameData, flags, id, s.pending[:n])
 			s.pending = s.pending[n:]
-			s.window -= n
-			c.window -= n
+			s.sendWindow -= n
+			c.sendWindow -= n
 		}
 		if len(s.pending) > 0 {
-			c.order = append(c.order, id)
+			c.sendQueue = append(c.sendQueue, id)
 			continue
 		}
-		s.local = true
-		c.done(s)
+		s.localClosed = true
+		c.closeIfDone(s)
 	}
 }
 
--- a/internal/proto/http1/http1.go
+++ b/internal/proto/http1/http1.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	maxHead    = 16 << 10 // bytes of the status line and the headers
-	maxHeaders = 64
+	maxHeadBytes = 16 << 10 // bytes of the status line and the headers
+	maxHeaders   = 64
 )
 
 // Response is an HTTP response.
@@ -51,11 +51,11 @@
 
 const (
 	head state = iota
-	sized
+	sizedBody
 	chunkSize
 	chunkData
 	chunkEnd
-	trailer
+	trailers
 	untilClose
 )
 
@@ -64,19 +64,19 @@
 	MaxBody int
 	// Sink, if set, receives the bodies of responses with status 200 in pieces as they arrive.
 	// MaxBody does not apply to them. Next returns the errors of Sink.
-	Sink   func(b []byte) error
-	buf    []byte
-	at     state
-	left   int       // remaining bytes of the body or chunk
-	now    *Response // response being parsed
-	status int       // status of the response being received; zero until its status line is complete
+	Sink      func(b []byte) error
+	buf       []byte
+	state     state
+	remaining int       // remaining bytes of the body or chunk
+	current   *Response // response being parsed
+	status    int       // status of the response being received; zero until its status line is complete
 }
 
 // Feed adds received bytes.
 func (p *Parser) Feed(b []byte) { p.buf = append(p.buf, b...) }
 
 // Begun reports whether part of a response has been received.
-func (p *Parser) Begun() bool { return len(p.buf) > 0 || p.at != head }
+func (p *Parser) Begun() bool { return len(p.buf) > 0 || p.state != head }
 
 // Status returns the status of an incomplete response whose status line is complete, even if
 // the rest is malformed. Otherwise it returns zero.
@@ -85,113 +85,113 @@
 // End handles the end of the stream. It returns the current response if its body extends to
 // the end of the connection, or else nil.
 func (p *Parser) End() *Response {
-	if p.at != untilClose {
+	if p.state != untilClose {
 		return nil
 	}
-	return p.done()
+	return p.finishResponse()
 }
 
 // Next returns the next complete response, or nil if there is none yet.
 func (p *Parser) Next() (*Response, error) {
 	for {
-		switch p.at {
+		switch p.state {
 		case head:
-			p.firstLine()
+			p.recordStatus()
 			ok, err := p.readHead()
 			if !ok || err != nil {
 				return nil, err
 			}
-			if p.now.Status/100 == 1 { // interim response: the final one follows
-				p.now, p.at, p.status = nil, head, 0
+			if p.current.Status/100 == 1 { // interim response: the final one follows
+				p.current, p.state, p.status = nil, head, 0
 				continue
 			}
-			if p.at == sized && p.left == 0 {
-				return p.done(), nil
+			if p.state == sizedBody && p.remaining == 0 {
+				return p.finishResponse(), nil
 			}
-		case sized, chunkData, untilClose:
+		case sizedBody, chunkData, untilClose:
 			n := len(p.buf)
-			if p.at != untilClose {
-				n = min(n, p.left)
+			if p.state != untilClose {
+				n = min(n, p.remaining)
 			}
-			if p.Sink != nil && p.now.Status == 200 {
+			if p.Sink != nil && p.current.Status == 200 {
 				if err := p.Sink(p.buf[:n]); err != nil {
 					return nil, err
 				}
 			} else {
-				if len(p.now.Body)+n > p.MaxBody {
+				if len(p.current.Body)+n > p.MaxBody {
 					return nil, ErrTooBig
 				}
-				p.now.Body = append(p.now.Body, p.buf[:n]...)
+				p.current.Body = append(p.current.Body, p.buf[:n]...)
 			}
-			p.take(n)
-			p.left -= n
+			p.consume(n)
+			p.remaining -= n
 			switch {
-			case p.at == untilClose || p.left > 0:
+			case p.state == untilClose || p.remaining > 0:
 				return nil, nil
-			case p.at == sized:
-				return p.done(), nil
+			case p.state == sizedBody:
+				return p.finishResponse(), nil
 			}
-			p.at = chunkEnd
-		case chunkSize, chunkEnd, trailer:
-			line, ok, err := p.line()
+			p.state = chunkEnd
+		case chunkSize, chunkEnd, trailers:
+			line, ok, err := p.nextLine()
 			if !ok || err != nil {
 				return nil, err
 			}
 			switch {
-			case p.at == chunkEnd && len(line) > 0:
+			case p.state == chunkEnd && len(line) > 0:
 				return nil, ErrSyntax
-			case p.at == chunkEnd:
-				p.at = chunkSize
-			case p.at == trailer && len(line) == 0:
-				return p.done(), nil
-			case p.at == chunkSize:
+			case p.state == chunkEnd:
+				p.state = chunkSize
+			case p.state == trailers && len(line) == 0:
+				return p.finishResponse(), nil
+			case p.state == chunkSize:
 				size, _, _ := strings.Cut(string(line), ";")
 				n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
 				if err != nil {
 					return nil, ErrSyntax
 				}
-				if p.left, p.at = int(n), chunkData; n == 0 {
-					p.at = trailer
+				if p.remaining, p.state = int(n), chunkData; n == 0 {
+					p.state = trailers
 				}
 			}
 		}
 	}
 }
 
-func (p *Parser) done() *Response {
-	r := p.now
-	p.now, p.at, p.left, p.status = nil, head, 0, 0
+func (p *Parser) finishResponse() *Response {
+	r := p.current
+	p.current, p.state, p.remaining, p.status = nil, head, 0, 0
 	return r
 }
 
 // recordStatus records the status as soon as the status line is complete. The status is final
 // even if the rest of the response fails.
-func (p *Parser) firstLine() {
-	line, _, ok := bytes.Cut(p.buf[:min(len(p.buf), maxHead)], []byte("\r\n"))
-	if status, err := statusLine(string(line)); ok && err == nil && status/100 != 1 {
+func (p *Parser) recordStatus() {
+	line, _, ok := bytes.Cut(p.buf[:min(len(p.buf), maxHeadBytes)], []byte("\r\n"))
+	if status, err := parseStatusLine(string(line)); ok && err == nil && status/100 != 1 {
 		p.status = status
 	}
 }
 
-func (p *Parser) take(n int) { p.buf = append(p.buf[:0], p.buf[n:]...) }
+func (p *Parser) consume(n int) { p.buf = append(p.buf[:0], p.buf[n:]...) }
 
-func (p *Parser) line() ([]byte, bool, error) {
+func (p *Parser) nextLine() ([]byte, bool, error) {
 	i := bytes.IndexByte(p.buf, '\n')
 	if i < 0 {
-		if len(p.buf) > maxHead {
+		if len(p.buf) > maxHeadBytes {
 			return nil, false, ErrTooBig
 		}
 		return nil, false, nil
 	}
 	line := append([]byte(nil), bytes.TrimSuffix(p.buf[:i], []byte("\r"))...)
-	p.take(i + 1)
+	p.consume(i + 1)
 	return line, true, nil
 }
 
 func (p *Parser) readHead() (bool, error) {
 	end := bytes.Index(p.buf, []byte("\r\n\r\n"))
 	if end < 0 {
-		if len(p.buf) > maxHead {
+		if len(p.buf) > maxHeadBytes {
 			return false, ErrTooBig
 		}
 		if n := min(len(p.buf), 5); string(p.buf[:n]) != "HTTP/"[:n] {
@@ -199,15 +199,15 @@
 		}
 		return false, nil
 	}
-	if end > maxHead {
+	if end > maxHeadBytes {
 		return false, ErrTooBig
 	}
 	lines := strings.Split(string(p.buf[:end]), "\r\n")
-	p.take(end + 4)
+	p.consume(end + 4)
 	if len(lines) > maxHeaders+1 {
 		return false, ErrTooBig
 	}
-	status, err := statusLine(lines[0])
+	status, err := parseStatusLine(lines[0])
 	if err != nil {
 		return false, err
 	}
@@ -227,11 +227,11 @@
 			r.Close = false
 		}
 	}
-	p.now = r
-	return true, p.frame()
+	p.current = r
+	return true, p.selectBodyFraming()
 }
 
-func statusLine(line string) (int, error) {
+func parseStatusLine(line string) (int, error) {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
@@ -242,13 +242,13 @@
 }
 
 // selectBodyFraming determines how the end of the body is found.
-func (p *Parser) frame() error {
-	coding, length := p.now.Get("Transfer-Encoding"), p.now.Get("Content-Length")
+func (p *Parser) selectBodyFraming() error {
+	coding, length := p.current.Get("Transfer-Encoding"), p.current.Get("Content-Length")
 	switch {
-	case p.now.Status/100 == 1, p.now.Status == 204, p.now.Status == 304:
-		p.at, p.left = sized, 0
+	case p.current.Status/100 == 1, p.current.Status == 204, p.current.Status == 304:
+		p.state, p.remaining = sizedBody, 0
 	case strings.EqualFold(coding, "chunked"):
-		p.at = chunkSize
+		p.state = chunkSize
 	case coding != "":
 		return ErrSyntax
 	case length != "":
@@ -256,12 +256,12 @@
 		if err != nil {
 			return ErrSyntax
 		}
-		if int(n) > p.MaxBody && (p.Sink == nil || p.now.Status != 200) {
+		if int(n) > p.MaxBody && (p.Sink == nil || p.current.Status != 200) {
 			return ErrTooBig
 		}
-		p.at, p.left = sized, int(n)
+		p.state, p.remaining = sizedBody, int(n)
 	default:
-		p.at, p.now.Close = untilClose, true
+		p.state, p.current.Close = untilClose, true
 	}
 	return nil
 }
--- a/internal/proto/http1/http1_test.go
+++ b/internal/proto/http1/http1_test.go
@@ -9,17 +9,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-const three = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nX-Server-Load: x0=1\r\n\r\nabc" +
+const threeResponses = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nX-Server-Load: x0=1\r\n\r\nabc" +
 	"HTTP/1.1 100 Continue\r\n\r\n" +
 	"HTTP/1.1 503 Busy\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n2;x=y\r\nhe\r\n3\r\nllo\r\n0\r\nA: b\r\n\r\n" +
 	"HTTP/1.1 204 No Content\r\n\r\n"
 
-func TestResponsesInAnyPieces(t *testing.T) {
-	for size := 1; size <= len(three); size++ {
+func TestResponsesInPiecesOfAnySize(t *testing.T) {
+	for size := 1; size <= len(threeResponses); size++ {
 		p := Parser{MaxBody: 10}
 		var got []*Response
-		for at := 0; at < len(three); at += size {
-			p.Feed([]byte(three[at:min(at+size, len(three))]))
+		for at := 0; at < len(threeResponses); at += size {
+			p.Feed([]byte(threeResponses[at:min(at+size, len(threeResponses))]))
 			for {
 				r, err := p.Next()
 				require.NoError(t, err)
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestBodyUntilTheEnd(t *testing.T) {
+func TestBodyUntilEndOfStream(t *testing.T) {
 	p := Parser{MaxBody: 10}
 	p.Feed([]byte("HTTP/1.0 200 OK\r\n\r\nabc"))
 	r, err := p.Next()
@@ -52,7 +52,7 @@
 }
 
 // The status counts once the status line is complete, even if the rest of the response is missing.
-func TestCutShort(t *testing.T) {
+func TestStatusOfTruncatedResponse(t *testing.T) {
 	for in, want := range map[string]int{
 		"":                            0,
 		"HTTP/1.1 20":                 0,
@@ -83,7 +83,7 @@
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n":               ErrSyntax,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n":      ErrSyntax,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n": ErrSyntax,
-		"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", maxHead):            ErrTooBig,
+		"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", maxHeadBytes):       ErrTooBig,
 	} {
 		p := Parser{MaxBody: 10}
 		p.Feed([]byte(in))
@@ -99,7 +99,7 @@
 }
 
 func FuzzParser(f *testing.F) {
-	f.Add([]byte(three), 5)
+	f.Add([]byte(threeResponses), 5)
 	f.Fuzz(func(t *testing.T, b []byte, size int) {
 		size = max(1, size%512)
 		p := Parser{MaxBody: 1000}
@@ -117,7 +117,7 @@
 					t.Fatalf("a body of %d bytes", len(r.Body))
 				}
 			}
-			if len(p.buf) > maxHead+1024 {
+			if len(p.buf) > maxHeadBytes+1024 {
 				t.Fatalf("%d bytes kept", len(p.buf))
 			}
 		}
--- a/internal/proto/listing/listing.go
+++ b/internal/proto/listing/listing.go
@@ -14,16 +14,16 @@
 
 // Parse errors. A list with an error is unusable.
 var (
-	ErrSyntax  = errors.New("invalid JSON list")
-	ErrTooBig  = errors.New("the list is too big")
-	ErrMissing = errors.New("no generation")
+	ErrSyntax       = errors.New("invalid JSON list")
+	ErrTooBig       = errors.New("the list is too big")
+	ErrNoGeneration = errors.New("no generation")
 )
 
 // Limits that are not set in Reader.
 const (
-	entryMost = 16 << 10 // bytes of one entry, or of the value of another member
-	keyMost   = 256      // bytes of a member's name
-	depthMost = 32       // nested objects and arrays in one value
+	maxValueBytes = 16 << 10 // bytes of one entry, or of the value of another member
+	maxKeyBytes   = 256      // bytes of a member's name
+	maxDepth      = 32       // nested objects and arrays in one value
 )
 
 // Reader parses one list. Entry is called for each of its instances. The value is valid only
@@ -40,44 +40,44 @@
 	// Zero means that the list is not partitioned, -1 that the value is invalid.
 	Partitions int
 
-	size   int
-	at     place
-	key    string
-	listed bool // the instances have been read
-	known  bool // the generation has been read
-	buf    []byte
-	scan   scan
-	parser fastjson.Parser
-	err    error
+	size           int
+	position       position
+	key            string
+	instancesSeen  bool // the instances have been read
+	generationSeen bool // the generation has been read
+	buf            []byte
+	scanner        valueScanner
+	parser         fastjson.Parser
+	err            error
 }
 
-// place is a position in the syntax of a list.
-type place int
+// position is a position in the syntax of a list.
+type position int
 
 const (
-	start    place = iota // before {
-	key                   // before a member's name, or }
-	nextKey               // after a comma
-	colon                 // before :
-	value                 // before a member's value
-	inValue               // in a member's value
-	after                 // after a member's value
-	element               // in instances: before an entry, or ]
-	nextElem              // after a comma
-	inElem                // in an entry
-	behind                // after an entry
-	end                   // after }
+	beforeObject    position = iota // before {
+	beforeKey                       // before a member's name, or }
+	afterComma                      // after a comma
+	beforeColon                     // before :
+	beforeValue                     // before a member's value
+	inValue                         // in a member's value
+	afterValue                      // after a member's value
+	beforeEntry                     // in instances: before an entry, or ]
+	afterEntryComma                 // after a comma
+	inEntry                         // in an entry
+	afterEntry                      // after an entry
+	afterObject                     // after }
 )
 
-// scan finds the end of a JSON value.
-type scan struct {
+// valueScanner finds the end of a JSON value.
+type valueScanner struct {
 	begun, quoted, escaped, scalar bool
 	depth                          int
 }
 
 // consume returns how many bytes of b belong to the value, and whether the value ends with
 // them.
-func (s *scan) take(b []byte) (n int, ended bool, err error) {
+func (s *valueScanner) consume(b []byte) (n int, ended bool, err error) {
 	for i := 0; i < len(b); i++ {
 		if s.quoted && !s.escaped { // fast path: most of a list consists of strings
 			for i < len(b) && b[i] != '"' && b[i] != '\\' {
@@ -107,7 +107,7 @@
 		case c == '"':
 			s.quoted = true
 		case c == '{', c == '[':
-			if s.depth++; s.depth > depthMost {
+			if s.depth++; s.depth > maxDepth {
 				return 0, false, fmt.Errorf("%w: nested too deeply", ErrSyntax)
 			}
 		case c == '}', c == ']':
@@ -124,7 +124,7 @@
 	return len(b), false, nil
 }
 
-func space(c byte) bool { return c == ' ' || c == '\n' || c == '\t' || c == '\r' }
+func isSpace(c byte) bool { return c == ' ' || c == '\n' || c == '\t' || c == '\r' }
 
 // Size returns the number of bytes received.
 func (r *Reader) Size() int { return r.size }
@@ -142,25 +142,25 @@
 		return fmt.Errorf("%w: over %d bytes", ErrTooBig, r.MaxSize)
 	}
 	for len(b) > 0 {
-		if r.at == inValue || r.at == inElem {
-			n, ended, err := r.scan.take(b)
+		if r.position == inValue || r.position == inEntry {
+			n, ended, err := r.scanner.consume(b)
 			if err != nil {
 				return err
 			}
-			if len(r.buf)+n > entryMost {
-				return fmt.Errorf("%w: a value over %d bytes", ErrTooBig, entryMost)
+			if len(r.buf)+n > maxValueBytes {
+				return fmt.Errorf("%w: a value over %d bytes", ErrTooBig, maxValueBytes)
 			}
 			r.buf = append(r.buf, b[:n]...)
 			b = b[n:]
 			if !ended {
 				return nil
 			}
-			if err := r.whole(); err != nil {
+			if err := r.finishValue(); err != nil {
 				return err
 			}
 			continue
 		}
-		if c := b[0]; !space(c) {
+		if c := b[0]; !isSpace(c) {
 			stay, err := r.step(c)
 			if err != nil {
 				return err
@@ -176,35 +176,35 @@
 
 // step processes a byte between values. It returns true if a value begins with this byte.
 func (r *Reader) step(c byte) (stay bool, err error) {
-	begin := func(p place) (bool, error) {
-		r.at, r.scan, r.buf = p, scan{}, r.buf[:0]
+	begin := func(p position) (bool, error) {
+		r.position, r.scanner, r.buf = p, valueScanner{}, r.buf[:0]
 		return true, nil
 	}
 	switch {
-	case r.at == start && c == '{':
-		r.at = key
-	case (r.at == key || r.at == nextKey) && c == '"':
+	case r.position == beforeObject && c == '{':
+		r.position = beforeKey
+	case (r.position == beforeKey || r.position == afterComma) && c == '"':
 		r.key = ""
 		return begin(inValue)
-	case (r.at == key || r.at == after) && c == '}':
-		r.at = end
-	case r.at == colon && c == ':':
-		r.at = value
-	case r.at == value && r.key == "instances" && c == '[':
-		if r.listed {
+	case (r.position == beforeKey || r.position == afterValue) && c == '}':
+		r.position = afterObject
+	case r.position == beforeColon && c == ':':
+		r.position = beforeValue
+	case r.position == beforeValue && r.key == "instances" && c == '[':
+		if r.instancesSeen {
 			return false, fmt.Errorf("%w: duplicate member instances", ErrSyntax)
 		}
-		r.listed, r.at = true, element
-	case r.at == value && c != '}' && c != ']' && c != ',':
+		r.instancesSeen, r.position = true, beforeEntry
+	case r.position == beforeValue && c != '}' && c != ']' && c != ',':
 		return begin(inValue)
-	case r.at == after && c == ',':
-		r.at = nextKey
-	case (r.at == element || r.at == behind) && c == ']':
-		r.at, r.key = after, ""
-	case (r.at == element || r.at == nextElem) && c == '{':
-		return begin(inElem)
-	case r.at == behind && c == ',':
-		r.at = nextElem
+	case r.position == afterValue && c == ',':
+		r.position = afterComma
+	case (r.position == beforeEntry || r.position == afterEntry) && c == ']':
+		r.position, r.key = afterValue, ""
+	case (r.position == beforeEntry || r.position == afterEntryComma) && c == '{':
+		return begin(inEntry)
+	case r.position == afterEntry && c == ',':
+		r.position = afterEntryComma
 	default:
 		return false, fmt.Errorf("%w: unexpected %q", ErrSyntax, c)
 	}
@@ -212,37 +212,37 @@
 }
 
 // finishValue processes a complete value.
-func (r *Reader) whole() error {
+func (r *Reader) finishValue() error {
 	v, err := r.parser.ParseBytes(r.buf)
 	if err != nil {
 		return fmt.Errorf("%w: %s", ErrSyntax, bytes.TrimSpace([]byte(err.Error())))
 	}
 	switch {
-	case r.at == inElem:
+	case r.position == inEntry:
 		if r.Entries++; r.Entries > r.MaxList {
 			return fmt.Errorf("%w: over %d entries", ErrTooBig, r.MaxList)
 		}
-		r.at = behind
+		r.position = afterEntry
 		if err := r.Entry(v); err != nil {
 			return fmt.Errorf("instances[%d]: %w", r.Entries-1, err)
 		}
 	case r.key == "":
-		if len(r.buf) > keyMost {
-			return fmt.Errorf("%w: a name over %d bytes", ErrTooBig, keyMost)
+		if len(r.buf) > maxKeyBytes {
+			return fmt.Errorf("%w: a name over %d bytes", ErrTooBig, maxKeyBytes)
 		}
 		text, _ := v.StringBytes()
-		r.key, r.at = string(text), colon
+		r.key, r.position = string(text), beforeColon
 		if r.key == "" {
 			r.key = " " // matches no known member
 		}
 	default:
-		r.at = after
+		r.position = afterValue
 		switch r.key {
 		case "generation":
 			if r.Generation, err = strconv.ParseUint(string(r.buf), 10, 64); err != nil {
 				return fmt.Errorf("generation: %w", ErrSyntax)
 			}
-			r.known = true
+			r.generationSeen = true
 		case "partitions":
 			n, err := strconv.ParseUint(string(r.buf), 10, 31)
 			if r.Partitions = int(n); err != nil || n == 0 {
@@ -265,10 +265,10 @@
 	switch {
 	case r.err != nil:
 		return r.err
-	case r.at != end:
+	case r.position != afterObject:
 		r.err = fmt.Errorf("%w: unexpected end", ErrSyntax)
-	case !r.known:
-		r.err = ErrMissing
+	case !r.generationSeen:
+		r.err = ErrNoGeneration
 	}
 	return r.err
 }
--- a/internal/proto/listing/listing_test.go
+++ b/internal/proto/listing/listing_test.go
@@ -11,22 +11,22 @@
 	"github.com/valyala/fastjson"
 )
 
-func reader(got *[]string) *Reader {
+func newReader(got *[]string) *Reader {
 	return &Reader{MaxSize: 1 << 20, MaxList: 100, Entry: func(v *fastjson.Value) error {
 		*got = append(*got, string(v.GetStringBytes("instanceId")))
 		return nil
 	}}
 }
 
-const good = ` {"x" : {"deep":[1,{"y":"]}"}]}, "generation": 41, "reset":true ,"instances":[ {"instanceId":"a\"}]","n":[{}]},
+const validList = ` {"x" : {"deep":[1,{"y":"]}"}]}, "generation": 41, "reset":true ,"instances":[ {"instanceId":"a\"}]","n":[{}]},
 	{"instanceId":"b"}] , "after":null}  `
 
 // The result does not depend on the sizes of the pieces.
-func TestPieces(t *testing.T) {
-	for size := 1; size <= len(good); size++ {
+func TestPiecesOfAnySize(t *testing.T) {
+	for size := 1; size <= len(validList); size++ {
 		var got []string
-		r := reader(&got)
-		for text := good; text != ""; {
+		r := newReader(&got)
+		for text := validList; text != ""; {
 			n := min(size, len(text))
 			require.NoError(t, r.Feed([]byte(text[:n])))
 			text = text[n:]
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestSpoilt(t *testing.T) {
+func TestInvalidLists(t *testing.T) {
 	for text, want := range map[string]error{
 		``:                                      ErrSyntax,
 		`[]`:                                    ErrSyntax,
@@ -47,7 +47,7 @@
 		`{"generation":1,}`:                     ErrSyntax,
 		`{"generation":-1}`:                     ErrSyntax,
 		`{"generation":"1"}`:                    ErrSyntax,
-		`{"reset":true}`:                        ErrMissing,
+		`{"reset":true}`:                        ErrNoGeneration,
 		`{"generation":1,"instances":{}}`:       ErrSyntax,
 		`{"generation":1,"instances":[5]}`:      ErrSyntax,
 		`{"generation":1,"instances":[{},]}`:    ErrSyntax,
@@ -61,7 +61,7 @@
 		strings.Repeat(" ", 1<<20+1):                                 ErrTooBig,
 	} {
 		var got []string
-		r := reader(&got)
+		r := newReader(&got)
 		err := r.Feed([]byte(text))
 		if err == nil {
 			err = r.End()
@@ -74,7 +74,7 @@
 // An invalid number of partitions is not a parse error: the caller checks it.
 func TestPartitions(t *testing.T) {
 	for text, want := range map[string]int{"": 0, `,"partitions":16384`: 16384, `,"partitions":"7"`: -1, `,"partitions":0`: -1, `,"partitions":-7`: -1, `,"partitions":null`: -1} {
-		r := reader(&[]string{})
+		r := newReader(&[]string{})
 		require.NoError(t, r.Feed([]byte(`{"generation":1`+text+`,"instances":[]}`)))
 		require.NoError(t, r.End())
 		assert.Equal(t, want, r.Partitions, text)
@@ -82,7 +82,7 @@
 }
 
 // An error of Entry is returned with the index of the instance.
-func TestEntryRefused(t *testing.T) {
+func TestEntryErrorNamesIndex(t *testing.T) {
 	r := &Reader{MaxSize: 1000, MaxList: 9, Entry: func(v *fastjson.Value) error {
 		if !v.Exists("cell") {
 			return errors.New("no cell")
@@ -94,7 +94,7 @@
 
 // For any input, the reader does not panic, buffers at most one entry, and accepts only valid JSON.
 func FuzzReader(f *testing.F) {
-	f.Add([]byte(good), 3)
+	f.Add([]byte(validList), 3)
 	f.Add([]byte(`{"generation":1,"instances":[{"a":"\u00e9\\"}],"reset":false}`), 1)
 	f.Add([]byte(`{"generation":1,"instances":null}`), 7)
 	f.Fuzz(func(t *testing.T, text []byte, size int) {
@@ -105,7 +105,7 @@
 			if r.Feed(rest[:min(size, len(rest))]) != nil {
 				break
 			}
-			if len(r.buf) > entryMost {
+			if len(r.buf) > maxValueBytes {
 				t.Fatalf("%d bytes buffered", len(r.buf))
 			}
 		}
--- a/internal/proto/oneline/oneline.go
+++ b/internal/proto/oneline/oneline.go
@@ -14,10 +14,10 @@
 
 // Errors returned by Feed.
 var (
-	ErrLong  = errors.New("the line is too long")
-	ErrEmpty = errors.New("a call is wanted")
-	ErrText  = errors.New("a call is printable ASCII")
-	ErrWords = errors.New("a call is a word and at most one argument")
+	ErrTooLong      = errors.New("the line is too long")
+	ErrEmpty        = errors.New("a call is wanted")
+	ErrNotPrintable = errors.New("a call is printable ASCII")
+	ErrTooManyWords = errors.New("a call is a word and at most one argument")
 )
 
 // Call is a parsed call.
@@ -25,32 +25,32 @@
 
 // Parser parses one call. The zero value is ready to use.
 type Parser struct {
-	held []byte
-	over bool
+	buf  []byte
+	done bool
 }
 
 // Feed parses received bytes. ok is true once the line is complete; bytes after it are ignored.
 func (p *Parser) Feed(b []byte) (c Call, ok bool, err error) {
-	if p.over {
+	if p.done {
 		return c, false, nil
 	}
 	n := bytes.IndexByte(b, '\n')
 	if n < 0 {
-		if p.held = append(p.held, b[:min(len(b), Most+2)]...); len(p.held) > Most+1 { // the last byte may be the \r of the line end
-			p.over, p.held = true, nil
-			return c, false, ErrLong
+		if p.buf = append(p.buf, b[:min(len(b), Most+2)]...); len(p.buf) > Most+1 { // the last byte may be the \r of the line end
+			p.done, p.buf = true, nil
+			return c, false, ErrTooLong
 		}
 		return c, false, nil
 	}
-	line := append(p.held, b[:min(n, Most+2)]...)
-	p.over, p.held = true, nil
+	line := append(p.buf, b[:min(n, Most+2)]...)
+	p.done, p.buf = true, nil
 	line = bytes.TrimSuffix(line, []byte("\r"))
 	if len(line) > Most {
-		return c, false, ErrLong
+		return c, false, ErrTooLong
 	}
 	for _, x := range line {
 		if x < ' ' || x > '~' {
-			return c, false, ErrText
+			return c, false, ErrNotPrintable
 		}
 	}
 	words := strings.Fields(string(line))
@@ -62,5 +62,5 @@
 	case 2:
 		return Call{Word: words[0], Arg: words[1]}, true, nil
 	}
-	return c, false, ErrWords
+	return c, false, ErrTooManyWords
 }
--- a/internal/proto/oneline/oneline_test.go
+++ b/internal/proto/oneline/oneline_test.go
@@ -18,10 +18,10 @@
 		" readyz \n":          {call: Call{Word: "readyz"}},
 		long + "\r\n":         {call: Call{Word: long}},
 		"\n":                  {err: ErrEmpty},
-		"a b c\n":             {err: ErrWords},
-		"re\x00dyz\n":         {err: ErrText},
-		long + "x\n":          {err: ErrLong},
-		long + long:           {err: ErrLong},
+		"a b c\n":             {err: ErrTooManyWords},
+		"re\x00dyz\n":         {err: ErrNotPrintable},
+		long + "x\n":          {err: ErrTooLong},
+		long + long:           {err: ErrTooLong},
 	} {
 		for _, step := range []int{1, 3, len(in)} { // received in pieces of different sizes
 			var p Parser
@@ -43,7 +43,7 @@
 		var p Parser
 		for step = max(1, step); len(b) > 0; b = b[min(step, len(b)):] {
 			c, ok, err := p.Feed(b[:min(step, len(b))])
-			if len(p.held) > 2*Most || ok && (err != nil || c.Word == "") || len(c.Word) > Most {
+			if len(p.buf) > 2*Most || ok && (err != nil || c.Word == "") || len(c.Word) > Most {
 				t.Fatal(c, ok, err)
 			}
 		}
--- a/internal/proto/resp/reply.go
+++ b/internal/proto/resp/reply.go
@@ -14,16 +14,16 @@
 
 // Errors of ReplyParser. The connection must be closed.
 var (
-	ErrReply    = errors.New("protocol error: invalid reply")
-	ErrReplyBig = errors.New("protocol error: the reply is too big")
+	ErrInvalidReply = errors.New("protocol error: invalid reply")
+	ErrReplyTooBig  = errors.New("protocol error: the reply is too big")
 )
 
 // ReplyParser parses the replies of a connection: simple strings, errors and bulk strings. All other
 // types, including null bulk strings, are errors.
 type ReplyParser struct {
-	buf  []byte
-	seen int // bytes of buf already searched for a line end
-	err  error
+	buf      []byte
+	searched int // bytes of buf already searched for a line end
+	err      error
 }
 
 // Feed adds received bytes.
@@ -38,39 +38,39 @@
 	if p.err != nil || len(p.buf) == 0 {
 		return nil, p.err
 	}
-	n, err := p.whole()
+	n, err := p.replyLength()
 	if p.err = err; n == 0 || err != nil {
 		return nil, err
 	}
 	reply := append([]byte(nil), p.buf[:n]...)
-	p.buf, p.seen = append(p.buf[:0], p.buf[n:]...), 0
+	p.buf, p.searched = append(p.buf[:0], p.buf[n:]...), 0
 	return reply, nil
 }
 
 // replyLength returns the encoded length of the first reply, or zero if it is incomplete.
-func (p *ReplyParser) whole() (int, error) {
+func (p *ReplyParser) replyLength() (int, error) {
 	most := MaxReplyLine
 	switch p.buf[0] {
 	case '+', '-':
 	case '$':
-		most = maxLine
+		most = maxLengthLine
 	default:
-		return 0, ErrReply
+		return 0, ErrInvalidReply
 	}
-	at := bytes.IndexByte(p.buf[p.seen:], '\n')
+	at := bytes.IndexByte(p.buf[p.searched:], '\n')
 	switch {
 	case at < 0 && len(p.buf) > most+1: // the last byte may be the \r of the line end
-		return 0, ErrReplyBig
+		return 0, ErrReplyTooBig
 	case at < 0:
-		p.seen = len(p.buf)
+		p.searched = len(p.buf)
 		return 0, nil
 	}
-	end := p.seen + at + 1
+	end := p.searched + at + 1
 	switch line := p.buf[:end]; {
 	case end-2 > most:
-		return 0, ErrReplyBig
+		return 0, ErrReplyTooBig
 	case line[end-2] != '\r' || bytes.IndexByte(line[:end-2], '\r') >= 0:
-		return 0, ErrReply
+		return 0, ErrInvalidReply
 	case line[0] != '$':
 		return end, nil
 	}
@@ -79,12 +79,12 @@
 	case err != nil:
 		return 0, ErrLength
 	case size > MaxReplyBulk:
-		return 0, ErrReplyBig
+		return 0, ErrReplyTooBig
 	case len(p.buf) < end+int(size)+2:
 		return 0, nil
 	}
 	if end += int(size); p.buf[end] != '\r' || p.buf[end+1] != '\n' {
-		return 0, ErrReply
+		return 0, ErrInvalidReply
 	}
 	return end + 2, nil
 }
--- a/internal/proto/resp/reply_test.go
+++ b/internal/proto/resp/reply_test.go
@@ -28,7 +28,7 @@
 	return got, nil
 }
 
-func TestRepliesInAnyPieces(t *testing.T) {
+func TestRepliesInPiecesOfAnySize(t *testing.T) {
 	want := []string{"+OK\r\n", "-BUSY 40\r\n", "$4\r\na\r\nb\r\n", "$0\r\n\r\n", "+\r\n", "+" + strings.Repeat("x", MaxReplyLine-1) + "\r\n"}
 	all := strings.Join(want, "")
 	for size := 1; size <= len(all); size++ {
@@ -38,25 +38,25 @@
 	}
 }
 
-func TestNoReply(t *testing.T) {
+func TestInvalidReplies(t *testing.T) {
 	for in, want := range map[string]error{
-		"HTTP/1.1 200 OK\r\n":                ErrReply,
-		":1\r\n":                             ErrReply,
-		"*1\r\n$1\r\na\r\n":                  ErrReply,
-		"\r\n":                               ErrReply,
-		"+OK\n":                              ErrReply,
-		"+O\rK\r\n":                          ErrReply,
-		"$-1\r\n":                            ErrLength,
-		"$+1\r\n":                            ErrLength,
-		"$\r\n":                              ErrLength,
-		"$1\r\nabc":                          ErrReply,
-		"$4097\r\n":                          ErrReplyBig,
-		"$" + strings.Repeat("1", maxLine+2): ErrReplyBig,
-		"+" + strings.Repeat("x", MaxReplyLine) + "\r\n":    ErrReplyBig,
-		"-" + strings.Repeat("x", MaxReplyLine+1):           ErrReplyBig,
-		"+OK\r\n-" + strings.Repeat("x", 2*MaxReplyLine):    ErrReplyBig,
-		"$4\r\n" + strings.Repeat("x", 2*MaxReplyBulk):      ErrReply,
-		"+" + strings.Repeat("x", MaxReplyLine-1) + "y\r\n": ErrReplyBig,
+		"HTTP/1.1 200 OK\r\n": ErrInvalidReply,
+		":1\r\n":              ErrInvalidReply,
+		"*1\r\n$1\r\na\r\n":   ErrInvalidReply,
+		"\r\n":                ErrInvalidReply,
+		"+OK\n":               ErrInvalidReply,
+		"+O\rK\r\n":           ErrInvalidReply,
+		"$-1\r\n":             ErrLength,
+		"$+1\r\n":             ErrLength,
+		"$\r\n":               ErrLength,
+		"$1\r\nabc":           ErrInvalidReply,
+		"$4097\r\n":           ErrReplyTooBig,
+		"$" + strings.Repeat("1", maxLengthLine+2):          ErrReplyTooBig,
+		"+" + strings.Repeat("x", MaxReplyLine) + "\r\n":    ErrReplyTooBig,
+		"-" + strings.Repeat("x", MaxReplyLine+1):           ErrReplyTooBig,
+		"+OK\r\n-" + strings.Repeat("x", 2*MaxReplyLine):    ErrReplyTooBig,
+		"$4\r\n" + strings.Repeat("x", 2*MaxReplyBulk):      ErrInvalidReply,
+		"+" + strings.Repeat("x", MaxReplyLine-1) + "y\r\n": ErrReplyTooBig,
 	} {
 		for _, size := range []int{1, 7, len(in)} {
 			_, err := replies(in, size)
@@ -72,7 +72,7 @@
 	assert.Error(t, err, "input after an error is ignored")
 }
 
-func TestCommandIsRead(t *testing.T) {
+func TestCommandRoundTrip(t *testing.T) {
 	args := [][]byte{[]byte("OUT.ADD"), []byte("5"), {}, []byte("a\r\n$1")}
 	var p Parser
 	p.Feed(Command(args...))
@@ -106,7 +106,7 @@
 			if p.err != nil {
 				return
 			}
-			if len(p.buf) > max(MaxReplyLine, MaxReplyBulk+maxLine)+size+2 {
+			if len(p.buf) > max(MaxReplyLine, MaxReplyBulk+maxLengthLine)+size+2 {
 				t.Fatalf("%d bytes kept", len(p.buf))
 			}
 		}
--- a/internal/proto/resp/resp.go
+++ b/internal/proto/resp/resp.go
@@ -10,10 +10,10 @@
 
 // Limits of a command. Exceeding one is an error.
 const (
-	MaxArgs  = 16
-	MaxBulk  = 64 << 10 // bytes of one argument
-	MaxTotal = 80 << 10 // bytes of a whole command
-	maxLine  = 32       // bytes of a length line
+	MaxArgs       = 16
+	MaxBulk       = 64 << 10 // bytes of one argument
+	MaxTotal      = 80 << 10 // bytes of a whole command
+	maxLengthLine = 32       // bytes of a length line
 )
 
 // Parse errors. The connection must be closed, as command boundaries are no longer known.
@@ -25,47 +25,47 @@
 
 // Parser parses the commands of a connection.
 type Parser struct {
-	buf  []byte
-	pos  int // offset of the first unparsed byte
-	want int // arguments still missing; zero between commands
-	size int // size of the next argument; -1 until its length line is read
-	args [][]byte
-	sum  int // bytes of all arguments so far
+	buf         []byte
+	offset      int // offset of the first unparsed byte
+	missingArgs int // arguments still missing; zero between commands
+	argSize     int // size of the next argument; -1 until its length line is read
+	args        [][]byte
+	argBytes    int // bytes of all arguments so far
 }
 
 // Feed adds received bytes.
 func (p *Parser) Feed(b []byte) {
-	if p.pos > 0 && p.pos == len(p.buf) {
-		p.buf, p.pos = p.buf[:0], 0
+	if p.offset > 0 && p.offset == len(p.buf) {
+		p.buf, p.offset = p.buf[:0], 0
 	}
 	p.buf = append(p.buf, b...)
 }
 
 // Idle reports whether no part of a command is buffered.
-func (p *Parser) Idle() bool { return p.want == 0 && p.pos == len(p.buf) }
+func (p *Parser) Idle() bool { return p.missingArgs == 0 && p.offset == len(p.buf) }
 
 // Rest returns the received part of an incomplete command. Feeding it to a new parser
 // restores the state of this one.
 func (p *Parser) Rest() []byte {
 	var b []byte
-	if p.want > 0 {
-		b = append(strconv.AppendInt(append(b, '*'), int64(len(p.args)+p.want), 10), "\r\n"...)
+	if p.missingArgs > 0 {
+		b = append(strconv.AppendInt(append(b, '*'), int64(len(p.args)+p.missingArgs), 10), "\r\n"...)
 		for _, a := range p.args {
 			b = append(append(append(strconv.AppendInt(append(b, '$'), int64(len(a)), 10), "\r\n"...), a...), "\r\n"...)
 		}
-		if p.size >= 0 {
-			b = append(strconv.AppendInt(append(b, '$'), int64(p.size), 10), "\r\n"...)
+		if p.argSize >= 0 {
+			b = append(strconv.AppendInt(append(b, '$'), int64(p.argSize), 10), "\r\n"...)
 		}
 	}
-	return append(b, p.buf[p.pos:]...)
+	return append(b, p.buf[p.offset:]...)
 }
 
 // Next returns the next complete command, or nil if there is none yet. After an error the
 // stream is unusable. The caller may keep the arguments.
 func (p *Parser) Next() ([][]byte, error) {
 	for {
-		if p.want == 0 {
-			n, ok, err := p.length('*')
+		if p.missingArgs == 0 {
+			n, ok, err := p.lengthLine('*')
 			if !ok || err != nil {
 				return nil, err
 			}
@@ -75,32 +75,32 @@
 			if n <= 0 { // an empty array is ignored
 				continue
 			}
-			p.want, p.size, p.args, p.sum = n, -1, nil, 0
+			p.missingArgs, p.argSize, p.args, p.argBytes = n, -1, nil, 0
 		}
-		if p.size < 0 {
-			n, ok, err := p.length('$')
+		if p.argSize < 0 {
+			n, ok, err := p.lengthLine('$')
 			if !ok || err != nil {
 				return nil, err
 			}
 			if n < 0 {
 				return nil, ErrLength
 			}
-			if p.sum += n; n > MaxBulk || p.sum > MaxTotal {
+			if p.argBytes += n; n > MaxBulk || p.argBytes > MaxTotal {
 				return nil, ErrTooBig
 			}
-			p.size = n
+			p.argSize = n
 		}
-		if len(p.buf)-p.pos < p.size+2 {
+		if len(p.buf)-p.offset < p.argSize+2 {
 			p.compact()
 			return nil, nil
 		}
-		end := p.pos + p.size
+		end := p.offset + p.argSize
 		if p.buf[end] != '\r' || p.buf[end+1] != '\n' {
 			return nil, ErrSyntax
 		}
-		p.args = append(p.args, append([]byte{}, p.buf[p.pos:end]...))
-		p.pos, p.size = end+2, -1
-		if p.want--; p.want == 0 {
+		p.args = append(p.args, append([]byte{}, p.buf[p.offset:end]...))
+		p.offset, p.argSize = end+2, -1
+		if p.missingArgs--; p.missingArgs == 0 {
 			args := p.args
 			p.args = nil
 			p.compact()
@@ -109,9 +109,9 @@
 	}
 }
 
-// length parses a length line such as *3 or $12.
-func (p *Parser) length(mark byte) (n int, ok bool, err error) {
-	rest := p.buf[p.pos:]
+// lengthLine parses a length line such as *3 or $12.
+func (p *Parser) lengthLine(mark byte) (n int, ok bool, err error) {
+	rest := p.buf[p.offset:]
 	if len(rest) == 0 {
 		p.compact()
 		return 0, false, nil
@@ -121,7 +121,7 @@
 	}
 	for i := 1; i < len(rest); i++ {
 		if rest[i] != '\n' {
-			if i >= maxLine {
+			if i >= maxLengthLine {
 				return 0, false, ErrLength
 			}
 			continue
@@ -133,10 +133,10 @@
 		if err != nil {
 			return 0, false, ErrLength
 		}
-		p.pos += i + 1
+		p.offset += i + 1
 		return n, true, nil
 	}
-	if len(rest) > maxLine {
+	if len(rest) > maxLengthLine {
 		return 0, false, ErrLength
 	}
 	return 0, false, nil
@@ -144,11 +144,11 @@
 
 // compact discards parsed bytes to keep the buffer small.
 func (p *Parser) compact() {
-	if p.pos == 0 {
+	if p.offset == 0 {
 		return
 	}
-	p.buf = append(p.buf[:0], p.buf[p.pos:]...)
-	p.pos = 0
+	p.buf = append(p.buf[:0], p.buf[p.offset:]...)
+	p.offset = 0
 }
 
 // Simple encodes a simple string such as +OK.
--- a/internal/proto/resp/resp_test.go
+++ b/internal/proto/resp/resp_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-const two = "*2\r\n$4\r\nPING\r\n$3\r\na\r\n\r\n*1\r\n$0\r\n\r\n"
+const twoCommands = "*2\r\n$4\r\nPING\r\n$3\r\na\r\n\r\n*1\r\n$0\r\n\r\n"
 
-func TestCommandsInAnyPieces(t *testing.T) {
-	for size := 1; size <= len(two); size++ {
+func TestCommandsInPiecesOfAnySize(t *testing.T) {
+	for size := 1; size <= len(twoCommands); size++ {
 		var p Parser
 		var got [][][]byte
-		for at := 0; at < len(two); at += size {
-			p.Feed([]byte(two[at:min(at+size, len(two))]))
+		for at := 0; at < len(twoCommands); at += size {
+			p.Feed([]byte(twoCommands[at:min(at+size, len(twoCommands))]))
 			for {
 				args, err := p.Next()
 				require.NoError(t, err)
@@ -50,14 +50,14 @@
 	}
 }
 
-func TestAnswers(t *testing.T) {
+func TestEncodedReplies(t *testing.T) {
 	assert.Equal(t, "+OK\r\n", string(Simple("OK")))
 	assert.Equal(t, "-ERR a  b\r\n", string(Error("ERR a\r\nb")), "line breaks are replaced")
 	assert.Equal(t, "$2\r\nhi\r\n", string(Bulk([]byte("hi"))))
 }
 
 func FuzzParser(f *testing.F) {
-	f.Add([]byte(two), 3)
+	f.Add([]byte(twoCommands), 3)
 	f.Add([]byte("*1\r\n$-1\r\n"), 1)
 	f.Fuzz(func(t *testing.T, b []byte, size int) {
 		size = max(1, size%64)
