--- a/internal/describe/asyncapi.go
+++ b/internal/describe/asyncapi.go
@@ -33,7 +33,7 @@
 		v.oneOf("application/json")
 	}
 	root.child("info").object("title!", "version!", "description", "license", "contact")
-	life := &Life{}
+	lifecycle := &Life{}
 	found := map[string]bool{}
 	channels := root.child("channels")
 	channels.object(channels.keys()...)
@@ -47,9 +47,9 @@
 			case found[word]:
 				m.fail("duplicate message %q", word)
 			case word == "taken":
-				life.Taken = notice(m.resolve(), []string{"taken"})
+				lifecycle.Taken = notice(m.resolve(), []string{"taken"})
 			case word == "ended":
-				life.Ended = notice(m.resolve(), []string{"delivered", "failed", "returned"})
+				lifecycle.Ended = notice(m.resolve(), []string{"delivered", "failed", "returned"})
 			default:
 				m.fail("not supported: the only messages are taken and ended")
 			}
@@ -78,7 +78,7 @@
 	if err := root.doc.error(); err != nil {
 		return nil, err
 	}
-	return life, nil
+	return lifecycle, nil
 }
 
 // Withdrawn is the state of a message that its client has deleted.
--- a/internal/describe/openapi.go
+++ b/internal/describe/openapi.go
@@ -170,13 +170,13 @@
 // checkOperations compares the operations with the implemented handlers.
 func checkOperations(api *API) {
 	for _, want := range []struct {
-		op           *Operation
-		id, method   string
-		path         int
-		params       []string
-		optional     []string
-		statuses     []int
-		wants, takes bool
+		op             *Operation
+		id, method     string
+		path           int
+		params         []string
+		optional       []string
+		statuses       []int
+		wants, hasBody bool
 	}{
 		{&api.Submit, "submitMessage", "POST", 1, []string{"path destination", "header ttl", "header message-id",
 			"header message-class"}, []string{"header tenant", "header order-key", "header idempotency-key", "header topic", "header urgency"},
@@ -192,7 +192,7 @@
 		if want.op.Method != want.method {
 			want.op.source.fail("operation %q must use the method %s", want.id, want.method)
 		}
-		if want.op.MaxBody > 0 != want.takes {
+		if want.op.MaxBody > 0 != want.hasBody {
 			want.op.source.fail("operation %q: the presence of a request body does not match the handler", want.id)
 		}
 		for _, p := range want.params {
--- a/internal/describe/walk.go
+++ b/internal/describe/walk.go
@@ -21,6 +21,7 @@
 	Reason   string
 }
 
+// Error returns the document, the location and the reason.
 func (e *Error) Error() string { return fmt.Sprintf("%s: %s: %s", e.Document, e.Pointer, e.Reason) }
 
 // node is a value in a document with its location. Errors do not stop the reading; the first
@@ -104,6 +105,7 @@
 	return out
 }
 
+// list returns the elements of an array, or nil if it is missing.
 func (n node) list() (out []node) {
 	if n.value == nil {
 		return nil
@@ -118,6 +120,7 @@
 	return out
 }
 
+// text returns a string, or "" if it is missing.
 func (n node) text() string {
 	if n.value == nil {
 		return ""
@@ -151,6 +154,7 @@
 	return i
 }
 
+// bool returns a boolean, or false if it is missing.
 func (n node) bool() bool {
 	if n.value == nil {
 		return false
--- a/internal/h2pool/pool.go
+++ b/internal/h2pool/pool.go
@@ -28,19 +28,20 @@
 type Config struct {
 	Most int           // maximum number of usable connections; values below 1 count as 1
 	Idle time.Duration // a connection without streams is closed after this time; zero means never
-	Age  time.Duration // an older connection takes no new streams and is closed when empty; zero means no limit
+	Age  time.Duration // an older connection takes no new streams and is closed when empty; zero: no limit
 }
 
-// Verdict is the decision of Pick.
-type Verdict int
+// Decision is the decision of Pick.
+type Decision int
 
 const (
-	Use   Verdict = iota // use the returned connection: it has a free stream, or is expected to have one once ready
-	Dial                 // dial a new connection
-	Queue                // wait on the returned connection until one of its streams has ended
+	Use   Decision = iota // use the returned connection, which has a free stream or is expected to have one
+	Dial                  // dial a new connection
+	Queue                 // wait on the returned connection until one of its streams has ended
 )
 
-func (v Verdict) String() string {
+// String returns "use", "dial" or "queue".
+func (v Decision) String() string {
 	return [...]string{"use", "dial", "queue"}[v]
 }
 
@@ -53,56 +54,56 @@
 // with Dial. Of the connections with a free stream it picks the one with the most open streams,
 // so that others become empty. A connection that is not ready yet gets as many calls as it is
 // expected to have streams.
-func Pick(c Config, now time.Duration, links []Link) (Verdict, int) {
-	best, bestOpen, waiting, live := -1, -1, -1, 0
+func Pick(c Config, now time.Duration, links []Link) (Decision, int) {
+	fullest, fullestOpen, connecting, usableCount := -1, -1, -1, 0
 	for i, l := range links {
 		if !c.acceptsStreams(now, l) {
 			continue
 		}
-		live++
+		usableCount++
 		if l.Room-l.Queued <= 0 {
 			continue
 		}
 		switch {
-		case l.Up && l.Open+l.Queued > bestOpen:
-			best, bestOpen = i, l.Open+l.Queued
-		case !l.Up && waiting < 0:
-			waiting = i
+		case l.Up && l.Open+l.Queued > fullestOpen:
+			fullest, fullestOpen = i, l.Open+l.Queued
+		case !l.Up && connecting < 0:
+			connecting = i
 		}
 	}
 	switch {
-	case best >= 0:
-		return Use, best
-	case waiting >= 0:
-		return Use, waiting
-	case live < max(c.Most, 1):
+	case fullest >= 0:
+		return Use, fullest
+	case connecting >= 0:
+		return Use, connecting
+	case usableCount < max(c.Most, 1):
 		return Dial, -1
 	}
 	// All are full: the connection with the fewest calls per stream is expected to free one first.
-	least, at := 0.0, -1
+	lowestLoad, index := 0.0, -1
 	for i, l := range links {
 		if !c.acceptsStreams(now, l) {
 			continue
 		}
 		load := float64(l.Open+l.Queued+1) / float64(max(l.Open+l.Room, 1))
-		if at < 0 || load < least {
-			least, at = load, i
+		if index < 0 || load < lowestLoad {
+			lowestLoad, index = load, i
 		}
 	}
-	return Queue, at
+	return Queue, index
 }
 
-// Reason is the reason for retiring a connection.
-type Reason int
+// RetireReason is the reason for retiring a connection.
+type RetireReason int
 
 const (
-	Keep  Reason = iota // not retired
-	Idle                // ready, but without streams for the idle timeout
-	Spent               // accepts no more streams, and is empty
+	Keep  RetireReason = iota // not retired
+	Idle                      // ready, but without streams for the idle timeout
+	Spent                     // accepts no more streams, and is empty
 )
 
 // Retire decides whether a connection should be closed now, and why.
-func Retire(c Config, now time.Duration, l Link) Reason {
+func Retire(c Config, now time.Duration, l Link) RetireReason {
 	empty := l.Open == 0 && l.Queued == 0
 	switch {
 	case !empty:
--- a/internal/h2pool/pool_test.go
+++ b/internal/h2pool/pool_test.go
@@ -15,7 +15,7 @@
 func TestPickAndRetire(t *testing.T) {
 	for name, tc := range map[string]struct {
 		links []Link
-		v     Verdict
+		v     Decision
 		at    int
 	}{
 		"no connections":                                         {nil, Dial, -1},
@@ -29,7 +29,7 @@
 		v, at := Pick(threeConnections, 0, tc.links)
 		assert.Equal(t, [2]any{tc.v, tc.at}, [2]any{v, at}, name)
 	}
-	for l, want := range map[Link]Reason{
+	for l, want := range map[Link]RetireReason{
 		{Up: true, Open: 1}: Keep, {Up: true, Queued: 1, Away: true}: Keep, {Up: true, Used: -time.Second}: Idle,
 		{Up: true, Used: -time.Second + 1}: Keep, {Used: -time.Hour}: Keep, {Up: true, Away: true}: Spent,
 		{Up: true, Opened: -time.Minute}: Spent,
--- a/internal/plugin/breaker/breaker.go
+++ b/internal/plugin/breaker/breaker.go
@@ -43,6 +43,7 @@
 	HalfOpen
 )
 
+// String returns "closed", "open" or "half open".
 func (s State) String() string { return [...]string{"closed", "open", "half open"}[s] }
 
 // Breaker is the circuit breaker of one plug-in.
--- a/internal/plugin/breaker/breaker_test.go
+++ b/internal/plugin/breaker/breaker_test.go
@@ -14,15 +14,15 @@
 }
 
 // run makes one call per millisecond and returns how many were allowed.
-func run(b *Breaker, now time.Duration, outcomes ...bool) (through int) {
+func run(b *Breaker, now time.Duration, outcomes ...bool) (allowedCalls int) {
 	for i, ok := range outcomes {
 		at := now + time.Duration(i)*time.Millisecond
 		if t, allowed := b.Allow(at); allowed {
-			through++
+			allowedCalls++
 			b.Done(at, t, ok)
 		}
 	}
-	return through
+	return allowedCalls
 }
 
 func TestOpensAfterConsecutiveFailures(t *testing.T) {
--- a/internal/plugin/engine/engine.go
+++ b/internal/plugin/engine/engine.go
@@ -37,12 +37,12 @@
 
 // Open loads the code of a plug-in. The timeout also applies each time a WebAssembly module is
 // instantiated again later.
-func Open(m *manifest.Manifest, h Host, within time.Duration) (Engine, error) {
+func Open(m *manifest.Manifest, h Host, startTimeout time.Duration) (Engine, error) {
 	switch m.Engine {
 	case "starlark":
 		return openStarlark(m, h)
 	case "wasm":
-		return openWasm(m, h, within)
+		return openWasm(m, h, startTimeout)
 	}
 	return nil, fmt.Errorf("no engine %q", m.Engine)
 }
--- a/internal/plugin/engine/starlark.go
+++ b/internal/plugin/engine/starlark.go
@@ -61,6 +61,7 @@
 	return s, nil
 }
 
+// newThread returns a thread with the step limit of the budget, which is cancelled with ctx.
 func (s *script) newThread(ctx context.Context) *starlark.Thread {
 	t := &starlark.Thread{Name: s.manifest.Name, Print: func(_ *starlark.Thread, text string) { s.host.Log(text) }}
 	t.SetMaxExecutionSteps(uint64(s.manifest.Budget.Steps))
@@ -71,6 +72,7 @@
 	return t
 }
 
+// callError converts an error of the interpreter to one of the errors of package engine.
 func (s *script) callError(ctx context.Context, err error) error {
 	text := err.Error()
 	switch {
@@ -85,6 +87,7 @@
 	return fmt.Errorf("%w: %s", ErrTrap, text)
 }
 
+// Call implements Engine.
 func (s *script) Call(ctx context.Context, h manifest.Hook, call []byte) (out []byte, err error) {
 	f := s.hooks[h]
 	if f == nil {
@@ -154,4 +157,5 @@
 	return starlarkstruct.FromStringDict(starlarkstruct.Default, members)
 }
 
+// Close implements Engine.
 func (s *script) Close() {}
--- a/internal/plugin/engine/wasm.go
+++ b/internal/plugin/engine/wasm.go
@@ -27,10 +27,10 @@
 	instance     api.Module // nil if it has to be created again
 }
 
-func openWasm(m *manifest.Manifest, h Host, within time.Duration) (Engine, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+func openWasm(m *manifest.Manifest, h Host, startTimeout time.Duration) (Engine, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
-	w := &module{manifest: m, host: h, startTimeout: within}
+	w := &module{manifest: m, host: h, startTimeout: startTimeout}
 	w.runtime = wazero.NewRuntimeWithConfig(ctx, wazero.NewRuntimeConfig().
 		WithMemoryLimitPages(uint32(m.Budget.MemoryMB)*16).WithCloseOnContextDone(true))
 	fail := func(err error) (Engine, error) {
@@ -74,11 +74,12 @@
 	return err
 }
 
+// Call implements Engine.
 func (w *module) Call(ctx context.Context, h manifest.Hook, call []byte) (out []byte, err error) {
 	if w.instance == nil {
 		// Creating the instance does not count against the time limit of the call.
-		begin, cancel := context.WithTimeout(context.Background(), w.startTimeout)
-		err := w.instantiate(begin)
+		startCtx, cancel := context.WithTimeout(context.Background(), w.startTimeout)
+		err := w.instantiate(startCtx)
 		cancel()
 		if err != nil {
 			return nil, fmt.Errorf("%w: %v", ErrTrap, err)
@@ -96,23 +97,23 @@
 		}
 		return nil, fmt.Errorf("%w: %.200s", ErrTrap, err)
 	}
-	r, err := w.instance.ExportedFunction("alloc").Call(ctx, uint64(len(call)))
+	results, err := w.instance.ExportedFunction("alloc").Call(ctx, uint64(len(call)))
 	if err != nil {
 		return failed(err)
 	}
-	at := uint32(r[0])
-	if !w.instance.Memory().Write(at, call) {
+	address := uint32(results[0])
+	if !w.instance.Memory().Write(address, call) {
 		return nil, fmt.Errorf("%w: alloc returned an invalid address", ErrForm)
 	}
-	r, err = w.instance.ExportedFunction("call_"+string(h)).Call(ctx, uint64(at), uint64(len(call)))
+	results, err = w.instance.ExportedFunction("call_"+string(h)).Call(ctx, uint64(address), uint64(len(call)))
 	if err != nil {
 		return failed(err)
 	}
-	size := uint32(r[0])
+	size := uint32(results[0])
 	if size > maxAnswerBytes {
 		return nil, fmt.Errorf("%w: over %d bytes", ErrForm, maxAnswerBytes)
 	}
-	b, ok := w.instance.Memory().Read(uint32(r[0]>>32), size)
+	b, ok := w.instance.Memory().Read(uint32(results[0]>>32), size)
 	if !ok {
 		return nil, fmt.Errorf("%w: the answer is outside the module's memory", ErrForm)
 	}
@@ -122,31 +123,36 @@
 	return append([]byte(nil), b...), nil
 }
 
+// Close implements Engine.
 func (w *module) Close() { _ = w.runtime.Close(context.Background()) }
 
-func readString(m api.Module, at, size uint32, most int) (string, bool) {
-	if size > uint32(most) {
+// readString reads a string of at most maxBytes bytes from the memory of the module.
+func readString(m api.Module, address, size uint32, maxBytes int) (string, bool) {
+	if size > uint32(maxBytes) {
 		return "", false
 	}
-	b, ok := m.Memory().Read(at, size)
+	b, ok := m.Memory().Read(address, size)
 	return string(b), ok
 }
 
-func (w *module) log(_ context.Context, m api.Module, at, size uint32) {
-	if s, ok := readString(m, at, size, MaxValueBytes); ok {
+// log is the host function "log".
+func (w *module) log(_ context.Context, m api.Module, address, size uint32) {
+	if s, ok := readString(m, address, size, MaxValueBytes); ok {
 		w.host.Log(s)
 	}
 }
 
-func (w *module) getValue(_ context.Context, m api.Module, key, keySize, to, most uint32) int32 {
+// getValue is the host function "recall": it copies the value of a key to the address to.
+func (w *module) getValue(_ context.Context, m api.Module, key, keySize, to, maxBytes uint32) int32 {
 	k, ok := readString(m, key, keySize, MaxKeyBytes)
-	v, has := w.host.Get(k)
-	if !ok || !has || uint32(len(v)) > most || !m.Memory().WriteString(to, v) {
+	v, exists := w.host.Get(k)
+	if !ok || !exists || uint32(len(v)) > maxBytes || !m.Memory().WriteString(to, v) {
 		return -1
 	}
 	return int32(len(v))
 }
 
+// setValue is the host function "keep": it stores a value.
 func (w *module) setValue(_ context.Context, m api.Module, key, keySize, value, valueSize uint32) int32 {
 	k, ok := readString(m, key, keySize, MaxKeyBytes)
 	v, ok2 := readString(m, value, valueSize, MaxValueBytes)
--- a/internal/plugin/guard/guard.go
+++ b/internal/plugin/guard/guard.go
@@ -73,10 +73,10 @@
 
 // CheckReading merges a plug-in's interpretation of an answer into the reading known from
 // the protocol. The result obeys all rules; corrections lists the rules that were violated.
-func CheckReading(known Reading, s Interpretation) (r Reading, corrections []Rule) {
+func CheckReading(known Reading, in Interpretation) (r Reading, corrections []Rule) {
 	r = known
 	correct := func(rule Rule) { corrections = append(corrections, rule) }
-	switch s.Outcome {
+	switch in.Outcome {
 	case "":
 	case "ok":
 		if known.Outcome != snowjunction.OK {
@@ -98,23 +98,23 @@
 	default:
 		correct(RuleOutcome)
 	}
-	if !s.HasWait {
+	if !in.HasWait {
 		return r, corrections
 	}
 	switch {
-	case math.IsNaN(s.WaitMs) || math.IsInf(s.WaitMs, 0):
+	case math.IsNaN(in.WaitMs) || math.IsInf(in.WaitMs, 0):
 		correct(RuleNumber)
 		return r, corrections
 	case r.Outcome == snowjunction.OK:
 		correct(RuleWait) // a delivered message has no retry-after delay
 		return r, corrections
 	}
-	wait := time.Duration(math.Min(math.Max(s.WaitMs, 0), float64(MaxWait/time.Millisecond)) * float64(time.Millisecond))
-	if s.WaitMs < 0 || s.WaitMs > float64(MaxWait/time.Millisecond) {
+	wait := time.Duration(math.Min(math.Max(in.WaitMs, 0), float64(MaxWait/time.Millisecond)) * float64(time.Millisecond))
+	if in.WaitMs < 0 || in.WaitMs > float64(MaxWait/time.Millisecond) {
 		correct(RuleWait)
 	}
 	if wait < known.RetryAfter {
-		if s.WaitMs >= 0 {
+		if in.WaitMs >= 0 {
 			correct(RuleWait)
 		}
 		wait = known.RetryAfter
@@ -165,35 +165,35 @@
 }
 
 // CheckShape removes the changes that a plug-in may not make.
-func CheckShape(s Shape, a Permissions) (out Shape, corrections []Rule) {
-	broken := map[Rule]bool{}
+func CheckShape(s Shape, allowed Permissions) (out Shape, corrections []Rule) {
+	violated := map[Rule]bool{}
 	seen := map[string]bool{}
 	for _, h := range s.Headers {
 		name := strings.ToLower(h.Name)
-		if !a.Headers || len(out.Headers) >= MaxHeaders || protocolHeaders[name] || seen[name] || !isToken(h.Name) || !isHeaderValue(h.Value) {
-			broken[RuleHeader] = true
+		if !allowed.Headers || len(out.Headers) >= MaxHeaders || protocolHeaders[name] || seen[name] || !isToken(h.Name) || !isHeaderValue(h.Value) {
+			violated[RuleHeader] = true
 			continue
 		}
 		seen[name] = true
 		out.Headers = append(out.Headers, h)
 	}
 	if s.Suffix != "" || s.Query != "" {
-		if a.Path && consistsOf(s.Suffix, "/-._~") && consistsOf(s.Query, "-._~=&%+") && !strings.Contains("/"+s.Suffix+"/", "/../") &&
+		if allowed.Path && consistsOf(s.Suffix, "/-._~") && consistsOf(s.Query, "-._~=&%+") && !strings.Contains("/"+s.Suffix+"/", "/../") &&
 			!strings.Contains("/"+s.Suffix+"/", "/./") && len(s.Suffix)+len(s.Query) <= MaxPathBytes {
 			out.Suffix, out.Query = s.Suffix, s.Query
 		} else {
-			broken[RulePath] = true
+			violated[RulePath] = true
 		}
 	}
 	if s.HasBody {
-		if a.Body && len(s.Body) <= MaxBodyBytes {
+		if allowed.Body && len(s.Body) <= MaxBodyBytes {
 			out.Body, out.HasBody = s.Body, true
 		} else {
-			broken[RuleBody] = true
+			violated[RuleBody] = true
 		}
 	}
 	for _, r := range []Rule{RuleHeader, RulePath, RuleBody} {
-		if broken[r] {
+		if violated[r] {
 			corrections = append(corrections, r)
 		}
 	}
@@ -227,9 +227,9 @@
 	return true
 }
 
-func consistsOf(s, also string) bool {
+func consistsOf(s, otherChars string) bool {
 	for _, c := range []byte(s) {
-		if !isAlphanumeric(c) && !strings.ContainsRune(also, rune(c)) {
+		if !isAlphanumeric(c) && !strings.ContainsRune(otherChars, rune(c)) {
 			return false
 		}
 	}
--- a/internal/plugin/host/host.go
+++ b/internal/plugin/host/host.go
@@ -79,15 +79,15 @@
 	return err
 }
 
-// Read reads a frame of at most most bytes into v.
-func Read(r io.Reader, most int, v any) error {
+// Read reads a frame of at most maxBytes bytes into v.
+func Read(r io.Reader, maxBytes int, v any) error {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > uint32(most) {
-		return fmt.Errorf("%w: %d bytes exceed the limit of %d", ErrFrame, n, most)
+	if n > uint32(maxBytes) {
+		return fmt.Errorf("%w: %d bytes exceed the limit of %d", ErrFrame, n, maxBytes)
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(r, b); err != nil {
@@ -117,6 +117,7 @@
 	log []string
 }
 
+// Log implements engine.Host. Lines beyond the limits are truncated or dropped.
 func (t *codeHost) Log(text string) {
 	if len(t.log) < maxLogLines {
 		t.log = append(t.log, text[:min(len(text), engine.MaxValueBytes)])
@@ -174,9 +175,10 @@
 	}
 }
 
+// reasonCode returns the value of Answer.Reason for an error of a call.
 func reasonCode(err error) string {
-	for name, of := range map[string]error{"time": engine.ErrTime, "steps": engine.ErrStepLimit, "form": engine.ErrForm} {
-		if errors.Is(err, of) {
+	for name, target := range map[string]error{"time": engine.ErrTime, "steps": engine.ErrStepLimit, "form": engine.ErrForm} {
+		if errors.Is(err, target) {
 			return name
 		}
 	}
@@ -189,10 +191,10 @@
 // limitResources limits the memory and file sizes of the process and lowers its priority. Limits that
 // the system does not allow are skipped: the courier kills a host that exceeds its time limit anyway.
 func limitResources(memoryMB int) {
-	most := uint64(memoryMB)<<20 + systemReserveBytes + privateMappedBytes()
+	limit := uint64(memoryMB)<<20 + systemReserveBytes + privateMappedBytes()
 	runtime.GOMAXPROCS(2) // the second thread checks the heap
 	debug.SetMemoryLimit(int64(memoryMB)<<20 + hostHeapBytes)
-	_ = syscall.Setrlimit(rlimitData, &syscall.Rlimit{Cur: most, Max: most})
+	_ = syscall.Setrlimit(rlimitData, &syscall.Rlimit{Cur: limit, Max: limit})
 	_ = syscall.Setrlimit(syscall.RLIMIT_CORE, &syscall.Rlimit{})
 	_ = syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{})
 	_ = syscall.Setpriority(syscall.PRIO_PROCESS, 0, 10)
@@ -213,13 +215,13 @@
 	return pages * uint64(os.Getpagesize())
 }
 
-// watchHeap exits the process if the heap exceeds most bytes. It checks until the returned timer
+// watchHeap exits the process if the heap exceeds maxBytes. It checks until the returned timer
 // is stopped. Most calls end before the first check.
-func watchHeap(most uint64) *time.Timer {
+func watchHeap(maxBytes uint64) *time.Timer {
 	heap := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	var t *time.Timer
 	t = time.AfterFunc(heapCheckInterval, func() {
-		if metrics.Read(heap); heap[0].Value.Uint64() > most {
+		if metrics.Read(heap); heap[0].Value.Uint64() > maxBytes {
 			os.Exit(exitMemoryLimit)
 		}
 		t.Reset(heapCheckInterval)
--- a/internal/plugin/manifest/manifest.go
+++ b/internal/plugin/manifest/manifest.go
@@ -137,17 +137,19 @@
 	return m, m.loadSamples()
 }
 
-func readFile(path string, most int64) ([]byte, error) {
+// readFile reads a regular file of at most maxBytes bytes.
+func readFile(path string, maxBytes int64) ([]byte, error) {
 	i, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if !i.Mode().IsRegular() || i.Size() > most {
-		return nil, fmt.Errorf("%s: expected a regular file of at most %d bytes", path, most)
+	if !i.Mode().IsRegular() || i.Size() > maxBytes {
+		return nil, fmt.Errorf("%s: expected a regular file of at most %d bytes", path, maxBytes)
 	}
 	return os.ReadFile(path)
 }
 
+// loadSamples reads the samples of the plug-in in the order of their file names.
 func (m *Manifest) loadSamples() error {
 	paths, err := filepath.Glob(filepath.Join(m.Dir, "samples", "*.json"))
 	if err != nil {
--- a/internal/plugin/plugin.go
+++ b/internal/plugin/plugin.go
@@ -189,6 +189,7 @@
 	return nil
 }
 
+// storedValues returns the stored values of the loaded plug-in with the given name.
 func (s *Set) storedValues(name string) map[string]string {
 	for _, p := range s.instances {
 		if p.manifest.Name == name {
@@ -202,8 +203,8 @@
 func (s *Set) AllowBodies(destinations []uint32) { s.cfg.Bodies = destinations }
 
 // AllowStart sets the time limit for starting hosts; zero means one minute.
-func (s *Set) AllowStart(within time.Duration) {
-	s.cfg.StartWithin = cmp.Or(within, defaultStartTimeout)
+func (s *Set) AllowStart(timeout time.Duration) {
+	s.cfg.StartWithin = cmp.Or(timeout, defaultStartTimeout)
 }
 
 // Close kills all host processes and unloads the plug-ins.
@@ -225,44 +226,45 @@
 	}
 }
 
+// start starts the host process.
 func (p *instance) start() {
 	p.ready = false
-	var self *process
-	within := p.set.cfg.StartWithin
-	hello := host.Hello{Manifest: p.manifest, Code: p.manifest.Text, Memory: maps.Clone(p.memory.Values), Within: within}
-	self = startProcess(p.set.cfg.Command, hello, p.set.cfg.Loop.Post,
+	var proc *process
+	timeout := p.set.cfg.StartWithin
+	hello := host.Hello{Manifest: p.manifest, Code: p.manifest.Text, Memory: maps.Clone(p.memory.Values), Within: timeout}
+	proc = startProcess(p.set.cfg.Command, hello, p.set.cfg.Loop.Post,
 		func(a host.Answer, err error) {
 			if err == nil && a.Error == "" {
-				p.hostReady(self)
+				p.hostReady(proc)
 				return
 			}
-			why := a.Error
-			if why == "" {
-				why = "the host process does not start: " + err.Error()
+			reason := a.Error
+			if reason == "" {
+				reason = "the host process does not start: " + err.Error()
 			}
-			self.kill()
+			proc.kill()
 			if p.onStarted != nil {
-				p.onStarted(why)
+				p.onStarted(reason)
 			} else {
-				p.set.cfg.Log.Warn("plug-in cannot start again", "plugin", p.manifest.Name, "err", why)
+				p.set.cfg.Log.Warn("plug-in restart failed", "plugin", p.manifest.Name, "err", reason)
 			}
 		},
 		func(r *reply) {
-			if p.process == self {
+			if p.process == proc {
 				p.handleAnswer(r)
 			}
 		},
-		func() { p.hostExited(self) })
-	p.process = self
-	p.set.cfg.Loop.After(within, func() {
-		if p.process == self && !p.ready {
-			why := fmt.Sprintf("the host process is not ready within %v", within)
+		func() { p.hostExited(proc) })
+	p.process = proc
+	p.set.cfg.Loop.After(timeout, func() {
+		if p.process == proc && !p.ready {
+			reason := fmt.Sprintf("the host process is not ready within %v", timeout)
 			if p.onStarted != nil {
-				p.onStarted(why)
+				p.onStarted(reason)
 			} else {
-				p.set.cfg.Log.Warn("plug-in cannot start again", "plugin", p.manifest.Name, "err", why)
+				p.set.cfg.Log.Warn("plug-in restart failed", "plugin", p.manifest.Name, "err", reason)
 			}
-			self.kill()
+			proc.kill()
 		}
 	})
 }
@@ -271,8 +273,8 @@
 const defaultStartTimeout = time.Minute
 
 // hostReady starts sending calls to a loaded plug-in. A new plug-in has to answer its samples first.
-func (p *instance) hostReady(self *process) {
-	if p.process != self {
+func (p *instance) hostReady(proc *process) {
+	if p.process != proc {
 		return
 	}
 	p.ready = true
@@ -329,8 +331,8 @@
 
 // hostExited ends the call that was in progress in a host that has exited, and restarts the host
 // unless the plug-in is new or retired.
-func (p *instance) hostExited(self *process) {
-	if p.process != self {
+func (p *instance) hostExited(proc *process) {
+	if p.process != proc {
 		return
 	}
 	p.process, p.ready = nil, false
@@ -386,11 +388,12 @@
 	p.enqueue(&call{hook: h, input: text, ticket: ticket, done: done}, cmp.Or(p.set.cfg.AnswerWithin, p.manifest.Budget.Time()))
 }
 
-func (p *instance) enqueue(c *call, within time.Duration) {
+// enqueue queues a call and starts its time limit.
+func (p *instance) enqueue(c *call, timeLimit time.Duration) {
 	p.set.lastCallID++
-	c.id, c.timeLimit = p.set.lastCallID, within
+	c.id, c.timeLimit = p.set.lastCallID, timeLimit
 	p.counts.Calls++
-	c.timer = p.set.cfg.Loop.After(within, func() { p.expire(c) })
+	c.timer = p.set.cfg.Loop.After(timeLimit, func() { p.expire(c) })
 	p.queue = append(p.queue, c)
 	p.sendNext()
 }
@@ -456,11 +459,11 @@
 }
 
 // completeCall ends the call in progress and sends the next one.
-func (p *instance) completeCall(c *call, r *reply, why string) {
+func (p *instance) completeCall(c *call, r *reply, reason string) {
 	p.inFlight = nil
 	if !c.finished {
-		if why != "" {
-			p.failCall(c, why)
+		if reason != "" {
+			p.failCall(c, reason)
 		} else {
 			p.counts.Answered++
 			p.restartDelay = 0
@@ -471,15 +474,16 @@
 	p.sendNext()
 }
 
-func (p *instance) failCall(c *call, why string) {
+// failCall ends a call as failed.
+func (p *instance) failCall(c *call, reason string) {
 	p.counts.Failed++
-	p.lastError = why
-	p.set.cfg.Log.Warn("plug-in call failed; continuing without its answer", "plugin", p.manifest.Name, "hook", c.hook, "err", why)
+	p.lastError = reason
+	p.set.cfg.Log.Warn("plug-in call failed; continuing without its answer", "plugin", p.manifest.Name, "hook", c.hook, "err", reason)
 	p.recordResult(c, false)
 	p.finishCall(c, nil)
 }
 
-// skip ends a call that was not sent.
+// skipCall ends a call that was not sent.
 func (p *instance) skipCall(c *call) {
 	if !c.finished {
 		p.counts.Passed++
@@ -488,12 +492,14 @@
 	}
 }
 
+// finishCall passes the reply to the call's done function.
 func (p *instance) finishCall(c *call, r *reply) {
 	c.finished = true
 	c.timer.Stop()
 	c.done(r)
 }
 
+// recordResult passes the result of a call to the circuit breaker.
 func (p *instance) recordResult(c *call, ok bool) {
 	now := p.set.now()
 	if p.onStarted == nil && p.breaker.Done(now, c.ticket, ok) {
@@ -533,6 +539,7 @@
 	Body           string `json:"body,omitempty"` // base64, truncated to the budget's BodyBytes
 }
 
+// flow returns the input of a hook for a message.
 func (s *Set) flow(m *store.Message, p *instance) flow {
 	f := flow{
 		ID: m.ID, IdempotencyKey: m.IdempotencyKey, Class: m.Class, Tenant: m.Tenant, Destination: m.Destination,
--- a/internal/plugin/reply.go
+++ b/internal/plugin/reply.go
@@ -23,6 +23,7 @@
 	rules          []guard.Rule // rules violated by the shape
 }
 
+// newReply parses an answer. It removes changes to a request that the plug-in may not make.
 func newReply(a host.Answer, allowed guard.Permissions) *reply {
 	r := &reply{Answer: a}
 	if a.Out == nil {
@@ -48,31 +49,31 @@
 }
 
 func (r *reply) parseAdmit() {
-	var said struct {
+	var parsed struct {
 		AfterMs json.RawMessage `json:"after_ms"`
 	}
-	if json.Unmarshal(r.Out, &said) == nil && said.AfterMs != nil {
-		r.refuses, r.afterMs = true, parseNumber(said.AfterMs)
+	if json.Unmarshal(r.Out, &parsed) == nil && parsed.AfterMs != nil {
+		r.refuses, r.afterMs = true, parseNumber(parsed.AfterMs)
 	}
 }
 
 func (r *reply) parseShape(allowed guard.Permissions) {
-	var said struct {
+	var parsed struct {
 		Headers map[string]string `json:"headers"`
 		Suffix  string            `json:"path_suffix"`
 		Query   string            `json:"query"`
 		Body    *string           `json:"body"`
 	}
-	if json.Unmarshal(r.Out, &said) != nil {
+	if json.Unmarshal(r.Out, &parsed) != nil {
 		r.rules = []guard.Rule{guard.RuleHeader}
 		return
 	}
-	x := guard.Shape{Suffix: said.Suffix, Query: said.Query}
-	for _, name := range slices.Sorted(maps.Keys(said.Headers)) {
-		x.Headers = append(x.Headers, guard.HeaderField{Name: name, Value: said.Headers[name]})
+	x := guard.Shape{Suffix: parsed.Suffix, Query: parsed.Query}
+	for _, name := range slices.Sorted(maps.Keys(parsed.Headers)) {
+		x.Headers = append(x.Headers, guard.HeaderField{Name: name, Value: parsed.Headers[name]})
 	}
-	if said.Body != nil {
-		b, err := base64.StdEncoding.DecodeString(*said.Body)
+	if parsed.Body != nil {
+		b, err := base64.StdEncoding.DecodeString(*parsed.Body)
 		x.Body, x.HasBody = b, err == nil
 		if err != nil {
 			r.rules = append(r.rules, guard.RuleBody)
@@ -84,18 +85,18 @@
 }
 
 func (r *reply) parseRead() {
-	var said struct {
+	var parsed struct {
 		Outcome json.RawMessage `json:"outcome"`
 		WaitMs  json.RawMessage `json:"wait_ms"`
 	}
-	if json.Unmarshal(r.Out, &said) != nil {
+	if json.Unmarshal(r.Out, &parsed) != nil {
 		return
 	}
-	if said.Outcome != nil && json.Unmarshal(said.Outcome, &r.interpretation.Outcome) != nil {
+	if parsed.Outcome != nil && json.Unmarshal(parsed.Outcome, &r.interpretation.Outcome) != nil {
 		r.interpretation.Outcome = "?"
 	}
-	if r.interpretation.HasWait = said.WaitMs != nil; r.interpretation.HasWait {
-		r.interpretation.WaitMs = parseNumber(said.WaitMs)
+	if r.interpretation.HasWait = parsed.WaitMs != nil; r.interpretation.HasWait {
+		r.interpretation.WaitMs = parseNumber(parsed.WaitMs)
 	}
 }
 
--- a/internal/proto/h2/conn.go
+++ b/internal/proto/h2/conn.go
@@ -86,11 +86,12 @@
 	goAwayReceived     bool     // the peer has sent GOAWAY
 	connError          *ConnError
 
-	floodScore float64   // score of useless frames, which decreases over time
+	floodScore float64   // see maxFloodScore
 	lastFeed   time.Time // time of the last Feed
 	events     []Event
 }
 
+// stream is an open stream of a connection.
 type stream struct {
 	id               uint32
 	fields           []Field
@@ -111,9 +112,9 @@
 // Flood protection: a frame that causes work without transferring a message adds one to the score
 // of its connection, and the score decreases by a fixed amount per second.
 const (
-	maxFloodScore            = 200
+	maxFloodScore            = 200 // a higher score ends the connection
 	floodScoreDecayPerSecond = 20
-	maxHeaderFrames          = 16
+	maxHeaderFrames          = 16 // HEADERS and CONTINUATION frames of one header block
 )
 
 // NewServer returns the server side of a connection.
@@ -186,11 +187,13 @@
 	return events, nil
 }
 
+// fail makes an error permanent and sends it with GOAWAY.
 func (c *Conn) fail(err *ConnError) {
 	c.connError = err
 	c.goAway(err.Code, err.Why)
 }
 
+// read processes the buffered input.
 func (c *Conn) read() *ConnError {
 	if !c.prefaceReceived {
 		n := min(len(c.inBuffer), len(Preface))
@@ -368,6 +371,7 @@
 	return nil
 }
 
+// handleGoAway processes a GOAWAY frame. A client's streams above the last stream id did not run.
 func (c *Conn) handleGoAway(f frame) *ConnError {
 	if f.stream != 0 || len(f.payload) < 8 {
 		return &ConnError{ProtocolError, "malformed GOAWAY"}
@@ -396,11 +400,11 @@
 	}
 }
 
-func (c *Conn) goAway(code Code, why string) {
+func (c *Conn) goAway(code Code, reason string) {
 	c.goAwaySent = true
 	b := binary.BigEndian.AppendUint32(nil, c.lastAcceptedStream)
 	b = binary.BigEndian.AppendUint32(b, uint32(code))
-	c.outBuffer = appendFrame(c.outBuffer, frameGoAway, 0, 0, append(b, why...))
+	c.outBuffer = appendFrame(c.outBuffer, frameGoAway, 0, 0, append(b, reason...))
 }
 
 // Begun reports whether a frame or a header block has been received in part.
--- a/internal/proto/h2/frame.go
+++ b/internal/proto/h2/frame.go
@@ -36,11 +36,13 @@
 	Why  string
 }
 
+// Error returns the error code and the reason.
 func (e *ConnError) Error() string { return fmt.Sprintf("HTTP/2 error %#x: %s", uint32(e.Code), e.Why) }
 
 // ErrNoStream means that no further stream can be opened on the connection.
 var ErrNoStream = errors.New("no further stream on this connection")
 
+// frameType is the type of a frame (section 6).
 type frameType byte
 
 const (
@@ -56,6 +58,7 @@
 	frameContinuation frameType = 0x9
 )
 
+// Frame flags (section 6).
 const (
 	flagEndStream  = 0x1
 	flagAck        = 0x1
@@ -64,6 +67,7 @@
 	flagPriority   = 0x20
 )
 
+// Settings (section 6.5.2).
 const (
 	settingTableSize   = 0x1
 	settingPush        = 0x2
@@ -73,6 +77,7 @@
 	settingHeaderBytes = 0x6
 )
 
+// Sizes in bytes.
 const (
 	frameHeaderSize = 9
 	defaultWindow   = 65535
@@ -81,6 +86,7 @@
 	maxFrameSize    = 1<<24 - 1
 )
 
+// frame is a parsed frame (section 4.1).
 type frame struct {
 	kind    frameType
 	flags   byte
@@ -88,6 +94,7 @@
 	payload []byte
 }
 
+// has reports whether a flag is set.
 func (f frame) has(flag byte) bool { return f.flags&flag != 0 }
 
 // parseFrame parses the first frame of b. ok is false if the frame is incomplete.
--- a/internal/proto/h2/stream.go
+++ b/internal/proto/h2/stream.go
@@ -111,6 +111,7 @@
 	return c.complete(s)
 }
 
+// isInterim reports whether the fields are those of an interim response (1xx).
 func isInterim(fields []Field) bool {
 	return len(fields) > 0 && fields[0].Name == ":status" && strings.HasPrefix(fields[0].Value, "1")
 }
@@ -240,8 +241,8 @@
 	return nil
 }
 
-// returnCredit adds n processed bytes to the connection's receive window. WINDOW_UPDATE frames are
-// sent only for large amounts.
+// returnCredit adds n processed bytes to the connection's receive window. To save WINDOW_UPDATE
+// frames, it collects them until they are a quarter of the window or the window is almost used up.
 func (c *Conn) returnCredit(n int64) {
 	c.unreturnedCredit += n
 	if c.unreturnedCredit >= int64(max(c.limits.Buffered, defaultWindow))/4 || c.unreturnedCredit > 0 && c.receiveWindow < minFrameSize {
@@ -270,6 +271,7 @@
 	}
 }
 
+// removeStream deletes a stream and returns its bytes to the connection's receive window.
 func (c *Conn) removeStream(s *stream) {
 	if c.streams[s.id] != s {
 		return
@@ -319,6 +321,7 @@
 	c.outBuffer = appendFrame(c.outBuffer, frameReset, 0, id, binary.BigEndian.AppendUint32(nil, uint32(code)))
 }
 
+// send sends a header list and queues the body.
 func (c *Conn) send(s *stream, fields []Field, body []byte) {
 	c.encoded.Reset()
 	for _, f := range fields {
--- a/internal/proto/http1/http1.go
+++ b/internal/proto/http1/http1.go
@@ -47,6 +47,7 @@
 	}
 }
 
+// state is the part of a response that the parser expects next.
 type state int
 
 const (
@@ -175,6 +176,7 @@
 
 func (p *Parser) consume(n int) { p.buf = append(p.buf[:0], p.buf[n:]...) }
 
+// nextLine returns the next line without its end. ok is false if the line is incomplete.
 func (p *Parser) nextLine() ([]byte, bool, error) {
 	i := bytes.IndexByte(p.buf, '\n')
 	if i < 0 {
@@ -188,6 +190,7 @@
 	return line, true, nil
 }
 
+// readHead parses the status line and the headers. It returns false if they are incomplete.
 func (p *Parser) readHead() (bool, error) {
 	end := bytes.Index(p.buf, []byte("\r\n\r\n"))
 	if end < 0 {
@@ -231,6 +234,7 @@
 	return true, p.selectBodyFraming()
 }
 
+// parseStatusLine returns the status of a status line.
 func parseStatusLine(line string) (int, error) {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
--- a/internal/proto/listing/listing.go
+++ b/internal/proto/listing/listing.go
@@ -161,11 +161,11 @@
 			continue
 		}
 		if c := b[0]; !isSpace(c) {
-			stay, err := r.step(c)
+			valueBegins, err := r.step(c)
 			if err != nil {
 				return err
 			}
-			if stay {
+			if valueBegins {
 				continue
 			}
 		}
@@ -175,8 +175,8 @@
 }
 
 // step processes a byte between values. It returns true if a value begins with this byte.
-func (r *Reader) step(c byte) (stay bool, err error) {
-	begin := func(p position) (bool, error) {
+func (r *Reader) step(c byte) (valueBegins bool, err error) {
+	beginValue := func(p position) (bool, error) {
 		r.position, r.scanner, r.buf = p, valueScanner{}, r.buf[:0]
 		return true, nil
 	}
@@ -185,7 +185,7 @@
 		r.position = beforeKey
 	case (r.position == beforeKey || r.position == afterComma) && c == '"':
 		r.key = ""
-		return begin(inValue)
+		return beginValue(inValue)
 	case (r.position == beforeKey || r.position == afterValue) && c == '}':
 		r.position = afterObject
 	case r.position == beforeColon && c == ':':
@@ -196,13 +196,13 @@
 		}
 		r.instancesSeen, r.position = true, beforeEntry
 	case r.position == beforeValue && c != '}' && c != ']' && c != ',':
-		return begin(inValue)
+		return beginValue(inValue)
 	case r.position == afterValue && c == ',':
 		r.position = afterComma
 	case (r.position == beforeEntry || r.position == afterEntry) && c == ']':
 		r.position, r.key = afterValue, ""
 	case (r.position == beforeEntry || r.position == afterEntryComma) && c == '{':
-		return begin(inEntry)
+		return beginValue(inEntry)
 	case r.position == afterEntry && c == ',':
 		r.position = afterEntryComma
 	default:
--- a/internal/proto/oneline/oneline.go
+++ b/internal/proto/oneline/oneline.go
@@ -36,7 +36,7 @@
 	}
 	n := bytes.IndexByte(b, '\n')
 	if n < 0 {
-		if p.buf = append(p.buf, b[:min(len(b), Most+2)]...); len(p.buf) > Most+1 { // the last byte may be the \r of the line end
+		if p.buf = append(p.buf, b[:min(len(b), Most+2)]...); len(p.buf) > Most+1 { // may end with \r
 			p.done, p.buf = true, nil
 			return c, false, ErrTooLong
 		}
--- a/internal/proto/resp/reply.go
+++ b/internal/proto/resp/reply.go
@@ -8,8 +8,8 @@
 
 // Limits of a reply. Exceeding one is an error.
 const (
-	MaxReplyLine = 512     // bytes of a simple string or an error, with the type byte and without the line end
-	MaxReplyBulk = 4 << 10 // bytes of a bulk string
+	MaxReplyLineBytes = 512     // bytes of a simple string or an error, without the line end
+	MaxReplyBulkBytes = 4 << 10 // bytes of a bulk string
 )
 
 // Errors of ReplyParser. The connection must be closed.
@@ -49,25 +49,25 @@
 
 // replyLength returns the encoded length of the first reply, or zero if it is incomplete.
 func (p *ReplyParser) replyLength() (int, error) {
-	most := MaxReplyLine
+	maxLineBytes := MaxReplyLineBytes
 	switch p.buf[0] {
 	case '+', '-':
 	case '$':
-		most = maxLengthLine
+		maxLineBytes = maxLengthLine
 	default:
 		return 0, ErrInvalidReply
 	}
-	at := bytes.IndexByte(p.buf[p.searched:], '\n')
+	index := bytes.IndexByte(p.buf[p.searched:], '\n')
 	switch {
-	case at < 0 && len(p.buf) > most+1: // the last byte may be the \r of the line end
+	case index < 0 && len(p.buf) > maxLineBytes+1: // the last byte may be the \r of the line end
 		return 0, ErrReplyTooBig
-	case at < 0:
+	case index < 0:
 		p.searched = len(p.buf)
 		return 0, nil
 	}
-	end := p.searched + at + 1
+	end := p.searched + index + 1
 	switch line := p.buf[:end]; {
-	case end-2 > most:
+	case end-2 > maxLineBytes:
 		return 0, ErrReplyTooBig
 	case line[end-2] != '\r' || bytes.IndexByte(line[:end-2], '\r') >= 0:
 		return 0, ErrInvalidReply
@@ -78,7 +78,7 @@
 	switch {
 	case err != nil:
 		return 0, ErrLength
-	case size > MaxReplyBulk:
+	case size > MaxReplyBulkBytes:
 		return 0, ErrReplyTooBig
 	case len(p.buf) < end+int(size)+2:
 		return 0, nil
--- a/internal/proto/resp/reply_test.go
+++ b/internal/proto/resp/reply_test.go
@@ -29,7 +29,7 @@
 }
 
 func TestRepliesInPiecesOfAnySize(t *testing.T) {
-	want := []string{"+OK\r\n", "-BUSY 40\r\n", "$4\r\na\r\nb\r\n", "$0\r\n\r\n", "+\r\n", "+" + strings.Repeat("x", MaxReplyLine-1) + "\r\n"}
+	want := []string{"+OK\r\n", "-BUSY 40\r\n", "$4\r\na\r\nb\r\n", "$0\r\n\r\n", "+\r\n", "+" + strings.Repeat("x", MaxReplyLineBytes-1) + "\r\n"}
 	all := strings.Join(want, "")
 	for size := 1; size <= len(all); size++ {
 		got, err := replies(all, size)
@@ -51,12 +51,12 @@
 		"$\r\n":               ErrLength,
 		"$1\r\nabc":           ErrInvalidReply,
 		"$4097\r\n":           ErrReplyTooBig,
-		"$" + strings.Repeat("1", maxLengthLine+2):          ErrReplyTooBig,
-		"+" + strings.Repeat("x", MaxReplyLine) + "\r\n":    ErrReplyTooBig,
-		"-" + strings.Repeat("x", MaxReplyLine+1):           ErrReplyTooBig,
-		"+OK\r\n-" + strings.Repeat("x", 2*MaxReplyLine):    ErrReplyTooBig,
-		"$4\r\n" + strings.Repeat("x", 2*MaxReplyBulk):      ErrInvalidReply,
-		"+" + strings.Repeat("x", MaxReplyLine-1) + "y\r\n": ErrReplyTooBig,
+		"$" + strings.Repeat("1", maxLengthLine+2):               ErrReplyTooBig,
+		"+" + strings.Repeat("x", MaxReplyLineBytes) + "\r\n":    ErrReplyTooBig,
+		"-" + strings.Repeat("x", MaxReplyLineBytes+1):           ErrReplyTooBig,
+		"+OK\r\n-" + strings.Repeat("x", 2*MaxReplyLineBytes):    ErrReplyTooBig,
+		"$4\r\n" + strings.Repeat("x", 2*MaxReplyBulkBytes):      ErrInvalidReply,
+		"+" + strings.Repeat("x", MaxReplyLineBytes-1) + "y\r\n": ErrReplyTooBig,
 	} {
 		for _, size := range []int{1, 7, len(in)} {
 			_, err := replies(in, size)
@@ -106,7 +106,7 @@
 			if p.err != nil {
 				return
 			}
-			if len(p.buf) > max(MaxReplyLine, MaxReplyBulk+maxLengthLine)+size+2 {
+			if len(p.buf) > max(MaxReplyLineBytes, MaxReplyBulkBytes+maxLengthLine)+size+2 {
 				t.Fatalf("%d bytes kept", len(p.buf))
 			}
 		}
--- a/internal/proto/resp/resp.go
+++ b/internal/proto/resp/resp.go
@@ -10,10 +10,10 @@
 
 // Limits of a command. Exceeding one is an error.
 const (
-	MaxArgs       = 16
-	MaxBulk       = 64 << 10 // bytes of one argument
-	MaxTotal      = 80 << 10 // bytes of a whole command
-	maxLengthLine = 32       // bytes of a length line
+	MaxArgs         = 16
+	MaxArgBytes     = 64 << 10 // bytes of one argument
+	MaxCommandBytes = 80 << 10 // bytes of a whole command
+	maxLengthLine   = 32       // bytes of a length line
 )
 
 // Parse errors. The connection must be closed, as command boundaries are no longer known.
@@ -85,7 +85,7 @@
 			if n < 0 {
 				return nil, ErrLength
 			}
-			if p.argBytes += n; n > MaxBulk || p.argBytes > MaxTotal {
+			if p.argBytes += n; n > MaxArgBytes || p.argBytes > MaxCommandBytes {
 				return nil, ErrTooBig
 			}
 			p.argSize = n
--- a/internal/proto/resp/resp_test.go
+++ b/internal/proto/resp/resp_test.go
@@ -76,7 +76,7 @@
 					t.Fatalf("%d arguments", len(args))
 				}
 			}
-			if len(p.buf) > MaxTotal+64 {
+			if len(p.buf) > MaxCommandBytes+64 {
 				t.Fatalf("%d bytes kept", len(p.buf))
 			}
 		}
