--- a/internal/describe/describe_test.go
+++ b/internal/describe/describe_test.go
@@ -30,10 +30,10 @@
 	for _, bad := range []string{"", "x", "0", "-1", "3601", "1.5"} {
 		assert.Error(t, ttl.Check(bad), bad)
 	}
-	life, err := AsyncAPI("asyncapi.json", []byte(readDeployed(t, "asyncapi.json")))
+	lifecycle, err := AsyncAPI("asyncapi.json", []byte(readDeployed(t, "asyncapi.json")))
 	require.NoError(t, err)
-	assert.Equal(t, []string{"id", "state"}, life.Taken.Fields)
-	assert.Equal(t, []string{"id", "state", "at", "after_ms"}, life.Ended.Fields)
+	assert.Equal(t, []string{"id", "state"}, lifecycle.Taken.Fields)
+	assert.Equal(t, []string{"id", "state", "at", "after_ms"}, lifecycle.Ended.Fields)
 }
 
 // A document that describes unsupported behaviour is rejected with the location.
--- a/internal/plugin/engine/engine_test.go
+++ b/internal/plugin/engine/engine_test.go
@@ -16,8 +16,8 @@
 	"snowjunction/internal/plugin/manifest"
 )
 
-// openTimeout is the timeout for loading code: with the race detector on a busy machine, loading a module
-// takes over a minute.
+// openTimeout is the timeout for loading code: with the race detector on a busy machine, loading a
+// module takes over a minute.
 const openTimeout = 5 * time.Minute
 
 type testHost struct {
@@ -40,14 +40,14 @@
 	return e, h
 }
 
-// callHook calls a hook with a timeout that is long enough for a busy machine. Calls that end by themselves
-// end before it.
+// callHook calls a hook with a timeout that is long enough for a busy machine. Calls that end by
+// themselves end before it.
 func callHook(e Engine, h manifest.Hook, call string) (string, error) {
 	return callHookFor(time.Minute, e, h, call)
 }
 
-func callHookFor(within time.Duration, e Engine, h manifest.Hook, call string) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+func callHookFor(timeout time.Duration, e Engine, h manifest.Hook, call string) (string, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	b, err := e.Call(ctx, h, []byte(call))
 	return string(b), err
--- a/internal/plugin/engine/testdata/hostile/main.go
+++ b/internal/plugin/engine/testdata/hostile/main.go
@@ -10,7 +10,7 @@
 )
 
 var call, answer []byte
-var hoard [][]byte
+var allocated [][]byte
 
 //go:wasmexport alloc
 func alloc(size int32) int32 {
@@ -38,7 +38,7 @@
 		return int64(deep(0))
 	case "grow":
 		for {
-			hoard = append(hoard, make([]byte, 1<<20))
+			allocated = append(allocated, make([]byte, 1<<20))
 		}
 	case "outside":
 		return 0x7fffffff<<32 | 100
--- a/internal/plugin/guard/guard_test.go
+++ b/internal/plugin/guard/guard_test.go
@@ -17,8 +17,8 @@
 const ms = time.Millisecond
 
 func TestCheckReading(t *testing.T) {
-	ok, failed, lost := Reading{Outcome: snowjunction.OK}, Reading{Outcome: snowjunction.Error}, Reading{Outcome: snowjunction.Reset}
-	full, told := Reading{Outcome: snowjunction.Rejected}, Reading{Outcome: snowjunction.Rejected, RetryAfter: 500 * ms}
+	ok, failed, reset := Reading{Outcome: snowjunction.OK}, Reading{Outcome: snowjunction.Error}, Reading{Outcome: snowjunction.Reset}
+	rejected, delayed := Reading{Outcome: snowjunction.Rejected}, Reading{Outcome: snowjunction.Rejected, RetryAfter: 500 * ms}
 	wait := func(v float64) Interpretation { return Interpretation{HasWait: true, WaitMs: v} }
 	for _, tc := range []struct {
 		name  string
@@ -33,18 +33,18 @@
 		{"status 500 turned into never ran", failed, Interpretation{Outcome: "full"}, failed, []Rule{RuleOutcome}},
 		{"status 200 turned into a rejection", ok, Interpretation{Outcome: "full"}, ok, []Rule{RuleOutcome}},
 		{"failure turned into a success", failed, Interpretation{Outcome: "ok"}, failed, []Rule{RuleOutcome}},
-		{"reset turned into a success", lost, Interpretation{Outcome: "ok"}, lost, []Rule{RuleOutcome}},
-		{"rejection turned into may have run", told, Interpretation{Outcome: "error"}, told, []Rule{RuleOutcome}},
-		{"rejection turned into a success", full, Interpretation{Outcome: "ok"}, full, []Rule{RuleOutcome}},
+		{"reset turned into a success", reset, Interpretation{Outcome: "ok"}, reset, []Rule{RuleOutcome}},
+		{"rejection turned into may have run", delayed, Interpretation{Outcome: "error"}, delayed, []Rule{RuleOutcome}},
+		{"rejection turned into a success", rejected, Interpretation{Outcome: "ok"}, rejected, []Rule{RuleOutcome}},
 		{"unknown outcome", failed, Interpretation{Outcome: "moot"}, failed, []Rule{RuleOutcome}},
-		{"delay where the partner sent none", full, wait(700), Reading{snowjunction.Rejected, 700 * ms}, nil},
-		{"longer delay", told, wait(700), Reading{snowjunction.Rejected, 700 * ms}, nil},
-		{"shorter delay", told, wait(100), told, []Rule{RuleWait}},
-		{"zero delay", told, wait(0), told, []Rule{RuleWait}},
-		{"negative delay", told, wait(-1), told, []Rule{RuleWait}},
-		{"delay of ten years", full, wait(10 * 365 * 24 * 3600e3), Reading{snowjunction.Rejected, MaxWait}, []Rule{RuleWait}},
-		{"not a number", told, wait(math.NaN()), told, []Rule{RuleNumber}},
-		{"infinite delay", told, wait(math.Inf(1)), told, []Rule{RuleNumber}},
+		{"delay where the partner sent none", rejected, wait(700), Reading{snowjunction.Rejected, 700 * ms}, nil},
+		{"longer delay", delayed, wait(700), Reading{snowjunction.Rejected, 700 * ms}, nil},
+		{"shorter delay", delayed, wait(100), delayed, []Rule{RuleWait}},
+		{"zero delay", delayed, wait(0), delayed, []Rule{RuleWait}},
+		{"negative delay", delayed, wait(-1), delayed, []Rule{RuleWait}},
+		{"delay of ten years", rejected, wait(10 * 365 * 24 * 3600e3), Reading{snowjunction.Rejected, MaxWait}, []Rule{RuleWait}},
+		{"not a number", delayed, wait(math.NaN()), delayed, []Rule{RuleNumber}},
+		{"infinite delay", delayed, wait(math.Inf(1)), delayed, []Rule{RuleNumber}},
 		{"delay with a success", ok, wait(100), ok, []Rule{RuleWait}},
 		{"delay after an error", failed, wait(100), Reading{snowjunction.Error, 100 * ms}, nil},
 	} {
--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -37,10 +37,10 @@
 	loop *core.Loop
 }
 
-func newFixture(t *testing.T, how string, within time.Duration) *fixture {
+func newFixture(t *testing.T, hostMode string, startTimeout time.Duration) *fixture {
 	loop := core.NewLoop(time.Now)
 	b := &fixture{t: t, loop: loop, Set: New(Config{
-		Loop: loop, Log: slog.New(slog.DiscardHandler), Command: []string{os.Args[0], how}, StartWithin: within, SampleWithin: testTimeout,
+		Loop: loop, Log: slog.New(slog.DiscardHandler), Command: []string{os.Args[0], hostMode}, StartWithin: startTimeout, SampleWithin: testTimeout,
 	})}
 	t.Cleanup(b.Close)
 	return b
@@ -59,11 +59,11 @@
 	require.False(b.t, late, "the condition is not met in time")
 }
 
-func (b *fixture) replace(list ...*manifest.Manifest) (why string) {
+func (b *fixture) replace(list ...*manifest.Manifest) (reason string) {
 	done := false
-	b.Replace(list, func(err string) { why, done = err, true })
+	b.Replace(list, func(err string) { reason, done = err, true })
 	b.until(func() bool { return done })
-	return why
+	return reason
 }
 
 // admit calls the admit hook for a message and returns the result and the retry-after delay.
--- a/internal/plugin/skeleton/skeleton.go
+++ b/internal/plugin/skeleton/skeleton.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-const manifest = `{
+const manifestTemplate = `{
   "name": "NAME",
   "version": "0.1.0",
   "protocol": 1,
@@ -22,7 +22,7 @@
 }
 `
 
-const code = `# NAME: interprets answers. docs/plugins.md describes the protocol.
+const scriptTemplate = `# NAME: interprets answers. docs/plugins.md describes the protocol.
 
 def read(call):
     """Retry-Later is this partner's header for the retry-after delay, in seconds."""
@@ -59,7 +59,7 @@
 		return err
 	}
 	for file, text := range map[string]string{
-		"manifest.json": manifest, "plugin.star": code, "samples/told.json": sampleWithDelay, "samples/silent.json": sampleWithoutDelay,
+		"manifest.json": manifestTemplate, "plugin.star": scriptTemplate, "samples/told.json": sampleWithDelay, "samples/silent.json": sampleWithoutDelay,
 	} {
 		f, err := os.OpenFile(filepath.Join(dir, file), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 		if err != nil {
--- a/internal/proto/h2/stream.go
+++ b/internal/proto/h2/stream.go
@@ -181,7 +181,8 @@
 	}
 	s := c.streams[f.stream]
 	switch {
-	case s == nil, s.reportedEarly: // reset by us, or above our GOAWAY: its bytes still count against the connection's window
+	case s == nil, s.reportedEarly:
+		// Reset by us, or above our GOAWAY: the bytes still count against the connection's window.
 		c.returnCredit(n)
 		c.floodScore++
 		return nil
--- a/internal/proto/http1/http1_test.go
+++ b/internal/proto/http1/http1_test.go
@@ -149,9 +149,9 @@
 		_, err := p.Next()
 		assert.ErrorIs(t, err, ErrTooBig)
 	}
-	spoilt := errors.New("sink failed")
-	p := Parser{Sink: func([]byte) error { return spoilt }}
+	sinkError := errors.New("sink failed")
+	p := Parser{Sink: func([]byte) error { return sinkError }}
 	p.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nx"))
 	_, err := p.Next()
-	assert.ErrorIs(t, err, spoilt)
+	assert.ErrorIs(t, err, sinkError)
 }
