--- a/internal/plugin/plugin.go
+++ b/internal/plugin/plugin.go
@@ -324,7 +324,7 @@
 	x, _ := json.Marshal(a)
 	y, _ := json.Marshal(b)
 	if string(x) != string(y) {
-		return "expected " + string(x) + ", got " + string(y)
+		return "wanted " + string(x) + ", got " + string(y)
 	}
 	return ""
 }
--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -115,7 +115,7 @@
 	b := newFixture(t, "plugin-host", testTimeout)
 	require.Empty(t, b.replace(script("1", counting)))
 	sample := manifest.Sample{Name: "s", Hook: manifest.Admit, Call: json.RawMessage(`{"id":"s"}`), Want: json.RawMessage(`{"after_ms":7}`)}
-	assert.Equal(t, `plug-in p: sample s: expected {"after_ms":7}, got {"after_ms":1}`, b.replace(script("2", counting, sample)))
+	assert.Equal(t, `plug-in p: sample s: wanted {"after_ms":7}, got {"after_ms":1}`, b.replace(script("2", counting, sample)))
 	assert.Contains(t, b.replace(script("2", "x = 1")), "must define admit(call)")
 	assert.Equal(t, "1", b.List()[0].Version)
 	_, after := b.admit("m")
