--- a/internal/proto/listing/listing.go
+++ b/internal/proto/listing/listing.go
@@ -14,7 +14,7 @@
 
 // Parse errors. A list with an error is unusable.
 var (
-	ErrSyntax       = errors.New("invalid JSON list")
+	ErrSyntax       = errors.New("not a list in JSON")
 	ErrTooBig       = errors.New("the list is too big")
 	ErrNoGeneration = errors.New("no generation")
 )
@@ -266,7 +266,7 @@
 	case r.err != nil:
 		return r.err
 	case r.position != afterObject:
-		r.err = fmt.Errorf("%w: unexpected end", ErrSyntax)
+		r.err = fmt.Errorf("%w: it ends too early", ErrSyntax)
 	case !r.generationSeen:
 		r.err = ErrNoGeneration
 	}
