--- a/internal/plugin/reply.go
+++ b/internal/plugin/reply.go
@@ -12,95 +12,96 @@
 	"snowjunction/internal/plugin/manifest"
 )
 
-// reply is what a plug-in says, read. A plug-in may say a lot: reading it, and
-// holding a shape to what is allowed, is done on the goroutine that reads the pipe.
+// reply is the parsed answer of a plug-in. Answers may be large, so they are parsed, and shapes
+// are checked, on the goroutine that reads the pipe.
 type reply struct {
 	host.Answer
-	refuses bool    // admit: with
-	afterMs float64 // when to come back; NaN: no number
-	word    guard.Said
-	shape   guard.Shape
-	rules   []guard.Rule // that the shape broke
+	refuses        bool    // admit: the message is refused
+	afterMs        float64 // admit: retry-after delay in milliseconds; NaN if it is not a number
+	interpretation guard.Interpretation
+	shape          guard.Shape
+	rules          []guard.Rule // rules violated by the shape
 }
 
-func newReply(a host.Answer, allowed guard.Allowed) *reply {
+// newReply parses an answer. It removes changes to a request that the plug-in may not make.
+func newReply(a host.Answer, allowed guard.Permissions) *reply {
 	r := &reply{Answer: a}
 	if a.Out == nil {
 		return r
 	}
 	switch a.Hook {
 	case manifest.Admit:
-		r.admit()
+		r.parseAdmit()
 	case manifest.Shape:
-		r.shaped(allowed)
+		r.parseShape(allowed)
 	case manifest.Read:
-		r.read()
+		r.parseRead()
 	}
 	return r
 }
 
-// out is the answer as it came; nil: there is none.
-func (r *reply) out() json.RawMessage {
+// output returns the answer as received, or nil if there is none.
+func (r *reply) output() json.RawMessage {
 	if r == nil {
 		return nil
 	}
 	return r.Out
 }
 
-func (r *reply) admit() {
-	var said struct {
+func (r *reply) parseAdmit() {
+	var parsed struct {
 		AfterMs json.RawMessage `json:"after_ms"`
 	}
-	if json.Unmarshal(r.Out, &said) == nil && said.AfterMs != nil {
-		r.refuses, r.afterMs = true, number(said.AfterMs)
+	if json.Unmarshal(r.Out, &parsed) == nil && parsed.AfterMs != nil {
+		r.refuses, r.afterMs = true, parseNumber(parsed.AfterMs)
 	}
 }
 
-func (r *reply) shaped(allowed guard.Allowed) {
-	var said struct {
+func (r *reply) parseShape(allowed guard.Permissions) {
+	var parsed struct {
 		Headers map[string]string `json:"headers"`
 		Suffix  string            `json:"path_suffix"`
 		Query   string            `json:"query"`
 		Body    *string           `json:"body"`
 	}
-	if json.Unmarshal(r.Out, &said) != nil {
-		r.rules = []guard.Rule{guard.Header}
+	if json.Unmarshal(r.Out, &parsed) != nil {
+		r.rules = []guard.Rule{guard.RuleHeader}
 		return
 	}
-	x := guard.Shape{Suffix: said.Suffix, Query: said.Query}
-	for _, name := range slices.Sorted(maps.Keys(said.Headers)) {
-		x.Headers = append(x.Headers, guard.HeaderField{Name: name, Value: said.Headers[name]})
+	x := guard.Shape{Suffix: parsed.Suffix, Query: parsed.Query}
+	for _, name := range slices.Sorted(maps.Keys(parsed.Headers)) {
+		x.Headers = append(x.Headers, guard.HeaderField{Name: name, Value: parsed.Headers[name]})
 	}
-	if said.Body != nil {
-		b, err := base64.StdEncoding.DecodeString(*said.Body)
+	if parsed.Body != nil {
+		b, err := base64.StdEncoding.DecodeString(*parsed.Body)
 		x.Body, x.HasBody = b, err == nil
 		if err != nil {
-			r.rules = append(r.rules, guard.Body)
+			r.rules = append(r.rules, guard.RuleBody)
 		}
 	}
 	var rules []guard.Rule
-	r.shape, rules = guard.Shaped(x, allowed)
+	r.shape, rules = guard.CheckShape(x, allowed)
 	r.rules = append(r.rules, rules...)
 }
 
-func (r *reply) read() {
-	var said struct {
+func (r *reply) parseRead() {
+	var parsed struct {
 		Outcome json.RawMessage `json:"outcome"`
 		WaitMs  json.RawMessage `json:"wait_ms"`
 	}
-	if json.Unmarshal(r.Out, &said) != nil {
+	if json.Unmarshal(r.Out, &parsed) != nil {
 		return
 	}
-	if said.Outcome != nil && json.Unmarshal(said.Outcome, &r.word.Outcome) != nil {
-		r.word.Outcome = "?"
+	if parsed.Outcome != nil && json.Unmarshal(parsed.Outcome, &r.interpretation.Outcome) != nil {
+		r.interpretation.Outcome = "?"
 	}
-	if r.word.HasWait = said.WaitMs != nil; r.word.HasWait {
-		r.word.WaitMs = number(said.WaitMs)
+	if r.interpretation.HasWait = parsed.WaitMs != nil; r.interpretation.HasWait {
+		r.interpretation.WaitMs = parseNumber(parsed.WaitMs)
 	}
 }
 
-// number reads a number; what is none is NaN.
-func number(text json.RawMessage) float64 {
+// parseNumber parses a JSON number. It returns NaN for any other value.
+func parseNumber(text json.RawMessage) float64 {
 	var v float64
 	if json.Unmarshal(text, &v) != nil {
 		return math.NaN()
--- a/internal/proto/h2/conn.go
+++ b/internal/proto/h2/conn.go
@@ -11,40 +11,39 @@
 // Field is a header field.
 type Field = hpack.HeaderField
 
-// Limits bound what the other side can make us keep or do.
+// Limits limits the resources that the peer can make this side use. Sizes are in bytes.
 type Limits struct {
-	Streams     int // open at once by the other side
-	HeaderBytes int // of a decoded header list
-	Body        int // of one message
-	Buffered    int // of all bodies that are not whole yet
+	Streams     int // streams that the peer may have open at once
+	HeaderBytes int // decoded size of a header list
+	Body        int // body of one message
+	Buffered    int // all incomplete bodies together
 }
 
-// Event is news for the user of a Conn.
+// Event is an event returned by Conn.Feed.
 type Event interface{ event() }
 
 type (
-	// Message is a whole request or response.
+	// Message is a complete request or response.
 	Message struct {
 		Stream uint32
 		Fields []Field
 		Body   []byte
-		TooBig bool // headers or body over the limit: what is here is a part
+		TooBig bool // headers or body exceed their limit, and the content is incomplete
 	}
-	// Head tells the client that an answer has begun: its status stands,
-	// whatever becomes of the rest.
+	// Head reports to a client that the headers of a response have been received. Its status
+	// is final, even if the rest of the response fails.
 	Head struct {
 		Stream uint32
 		Fields []Field
 	}
-	// Reset tells that a stream has ended before its message was whole, or
-	// that the other side wants no answer. NotRun tells that the request on
-	// it had no effect.
+	// Reset reports that a stream ended before its message was complete, or that the peer
+	// cancelled its request. NotRun means that the request had no effect on the server.
 	Reset struct {
 		Stream uint32
 		Code   Code
 		NotRun bool
 	}
-	// Farewell tells that the other side opens no more streams, or takes none.
+	// Farewell reports a GOAWAY frame: the peer accepts no further streams.
 	Farewell struct{ Code Code }
 )
 
@@ -53,129 +52,131 @@
 func (Reset) event()    {}
 func (Farewell) event() {}
 
-// Conn is one side of a connection.
+// Conn is one side of an HTTP/2 connection. It is not safe for concurrent use.
 type Conn struct {
-	client bool
-	limits Limits
-	in     []byte
-	out    []byte
-	opened bool // the other side's preface has come
-	met    bool // and its first SETTINGS
-
-	dec     *hpack.Decoder
-	enc     *hpack.Encoder
-	encoded bytes.Buffer
-	block   []byte // of a header list that goes on in CONTINUATION frames
-	blockOf frame  // its HEADERS frame; stream 0: none
-	parts   int    // frames of it
-	fields  []Field
-	size    int // of the list being decoded
-
-	streams    map[uint32]*stream
-	order      []uint32 // with something to send, oldest first
-	seen       uint32   // highest stream the other side has opened
-	lastPeer   uint32   // highest of these that we take
-	nextOwn    uint32   // client: the next to open
-	peerOpen   int
-	window     int64 // we may send
-	credit     int64 // the other side may send
-	used       int64 // of it, not yet given back
-	peerWindow int64 // initial, of streams
-	peerFrame  int
-	peerMost   int // streams that we may have open
-	leaving    bool
-	left       bool // the other side has said farewell
-	failed     *ConnError
-
-	nuisance float64 // frames that cost only us, leaking with time
-	last     time.Time
-	events   []Event
+	client           bool
+	limits           Limits
+	inBuffer         []byte
+	outBuffer        []byte
+	prefaceReceived  bool // the client's preface has been received
+	settingsReceived bool // the peer's first SETTINGS frame has been received
+
+	decoder          *hpack.Decoder
+	encoder          *hpack.Encoder
+	encoded          bytes.Buffer
+	headerBlock      []byte // received part of a header block that continues in CONTINUATION frames
+	headerFrame      frame  // HEADERS frame of that block; stream 0 if there is none
+	headerFrameCount int    // frames of that block
+	fields           []Field
+	headerListSize   int // size of the header list being decoded (section 6.5.2)
+
+	streams            map[uint32]*stream
+	sendQueue          []uint32 // streams with data to send, oldest first
+	highestPeerStream  uint32   // highest stream id that the peer has opened
+	lastAcceptedStream uint32   // highest of these that we accepted
+	nextStreamID       uint32   // client: id of the next stream to open
+	openPeerStreams    int      // streams opened by the peer that are still open
+	sendWindow         int64    // bytes that we may send
+	receiveWindow      int64    // bytes that the peer may send
+	unreturnedCredit   int64    // bytes received and processed but not yet added to the receive window
+	peerInitialWindow  int64    // initial send window of streams
+	peerMaxFrameSize   int      // largest frame payload that the peer accepts
+	peerMaxStreams     int      // streams that we may have open at once
+	goAwaySent         bool     // we have sent GOAWAY
+	goAwayReceived     bool     // the peer has sent GOAWAY
+	connError          *ConnError
+
+	floodScore float64   // see maxFloodScore
+	lastFeed   time.Time // time of the last Feed
+	events     []Event
 }
 
+// stream is an open stream of a connection.
 type stream struct {
-	id      uint32
-	fields  []Field
-	body    []byte
-	length  int64 // announced; -1: not
-	tooBig  bool
-	headers bool // have come
-	remote  bool // the other side has ended it
-	local   bool // we have
-	window  int64
-	credit  int64
-	used    int64
-	pending []byte
-	ending  bool // END_STREAM follows what is pending
-	cut     bool // too big: yielded before its end
+	id               uint32
+	fields           []Field
+	body             []byte
+	contentLength    int64 // content-length; -1 if absent
+	tooBig           bool
+	headersReceived  bool   // the header list has been received
+	remoteClosed     bool   // the peer has ended the stream
+	localClosed      bool   // we have ended the stream
+	sendWindow       int64  // bytes that we may send
+	receiveWindow    int64  // bytes that the peer may send
+	unreturnedCredit int64  // bytes received that still count against the connection's window
+	pending          []byte // body bytes to send
+	endStreamPending bool   // END_STREAM follows the pending bytes
+	reportedEarly    bool   // too big: reported before its end
 }
 
-// The nuisance that one connection may be: a frame of a kind that costs only
-// us adds one, and so many leak away each second.
+// Flood protection: a frame that causes work without transferring a message adds one to the score
+// of its connection, and the score decreases by a fixed amount per second.
 const (
-	nuisanceMost = 200
-	nuisanceLeak = 20
-	partsMost    = 16
+	maxFloodScore            = 200 // a higher score ends the connection
+	floodScoreDecayPerSecond = 20
+	maxHeaderFrames          = 16 // HEADERS and CONTINUATION frames of one header block
 )
 
-// NewServer returns the side that accepts.
+// NewServer returns the server side of a connection.
 func NewServer(l Limits) *Conn { return newConn(false, l) }
 
-// NewClient returns the side that dials.
+// NewClient returns the client side of a connection.
 func NewClient(l Limits) *Conn { return newConn(true, l) }
 
 func newConn(client bool, l Limits) *Conn {
 	c := &Conn{
-		client: client, limits: l, streams: map[uint32]*stream{}, nextOwn: 1, opened: client,
-		window: defaultWindow, peerWindow: defaultWindow, peerFrame: minFrameSize, peerMost: 100,
-		credit: int64(max(l.Buffered, defaultWindow)),
+		client: client, limits: l, streams: map[uint32]*stream{}, nextStreamID: 1, prefaceReceived: client,
+		sendWindow: defaultWindow, peerInitialWindow: defaultWindow, peerMaxFrameSize: minFrameSize, peerMaxStreams: 100,
+		receiveWindow: int64(max(l.Buffered, defaultWindow)),
 	}
-	c.enc = hpack.NewEncoder(&c.encoded)
-	c.dec = hpack.NewDecoder(4096, func(f Field) {
-		if c.size += len(f.Name) + len(f.Value) + 32; c.size <= l.HeaderBytes {
+	c.encoder = hpack.NewEncoder(&c.encoded)
+	c.decoder = hpack.NewDecoder(4096, func(f Field) {
+		if c.headerListSize += len(f.Name) + len(f.Value) + 32; c.headerListSize <= l.HeaderBytes {
 			c.fields = append(c.fields, f)
 		}
 	})
-	// A longer one is for the list's own limit to find: an error here would
-	// end the whole connection.
-	c.dec.SetMaxStringLength(4 * l.HeaderBytes)
+	// Longer strings are left to the limit of the header list, because an error here would end
+	// the whole connection.
+	c.decoder.SetMaxStringLength(4 * l.HeaderBytes)
 	if client {
-		c.out = append(c.out, Preface...)
+		c.outBuffer = append(c.outBuffer, Preface...)
 	}
 	var s []byte
 	if client {
 		s = appendSetting(s, settingPush, 0)
 	}
-	s = appendSetting(s, settingConcurrent, uint32(l.Streams))
-	s = appendSetting(s, settingWindow, uint32(c.streamWindow()))
+	s = appendSetting(s, settingMaxStreams, uint32(l.Streams))
+	s = appendSetting(s, settingWindow, uint32(c.initialStreamWindow()))
 	s = appendSetting(s, settingHeaderBytes, uint32(l.HeaderBytes))
-	c.out = appendFrame(c.out, frameSettings, 0, 0, s)
-	if c.credit > defaultWindow {
-		c.grant(0, c.credit-defaultWindow)
+	c.outBuffer = appendFrame(c.outBuffer, frameSettings, 0, 0, s)
+	if c.receiveWindow > defaultWindow {
+		c.sendWindowUpdate(0, c.receiveWindow-defaultWindow)
 	}
 	return c
 }
 
-// streamWindow lets a body grow past its limit by so much that this shows.
-func (c *Conn) streamWindow() int { return max(c.limits.Body+1024, defaultWindow) }
+// initialStreamWindow returns the receive window of a stream. It is larger than the body limit so that
+// a body over the limit can be detected.
+func (c *Conn) initialStreamWindow() int { return max(c.limits.Body+1024, defaultWindow) }
 
-// Output takes what is to be written.
+// Output returns the bytes to be sent and clears the buffer.
 func (c *Conn) Output() []byte {
-	out := c.out
-	c.out = nil
+	out := c.outBuffer
+	c.outBuffer = nil
 	return out
 }
 
-// Feed takes what has come and returns the news in it. After an error, which
-// is a *ConnError, the connection is of no use but for its Output.
+// Feed processes received bytes and returns the resulting events. Errors are of type *ConnError.
+// After an error the connection must be closed once its Output has been sent.
 func (c *Conn) Feed(now time.Time, b []byte) ([]Event, error) {
-	if c.failed != nil {
-		return nil, c.failed
+	if c.connError != nil {
+		return nil, c.connError
 	}
-	if !c.last.IsZero() {
-		c.nuisance = max(0, c.nuisance-nuisanceLeak*now.Sub(c.last).Seconds())
+	if !c.lastFeed.IsZero() {
+		c.floodScore = max(0, c.floodScore-floodScoreDecayPerSecond*now.Sub(c.lastFeed).Seconds())
 	}
-	c.last = now
-	c.in = append(c.in, b...)
+	c.lastFeed = now
+	c.inBuffer = append(c.inBuffer, b...)
 	err := c.read()
 	events := c.events
 	c.events = nil
@@ -186,64 +187,66 @@
 	return events, nil
 }
 
+// fail makes an error permanent and sends it with GOAWAY.
 func (c *Conn) fail(err *ConnError) {
-	c.failed = err
+	c.connError = err
 	c.goAway(err.Code, err.Why)
 }
 
+// read processes the buffered input.
 func (c *Conn) read() *ConnError {
-	if !c.opened {
-		n := min(len(c.in), len(Preface))
-		if string(c.in[:n]) != Preface[:n] {
+	if !c.prefaceReceived {
+		n := min(len(c.inBuffer), len(Preface))
+		if string(c.inBuffer[:n]) != Preface[:n] {
 			return &ConnError{ProtocolError, "no HTTP/2 preface"}
 		}
 		if n < len(Preface) {
 			return nil
 		}
-		c.in, c.opened = c.in[n:], true
+		c.inBuffer, c.prefaceReceived = c.inBuffer[n:], true
 	}
 	for {
-		f, rest, ok, err := next(c.in)
+		f, rest, ok, err := parseFrame(c.inBuffer)
 		if err != nil {
 			return err
 		}
 		if !ok {
-			c.in = append([]byte(nil), c.in...) // let go of what has been read
+			c.inBuffer = append([]byte(nil), c.inBuffer...) // release the memory of processed bytes
 			return nil
 		}
-		c.in = rest
-		if err := c.frame(f); err != nil {
+		c.inBuffer = rest
+		if err := c.handleFrame(f); err != nil {
 			return err
 		}
-		if c.nuisance > nuisanceMost {
+		if c.floodScore > maxFloodScore {
 			return &ConnError{EnhanceYourCalm, "too many frames that ask nothing"}
 		}
 	}
 }
 
-func (c *Conn) frame(f frame) *ConnError {
+func (c *Conn) handleFrame(f frame) *ConnError {
 	switch {
-	case !c.met && (f.kind != frameSettings || f.has(flagAck)):
+	case !c.settingsReceived && (f.kind != frameSettings || f.has(flagAck)):
 		return &ConnError{ProtocolError, "SETTINGS must come first"}
-	case c.blockOf.stream != 0 && (f.kind != frameContinuation || f.stream != c.blockOf.stream):
+	case c.headerFrame.stream != 0 && (f.kind != frameContinuation || f.stream != c.headerFrame.stream):
 		return &ConnError{ProtocolError, "a header list was cut short"}
 	}
 	switch f.kind {
 	case frameData:
-		return c.data(f)
+		return c.handleData(f)
 	case frameHeaders:
-		return c.headers(f)
+		return c.handleHeaders(f)
 	case frameContinuation:
-		return c.continuation(f)
+		return c.handleContinuation(f)
 	case framePriority:
-		c.nuisance++
+		c.floodScore++
 		if f.stream == 0 || len(f.payload) != 5 {
 			return &ConnError{ProtocolError, "malformed PRIORITY"}
 		}
 	case frameReset:
-		return c.reset(f)
+		return c.handleReset(f)
 	case frameSettings:
-		return c.settings(f)
+		return c.handleSettings(f)
 	case framePush:
 		return &ConnError{ProtocolError, "PUSH_PROMISE, which was declined"}
 	case framePing:
@@ -253,20 +256,20 @@
 		case len(f.payload) != 8:
 			return &ConnError{FrameSizeError, "malformed PING"}
 		case !f.has(flagAck):
-			c.nuisance++
-			c.out = appendFrame(c.out, framePing, flagAck, 0, f.payload)
+			c.floodScore++
+			c.outBuffer = appendFrame(c.outBuffer, framePing, flagAck, 0, f.payload)
 		}
 	case frameGoAway:
-		return c.farewell(f)
+		return c.handleGoAway(f)
 	case frameWindow:
-		return c.windowUpdate(f)
-	default: // unknown kinds are skipped, but not for free
-		c.nuisance++
+		return c.handleWindowUpdate(f)
+	default: // unknown types are ignored but count as useless frames
+		c.floodScore++
 	}
 	return nil
 }
 
-func (c *Conn) settings(f frame) *ConnError {
+func (c *Conn) handleSettings(f frame) *ConnError {
 	switch {
 	case f.stream != 0:
 		return &ConnError{ProtocolError, "SETTINGS on a stream"}
@@ -275,29 +278,29 @@
 	case f.has(flagAck):
 		return nil
 	}
-	if c.met {
-		c.nuisance++
+	if c.settingsReceived {
+		c.floodScore++
 	}
-	c.met = true
+	c.settingsReceived = true
 	for b := f.payload; len(b) > 0; b = b[6:] {
 		v := binary.BigEndian.Uint32(b[2:])
 		switch binary.BigEndian.Uint16(b) {
 		case settingTableSize:
-			c.enc.SetMaxDynamicTableSizeLimit(min(v, 4096))
+			c.encoder.SetMaxDynamicTableSizeLimit(min(v, 4096))
 		case settingPush:
 			if v > 1 || v == 1 && c.client {
 				return &ConnError{ProtocolError, "SETTINGS: push"}
 			}
-		case settingConcurrent:
-			c.peerMost = int(min(v, 1<<20))
+		case settingMaxStreams:
+			c.peerMaxStreams = int(min(v, 1<<20))
 		case settingWindow:
 			if v > maxWindow {
 				return &ConnError{FlowControlError, "SETTINGS: window"}
 			}
-			delta := int64(v) - c.peerWindow
-			c.peerWindow = int64(v)
+			delta := int64(v) - c.peerInitialWindow
+			c.peerInitialWindow = int64(v)
 			for _, s := range c.streams {
-				if s.window += delta; s.window > maxWindow {
+				if s.sendWindow += delta; s.sendWindow > maxWindow {
 					return &ConnError{FlowControlError, "SETTINGS: a stream's window overflows"}
 				}
 			}
@@ -305,15 +308,15 @@
 			if v < minFrameSize || v > maxFrameSize {
 				return &ConnError{ProtocolError, "SETTINGS: frame size"}
 			}
-			c.peerFrame = int(v)
+			c.peerMaxFrameSize = int(v)
 		}
 	}
-	c.out = appendFrame(c.out, frameSettings, flagAck, 0, nil)
+	c.outBuffer = appendFrame(c.outBuffer, frameSettings, flagAck, 0, nil)
 	c.flush()
 	return nil
 }
 
-func (c *Conn) windowUpdate(f frame) *ConnError {
+func (c *Conn) handleWindowUpdate(f frame) *ConnError {
 	if len(f.payload) != 4 {
 		return &ConnError{FrameSizeError, "malformed WINDOW_UPDATE"}
 	}
@@ -322,64 +325,65 @@
 		return &ConnError{ProtocolError, "WINDOW_UPDATE on an idle stream"}
 	}
 	if f.stream == 0 {
-		if c.window += n; n == 0 || c.window > maxWindow {
+		if c.sendWindow += n; n == 0 || c.sendWindow > maxWindow {
 			return &ConnError{FlowControlError, "WINDOW_UPDATE of the connection"}
 		}
 	} else if s := c.streams[f.stream]; s != nil {
-		if s.window += n; n == 0 || s.window > maxWindow {
+		if s.sendWindow += n; n == 0 || s.sendWindow > maxWindow {
 			c.Reset(f.stream, FlowControlError)
 			c.events = append(c.events, Reset{Stream: f.stream, Code: FlowControlError})
 			return nil
 		}
 	}
-	if len(c.order) == 0 {
-		c.nuisance += 0.1
+	if len(c.sendQueue) == 0 {
+		c.floodScore += 0.1
 	}
 	c.flush()
 	return nil
 }
 
-// idle tells that a stream has never been opened.
+// idle reports whether a stream has never been opened.
 func (c *Conn) idle(id uint32) bool {
 	if id == 0 {
 		return false
 	}
 	if own := id%2 == 1; own == c.client {
-		return id >= c.nextOwn
+		return id >= c.nextStreamID
 	}
-	return id > c.seen
+	return id > c.highestPeerStream
 }
 
-func (c *Conn) reset(f frame) *ConnError {
+func (c *Conn) handleReset(f frame) *ConnError {
 	switch {
 	case len(f.payload) != 4:
 		return &ConnError{FrameSizeError, "malformed RST_STREAM"}
 	case f.stream == 0 || c.idle(f.stream):
 		return &ConnError{ProtocolError, "RST_STREAM on an idle stream"}
 	}
-	c.nuisance++
+	c.floodScore++
 	s := c.streams[f.stream]
 	if s == nil {
 		return nil
 	}
 	code := Code(binary.BigEndian.Uint32(f.payload))
-	c.drop(s)
+	c.removeStream(s)
 	c.events = append(c.events, Reset{Stream: f.stream, Code: code, NotRun: c.client && code == RefusedStream})
 	return nil
 }
 
-func (c *Conn) farewell(f frame) *ConnError {
+// handleGoAway processes a GOAWAY frame. A client's streams above the last stream id did not run.
+func (c *Conn) handleGoAway(f frame) *ConnError {
 	if f.stream != 0 || len(f.payload) < 8 {
 		return &ConnError{ProtocolError, "malformed GOAWAY"}
 	}
-	c.nuisance++
-	c.left = true
+	c.floodScore++
+	c.goAwayReceived = true
 	last := binary.BigEndian.Uint32(f.payload) & maxWindow
 	code := Code(binary.BigEndian.Uint32(f.payload[4:]))
 	if c.client {
-		for id := uint32(1); id < c.nextOwn; id += 2 {
+		for id := uint32(1); id < c.nextStreamID; id += 2 {
 			if s := c.streams[id]; s != nil && id > last {
-				c.drop(s)
+				c.removeStream(s)
 				c.events = append(c.events, Reset{Stream: id, Code: RefusedStream, NotRun: true})
 			}
 		}
@@ -388,43 +392,43 @@
 	return nil
 }
 
-// GoAway says that no further stream of the other side's is taken. Those it
-// has opened go on.
+// GoAway sends a GOAWAY frame: new streams of the peer are no longer accepted. Open streams
+// continue.
 func (c *Conn) GoAway() {
-	if !c.leaving {
+	if !c.goAwaySent {
 		c.goAway(NoError, "")
 	}
 }
 
-func (c *Conn) goAway(code Code, why string) {
-	c.leaving = true
-	b := binary.BigEndian.AppendUint32(nil, c.lastPeer)
+func (c *Conn) goAway(code Code, reason string) {
+	c.goAwaySent = true
+	b := binary.BigEndian.AppendUint32(nil, c.lastAcceptedStream)
 	b = binary.BigEndian.AppendUint32(b, uint32(code))
-	c.out = appendFrame(c.out, frameGoAway, 0, 0, append(b, why...))
+	c.outBuffer = appendFrame(c.outBuffer, frameGoAway, 0, 0, append(b, reason...))
 }
 
-// Begun tells that a frame or a header list has come in part.
-func (c *Conn) Begun() bool { return len(c.in) > 0 || c.blockOf.stream != 0 }
+// Begun reports whether a frame or a header block has been received in part.
+func (c *Conn) Begun() bool { return len(c.inBuffer) > 0 || c.headerFrame.stream != 0 }
 
-// Open is the number of streams that are open.
+// Open returns the number of open streams.
 func (c *Conn) Open() int { return len(c.streams) }
 
-// Room tells whether another stream may be opened by us.
+// Room reports whether this side may open another stream.
 func (c *Conn) Room() bool { return c.Free() > 0 }
 
-// Free is how many more streams we may open now: none while Closing.
+// Free returns how many more streams this side may open now. It is zero while Closing.
 func (c *Conn) Free() int {
 	if c.Closing() {
 		return 0
 	}
-	return max(c.peerMost-len(c.streams), 0)
+	return max(c.peerMaxStreams-len(c.streams), 0)
 }
 
-// Closing tells that no further stream of ours will be opened: a GOAWAY went either
-// way, the connection failed, or its stream ids are spent.
+// Closing reports whether this side can open no further streams: a GOAWAY was sent or received,
+// the connection failed, or its stream ids are exhausted.
 func (c *Conn) Closing() bool {
-	return c.left || c.leaving || c.failed != nil || c.nextOwn >= maxWindow
+	return c.goAwayReceived || c.goAwaySent || c.connError != nil || c.nextStreamID >= maxWindow
 }
 
-// Left tells that the other side takes no further stream.
-func (c *Conn) Left() bool { return c.left }
+// Left reports whether the peer has sent GOAWAY.
+func (c *Conn) Left() bool { return c.goAwayReceived }
--- a/internal/proto/http1/http1.go
+++ b/internal/proto/http1/http1.go
@@ -1,5 +1,5 @@
-// Package http1 writes HTTP/1.1 requests and reads responses. The parser does
-// no I/O: it is fed what has come and yields one response after the other.
+// Package http1 writes HTTP/1.1 requests and parses responses. The parser does no I/O:
+// it takes the bytes received and returns the responses in order.
 package http1
 
 import (
@@ -9,28 +9,28 @@
 	"strings"
 )
 
-// Errors that end a connection.
+// Parse errors. The connection must be closed after one of them.
 var (
 	ErrSyntax = errors.New("malformed HTTP/1.1 response")
 	ErrTooBig = errors.New("HTTP/1.1 response too big")
 )
 
 const (
-	maxHead    = 16 << 10 // bytes of status line and headers
-	maxHeaders = 64
+	maxHeadBytes = 16 << 10 // bytes of the status line and the headers
+	maxHeaders   = 64
 )
 
-// Response is one response.
+// Response is an HTTP response.
 type Response struct {
 	Status int
-	Close  bool // the connection ends with it
+	Close  bool // the connection closes after this response
 	Body   []byte
 	header []field
 }
 
 type field struct{ name, value string }
 
-// Get returns the first header of that name, in any case, or "".
+// Get returns the value of the first header with the given name, ignoring case, or "".
 func (r *Response) Get(name string) string {
 	for _, f := range r.header {
 		if strings.EqualFold(f.name, name) {
@@ -40,158 +40,161 @@
 	return ""
 }
 
-// Each calls f with every header, in order.
+// Each calls f for every header, in order.
 func (r *Response) Each(f func(name, value string)) {
 	for _, h := range r.header {
 		f(h.name, h.value)
 	}
 }
 
+// state is the part of a response that the parser expects next.
 type state int
 
 const (
 	head state = iota
-	sized
+	sizedBody
 	chunkSize
 	chunkData
 	chunkEnd
-	trailer
+	trailers
 	untilClose
 )
 
-// Parser takes responses out of a stream. MaxBody bounds a body.
+// Parser parses the responses of a connection. MaxBody limits a body, in bytes.
 type Parser struct {
 	MaxBody int
-	// Sink, if set, gets the bodies of answers with status 200 piece by piece
-	// as they come; their bounds are its own. An error of it is Next's.
-	Sink   func(b []byte) error
-	buf    []byte
-	at     state
-	left   int // of the body or chunk
-	now    *Response
-	status int // of the first line of the response that has begun; 0: not whole yet
+	// Sink, if set, receives the bodies of responses with status 200 in pieces as they arrive.
+	// MaxBody does not apply to them. Next returns the errors of Sink.
+	Sink      func(b []byte) error
+	buf       []byte
+	state     state
+	remaining int       // remaining bytes of the body or chunk
+	current   *Response // response being parsed
+	status    int       // status of the response being received; zero until its status line is complete
 }
 
-// Feed adds what has come.
+// Feed adds received bytes.
 func (p *Parser) Feed(b []byte) { p.buf = append(p.buf, b...) }
 
-// Begun tells that part of a response has come.
-func (p *Parser) Begun() bool { return len(p.buf) > 0 || p.at != head }
+// Begun reports whether part of a response has been received.
+func (p *Parser) Begun() bool { return len(p.buf) > 0 || p.state != head }
 
-// Status is that of the first line of a response that has begun and is not
-// whole, also of one that is spoilt behind that line; 0 where there is none.
+// Status returns the status of an incomplete response whose status line is complete, even if
+// the rest is malformed. Otherwise it returns zero.
 func (p *Parser) Status() int { return p.status }
 
-// End takes the end of the stream and returns a response that this makes whole:
-// one without a length of its own.
+// End handles the end of the stream. It returns the current response if its body extends to
+// the end of the connection, or else nil.
 func (p *Parser) End() *Response {
-	if p.at != untilClose {
+	if p.state != untilClose {
 		return nil
 	}
-	return p.done()
+	return p.finishResponse()
 }
 
-// Next returns the next whole response, or nil until there is one.
+// Next returns the next complete response, or nil if there is none yet.
 func (p *Parser) Next() (*Response, error) {
 	for {
-		switch p.at {
+		switch p.state {
 		case head:
-			p.firstLine()
+			p.recordStatus()
 			ok, err := p.readHead()
 			if !ok || err != nil {
 				return nil, err
 			}
-			if p.now.Status/100 == 1 { // interim: the answer is still to come
-				p.now, p.at, p.status = nil, head, 0
+			if p.current.Status/100 == 1 { // interim response: the final one follows
+				p.current, p.state, p.status = nil, head, 0
 				continue
 			}
-			if p.at == sized && p.left == 0 {
-				return p.done(), nil
+			if p.state == sizedBody && p.remaining == 0 {
+				return p.finishResponse(), nil
 			}
-		case sized, chunkData, untilClose:
+		case sizedBody, chunkData, untilClose:
 			n := len(p.buf)
-			if p.at != untilClose {
-				n = min(n, p.left)
+			if p.state != untilClose {
+				n = min(n, p.remaining)
 			}
-			if p.Sink != nil && p.now.Status == 200 {
+			if p.Sink != nil && p.current.Status == 200 {
 				if err := p.Sink(p.buf[:n]); err != nil {
 					return nil, err
 				}
 			} else {
-				if len(p.now.Body)+n > p.MaxBody {
+				if len(p.current.Body)+n > p.MaxBody {
 					return nil, ErrTooBig
 				}
-				p.now.Body = append(p.now.Body, p.buf[:n]...)
+				p.current.Body = append(p.current.Body, p.buf[:n]...)
 			}
-			p.take(n)
-			p.left -= n
+			p.consume(n)
+			p.remaining -= n
 			switch {
-			case p.at == untilClose || p.left > 0:
+			case p.state == untilClose || p.remaining > 0:
 				return nil, nil
-			case p.at == sized:
-				return p.done(), nil
+			case p.state == sizedBody:
+				return p.finishResponse(), nil
 			}
-			p.at = chunkEnd
-		case chunkSize, chunkEnd, trailer:
-			line, ok, err := p.line()
+			p.state = chunkEnd
+		case chunkSize, chunkEnd, trailers:
+			line, ok, err := p.nextLine()
 			if !ok || err != nil {
 				return nil, err
 			}
 			switch {
-			case p.at == chunkEnd && len(line) > 0:
+			case p.state == chunkEnd && len(line) > 0:
 				return nil, ErrSyntax
-			case p.at == chunkEnd:
-				p.at = chunkSize
-			case p.at == trailer && len(line) == 0:
-				return p.done(), nil
-			case p.at == chunkSize:
+			case p.state == chunkEnd:
+				p.state = chunkSize
+			case p.state == trailers && len(line) == 0:
+				return p.finishResponse(), nil
+			case p.state == chunkSize:
 				size, _, _ := strings.Cut(string(line), ";")
 				n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
 				if err != nil {
 					return nil, ErrSyntax
 				}
-				if p.left, p.at = int(n), chunkData; n == 0 {
-					p.at = trailer
+				if p.remaining, p.state = int(n), chunkData; n == 0 {
+					p.state = trailers
 				}
 			}
 		}
 	}
 }
 
-func (p *Parser) done() *Response {
-	r := p.now
-	p.now, p.at, p.left, p.status = nil, head, 0, 0
+func (p *Parser) finishResponse() *Response {
+	r := p.current
+	p.current, p.state, p.remaining, p.status = nil, head, 0, 0
 	return r
 }
 
-// firstLine notes the status as soon as its line is whole: it stands whatever
-// becomes of the rest.
-func (p *Parser) firstLine() {
-	line, _, ok := bytes.Cut(p.buf[:min(len(p.buf), maxHead)], []byte("\r\n"))
-	if status, err := statusLine(string(line)); ok && err == nil && status/100 != 1 {
+// recordStatus records the status as soon as the status line is complete. The status is final
+// even if the rest of the response fails.
+func (p *Parser) recordStatus() {
+	line, _, ok := bytes.Cut(p.buf[:min(len(p.buf), maxHeadBytes)], []byte("\r\n"))
+	if status, err := parseStatusLine(string(line)); ok && err == nil && status/100 != 1 {
 		p.status = status
 	}
 }
 
-func (p *Parser) take(n int) { p.buf = append(p.buf[:0], p.buf[n:]...) }
+func (p *Parser) consume(n int) { p.buf = append(p.buf[:0], p.buf[n:]...) }
 
-func (p *Parser) line() ([]byte, bool, error) {
+// nextLine returns the next line without its end. ok is false if the line is incomplete.
+func (p *Parser) nextLine() ([]byte, bool, error) {
 	i := bytes.IndexByte(p.buf, '\n')
 	if i < 0 {
-		if len(p.buf) > maxHead {
+		if len(p.buf) > maxHeadBytes {
 			return nil, false, ErrTooBig
 		}
 		return nil, false, nil
 	}
 	line := append([]byte(nil), bytes.TrimSuffix(p.buf[:i], []byte("\r"))...)
-	p.take(i + 1)
+	p.consume(i + 1)
 	return line, true, nil
 }
 
+// readHead parses the status line and the headers. It returns false if they are incomplete.
 func (p *Parser) readHead() (bool, error) {
 	end := bytes.Index(p.buf, []byte("\r\n\r\n"))
 	if end < 0 {
-		if len(p.buf) > maxHead {
+		if len(p.buf) > maxHeadBytes {
 			return false, ErrTooBig
 		}
 		if n := min(len(p.buf), 5); string(p.buf[:n]) != "HTTP/"[:n] {
@@ -199,15 +202,15 @@
 		}
 		return false, nil
 	}
-	if end > maxHead {
+	if end > maxHeadBytes {
 		return false, ErrTooBig
 	}
 	lines := strings.Split(string(p.buf[:end]), "\r\n")
-	p.take(end + 4)
+	p.consume(end + 4)
 	if len(lines) > maxHeaders+1 {
 		return false, ErrTooBig
 	}
-	status, err := statusLine(lines[0])
+	status, err := parseStatusLine(lines[0])
 	if err != nil {
 		return false, err
 	}
@@ -227,11 +230,12 @@
 			r.Close = false
 		}
 	}
-	p.now = r
-	return true, p.frame()
+	p.current = r
+	return true, p.selectBodyFraming()
 }
 
-func statusLine(line string) (int, error) {
+// parseStatusLine returns the status of a status line.
+func parseStatusLine(line string) (int, error) {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
@@ -241,14 +245,14 @@
 	return status, nil
 }
 
-// frame finds out how the body ends.
-func (p *Parser) frame() error {
-	coding, length := p.now.Get("Transfer-Encoding"), p.now.Get("Content-Length")
+// selectBodyFraming determines how the end of the body is found.
+func (p *Parser) selectBodyFraming() error {
+	coding, length := p.current.Get("Transfer-Encoding"), p.current.Get("Content-Length")
 	switch {
-	case p.now.Status/100 == 1, p.now.Status == 204, p.now.Status == 304:
-		p.at, p.left = sized, 0
+	case p.current.Status/100 == 1, p.current.Status == 204, p.current.Status == 304:
+		p.state, p.remaining = sizedBody, 0
 	case strings.EqualFold(coding, "chunked"):
-		p.at = chunkSize
+		p.state = chunkSize
 	case coding != "":
 		return ErrSyntax
 	case length != "":
@@ -256,18 +260,18 @@
 		if err != nil {
 			return ErrSyntax
 		}
-		if int(n) > p.MaxBody && (p.Sink == nil || p.now.Status != 200) {
+		if int(n) > p.MaxBody && (p.Sink == nil || p.current.Status != 200) {
 			return ErrTooBig
 		}
-		p.at, p.left = sized, int(n)
+		p.state, p.remaining = sizedBody, int(n)
 	default:
-		p.at, p.now.Close = untilClose, true
+		p.state, p.current.Close = untilClose, true
 	}
 	return nil
 }
 
-// Request writes a request. The headers are name and value in turn; they and
-// the path must hold no line break, which is checked where they come from.
+// Request returns an encoded request. headers alternates names and values. The headers and the
+// path must not contain line breaks, which has to be checked by their source.
 func Request(method, path, host string, body []byte, headers ...string) []byte {
 	b := make([]byte, 0, 256+len(body))
 	b = append(b, method...)
--- a/internal/proto/listing/listing_test.go
+++ b/internal/proto/listing/listing_test.go
@@ -11,22 +11,22 @@
 	"github.com/valyala/fastjson"
 )
 
-func reader(got *[]string) *Reader {
+func newReader(got *[]string) *Reader {
 	return &Reader{MaxSize: 1 << 20, MaxList: 100, Entry: func(v *fastjson.Value) error {
 		*got = append(*got, string(v.GetStringBytes("instanceId")))
 		return nil
 	}}
 }
 
-const good = ` {"x" : {"deep":[1,{"y":"]}"}]}, "generation": 41, "reset":true ,"instances":[ {"instanceId":"a\"}]","n":[{}]},
+const validList = ` {"x" : {"deep":[1,{"y":"]}"}]}, "generation": 41, "reset":true ,"instances":[ {"instanceId":"a\"}]","n":[{}]},
 	{"instanceId":"b"}] , "after":null}  `
 
-// However the text is cut into pieces, it reads the same.
-func TestPieces(t *testing.T) {
-	for size := 1; size <= len(good); size++ {
+// The result does not depend on the sizes of the pieces.
+func TestPiecesOfAnySize(t *testing.T) {
+	for size := 1; size <= len(validList); size++ {
 		var got []string
-		r := reader(&got)
-		for text := good; text != ""; {
+		r := newReader(&got)
+		for text := validList; text != ""; {
 			n := min(size, len(text))
 			require.NoError(t, r.Feed([]byte(text[:n])))
 			text = text[n:]
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestSpoilt(t *testing.T) {
+func TestInvalidLists(t *testing.T) {
 	for text, want := range map[string]error{
 		``:                                      ErrSyntax,
 		`[]`:                                    ErrSyntax,
@@ -47,7 +47,7 @@
 		`{"generation":1,}`:                     ErrSyntax,
 		`{"generation":-1}`:                     ErrSyntax,
 		`{"generation":"1"}`:                    ErrSyntax,
-		`{"reset":true}`:                        ErrMissing,
+		`{"reset":true}`:                        ErrNoGeneration,
 		`{"generation":1,"instances":{}}`:       ErrSyntax,
 		`{"generation":1,"instances":[5]}`:      ErrSyntax,
 		`{"generation":1,"instances":[{},]}`:    ErrSyntax,
@@ -61,28 +61,28 @@
 		strings.Repeat(" ", 1<<20+1):                                 ErrTooBig,
 	} {
 		var got []string
-		r := reader(&got)
+		r := newReader(&got)
 		err := r.Feed([]byte(text))
 		if err == nil {
 			err = r.End()
 		}
 		assert.ErrorIs(t, err, want, "%.60s", text)
-		assert.ErrorIs(t, r.Feed([]byte("{}")), want, "it stays spoilt")
+		assert.ErrorIs(t, r.Feed([]byte("{}")), want, "the error is permanent")
 	}
 }
 
-// What a list says of partitions does not spoil it: who has asked for some judges that.
+// An invalid number of partitions is not a parse error: the caller checks it.
 func TestPartitions(t *testing.T) {
 	for text, want := range map[string]int{"": 0, `,"partitions":16384`: 16384, `,"partitions":"7"`: -1, `,"partitions":0`: -1, `,"partitions":-7`: -1, `,"partitions":null`: -1} {
-		r := reader(&[]string{})
+		r := newReader(&[]string{})
 		require.NoError(t, r.Feed([]byte(`{"generation":1`+text+`,"instances":[]}`)))
 		require.NoError(t, r.End())
 		assert.Equal(t, want, r.Partitions, text)
 	}
 }
 
-// The error of an entry tells which one it was.
-func TestEntryRefused(t *testing.T) {
+// An error of Entry is returned with the index of the instance.
+func TestEntryErrorNamesIndex(t *testing.T) {
 	r := &Reader{MaxSize: 1000, MaxList: 9, Entry: func(v *fastjson.Value) error {
 		if !v.Exists("cell") {
 			return errors.New("no cell")
@@ -92,10 +92,9 @@
 	assert.EqualError(t, r.Feed([]byte(`{"generation":1,"instances":[{"cell":1},{}]}`)), "instances[1]: no cell")
 }
 
-// Whatever comes, the reader neither fails nor holds more than one entry, and
-// takes only what a JSON parser takes too.
+// For any input, the reader does not panic, buffers at most one entry, and accepts only valid JSON.
 func FuzzReader(f *testing.F) {
-	f.Add([]byte(good), 3)
+	f.Add([]byte(validList), 3)
 	f.Add([]byte(`{"generation":1,"instances":[{"a":"\u00e9\\"}],"reset":false}`), 1)
 	f.Add([]byte(`{"generation":1,"instances":null}`), 7)
 	f.Fuzz(func(t *testing.T, text []byte, size int) {
@@ -106,16 +105,16 @@
 			if r.Feed(rest[:min(size, len(rest))]) != nil {
 				break
 			}
-			if len(r.buf) > entryMost {
-				t.Fatalf("holds %d bytes", len(r.buf))
+			if len(r.buf) > maxValueBytes {
+				t.Fatalf("%d bytes buffered", len(r.buf))
 			}
 		}
 		if r.End() == nil {
 			if err := fastjson.ValidateBytes(text); err != nil {
-				t.Fatalf("taken, but %v", err)
+				t.Fatalf("accepted, but %v", err)
 			}
 			if n != r.Entries {
-				t.Fatalf("%d entries told, %d counted", n, r.Entries)
+				t.Fatalf("%d entries passed to Entry, %d counted", n, r.Entries)
 			}
 		}
 	})
--- a/internal/proto/resp/reply.go
+++ b/internal/proto/resp/reply.go
@@ -6,71 +6,71 @@
 	"strconv"
 )
 
-// Bounds of a reply: more is an error.
+// Limits of a reply. Exceeding one is an error.
 const (
-	MaxReplyLine = 512 // bytes of a simple string or an error, with its mark and without its end
-	MaxReplyBulk = 4 << 10
+	MaxReplyLineBytes = 512     // bytes of a simple string or an error, without the line end
+	MaxReplyBulkBytes = 4 << 10 // bytes of a bulk string
 )
 
-// Errors that end a connection whose replies are read.
+// Errors of ReplyParser. The connection must be closed.
 var (
-	ErrReply    = errors.New("protocol error: no reply that is awaited")
-	ErrReplyBig = errors.New("protocol error: the reply is too big")
+	ErrInvalidReply = errors.New("protocol error: invalid reply")
+	ErrReplyTooBig  = errors.New("protocol error: the reply is too big")
 )
 
-// ReplyParser takes replies out of a stream: simple strings, errors and bulk strings. Any other
-// kind, a null bulk string among them, is an error.
+// ReplyParser parses the replies of a connection: simple strings, errors and bulk strings. All other
+// types, including null bulk strings, are errors.
 type ReplyParser struct {
-	buf  []byte
-	seen int // of buf, where no line ends
-	err  error
+	buf      []byte
+	searched int // bytes of buf already searched for a line end
+	err      error
 }
 
-// Feed adds what has come.
+// Feed adds received bytes.
 func (p *ReplyParser) Feed(b []byte) { p.buf = append(p.buf, b...) }
 
-// Idle tells that no reply has begun.
+// Idle reports whether no part of a reply is buffered.
 func (p *ReplyParser) Idle() bool { return len(p.buf) == 0 }
 
-// Next returns the next whole reply as it came, with its marks and line ends, or nil until there
-// is one. After an error the stream is of no use. The reply is the caller's to keep.
+// Next returns the next complete reply in its encoded form, or nil if there is none yet. After an
+// error the stream is unusable. The caller may keep the reply.
 func (p *ReplyParser) Next() ([]byte, error) {
 	if p.err != nil || len(p.buf) == 0 {
 		return nil, p.err
 	}
-	n, err := p.whole()
+	n, err := p.replyLength()
 	if p.err = err; n == 0 || err != nil {
 		return nil, err
 	}
 	reply := append([]byte(nil), p.buf[:n]...)
-	p.buf, p.seen = append(p.buf[:0], p.buf[n:]...), 0
+	p.buf, p.searched = append(p.buf[:0], p.buf[n:]...), 0
 	return reply, nil
 }
 
-// whole is the length of the first reply; 0: it is not whole yet.
-func (p *ReplyParser) whole() (int, error) {
-	most := MaxReplyLine
+// replyLength returns the encoded length of the first reply, or zero if it is incomplete.
+func (p *ReplyParser) replyLength() (int, error) {
+	maxLineBytes := MaxReplyLineBytes
 	switch p.buf[0] {
 	case '+', '-':
 	case '$':
-		most = maxLine
+		maxLineBytes = maxLengthLine
 	default:
-		return 0, ErrReply
+		return 0, ErrInvalidReply
 	}
-	at := bytes.IndexByte(p.buf[p.seen:], '\n')
+	index := bytes.IndexByte(p.buf[p.searched:], '\n')
 	switch {
-	case at < 0 && len(p.buf) > most+1: // a \r may be the last
-		return 0, ErrReplyBig
-	case at < 0:
-		p.seen = len(p.buf)
+	case index < 0 && len(p.buf) > maxLineBytes+1: // the last byte may be the \r of the line end
+		return 0, ErrReplyTooBig
+	case index < 0:
+		p.searched = len(p.buf)
 		return 0, nil
 	}
-	end := p.seen + at + 1
+	end := p.searched + index + 1
 	switch line := p.buf[:end]; {
-	case end-2 > most:
-		return 0, ErrReplyBig
+	case end-2 > maxLineBytes:
+		return 0, ErrReplyTooBig
 	case line[end-2] != '\r' || bytes.IndexByte(line[:end-2], '\r') >= 0:
-		return 0, ErrReply
+		return 0, ErrInvalidReply
 	case line[0] != '$':
 		return end, nil
 	}
@@ -78,18 +78,18 @@
 	switch {
 	case err != nil:
 		return 0, ErrLength
-	case size > MaxReplyBulk:
-		return 0, ErrReplyBig
+	case size > MaxReplyBulkBytes:
+		return 0, ErrReplyTooBig
 	case len(p.buf) < end+int(size)+2:
 		return 0, nil
 	}
 	if end += int(size); p.buf[end] != '\r' || p.buf[end+1] != '\n' {
-		return 0, ErrReply
+		return 0, ErrInvalidReply
 	}
 	return end + 2, nil
 }
 
-// Command is a command as a client sends it.
+// Command encodes a command as an array of bulk strings.
 func Command(args ...[]byte) []byte {
 	n := 16
 	for _, a := range args {
