--- a/cmd/snowjunction/plugin.go
+++ b/cmd/snowjunction/plugin.go
@@ -123,7 +123,7 @@
 	if err := json.Unmarshal(b, &s); err != nil {
 		return fmt.Errorf("%s: %w", p.Call, err)
 	}
-	answers, failure := plugin.Try(pluginHostCommand(), m, os.Stderr, host.Call{Hook: s.Hook, Call: s.Call})
+	answers, failure := plugin.Try(pluginHostCommand(), m, os.Stderr, host.Call{Hook: s.Hook, Input: s.Call})
 	if failure != "" {
 		return fmt.Errorf("%s: %s", p.Folder, failure)
 	}
@@ -132,7 +132,7 @@
 			fmt.Println("no answer:", a.Error)
 			return exitStatus(exitFailed)
 		}
-		fmt.Println(string(a.Out))
+		fmt.Println(string(a.Output))
 	}
 	return nil
 }
--- a/cmd/snowjunction/plugin_test.go
+++ b/cmd/snowjunction/plugin_test.go
@@ -370,11 +370,11 @@
 		"def admit(call):\n    return fail('no') if call.id.startswith('bad') else None\n")
 	s := newPluginTestbed(t, 2, folder, extendBudgets)
 	i, open := 0, regexp.MustCompile("plug-in quarantine.*plugin=moody state=open")
-	for ; i < breaker.Default.Row; i++ {
+	for ; i < breaker.DefaultConfig.MaxConsecutive; i++ {
 		assert.NotRegexp(t, open, s.Log())
 		s.deliver(1, fmt.Sprint("bad", i))
 	}
-	assert.Equal(t, fmt.Sprint(breaker.Default.Row), s.counter("plugins.moody.failed"))
+	assert.Equal(t, fmt.Sprint(breaker.DefaultConfig.MaxConsecutive), s.counter("plugins.moody.failed"))
 	assert.Regexp(t, open, s.Log())
 	// If the quarantine ends before the next flow, that flow is a half-open trial. It fails, which
 	// doubles the quarantine.
@@ -389,7 +389,7 @@
 		i++
 		return s.counter("plugins.moody.state") == "closed"
 	})
-	assert.Equal(t, fmt.Sprint(breaker.Default.Trials), s.counter("plugins.moody.answered"))
+	assert.Equal(t, fmt.Sprint(breaker.DefaultConfig.ProbeSuccesses), s.counter("plugins.moody.answered"))
 }
 
 // The admin socket lists and reloads the plug-ins of a running courier and reports a failed reload.
@@ -480,24 +480,24 @@
 }
 
 // discardLog is an engine environment that discards log lines.
-type discardLog struct{ *engine.Memory }
+type discardLog struct{ *engine.KeyValueStore }
 
 func (discardLog) Log(string) {}
 
 // Each call of the hostile module fails, or answers, in the intended way.
 func TestHostileModuleAlone(t *testing.T) {
 	m := &manifest.Manifest{
-		Name: "module", Engine: "wasm", Code: "m.wasm", Text: hostileModule(), Hooks: []manifest.Hook{manifest.Read},
+		Name: "module", Engine: "wasm", Code: "m.wasm", Source: hostileModule(), Hooks: []manifest.Hook{manifest.Read},
 		Budget: manifest.Budget{MemoryMB: 24},
 	}
-	e, err := engine.Open(m, discardLog{engine.NewMemory(nil)}, hostStartTimeout)
+	e, err := engine.Open(m, discardLog{engine.NewKeyValueStore(nil)}, hostStartTimeout)
 	require.NoError(t, err)
 	defer e.Close()
 	for id, want := range map[string]error{
-		"loop": engine.ErrTime, "panic": engine.ErrTrap, "grow": engine.ErrTrap, "beyond": engine.ErrForm, "huge": engine.ErrForm,
+		"loop": engine.ErrTimeLimit, "panic": engine.ErrTrap, "grow": engine.ErrTrap, "beyond": engine.ErrInvalidAnswer, "huge": engine.ErrInvalidAnswer,
 	} {
 		timeout := hostStartTimeout
-		if want == engine.ErrTime {
+		if want == engine.ErrTimeLimit {
 			timeout = 100 * time.Millisecond
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), timeout)
--- a/cmd/snowjunction/push_test.go
+++ b/cmd/snowjunction/push_test.go
@@ -125,11 +125,11 @@
 	require.NoError(g.t, err)
 	v, err := fastjson.ParseBytes(body)
 	require.NoError(g.t, err)
-	notice := messageAPI.Ended
-	if state := string(v.GetStringBytes("state")); state == messageAPI.Taken.States[0] {
-		notice = messageAPI.Taken
+	notice := messageAPI.Final
+	if state := string(v.GetStringBytes("state")); state == messageAPI.Accepted.States[0] {
+		notice = messageAPI.Accepted
 	} else {
-		assert.Contains(g.t, messageAPI.Ended.States, state)
+		assert.Contains(g.t, messageAPI.Final.States, state)
 	}
 	v.GetObject().Visit(func(key []byte, _ *fastjson.Value) { assert.Contains(g.t, notice.Fields, string(key)) })
 	for _, field := range notice.Fields {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -257,7 +257,7 @@
 // memory of the entries and most of the time of a start.
 func (n Names) decodeList(b []byte) (out List, err error) {
 	out.Targets = slices.Grow(out.Targets, bytes.Count(b, []byte(`"instanceId"`)))
-	r := listing.Reader{MaxSize: len(b), MaxList: len(b), Entry: func(v *fastjson.Value) error {
+	r := listing.Reader{MaxBytes: len(b), MaxEntries: len(b), OnEntry: func(v *fastjson.Value) error {
 		e, err := n.Target(v)
 		out.Targets = append(out.Targets, e)
 		return err
@@ -268,7 +268,7 @@
 	if err := r.End(); err != nil {
 		return List{}, err
 	}
-	out.Present, out.Generation, out.Full = true, r.Generation, r.Full
+	out.Present, out.Generation, out.Full = true, r.Generation, r.Complete
 	return out, nil
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -124,8 +124,8 @@
 		loop: core.NewLoop(time.Now), log: p.log,
 	}
 	c.plugins = plugin.New(plugin.Config{
-		Loop: c.loop, Log: c.log, Command: p.opts.Host, Bodies: f.plugins.Bodies, StartWithin: f.plugins.StartWithin,
-		AnswerWithin: p.opts.PluginBudget,
+		Loop: c.loop, Log: c.log, HostCommand: p.opts.Host, BodyDestinations: f.plugins.Bodies, StartTimeout: f.plugins.StartWithin,
+		AnswerTimeout: p.opts.PluginBudget,
 	})
 	if len(f.manifests) > 0 {
 		why, done := "", false
@@ -243,7 +243,7 @@
 }
 
 // descriptions reads the push front's API documents if the front is enabled.
-func descriptions(p *config.Push) (*describe.API, *describe.Life, error) {
+func descriptions(p *config.Push) (*describe.API, *describe.Lifecycle, error) {
 	if p.Listen == "" {
 		return nil, nil, nil
 	}
@@ -419,8 +419,8 @@
 	}
 	c.platform.MoveDiscovery(f.cfg.Discovery)
 	c.adoptMembership(f.membership)
-	c.plugins.AllowBodies(f.plugins.Bodies)
-	c.plugins.AllowStart(f.plugins.StartWithin)
+	c.plugins.SetBodyDestinations(f.plugins.Bodies)
+	c.plugins.SetStartTimeout(f.plugins.StartWithin)
 	c.log.Info("configuration read again", "discovery", f.cfg.Discovery, "targets", len(f.push.Targets))
 	c.plugins.Replace(f.manifests, func(why string) {
 		if why != "" {
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -27,7 +27,7 @@
 	opts Options
 	log  *slog.Logger
 	api  *describe.API
-	life *describe.Life
+	life *describe.Lifecycle
 
 	files      files
 	startSteps *startTimer    // of the first courier's start; nil once it is ready
--- a/internal/describe/asyncapi.go
+++ b/internal/describe/asyncapi.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Life describes the notices about a message.
-type Life struct {
-	Taken Notice // message "taken": the message was accepted
-	Ended Notice // message "ended": the message has reached its final state
+// Lifecycle describes the notices about a message.
+type Lifecycle struct {
+	Accepted Notice // message "taken": the message was accepted
+	Final    Notice // message "ended": the message has reached its final state
 }
 
 // Notice is a message of the AsyncAPI document: the fields of its payload in document
@@ -20,7 +20,7 @@
 
 // AsyncAPI reads an AsyncAPI 3.0 document. The document must have a channel with the
 // messages "taken" and "ended", and an operation that sends them.
-func AsyncAPI(name string, b []byte) (*Life, error) {
+func AsyncAPI(name string, b []byte) (*Lifecycle, error) {
 	root, err := parse(name, b)
 	if err != nil {
 		return nil, err
@@ -33,7 +33,7 @@
 		v.oneOf("application/json")
 	}
 	root.child("info").object("title!", "version!", "description", "license", "contact")
-	lifecycle := &Life{}
+	lifecycle := &Lifecycle{}
 	found := map[string]bool{}
 	channels := root.child("channels")
 	channels.object(channels.keys()...)
@@ -47,9 +47,9 @@
 			case found[word]:
 				m.fail("duplicate message %q", word)
 			case word == "taken":
-				lifecycle.Taken = notice(m.resolve(), []string{"taken"})
+				lifecycle.Accepted = notice(m.resolve(), []string{"taken"})
 			case word == "ended":
-				lifecycle.Ended = notice(m.resolve(), []string{"delivered", "failed", "returned"})
+				lifecycle.Final = notice(m.resolve(), []string{"delivered", "failed", "returned"})
 			default:
 				m.fail("not supported: the only messages are taken and ended")
 			}
@@ -81,8 +81,8 @@
 	return lifecycle, nil
 }
 
-// Withdrawn is the state of a message that its client has deleted.
-const Withdrawn = "withdrawn"
+// StateWithdrawn is the state of a message that its client has deleted.
+const StateWithdrawn = "withdrawn"
 
 // notice reads a message. Its payload must be an object with fields that the front supports.
 func notice(n node, states []string) Notice {
@@ -117,7 +117,7 @@
 		out.States = append(out.States, c.text())
 	}
 	// The state "withdrawn" is optional: it occurs only if the front serves deleteMessage.
-	got := slices.DeleteFunc(slices.Sorted(slices.Values(out.States)), func(s string) bool { return s == Withdrawn })
+	got := slices.DeleteFunc(slices.Sorted(slices.Values(out.States)), func(s string) bool { return s == StateWithdrawn })
 	if !slices.Equal(got, states) {
 		properties.child("state").fail("expected the states %s", strings.Join(states, ", "))
 	}
--- a/internal/describe/describe_test.go
+++ b/internal/describe/describe_test.go
@@ -18,8 +18,8 @@
 func TestDeployedDocuments(t *testing.T) {
 	api, err := OpenAPI("openapi.json", []byte(readDeployed(t, "openapi.json")))
 	require.NoError(t, err)
-	assert.Equal(t, 65536, api.Submit.MaxBody)
-	assert.Equal(t, "/message/a", api.Status.Link("a"))
+	assert.Equal(t, 65536, api.Submit.MaxBodyBytes)
+	assert.Equal(t, "/message/a", api.Status.BuildPath("a"))
 	params, ok := api.Submit.Match("/push/7")
 	assert.True(t, ok)
 	assert.Equal(t, "7", params["destination"])
@@ -32,8 +32,8 @@
 	}
 	lifecycle, err := AsyncAPI("asyncapi.json", []byte(readDeployed(t, "asyncapi.json")))
 	require.NoError(t, err)
-	assert.Equal(t, []string{"id", "state"}, lifecycle.Taken.Fields)
-	assert.Equal(t, []string{"id", "state", "at", "after_ms"}, lifecycle.Ended.Fields)
+	assert.Equal(t, []string{"id", "state"}, lifecycle.Accepted.Fields)
+	assert.Equal(t, []string{"id", "state", "at", "after_ms"}, lifecycle.Final.Fields)
 }
 
 // A document that describes unsupported behaviour is rejected with the location.
--- a/internal/describe/openapi.go
+++ b/internal/describe/openapi.go
@@ -17,12 +17,12 @@
 
 // Operation is an operation of the API.
 type Operation struct {
-	Method   string
-	Path     []Segment
-	Params   []Param
-	MaxBody  int // maximum size of the request body in bytes; zero means no body
-	Statuses []int
-	source   node // location in the document
+	Method       string
+	Path         []Segment
+	Params       []Param
+	MaxBodyBytes int // maximum size of the request body in bytes; zero means no body
+	Statuses     []int
+	source       node // location in the document
 }
 
 // Segment is a segment of a path: either a literal word or a parameter.
@@ -102,8 +102,8 @@
 	return params, true
 }
 
-// Link returns the path of the operation with its parameters replaced by value.
-func (o *Operation) Link(value string) string {
+// BuildPath returns the path of the operation with its parameters replaced by value.
+func (o *Operation) BuildPath(value string) string {
 	var b strings.Builder
 	for _, s := range o.Path {
 		b.WriteByte('/')
@@ -192,7 +192,7 @@
 		if want.op.Method != want.method {
 			want.op.source.fail("operation %q must use the method %s", want.id, want.method)
 		}
-		if want.op.MaxBody > 0 != want.hasBody {
+		if want.op.MaxBodyBytes > 0 != want.hasBody {
 			want.op.source.fail("operation %q: the presence of a request body does not match the handler", want.id)
 		}
 		for _, p := range want.params {
@@ -245,7 +245,7 @@
 		}
 	}
 	if body := n.child("requestBody"); body.exists() {
-		o.MaxBody = requestBody(body.resolve())
+		o.MaxBodyBytes = requestBody(body.resolve())
 	}
 	responses := n.child("responses")
 	for _, code := range responses.keys() {
--- a/internal/emulate/courier.go
+++ b/internal/emulate/courier.go
@@ -81,7 +81,7 @@
 	}
 	c.up, c.tickScheduled, c.inbox, c.startedAt, c.lastTick = true, false, nil, w.now, w.now-c.settings.Tick
 	clear(c.warmConns)
-	c.pluginBreaker, c.pluginCalls, c.pluginFreeAt = breaker.New(breaker.Default), map[uint32]pluginCall{}, w.now
+	c.pluginBreaker, c.pluginCalls, c.pluginFreeAt = breaker.New(breaker.DefaultConfig), map[uint32]pluginCall{}, w.now
 	if w.checker != nil && c.run > 1 {
 		w.checker.Restarted(w.now, c.number)
 	}
@@ -327,7 +327,7 @@
 	}
 	delete(c.pluginCalls, serial)
 	if q.called && c.world.scenario.Plugin.Breaker {
-		c.pluginBreaker.Done(c.world.now, q.ticket, q.succeeded)
+		c.pluginBreaker.Record(c.world.now, q.ticket, q.succeeded)
 	}
 	if m := &c.world.messages[id]; m.serial != serial || !m.pending {
 		return
--- a/internal/front/console/console.go
+++ b/internal/front/console/console.go
@@ -15,7 +15,7 @@
 
 const (
 	callTimeout  = 5 * time.Second // from connecting to the end of the call's line
-	maxCallBytes = oneline.Most + 4
+	maxCallBytes = oneline.MaxLineBytes + 4
 	maxCallers   = 32 // at the limit, the oldest caller without a complete call is evicted
 )
 
@@ -155,21 +155,21 @@
 
 // dispatch executes a call. Calls that change something are answered once the change is persisted.
 func (f *Front) dispatch(c oneline.Call, answer func(string, error)) {
-	switch out := c.Word == "exclude"; {
-	case c.Word == "readyz" && c.Arg == "":
+	switch out := c.Command == "exclude"; {
+	case c.Command == "readyz" && c.Arg == "":
 		if !f.Ready() {
 			answer("", errNotReady)
 			return
 		}
 		answer("done\n", nil)
-	case c.Word == "telemetry" && c.Arg == "":
+	case c.Command == "telemetry" && c.Arg == "":
 		f.Figures(func(x core.Figures) {
 			b, err := json.Marshal(x)
 			answer(string(b)+"\nend\n", err)
 		})
-	case (out || c.Word == "include") && c.Arg == "":
+	case (out || c.Command == "include") && c.Arg == "":
 		answer("", errMissingID)
-	case out || c.Word == "include":
+	case out || c.Command == "include":
 		f.SetExcluded(c.Arg, out, func(err error) { answer("done\n", err) })
 	default:
 		answer("", errUnknownCall)
--- a/internal/front/platform/discovery.go
+++ b/internal/front/platform/discovery.go
@@ -43,7 +43,7 @@
 		return
 	}
 	if d.conn == nil {
-		d.parser = http1.Parser{MaxBody: maxAnswerBytes, Sink: d.readBody}
+		d.parser = http1.Parser{MaxBodyBytes: maxAnswerBytes, Sink: d.readBody}
 		d.conn = d.front.Engine.Dial(WatchKind, d.front.Discovery, d)
 		if d.partitions.mayGain = false; !d.partitions.gained {
 			d.stepStart = d.front.Loop.Now()
@@ -137,7 +137,7 @@
 
 // retryAfterHeader returns the delay of a Retry-After header in whole seconds; zero if it has none.
 func retryAfterHeader(r *http1.Response) time.Duration {
-	n, err := strconv.ParseUint(r.Get("Retry-After"), 10, 16)
+	n, err := strconv.ParseUint(r.Header("Retry-After"), 10, 16)
 	if err != nil {
 		return 0
 	}
@@ -165,7 +165,7 @@
 	list := groups.NewList(false)
 	size, entries := d.readerLimits()
 	d.incoming = list
-	d.reader = &listing.Reader{MaxSize: size, MaxList: entries, Entry: func(v *fastjson.Value) error {
+	d.reader = &listing.Reader{MaxBytes: size, MaxEntries: entries, OnEntry: func(v *fastjson.Value) error {
 		e, err := d.front.Names.Target(v)
 		if err != nil || !d.keepEntry(&e, list) {
 			return err
@@ -190,8 +190,8 @@
 		d.rejectList(err)
 		return
 	case r == nil:
-		if d.reader.Size() > 0 { // data is arriving: a long list may take long, but not forever
-			d.setTimeout(d.backoff.AnswerTimeLeft(d.stepAge(), d.reader.Size()), net.CallTimeout)
+		if d.reader.ReceivedBytes() > 0 { // data is arriving: a long list may take long, but not forever
+			d.setTimeout(d.backoff.AnswerTimeLeft(d.stepAge(), d.reader.ReceivedBytes()), net.CallTimeout)
 		}
 		return
 	}
@@ -205,7 +205,7 @@
 		d.retryAfter(net.Finished, pause)
 		return
 	}
-	d.front.Log.Debug("received an answer from discovery", "generation", d.reader.Generation, "full", d.reader.Full, "entries", d.reader.Entries)
+	d.front.Log.Debug("received an answer from discovery", "generation", d.reader.Generation, "full", d.reader.Complete, "entries", d.reader.Entries)
 	err = d.reader.End()
 	if err == nil {
 		err = d.checkPartitions()
@@ -214,7 +214,7 @@
 		d.rejectList(err)
 		return
 	}
-	d.incoming.Full = d.reader.Full
+	d.incoming.Full = d.reader.Complete
 	if (!d.incoming.Full && d.watching || d.partitions.gaining) && d.reader.Generation < d.generation {
 		// These are changes to an older list than the current one: draining and removed endpoints
 		// are applied, and the full list is requested.
@@ -251,7 +251,7 @@
 // of the rejected one are applied. The full list is requested next, with growing pauses while the
 // lists remain invalid.
 func (d *discovery) rejectList(err error) {
-	d.front.Log.Warn("discovery's list cannot be read", "err", err, "entries", d.reader.Entries, "bytes", d.reader.Size())
+	d.front.Log.Warn("discovery's list cannot be read", "err", err, "entries", d.reader.Entries, "bytes", d.reader.ReceivedBytes())
 	d.front.core.RejectList(d.front.FrontIndex, d.incoming, err)
 	d.incremental = false
 	d.retryAfter(net.Protocol, d.backoff.Unreadable(d.stepAge()))
--- a/internal/front/platform/handover.go
+++ b/internal/front/platform/handover.go
@@ -53,7 +53,7 @@
 	}
 	return func() []handover.Client {
 		for i, c := range handed {
-			out[i].Unprocessed = append(c.parser.Rest(), c.conn.Leftover()...)
+			out[i].Unprocessed = append(c.parser.Unparsed(), c.conn.Leftover()...)
 		}
 		return out
 	}
@@ -123,7 +123,7 @@
 // Adopt continues a call of the previous process run of this courier. It calls done once with the
 // result, unless the call is given up, and never before Adopt returns.
 func (t *target) Adopt(m *store.Message, from handover.Call, done func(core.Result)) core.Call {
-	l := &targetConn{target: t, parser: http1.Parser{MaxBody: maxAnswerBytes}, messageID: m.ID, sent: true, wantWhole: from.WantsWholeAnswer, done: done, idleBefore: from.IdleTime, lastUsed: time.Now()}
+	l := &targetConn{target: t, parser: http1.Parser{MaxBodyBytes: maxAnswerBytes}, messageID: m.ID, sent: true, wantWhole: from.WantsWholeAnswer, done: done, idleBefore: from.IdleTime, lastUsed: time.Now()}
 	l.conn = t.front.Engine.Adopt("target", false, from.Conn, l)
 	if l.conn == nil {
 		t.front.Loop.Post(func() { l.Closed(net.PeerReset) })
--- a/internal/front/platform/partitions.go
+++ b/internal/front/platform/partitions.go
@@ -123,10 +123,10 @@
 // partitions than the request.
 func (d *discovery) checkPartitions() error {
 	r := d.front.Router
-	if r == nil || d.reader.Partitions == 0 || d.reader.Partitions == r.Membership().Partitions() {
+	if r == nil || d.reader.TotalPartitions == 0 || d.reader.TotalPartitions == r.Membership().Partitions() {
 		return nil
 	}
-	return fmt.Errorf("%w: %d, expected %d", errPartitions, d.reader.Partitions, r.Membership().Partitions())
+	return fmt.Errorf("%w: %d, expected %d", errPartitions, d.reader.TotalPartitions, r.Membership().Partitions())
 }
 
 // listReceived updates the state after an answer was applied. If full is true, it was the full
@@ -138,7 +138,7 @@
 	}
 	p := &d.partitions
 	of := p.requested
-	if d.reader.Partitions == 0 { // not restricted: has all that was listed at the request
+	if d.reader.TotalPartitions == 0 { // not restricted: has all that was listed at the request
 		of = p.listedThen
 	}
 	if full {
@@ -158,7 +158,7 @@
 		d.front.Log.Info("list of newly listed partitions conflicts with the current list; requesting the full list", "err", err)
 		p.gained, d.incremental = true, false
 	} else {
-		p.batchSize = max(1, min(maxGainGrowth*len(p.requested), len(p.requested)*gainTargetBytes/max(d.reader.Size(), 1)))
+		p.batchSize = max(1, min(maxGainGrowth*len(p.requested), len(p.requested)*gainTargetBytes/max(d.reader.ReceivedBytes(), 1)))
 		d.listReceived(true)
 		d.front.Log.Debug("merged the list of newly listed partitions", "asked", len(p.requested), "wanted", len(d.front.Router.AwaitingList()), "entries", d.incoming.Entries.Len())
 	}
--- a/internal/front/platform/target.go
+++ b/internal/front/platform/target.go
@@ -78,7 +78,7 @@
 			return c
 		}
 	}
-	c := &targetConn{target: t, parser: http1.Parser{MaxBody: maxAnswerBytes}}
+	c := &targetConn{target: t, parser: http1.Parser{MaxBodyBytes: maxAnswerBytes}}
 	c.startCall(m.ID, request, shape.BufferAnswer, done)
 	c.maySend = maySend
 	c.conn = t.front.Engine.Dial("target", t.entry.Addr, c)
@@ -255,7 +255,7 @@
 // rest of the answer is malformed or never comes. Any other incomplete answer is inconclusive: the
 // request may have run.
 func (c *targetConn) Data(b []byte) {
-	begun := c.parser.Begun()
+	begun := c.parser.HasPartialResponse()
 	c.parser.Feed(b)
 	c.received = append(c.received, b...)
 	if c.done == nil && !begun || !c.sent { // unsolicited bytes
@@ -273,7 +273,7 @@
 		if c.parser.Status() == 200 && !c.wantWhole {
 			c.finish(core.Result{Outcome: snowjunction.OK})
 		}
-		if c.answerTimer == nil && c.parser.Begun() {
+		if c.answerTimer == nil && c.parser.HasPartialResponse() {
 			c.answerTimer = t.front.Loop.After(answerRestTimeout, c.abandonAnswer)
 		}
 		return
@@ -283,7 +283,7 @@
 	switch {
 	case r.Close:
 		c.conn.Close(net.Finished)
-	case c.parser.Begun():
+	case c.parser.HasPartialResponse():
 		c.conn.Close(net.Protocol)
 	case t.removed:
 		c.conn.Close(net.Drained)
@@ -306,12 +306,12 @@
 // mapResult maps an answer to a result. If withAnswer is true, the result includes the answer
 // unchanged.
 func (t *target) mapResult(response *http1.Response, withAnswer bool) core.Result {
-	result := front.ResultFromAnswer(response.Status, response.Get, t.front.ReportColumns)
+	result := front.ResultFromAnswer(response.Status, response.Header, t.front.ReportColumns)
 	if !withAnswer {
 		return result
 	}
 	result.Answer = &core.Reply{Status: response.Status, Body: response.Body}
-	response.Each(func(name, value string) {
+	response.EachHeader(func(name, value string) {
 		result.Answer.Headers = append(result.Answer.Headers, core.HeaderField{Name: name, Value: value})
 	})
 	return result
--- a/internal/front/push/listener.go
+++ b/internal/front/push/listener.go
@@ -37,7 +37,7 @@
 }
 
 func (f *Front) accept(conn *net.Conn) net.Handler {
-	c := &client{front: f, conn: conn, h2: h2.NewServer(h2Limits(f.API.Submit.MaxBody))}
+	c := &client{front: f, conn: conn, h2: h2.NewServer(h2Limits(f.API.Submit.MaxBodyBytes))}
 	if len(f.clients) >= f.Push.MaxConns && !f.evictClient() {
 		conn.Close(net.Limit)
 		return c
@@ -55,7 +55,7 @@
 func (f *Front) evictClient() bool {
 	var oldest *client
 	for c := range f.clients {
-		idle := c.h2.Open() == 0 && f.Loop.Now().Sub(c.idleSince) >= evictableAfter
+		idle := c.h2.OpenStreams() == 0 && f.Loop.Now().Sub(c.idleSince) >= evictableAfter
 		if idle && (oldest == nil || c.idleSince.Before(oldest.idleSince)) && !c.conn.HasUnread() {
 			oldest = c
 		}
@@ -125,7 +125,7 @@
 	}
 	c.idleTimer.Stop()
 	switch {
-	case c.h2.Open() > 0:
+	case c.h2.OpenStreams() > 0:
 	case c.front.draining:
 		if !c.unanswered() { // a close with unread bytes resets, and may discard the GOAWAY
 			c.closeConn(net.Shutdown)
@@ -140,7 +140,7 @@
 // request above the last stream of a GOAWAY counts as answered once it has been read.
 func (c *client) unanswered() bool {
 	bytes, _ := c.conn.Pending()
-	return bytes || c.h2.Open() > 0 || c.h2.Begun()
+	return bytes || c.h2.OpenStreams() > 0 || c.h2.HasPartialInput()
 }
 
 // closeGracefully sends a GOAWAY and closes a connection without streams.
@@ -221,7 +221,7 @@
 func (c *client) submit(m h2.Message, params map[string]string) {
 	f := c.front
 	if m.TooBig {
-		c.problem(m.Stream, 413, fmt.Sprintf("the body must be %d bytes at most", f.API.Submit.MaxBody))
+		c.problem(m.Stream, 413, fmt.Sprintf("the body must be %d bytes at most", f.API.Submit.MaxBodyBytes))
 		return
 	}
 	r, err := parseSubmit(params)
@@ -299,7 +299,7 @@
 func (c *client) respondCreated(stream uint32, m *store.Message) {
 	left := max(0, int(math.Ceil(m.Deadline.Sub(c.front.Loop.Now()).Seconds())))
 	c.respond(stream, 201, nil,
-		h2.Field{Name: "location", Value: c.front.API.Status.Link(m.ID)},
+		h2.Field{Name: "location", Value: c.front.API.Status.BuildPath(m.ID)},
 		h2.Field{Name: "ttl", Value: strconv.Itoa(left)})
 }
 
@@ -371,8 +371,8 @@
 	switch {
 	case m.State == store.Withdrawn: // its time was over at the target
 		return store.Failed.String()
-	case m.State == store.Deleted && slices.Contains(c.front.Lifecycle.Ended.States, describe.Withdrawn):
-		return describe.Withdrawn
+	case m.State == store.Deleted && slices.Contains(c.front.Lifecycle.Final.States, describe.StateWithdrawn):
+		return describe.StateWithdrawn
 	case m.State == store.Deleted:
 		return store.Failed.String()
 	}
@@ -400,10 +400,10 @@
 // respondStatus writes the status that the AsyncAPI document defines.
 func (c *client) respondStatus(stream uint32, m *store.Message, waited int) {
 	var a fastjson.Arena
-	body, notice := a.NewObject(), &c.front.Lifecycle.Taken
+	body, notice := a.NewObject(), &c.front.Lifecycle.Accepted
 	state := "taken"
 	if m.State != store.Open {
-		notice, state = &c.front.Lifecycle.Ended, c.stateText(m)
+		notice, state = &c.front.Lifecycle.Final, c.stateText(m)
 	}
 	for _, field := range notice.Fields {
 		switch {
--- a/internal/front/push/push.go
+++ b/internal/front/push/push.go
@@ -27,7 +27,7 @@
 	FrontIndex    int // index of this front in the core
 	Push          *config.Push
 	API           *describe.API
-	Lifecycle     *describe.Life
+	Lifecycle     *describe.Lifecycle
 	ReportColumns []string // names of the values of a load report
 	Settings      snowjunction.Settings
 }
@@ -73,8 +73,8 @@
 // poolConfig returns the limits of the connections to one target.
 func (f *Front) poolConfig() h2pool.Config {
 	return h2pool.Config{
-		Most: f.Push.TargetConns, Age: f.Push.ConnAge, // config sets a default; under 1 counts as 1
-		Idle: time.Duration(float64(f.Settings.ConnIdle) * reuseShare),
+		MaxConnections: f.Push.TargetConns, MaxAge: f.Push.ConnAge, // config sets a default; under 1 counts as 1
+		IdleTimeout: time.Duration(float64(f.Settings.ConnIdle) * reuseShare),
 	}
 }
 
@@ -221,7 +221,7 @@
 
 // h2Limits returns the HTTP/2 limits for both sides of the front.
 func h2Limits(maxBody int) h2.Limits {
-	return h2.Limits{Streams: 100, HeaderBytes: 16 << 10, Body: maxBody, Buffered: 1 << 20}
+	return h2.Limits{MaxStreams: 100, MaxHeaderBytes: 16 << 10, MaxBodyBytes: maxBody, MaxBufferedBytes: 1 << 20}
 }
 
 // A client connection without streams is closed after clientIdleTimeout, or after evictableAfter if
--- a/internal/front/push/target.go
+++ b/internal/front/push/target.go
@@ -104,7 +104,7 @@
 func (t *target) pickConn() *targetConn {
 	now := t.front.Loop.Now()
 	pool := t.front.poolConfig()
-	var views []h2pool.Link
+	var views []h2pool.Connection
 	for _, c := range append([]*targetConn(nil), t.conns...) {
 		view := c.poolView(now)
 		if c.up && c.peerClosed() { // what is written now may be lost
@@ -116,7 +116,7 @@
 		switch h2pool.Retire(pool, 0, view) {
 		case h2pool.Idle:
 			c.closeConn(net.Idle)
-		case h2pool.Spent:
+		case h2pool.Exhausted:
 			c.closeConn(net.Finished)
 		default:
 			views = append(views, view)
@@ -139,13 +139,13 @@
 }
 
 // poolView returns the pool's view of the connection, with times relative to now.
-func (c *targetConn) poolView(now time.Time) h2pool.Link {
-	view := h2pool.Link{
-		Up: c.up, Open: len(c.calls), Queued: len(c.waiting), Away: c.retired || c.h2.Closing(),
-		Opened: -now.Sub(c.openedAt), Used: -now.Sub(c.lastUsed), Room: h2Limits(maxAnswerBytes).Streams,
+func (c *targetConn) poolView(now time.Time) h2pool.Connection {
+	view := h2pool.Connection{
+		Ready: c.up, OpenStreams: len(c.calls), QueuedCalls: len(c.waiting), Closing: c.retired || c.h2.Closing(),
+		DialedAt: -now.Sub(c.openedAt), LastUsed: -now.Sub(c.lastUsed), FreeStreams: h2Limits(maxAnswerBytes).MaxStreams,
 	}
 	if c.up {
-		view.Room = c.h2.Free()
+		view.FreeStreams = c.h2.FreeStreams()
 	}
 	return view
 }
@@ -213,7 +213,7 @@
 	c.waiting = nil
 	var rejected []*call
 	for _, x := range waiting {
-		if c.h2.Free() == 0 && !c.h2.Closing() { // wait for a stream to end
+		if c.h2.FreeStreams() == 0 && !c.h2.Closing() { // wait for a stream to end
 			c.waiting = append(c.waiting, x)
 			continue
 		}
@@ -337,7 +337,7 @@
 	var begun []*call
 	for _, ev := range events {
 		switch ev := ev.(type) {
-		case h2.Head:
+		case h2.ResponseHead:
 			if x := c.calls[ev.Stream]; x != nil {
 				x.status, _ = strconv.Atoi(h2.Get(ev.Fields, ":status"))
 				begun = append(begun, x)
@@ -346,13 +346,13 @@
 			c.finishCall(ev)
 		case h2.Reset:
 			c.resetCall(ev)
-		case h2.Farewell:
+		case h2.GoAwayReceived:
 			c.retire()
 		}
 	}
 	// Streams have ended and waiting calls can use them, or no stream will become free and the
 	// calls go to another connection.
-	if c.up && len(c.waiting) > 0 && (c.h2.Free() > 0 || c.h2.Closing()) {
+	if c.up && len(c.waiting) > 0 && (c.h2.FreeStreams() > 0 || c.h2.Closing()) {
 		c.sendQueued()
 	}
 	for _, x := range begun {
@@ -419,7 +419,7 @@
 	x.answerTimer.Stop()
 	res := x.lostResult()
 	switch {
-	case r.NotRun && c.h2.Left(): // the connection ends, but the target may be healthy
+	case r.NotRun && c.h2.PeerSentGoAway(): // the connection ends, but the target may be healthy
 		res.Outcome = snowjunction.NotSent
 	case r.NotRun:
 		res.Outcome = snowjunction.Rejected
--- a/internal/h2pool/pool.go
+++ b/internal/h2pool/pool.go
@@ -13,22 +13,22 @@
 
 import "time"
 
-// Link is the state of one connection of a target.
-type Link struct {
-	Up     bool          // the peer's preface and settings have been received
-	Room   int           // additional streams that may be opened: the peer's limit minus Open
-	Open   int           // open streams
-	Queued int           // calls waiting for a stream of the connection
-	Away   bool          // no further streams: GOAWAY sent or received, or stream ids exhausted
-	Opened time.Duration // time of dialling
-	Used   time.Duration // time at which a stream last began or ended
+// Connection is the state of one connection of a target.
+type Connection struct {
+	Ready       bool          // the peer's preface and settings have been received
+	FreeStreams int           // additional streams that may be opened: the peer's limit minus Open
+	OpenStreams int           // open streams
+	QueuedCalls int           // calls waiting for a stream of the connection
+	Closing     bool          // no further streams: GOAWAY sent or received, or stream ids exhausted
+	DialedAt    time.Duration // time of dialling
+	LastUsed    time.Duration // time at which a stream last began or ended
 }
 
 // Config holds the limits for the connections of one target.
 type Config struct {
-	Most int           // maximum number of usable connections; values below 1 count as 1
-	Idle time.Duration // a connection without streams is closed after this time; zero means never
-	Age  time.Duration // an older connection takes no new streams and is closed when empty; zero: no limit
+	MaxConnections int           // maximum number of usable connections; values below 1 count as 1
+	IdleTimeout    time.Duration // a connection without streams is closed after this time; zero means never
+	MaxAge         time.Duration // an older connection takes no new streams and is closed when empty; zero: no limit
 }
 
 // Decision is the decision of Pick.
@@ -46,28 +46,28 @@
 }
 
 // acceptsStreams reports whether a connection accepts new streams in principle.
-func (c Config) acceptsStreams(now time.Duration, l Link) bool {
-	return !l.Away && (c.Age <= 0 || now-l.Opened < c.Age)
+func (c Config) acceptsStreams(now time.Duration, l Connection) bool {
+	return !l.Closing && (c.MaxAge <= 0 || now-l.DialedAt < c.MaxAge)
 }
 
 // Pick decides which connection a new call uses. It returns the index of the connection, or -1
 // with Dial. Of the connections with a free stream it picks the one with the most open streams,
 // so that others become empty. A connection that is not ready yet gets as many calls as it is
 // expected to have streams.
-func Pick(c Config, now time.Duration, links []Link) (Decision, int) {
+func Pick(c Config, now time.Duration, links []Connection) (Decision, int) {
 	fullest, fullestOpen, connecting, usableCount := -1, -1, -1, 0
 	for i, l := range links {
 		if !c.acceptsStreams(now, l) {
 			continue
 		}
 		usableCount++
-		if l.Room-l.Queued <= 0 {
+		if l.FreeStreams-l.QueuedCalls <= 0 {
 			continue
 		}
 		switch {
-		case l.Up && l.Open+l.Queued > fullestOpen:
-			fullest, fullestOpen = i, l.Open+l.Queued
-		case !l.Up && connecting < 0:
+		case l.Ready && l.OpenStreams+l.QueuedCalls > fullestOpen:
+			fullest, fullestOpen = i, l.OpenStreams+l.QueuedCalls
+		case !l.Ready && connecting < 0:
 			connecting = i
 		}
 	}
@@ -76,7 +76,7 @@
 		return Use, fullest
 	case connecting >= 0:
 		return Use, connecting
-	case usableCount < max(c.Most, 1):
+	case usableCount < max(c.MaxConnections, 1):
 		return Dial, -1
 	}
 	// All are full: the connection with the fewest calls per stream is expected to free one first.
@@ -85,7 +85,7 @@
 		if !c.acceptsStreams(now, l) {
 			continue
 		}
-		load := float64(l.Open+l.Queued+1) / float64(max(l.Open+l.Room, 1))
+		load := float64(l.OpenStreams+l.QueuedCalls+1) / float64(max(l.OpenStreams+l.FreeStreams, 1))
 		if index < 0 || load < lowestLoad {
 			lowestLoad, index = load, i
 		}
@@ -97,20 +97,20 @@
 type RetireReason int
 
 const (
-	Keep  RetireReason = iota // not retired
-	Idle                      // ready, but without streams for the idle timeout
-	Spent                     // accepts no more streams, and is empty
+	Keep      RetireReason = iota // not retired
+	Idle                          // ready, but without streams for the idle timeout
+	Exhausted                     // accepts no more streams, and is empty
 )
 
 // Retire decides whether a connection should be closed now, and why.
-func Retire(c Config, now time.Duration, l Link) RetireReason {
-	empty := l.Open == 0 && l.Queued == 0
+func Retire(c Config, now time.Duration, l Connection) RetireReason {
+	empty := l.OpenStreams == 0 && l.QueuedCalls == 0
 	switch {
 	case !empty:
 		return Keep
 	case !c.acceptsStreams(now, l):
-		return Spent
-	case l.Up && c.Idle > 0 && now-l.Used >= c.Idle:
+		return Exhausted
+	case l.Ready && c.IdleTimeout > 0 && now-l.LastUsed >= c.IdleTimeout:
 		return Idle
 	}
 	return Keep
--- a/internal/measure/plugins.go
+++ b/internal/measure/plugins.go
@@ -85,8 +85,8 @@
 
 func starlarkPlugin(name, code string, hooks []manifest.Hook, destinations ...uint32) *manifest.Manifest {
 	m := &manifest.Manifest{
-		Name: name, Version: "1", Protocol: 1, Engine: "starlark", Code: "p.star", Hooks: hooks, Text: []byte(code),
-		Sees: manifest.Sees{Destinations: destinations}, Budget: manifest.Budget{TimeMs: 10, Steps: 100_000_000, MemoryMB: 16, BodyBytes: 4096},
+		Name: name, Version: "1", Protocol: 1, Engine: "starlark", Code: "p.star", Hooks: hooks, Source: []byte(code),
+		Sees: manifest.FlowFilter{Destinations: destinations}, Budget: manifest.Budget{TimeMs: 10, Steps: 100_000_000, MemoryMB: 16, BodyBytes: 4096},
 	}
 	m.Touches.Headers = true
 	return m
@@ -103,7 +103,7 @@
 		err = os.WriteFile(filepath.Join(dir, "manifest.json"), b, 0o600)
 	}
 	if err == nil {
-		err = os.WriteFile(filepath.Join(dir, m.Code), m.Text, 0o600)
+		err = os.WriteFile(filepath.Join(dir, m.Code), m.Source, 0o600)
 	}
 	return err
 }
@@ -124,7 +124,7 @@
 		return nil, err
 	}
 	m := &manifest.Manifest{
-		Name: "wasm", Version: "1", Protocol: 1, Engine: "wasm", Code: "p.wasm", Hooks: allHooks, Text: b,
+		Name: "wasm", Version: "1", Protocol: 1, Engine: "wasm", Code: "p.wasm", Hooks: allHooks, Source: b,
 		Budget: manifest.Budget{TimeMs: 20, Steps: 1000, MemoryMB: 32, BodyBytes: 4096},
 	}
 	m.Touches.Headers = true
@@ -149,7 +149,7 @@
 		in.Close()
 		_ = cmd.Wait()
 	}()
-	if err := host.Write(in, host.Hello{Manifest: m, Code: m.Text, Within: time.Minute}); err != nil {
+	if err := host.Write(in, host.Hello{Manifest: m, Code: m.Source, StartTimeout: time.Minute}); err != nil {
 		return 0, err
 	}
 	var a host.Answer
@@ -161,7 +161,7 @@
 		durations := newLatencyHistogram()
 		for i := range o.Calls {
 			startedAt := time.Now()
-			if err := host.Write(in, host.Call{ID: uint64(i + 1), Hook: h, Call: text, Within: m.Budget.Time()}); err != nil {
+			if err := host.Write(in, host.Call{ID: uint64(i + 1), Hook: h, Input: text, TimeLimit: m.Budget.TimeLimit()}); err != nil {
 				return 0, err
 			}
 			var a host.Answer
--- a/internal/openload/lane.go
+++ b/internal/openload/lane.go
@@ -169,7 +169,7 @@
 	}
 	l.conn = conn
 	if l.front == Push {
-		l.h2 = h2.NewClient(h2.Limits{Streams: 1, HeaderBytes: 16 << 10, Body: 64 << 10, Buffered: 1 << 20})
+		l.h2 = h2.NewClient(h2.Limits{MaxStreams: 1, MaxHeaderBytes: 16 << 10, MaxBodyBytes: 64 << 10, MaxBufferedBytes: 1 << 20})
 	}
 	l.signalWriter()
 	l.reader.Go(func() { l.readResponses(conn) })
@@ -226,7 +226,7 @@
 			b = f.Command(b, now)
 			l.pipelined.push(f)
 		} else {
-			if len(l.streams) >= l.maxInFlight || l.h2 == nil || !l.h2.Room() {
+			if len(l.streams) >= l.maxInFlight || l.h2 == nil || !l.h2.CanOpenStream() {
 				break
 			}
 			path, headers, body := f.Request(now)
@@ -309,11 +309,11 @@
 					delete(l.streams, e.Stream)
 					l.finish(f, load.NoResponse)
 				}
-			case h2.Farewell:
+			case h2.GoAwayReceived:
 				done = done || len(l.streams) == 0
 			}
 		}
-		done = done || l.h2.Left() && len(l.streams) == 0
+		done = done || l.h2.PeerSentGoAway() && len(l.streams) == 0
 		l.mu.Unlock()
 		l.signalWriter() // protocol frames may have to be written, too
 		if done {
--- a/internal/plugin/breaker/breaker.go
+++ b/internal/plugin/breaker/breaker.go
@@ -19,18 +19,18 @@
 
 // Config holds the thresholds and durations of a breaker.
 type Config struct {
-	WindowCalls int           // number of recent calls taken into account, 1 to 64
-	MaxFailures int           // failures among them that open the breaker
-	Row         int           // consecutive failures that open the breaker
-	Trials      int           // consecutive successful probes that close the breaker
-	MinOpenTime time.Duration // first open time
-	MaxOpenTime time.Duration // limit of the doubling open time
-	ResetAfter  time.Duration // time since closing after which a success resets the open time
+	WindowCalls    int           // number of recent calls taken into account, 1 to 64
+	MaxFailures    int           // failures among them that open the breaker
+	MaxConsecutive int           // consecutive failures that open the breaker
+	ProbeSuccesses int           // consecutive successful probes that close the breaker
+	MinOpenTime    time.Duration // first open time
+	MaxOpenTime    time.Duration // limit of the doubling open time
+	ResetAfter     time.Duration // time since closing after which a success resets the open time
 }
 
-// Default is the configuration used for plug-ins.
-var Default = Config{
-	WindowCalls: 50, MaxFailures: 10, Row: 3, Trials: 5, MinOpenTime: 5 * time.Second, MaxOpenTime: 5 * time.Minute, ResetAfter: 10 * time.Minute,
+// DefaultConfig is the configuration used for plug-ins.
+var DefaultConfig = Config{
+	WindowCalls: 50, MaxFailures: 10, MaxConsecutive: 3, ProbeSuccesses: 5, MinOpenTime: 5 * time.Second, MaxOpenTime: 5 * time.Minute, ResetAfter: 10 * time.Minute,
 }
 
 // State is the state of a breaker.
@@ -75,7 +75,7 @@
 }
 
 // OpenUntil returns when an open breaker allows the first probe.
-func (b *Breaker) Until() time.Duration { return b.openUntil }
+func (b *Breaker) OpenUntil() time.Duration { return b.openUntil }
 
 // Ticket identifies an allowed call. It is passed back with the result of the call.
 type Ticket struct {
@@ -101,7 +101,7 @@
 }
 
 // Record records the result of a call. It returns true if the state has changed.
-func (b *Breaker) Done(now time.Duration, t Ticket, ok bool) (changed bool) {
+func (b *Breaker) Record(now time.Duration, t Ticket, ok bool) (changed bool) {
 	if t.epoch != b.epoch {
 		return false
 	}
@@ -111,7 +111,7 @@
 			b.open(now)
 			return true
 		}
-		if b.probeSuccesses++; b.probeSuccesses >= b.cfg.Trials {
+		if b.probeSuccesses++; b.probeSuccesses >= b.cfg.ProbeSuccesses {
 			b.state, b.failureBits, b.consecutiveFailures, b.closedAt = Closed, 0, 0, now
 			b.epoch++
 			return true
@@ -128,7 +128,7 @@
 	} else {
 		b.failureBits |= 1
 	}
-	if b.consecutiveFailures >= b.cfg.Row || bits.OnesCount64(b.failureBits) >= b.cfg.MaxFailures {
+	if b.consecutiveFailures >= b.cfg.MaxConsecutive || bits.OnesCount64(b.failureBits) >= b.cfg.MaxFailures {
 		b.open(now)
 		return true
 	}
@@ -136,7 +136,7 @@
 }
 
 // Release returns the ticket of an allowed call that was not made.
-func (b *Breaker) Undo(t Ticket) {
+func (b *Breaker) Release(t Ticket) {
 	if t.probe && t.epoch == b.epoch {
 		b.probing = false
 	}
--- a/internal/plugin/breaker/breaker_test.go
+++ b/internal/plugin/breaker/breaker_test.go
@@ -10,7 +10,7 @@
 )
 
 func config() Config {
-	return Config{WindowCalls: 10, MaxFailures: 4, Row: 3, Trials: 2, MinOpenTime: time.Second, MaxOpenTime: 4 * time.Second, ResetAfter: time.Minute}
+	return Config{WindowCalls: 10, MaxFailures: 4, MaxConsecutive: 3, ProbeSuccesses: 2, MinOpenTime: time.Second, MaxOpenTime: 4 * time.Second, ResetAfter: time.Minute}
 }
 
 // run makes one call per millisecond and returns how many were allowed.
@@ -19,7 +19,7 @@
 		at := now + time.Duration(i)*time.Millisecond
 		if t, allowed := b.Allow(at); allowed {
 			allowedCalls++
-			b.Done(at, t, ok)
+			b.Record(at, t, ok)
 		}
 	}
 	return allowedCalls
@@ -52,27 +52,27 @@
 	for _, rest := range []time.Duration{1, 2, 4, 4} {
 		run(b, now, false, false, false)
 		require.Equal(t, Open, b.State(now+2*time.Millisecond))
-		began := b.Until() - rest*time.Second
+		began := b.OpenUntil() - rest*time.Second
 		require.LessOrEqual(t, began, now+2*time.Millisecond)
-		_, ok := b.Allow(b.Until() - 1)
+		_, ok := b.Allow(b.OpenUntil() - 1)
 		require.False(t, ok)
-		now = b.Until()
+		now = b.OpenUntil()
 		require.Equal(t, HalfOpen, b.State(now))
 	}
 	first, ok := b.Allow(now)
 	require.True(t, ok)
 	_, ok = b.Allow(now)
 	require.False(t, ok, "one at a time")
-	assert.False(t, b.Done(now, first, true))
+	assert.False(t, b.Record(now, first, true))
 	second, _ := b.Allow(now)
-	assert.True(t, b.Done(now, second, true))
+	assert.True(t, b.Record(now, second, true))
 	require.Equal(t, Closed, b.State(now))
 	run(b, now+30*time.Second, true, false, false, false)
-	assert.Equal(t, now+30*time.Second+3*time.Millisecond+4*time.Second, b.Until(), "the open time is not yet reset")
-	now = b.Until()
+	assert.Equal(t, now+30*time.Second+3*time.Millisecond+4*time.Second, b.OpenUntil(), "the open time is not yet reset")
+	now = b.OpenUntil()
 	run(b, now, true, true)
 	run(b, now+2*time.Minute, true, false, false, false)
-	assert.Equal(t, now+2*time.Minute+3*time.Millisecond+time.Second, b.Until())
+	assert.Equal(t, now+2*time.Minute+3*time.Millisecond+time.Second, b.OpenUntil())
 }
 
 // Results of calls that were running when the breaker opened are ignored.
@@ -80,12 +80,12 @@
 	b := New(config())
 	late, _ := b.Allow(0)
 	run(b, 0, false, false, false)
-	until := b.Until()
-	assert.False(t, b.Done(0, late, false))
-	assert.Equal(t, until, b.Until())
+	until := b.OpenUntil()
+	assert.False(t, b.Record(0, late, false))
+	assert.Equal(t, until, b.OpenUntil())
 	trial, _ := b.Allow(until)
-	assert.False(t, b.Done(until, late, true), "it is not a probe either")
-	assert.True(t, b.Done(until, trial, false))
+	assert.False(t, b.Record(until, late, true), "it is not a probe either")
+	assert.True(t, b.Record(until, trial, false))
 }
 
 // For any sequence of events, the breaker allows a call again after its open time, and at most
@@ -108,12 +108,12 @@
 			require.LessOrEqual(t, trials, 1)
 			if len(out) > 0 && rapid.Bool().Draw(t, "done") {
 				i := rapid.IntRange(0, len(out)-1).Draw(t, "which")
-				b.Done(now, out[i], rapid.Bool().Draw(t, "ok"))
+				b.Record(now, out[i], rapid.Bool().Draw(t, "ok"))
 				out = append(out[:i:i], out[i+1:]...)
 			}
 		}
 		for _, k := range out {
-			b.Done(now, k, true)
+			b.Record(now, k, true)
 		}
 		_, ok := b.Allow(now + config().MaxOpenTime)
 		require.True(t, ok)
--- a/internal/plugin/check.go
+++ b/internal/plugin/check.go
@@ -17,8 +17,8 @@
 // means that the plug-in cannot be loaded.
 func Try(command []string, m *manifest.Manifest, log io.Writer, calls ...host.Call) (answers []host.Answer, why string) {
 	loop := core.NewLoop(time.Now)
-	s := New(Config{Loop: loop, Command: command, Log: slog.New(slog.NewTextHandler(log, nil))})
-	p := &instance{set: s, manifest: m, breaker: breaker.New(breaker.Default), memory: engine.NewMemory(nil), corrections: map[guard.Rule]uint64{}}
+	s := New(Config{Loop: loop, HostCommand: command, Log: slog.New(slog.NewTextHandler(log, nil))})
+	p := &instance{set: s, manifest: m, breaker: breaker.New(breaker.DefaultConfig), memory: engine.NewKeyValueStore(nil), corrections: map[guard.Rule]uint64{}}
 	samples := m.Samples
 	m.Samples = nil
 	defer func() { m.Samples = samples }()
@@ -31,14 +31,14 @@
 			break
 		}
 		done := false
-		x := &call{hook: c.Hook, input: c.Call, done: func(r *reply) {
-			a := host.Answer{Out: r.output()}
+		x := &call{hook: c.Hook, input: c.Input, done: func(r *reply) {
+			a := host.Answer{Output: r.output()}
 			if r == nil {
 				a.Error = p.lastError
 			}
 			answers, done = append(answers, a), true
 		}}
-		p.enqueue(x, s.cfg.SampleWithin)
+		p.enqueue(x, s.cfg.SampleTimeout)
 		loop.RunUntil(func() bool { return done })
 	}
 	p.retire()
@@ -51,7 +51,7 @@
 func Check(command []string, m *manifest.Manifest) (mistakes []string) {
 	var calls []host.Call
 	for _, x := range m.Samples {
-		calls = append(calls, host.Call{Hook: x.Hook, Call: x.Call})
+		calls = append(calls, host.Call{Hook: x.Hook, Input: x.Call})
 	}
 	answers, why := Try(command, m, io.Discard, calls...)
 	if why != "" {
@@ -61,7 +61,7 @@
 		x := m.Samples[i]
 		if a.Error != "" {
 			mistakes = append(mistakes, "sample "+x.Name+": "+a.Error)
-		} else if why := Difference(x.Want, a.Out); why != "" {
+		} else if why := Difference(x.Expected, a.Output); why != "" {
 			mistakes = append(mistakes, "sample "+x.Name+": "+why)
 		}
 	}
--- a/internal/plugin/engine/engine.go
+++ b/internal/plugin/engine/engine.go
@@ -15,10 +15,10 @@
 
 // Errors of a call that ends without a valid answer.
 var (
-	ErrTime      = errors.New("time limit exceeded")
-	ErrStepLimit = errors.New("step limit exceeded")
-	ErrTrap      = errors.New("the code aborted")
-	ErrForm      = errors.New("invalid answer")
+	ErrTimeLimit     = errors.New("time limit exceeded")
+	ErrStepLimit     = errors.New("step limit exceeded")
+	ErrTrap          = errors.New("the code aborted")
+	ErrInvalidAnswer = errors.New("invalid answer")
 )
 
 // Engine is the loaded code of a plug-in. It must be used by one goroutine only.
@@ -50,8 +50,8 @@
 // maxAnswerBytes limits the size of the answer to a call.
 const maxAnswerBytes = 256 << 10
 
-// Memory is the size-limited key-value store of a plug-in.
-type Memory struct {
+// KeyValueStore is the size-limited key-value store of a plug-in.
+type KeyValueStore struct {
 	Values  map[string]string
 	changed map[string]string
 	size    int
@@ -65,9 +65,9 @@
 	MaxStoreBytes = 16 << 10
 )
 
-// NewMemory returns a store that holds those of the values that fit.
-func NewMemory(values map[string]string) *Memory {
-	m := &Memory{Values: map[string]string{}}
+// NewKeyValueStore returns a store that holds those of the values that fit.
+func NewKeyValueStore(values map[string]string) *KeyValueStore {
+	m := &KeyValueStore{Values: map[string]string{}}
 	for k, v := range values {
 		m.Set(k, v)
 	}
@@ -76,14 +76,14 @@
 }
 
 // Get returns the value of a key and whether the key exists.
-func (m *Memory) Get(key string) (string, bool) {
+func (m *KeyValueStore) Get(key string) (string, bool) {
 	v, ok := m.Values[key]
 	return v, ok
 }
 
 // Set stores a value. An empty value deletes the key. Set returns false if the key or
 // the value is invalid or the store is full.
-func (m *Memory) Set(key, value string) bool {
+func (m *KeyValueStore) Set(key, value string) bool {
 	old, had := m.Values[key]
 	size := m.size + len(value) - len(old)
 	if !had {
@@ -105,7 +105,7 @@
 	return true
 }
 
-func (m *Memory) recordChange(key, value string) {
+func (m *KeyValueStore) recordChange(key, value string) {
 	if m.changed == nil {
 		m.changed = map[string]string{}
 	}
@@ -114,7 +114,7 @@
 
 // Changes returns the values set since the previous call of Changes, or nil if there are none.
 // Deleted keys have an empty value.
-func (m *Memory) Changes() map[string]string {
+func (m *KeyValueStore) Changes() map[string]string {
 	c := m.changed
 	m.changed = nil
 	return c
--- a/internal/plugin/engine/engine_test.go
+++ b/internal/plugin/engine/engine_test.go
@@ -21,18 +21,18 @@
 const openTimeout = 5 * time.Minute
 
 type testHost struct {
-	*Memory
+	*KeyValueStore
 	log []string
 }
 
 func (h *testHost) Log(text string) { h.log = append(h.log, text) }
 
-func newHost() *testHost { return &testHost{Memory: NewMemory(nil)} }
+func newHost() *testHost { return &testHost{KeyValueStore: NewKeyValueStore(nil)} }
 
 func openScript(t *testing.T, text string, hooks ...manifest.Hook) (Engine, *testHost) {
 	h := newHost()
 	e, err := Open(&manifest.Manifest{
-		Name: "s", Engine: "starlark", Code: "s.star", Text: []byte(text), Hooks: hooks,
+		Name: "s", Engine: "starlark", Code: "s.star", Source: []byte(text), Hooks: hooks,
 		Budget: manifest.Budget{TimeMs: 10, Steps: 100_000, MemoryMB: 16},
 	}, h, openTimeout)
 	require.NoError(t, err)
@@ -92,7 +92,7 @@
     return {}
 `, manifest.Read)
 	for id, want := range map[string]error{
-		"loop": ErrStepLimit, "trap": ErrTrap, "form": ErrForm, "huge": ErrForm, "nan": ErrForm, "missing": ErrTrap,
+		"loop": ErrStepLimit, "trap": ErrTrap, "form": ErrInvalidAnswer, "huge": ErrInvalidAnswer, "nan": ErrInvalidAnswer, "missing": ErrTrap,
 	} {
 		_, err := callHook(e, manifest.Read, `{"id":"`+id+`"}`)
 		assert.ErrorIs(t, err, want, id)
@@ -103,18 +103,18 @@
 	_, err := callHook(e, manifest.Read, `not json`)
 	assert.Error(t, err)
 	_, err = callHook(e, manifest.Shape, `{}`)
-	assert.ErrorIs(t, err, ErrForm)
+	assert.ErrorIs(t, err, ErrInvalidAnswer)
 }
 
 func TestStarlarkTimeLimit(t *testing.T) {
 	h := newHost()
 	e, err := Open(&manifest.Manifest{
 		Engine: "starlark", Code: "s.star", Hooks: []manifest.Hook{manifest.Read}, Budget: manifest.Budget{Steps: 1 << 40},
-		Text: []byte("def read(call):\n    for i in range(1000000000):\n        pass\n"),
+		Source: []byte("def read(call):\n    for i in range(1000000000):\n        pass\n"),
 	}, h, openTimeout)
 	require.NoError(t, err)
 	_, err = callHookFor(300*time.Millisecond, e, manifest.Read, `{}`)
-	assert.ErrorIs(t, err, ErrTime)
+	assert.ErrorIs(t, err, ErrTimeLimit)
 }
 
 func TestInvalidScripts(t *testing.T) {
@@ -127,7 +127,7 @@
 		"load('other.star', 'x')\ndef read(c): pass":               "load",
 	} {
 		_, err := Open(&manifest.Manifest{
-			Engine: "starlark", Code: "s.star", Text: []byte(text), Hooks: []manifest.Hook{manifest.Read}, Budget: manifest.Budget{Steps: 100_000},
+			Engine: "starlark", Code: "s.star", Source: []byte(text), Hooks: []manifest.Hook{manifest.Read}, Budget: manifest.Budget{Steps: 100_000},
 		}, newHost(), openTimeout)
 		assert.ErrorContains(t, err, want, text)
 	}
@@ -166,7 +166,7 @@
 			out, err := e.Call(ctx, s.Hook, s.Call)
 			cancel()
 			require.NoError(t, err, s.Name)
-			assert.JSONEq(t, string(s.Want), string(out), s.Name)
+			assert.JSONEq(t, string(s.Expected), string(out), s.Name)
 		}
 	}
 	assert.Equal(t, map[string]string{"hints": "2"}, h.Changes())
@@ -175,17 +175,17 @@
 // A misbehaving module fails only its own call; the next call is answered.
 func TestWasmErrorsEndOnlyTheCall(t *testing.T) {
 	m := &manifest.Manifest{
-		Name: "hostile", Engine: "wasm", Code: "m.wasm", Text: build(t, "testdata/hostile"), Hooks: []manifest.Hook{manifest.Read},
+		Name: "hostile", Engine: "wasm", Code: "m.wasm", Source: build(t, "testdata/hostile"), Hooks: []manifest.Hook{manifest.Read},
 		Budget: manifest.Budget{TimeMs: 300, MemoryMB: 24},
 	}
 	e, err := Open(m, newHost(), openTimeout)
 	require.NoError(t, err)
 	defer e.Close()
 	for id, want := range map[string]error{
-		"loop": ErrTime, "panic": ErrTrap, "grow": ErrTrap, "outside": ErrForm, "huge": ErrForm,
+		"loop": ErrTimeLimit, "panic": ErrTrap, "grow": ErrTrap, "outside": ErrInvalidAnswer, "huge": ErrInvalidAnswer,
 	} {
 		within := time.Minute
-		if want == ErrTime {
+		if want == ErrTimeLimit {
 			within = 2 * time.Second
 		}
 		_, err := callHookFor(within, e, manifest.Read, `{"id":"`+id+`"}`)
@@ -203,13 +203,13 @@
 	m.Hooks = m.Hooks[:1]
 	_, err = Open(m, newHost(), time.Nanosecond)
 	assert.Error(t, err, "not loaded within the timeout")
-	m.Text = []byte("no module")
+	m.Source = []byte("no module")
 	_, err = Open(m, newHost(), openTimeout)
 	assert.Error(t, err)
 }
 
 func TestMemory(t *testing.T) {
-	m := NewMemory(map[string]string{"a": "1"})
+	m := NewKeyValueStore(map[string]string{"a": "1"})
 	assert.Nil(t, m.Changes(), "initial values are not changes")
 	assert.True(t, m.Set("b", "2"))
 	assert.True(t, m.Set("a", ""))
--- a/internal/plugin/engine/starlark.go
+++ b/internal/plugin/engine/starlark.go
@@ -46,7 +46,7 @@
 		}),
 	}
 	thread := s.newThread(context.Background())
-	globals, err := starlark.ExecFileOptions(&syntax.FileOptions{}, thread, m.Code, m.Text, predeclared)
+	globals, err := starlark.ExecFileOptions(&syntax.FileOptions{}, thread, m.Code, m.Source, predeclared)
 	if err != nil {
 		return nil, s.callError(context.Background(), err)
 	}
@@ -77,7 +77,7 @@
 	text := err.Error()
 	switch {
 	case ctx.Err() != nil:
-		return ErrTime
+		return ErrTimeLimit
 	case strings.Contains(text, "too many steps"):
 		return ErrStepLimit
 	}
@@ -91,7 +91,7 @@
 func (s *script) Call(ctx context.Context, h manifest.Hook, call []byte) (out []byte, err error) {
 	f := s.hooks[h]
 	if f == nil {
-		return nil, fmt.Errorf("%w: no hook %s", ErrForm, h)
+		return nil, fmt.Errorf("%w: no hook %s", ErrInvalidAnswer, h)
 	}
 	t := s.newThread(ctx)
 	defer func() {
@@ -118,20 +118,20 @@
 			if raw, ok := b.(starlark.Bytes); ok {
 				text := starlark.String(base64.StdEncoding.EncodeToString([]byte(raw)))
 				if err := v.SetKey(starlark.String("body"), text); err != nil {
-					return nil, fmt.Errorf("%w: %v", ErrForm, err)
+					return nil, fmt.Errorf("%w: %v", ErrInvalidAnswer, err)
 				}
 			}
 		}
 		text, err := starlark.Call(t, starjson.Module.Members["encode"], starlark.Tuple{v}, nil)
 		if err != nil {
-			return nil, fmt.Errorf("%w: %v", ErrForm, err)
+			return nil, fmt.Errorf("%w: %v", ErrInvalidAnswer, err)
 		}
 		if s, _ := starlark.AsString(text); len(s) <= maxAnswerBytes {
 			return []byte(s), nil
 		}
-		return nil, fmt.Errorf("%w: over %d bytes", ErrForm, maxAnswerBytes)
+		return nil, fmt.Errorf("%w: over %d bytes", ErrInvalidAnswer, maxAnswerBytes)
 	}
-	return nil, fmt.Errorf("%w: %s returned a %s instead of None or a dict", ErrForm, h, v.Type())
+	return nil, fmt.Errorf("%w: %s returned a %s instead of None or a dict", ErrInvalidAnswer, h, v.Type())
 }
 
 // callStruct converts the call to a struct, with its body decoded to bytes.
--- a/internal/plugin/engine/wasm.go
+++ b/internal/plugin/engine/wasm.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	if w.compiled, err = w.runtime.CompileModule(ctx, m.Text); err != nil {
+	if w.compiled, err = w.runtime.CompileModule(ctx, m.Source); err != nil {
 		return fail(err)
 	}
 	exports := w.compiled.ExportedFunctions()
@@ -93,7 +93,7 @@
 	}()
 	failed := func(err error) ([]byte, error) {
 		if ctx.Err() != nil {
-			return nil, ErrTime
+			return nil, ErrTimeLimit
 		}
 		return nil, fmt.Errorf("%w: %.200s", ErrTrap, err)
 	}
@@ -103,7 +103,7 @@
 	}
 	address := uint32(results[0])
 	if !w.instance.Memory().Write(address, call) {
-		return nil, fmt.Errorf("%w: alloc returned an invalid address", ErrForm)
+		return nil, fmt.Errorf("%w: alloc returned an invalid address", ErrInvalidAnswer)
 	}
 	results, err = w.instance.ExportedFunction("call_"+string(h)).Call(ctx, uint64(address), uint64(len(call)))
 	if err != nil {
@@ -111,11 +111,11 @@
 	}
 	size := uint32(results[0])
 	if size > maxAnswerBytes {
-		return nil, fmt.Errorf("%w: over %d bytes", ErrForm, maxAnswerBytes)
+		return nil, fmt.Errorf("%w: over %d bytes", ErrInvalidAnswer, maxAnswerBytes)
 	}
 	b, ok := w.instance.Memory().Read(uint32(results[0]>>32), size)
 	if !ok {
-		return nil, fmt.Errorf("%w: the answer is outside the module's memory", ErrForm)
+		return nil, fmt.Errorf("%w: the answer is outside the module's memory", ErrInvalidAnswer)
 	}
 	if size == 0 {
 		return []byte("{}"), nil
--- a/internal/plugin/host/host.go
+++ b/internal/plugin/host/host.go
@@ -30,19 +30,19 @@
 
 // Hello is the first frame from the courier to the host.
 type Hello struct {
-	Manifest *manifest.Manifest `json:"manifest"`
-	Code     []byte             `json:"code"`
-	Memory   map[string]string  `json:"memory,omitempty"`
-	Within   time.Duration      `json:"within"` // time limit for loading the plug-in
+	Manifest     *manifest.Manifest `json:"manifest"`
+	Code         []byte             `json:"code"`
+	Memory       map[string]string  `json:"memory,omitempty"`
+	StartTimeout time.Duration      `json:"within"` // time limit for loading the plug-in
 }
 
 // Call is the frame of a call.
 type Call struct {
-	ID   uint64          `json:"id"`
-	Hook manifest.Hook   `json:"hook"`
-	Call json.RawMessage `json:"call"`
+	ID    uint64          `json:"id"`
+	Hook  manifest.Hook   `json:"hook"`
+	Input json.RawMessage `json:"call"`
 
-	Within time.Duration `json:"within"` // time limit of the call: usually the plug-in's budget
+	TimeLimit time.Duration `json:"within"` // time limit of the call: usually the plug-in's budget
 
 	// If Recall is set, Memory replaces the stored values of the plug-in.
 	ReplaceMemory bool              `json:"recall,omitempty"`
@@ -53,7 +53,7 @@
 type Answer struct {
 	ID      uint64            `json:"id"`
 	Hook    manifest.Hook     `json:"hook,omitempty"` // of the call
-	Out     json.RawMessage   `json:"out,omitempty"`
+	Output  json.RawMessage   `json:"out,omitempty"`
 	Error   string            `json:"error,omitempty"`
 	Reason  string            `json:"reason,omitempty"` // time, steps, trap or form
 	Changes map[string]string `json:"changes,omitempty"`
@@ -113,7 +113,7 @@
 
 // codeHost implements engine.Host for the code of the plug-in.
 type codeHost struct {
-	*engine.Memory
+	*engine.KeyValueStore
 	log []string
 }
 
@@ -135,10 +135,10 @@
 	if m == nil {
 		return fmt.Errorf("%w: no manifest", ErrFrame)
 	}
-	m.Text = hello.Code
+	m.Source = hello.Code
 	limitResources(m.Budget.MemoryMB)
-	t := &codeHost{Memory: engine.NewMemory(hello.Memory)}
-	e, err := engine.Open(m, t, hello.Within)
+	t := &codeHost{KeyValueStore: engine.NewKeyValueStore(hello.Memory)}
+	e, err := engine.Open(m, t, hello.StartTimeout)
 	if err != nil {
 		return Write(out, Answer{Error: err.Error()})
 	}
@@ -155,19 +155,19 @@
 		}
 		t.log = nil
 		if c.ReplaceMemory {
-			t.Memory = engine.NewMemory(c.Memory)
+			t.KeyValueStore = engine.NewKeyValueStore(c.Memory)
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), c.Within)
+		ctx, cancel := context.WithTimeout(context.Background(), c.TimeLimit)
 		watch := watchHeap(uint64(m.Budget.MemoryMB)<<20 + hostHeapBytes)
-		text, err := e.Call(ctx, c.Hook, c.Call)
+		text, err := e.Call(ctx, c.Hook, c.Input)
 		watch.Stop()
 		cancel()
-		a := Answer{ID: c.ID, Hook: c.Hook, Out: text, Changes: t.Changes(), Log: t.log}
+		a := Answer{ID: c.ID, Hook: c.Hook, Output: text, Changes: t.Changes(), Log: t.log}
 		if err == nil && !json.Valid(text) {
-			err = engine.ErrForm
+			err = engine.ErrInvalidAnswer
 		}
 		if err != nil {
-			a.Out, a.Error, a.Reason = nil, err.Error(), reasonCode(err)
+			a.Output, a.Error, a.Reason = nil, err.Error(), reasonCode(err)
 		}
 		if err := Write(out, a); err != nil {
 			return err
@@ -177,7 +177,7 @@
 
 // reasonCode returns the value of Answer.Reason for an error of a call.
 func reasonCode(err error) string {
-	for name, target := range map[string]error{"time": engine.ErrTime, "steps": engine.ErrStepLimit, "form": engine.ErrForm} {
+	for name, target := range map[string]error{"time": engine.ErrTimeLimit, "steps": engine.ErrStepLimit, "form": engine.ErrInvalidAnswer} {
 		if errors.Is(err, target) {
 			return name
 		}
--- a/internal/plugin/manifest/manifest.go
+++ b/internal/plugin/manifest/manifest.go
@@ -29,15 +29,15 @@
 
 // Manifest is the content of a plug-in's folder.
 type Manifest struct {
-	Name     string `json:"name"`
-	Version  string `json:"version"`
-	Protocol int    `json:"protocol"`
-	About    string `json:"about,omitempty"`
-	Engine   string `json:"engine"` // starlark or wasm
-	Code     string `json:"code"`   // file name
-	Hooks    []Hook `json:"hooks"`
-	Order    int    `json:"order,omitempty"` // plug-ins with lower values are called first
-	Sees     Sees   `json:"sees,omitzero"`
+	Name     string     `json:"name"`
+	Version  string     `json:"version"`
+	Protocol int        `json:"protocol"`
+	About    string     `json:"about,omitempty"`
+	Engine   string     `json:"engine"` // starlark or wasm
+	Code     string     `json:"code"`   // file name
+	Hooks    []Hook     `json:"hooks"`
+	Order    int        `json:"order,omitempty"` // plug-ins with lower values are called first
+	Sees     FlowFilter `json:"sees,omitzero"`
 	Touches  struct {
 		Headers bool `json:"headers,omitempty"`
 		Path    bool `json:"path,omitempty"`
@@ -46,19 +46,19 @@
 	Budget Budget `json:"budget,omitzero"`
 
 	Dir     string   `json:"-"`
-	Text    []byte   `json:"-"` // content of the code file
+	Source  []byte   `json:"-"` // content of the code file
 	Samples []Sample `json:"-"`
 }
 
-// Sees restricts the flows for which a plug-in is called. An empty list matches all.
-type Sees struct {
+// FlowFilter restricts the flows for which a plug-in is called. An empty list matches all.
+type FlowFilter struct {
 	Destinations []uint32 `json:"destinations,omitempty"`
 	Classes      []string `json:"classes,omitempty"`
 	Tenants      []string `json:"tenants,omitempty"`
 }
 
 // Matches reports whether a flow matches.
-func (s Sees) Matches(destination uint32, class, tenant string) bool {
+func (s FlowFilter) Matches(destination uint32, class, tenant string) bool {
 	return (len(s.Destinations) == 0 || slices.Contains(s.Destinations, destination)) &&
 		(len(s.Classes) == 0 || slices.Contains(s.Classes, class)) &&
 		(len(s.Tenants) == 0 || slices.Contains(s.Tenants, tenant))
@@ -80,8 +80,8 @@
 	DefaultBodyBytes = 4096
 )
 
-// Time returns the time limit.
-func (b Budget) Time() time.Duration { return time.Duration(b.TimeMs) * time.Millisecond }
+// TimeLimit returns the time limit.
+func (b Budget) TimeLimit() time.Duration { return time.Duration(b.TimeMs) * time.Millisecond }
 
 // Has reports whether the plug-in serves a hook.
 func (m *Manifest) Has(h Hook) bool { return slices.Contains(m.Hooks, h) }
@@ -93,10 +93,10 @@
 
 // Sample is a test case: a call and its expected answer.
 type Sample struct {
-	Name string          `json:"-"`
-	Hook Hook            `json:"hook"`
-	Call json.RawMessage `json:"call"`
-	Want json.RawMessage `json:"want"`
+	Name     string          `json:"-"`
+	Hook     Hook            `json:"hook"`
+	Call     json.RawMessage `json:"call"`
+	Expected json.RawMessage `json:"want"`
 }
 
 // Limits of a folder: file sizes in bytes and the number of samples.
@@ -131,7 +131,7 @@
 			*d.v = d.other
 		}
 	}
-	if m.Text, err = readFile(filepath.Join(dir, m.Code), maxCodeBytes); err != nil {
+	if m.Source, err = readFile(filepath.Join(dir, m.Code), maxCodeBytes); err != nil {
 		return nil, fmt.Errorf("plug-in %s: %w", m.Name, err)
 	}
 	return m, m.loadSamples()
--- a/internal/plugin/manifest/manifest_test.go
+++ b/internal/plugin/manifest/manifest_test.go
@@ -27,7 +27,7 @@
 	assert.Len(t, m.Samples, 1)
 	assert.True(t, m.Sees.Matches(7, "order", "town"))
 	assert.False(t, m.Sees.Matches(8, "order", "town"))
-	assert.True(t, Sees{}.Matches(8, "order", "town"))
+	assert.True(t, FlowFilter{}.Matches(8, "order", "town"))
 	writeFile(t, filepath.Join(dir, "samples", "b.json"), `{"hook":"shape","call":{},"want":{}}`)
 	_, err = Load(dir)
 	assert.ErrorContains(t, err, `does not serve the hook "shape"`)
--- a/internal/plugin/plugin.go
+++ b/internal/plugin/plugin.go
@@ -29,18 +29,18 @@
 
 // Config configures a Set.
 type Config struct {
-	Loop    *core.Loop
-	Log     *slog.Logger
-	Command []string // command line that starts a host process
-	Breaker breaker.Config
+	Loop        *core.Loop
+	Log         *slog.Logger
+	HostCommand []string // command line that starts a host process
+	Breaker     breaker.Config
 
-	// Bodies are the destinations for which a plug-in may replace the body, provided that its
+	// BodyDestinations are the destinations for which a plug-in may replace the body, provided that its
 	// manifest allows it too.
-	Bodies []uint32
+	BodyDestinations []uint32
 
-	StartWithin  time.Duration // time limit for starting a host; zero means one minute
-	SampleWithin time.Duration // time limit for answering a sample; zero means 5 s
-	AnswerWithin time.Duration // time limit of a call; zero means the time in the plug-in's budget
+	StartTimeout  time.Duration // time limit for starting a host; zero means one minute
+	SampleTimeout time.Duration // time limit for answering a sample; zero means 5 s
+	AnswerTimeout time.Duration // time limit of a call; zero means the time in the plug-in's budget
 }
 
 // Set is the set of loaded plug-ins, in the order in which they are called.
@@ -59,7 +59,7 @@
 	process             *process // nil if no process runs
 	ready               bool
 	breaker             *breaker.Breaker
-	memory              *engine.Memory
+	memory              *engine.KeyValueStore
 	inFlight            *call // call in progress in the host
 	queue               []*call
 	counts              Counts
@@ -101,13 +101,13 @@
 // New returns an empty set.
 func New(cfg Config) *Set {
 	if cfg.Breaker == (breaker.Config{}) {
-		cfg.Breaker = breaker.Default
+		cfg.Breaker = breaker.DefaultConfig
 	}
-	if cfg.SampleWithin <= 0 {
-		cfg.SampleWithin = defaultSampleTimeout
+	if cfg.SampleTimeout <= 0 {
+		cfg.SampleTimeout = defaultSampleTimeout
 	}
 	s := &Set{cfg: cfg, startedAt: cfg.Loop.Now(), served: map[manifest.Hook]bool{}}
-	s.AllowStart(cfg.StartWithin)
+	s.SetStartTimeout(cfg.StartTimeout)
 	return s
 }
 
@@ -134,7 +134,7 @@
 		// The stored values of a plug-in are kept. Values stored during its samples are dropped.
 		for _, x := range next {
 			if !slices.Contains(s.instances, x) {
-				x.memory, x.replaceMemory = engine.NewMemory(s.storedValues(x.manifest.Name)), true
+				x.memory, x.replaceMemory = engine.NewKeyValueStore(s.storedValues(x.manifest.Name)), true
 			}
 		}
 		for _, p := range s.instances {
@@ -157,7 +157,7 @@
 			next = append(next, p)
 			continue
 		}
-		p := &instance{set: s, manifest: m, breaker: breaker.New(s.cfg.Breaker), memory: engine.NewMemory(nil), corrections: map[guard.Rule]uint64{}}
+		p := &instance{set: s, manifest: m, breaker: breaker.New(s.cfg.Breaker), memory: engine.NewKeyValueStore(nil), corrections: map[guard.Rule]uint64{}}
 		next, fresh = append(next, p), append(fresh, p)
 		waiting++
 	}
@@ -182,7 +182,7 @@
 	a, _ := json.Marshal(m)
 	for _, p := range s.instances {
 		b, _ := json.Marshal(p.manifest)
-		if string(a) == string(b) && string(p.manifest.Text) == string(m.Text) {
+		if string(a) == string(b) && string(p.manifest.Source) == string(m.Source) {
 			return p
 		}
 	}
@@ -199,12 +199,12 @@
 	return nil
 }
 
-// AllowBodies sets the destinations for which plug-ins may replace the body.
-func (s *Set) AllowBodies(destinations []uint32) { s.cfg.Bodies = destinations }
+// SetBodyDestinations sets the destinations for which plug-ins may replace the body.
+func (s *Set) SetBodyDestinations(destinations []uint32) { s.cfg.BodyDestinations = destinations }
 
-// AllowStart sets the time limit for starting hosts; zero means one minute.
-func (s *Set) AllowStart(timeout time.Duration) {
-	s.cfg.StartWithin = cmp.Or(timeout, defaultStartTimeout)
+// SetStartTimeout sets the time limit for starting hosts; zero means one minute.
+func (s *Set) SetStartTimeout(timeout time.Duration) {
+	s.cfg.StartTimeout = cmp.Or(timeout, defaultStartTimeout)
 }
 
 // Close kills all host processes and unloads the plug-ins.
@@ -230,9 +230,9 @@
 func (p *instance) start() {
 	p.ready = false
 	var proc *process
-	timeout := p.set.cfg.StartWithin
-	hello := host.Hello{Manifest: p.manifest, Code: p.manifest.Text, Memory: maps.Clone(p.memory.Values), Within: timeout}
-	proc = startProcess(p.set.cfg.Command, hello, p.set.cfg.Loop.Post,
+	timeout := p.set.cfg.StartTimeout
+	hello := host.Hello{Manifest: p.manifest, Code: p.manifest.Source, Memory: maps.Clone(p.memory.Values), StartTimeout: timeout}
+	proc = startProcess(p.set.cfg.HostCommand, hello, p.set.cfg.Loop.Post,
 		func(a host.Answer, err error) {
 			if err == nil && a.Error == "" {
 				p.hostReady(proc)
@@ -293,7 +293,7 @@
 	}
 	x := p.manifest.Samples[i]
 	p.enqueue(&call{hook: x.Hook, input: x.Call, done: func(r *reply) {
-		why := Difference(x.Want, r.output())
+		why := Difference(x.Expected, r.output())
 		if r == nil {
 			why += ": " + p.lastError
 		}
@@ -304,7 +304,7 @@
 		default:
 			p.runSample(i + 1)
 		}
-	}}, p.set.cfg.SampleWithin)
+	}}, p.set.cfg.SampleTimeout)
 }
 
 // defaultSampleTimeout is long and independent of the plug-in's budget: a sample checks the answer,
@@ -372,7 +372,7 @@
 	ticket, ok := p.breaker.Allow(p.set.now())
 	if !ok || len(p.queue) >= maxQueuedCalls || p.process == nil || !p.ready && len(p.queue) > 0 {
 		if ok {
-			p.breaker.Undo(ticket)
+			p.breaker.Release(ticket)
 		}
 		p.counts.Passed++
 		done(nil)
@@ -381,11 +381,11 @@
 	text, err := json.Marshal(v)
 	if err != nil {
 		p.counts.Passed++
-		p.breaker.Undo(ticket)
+		p.breaker.Release(ticket)
 		done(nil)
 		return
 	}
-	p.enqueue(&call{hook: h, input: text, ticket: ticket, done: done}, cmp.Or(p.set.cfg.AnswerWithin, p.manifest.Budget.Time()))
+	p.enqueue(&call{hook: h, input: text, ticket: ticket, done: done}, cmp.Or(p.set.cfg.AnswerTimeout, p.manifest.Budget.TimeLimit()))
 }
 
 // enqueue queues a call and starts its time limit.
@@ -408,7 +408,7 @@
 		}
 		c.sent = true
 		p.inFlight = c
-		x := host.Call{ID: c.id, Hook: c.hook, Call: c.input, Within: c.timeLimit, ReplaceMemory: p.replaceMemory}
+		x := host.Call{ID: c.id, Hook: c.hook, Input: c.input, TimeLimit: c.timeLimit, ReplaceMemory: p.replaceMemory}
 		if p.replaceMemory {
 			x.Memory, p.replaceMemory = maps.Clone(p.memory.Values), false
 		}
@@ -487,7 +487,7 @@
 func (p *instance) skipCall(c *call) {
 	if !c.finished {
 		p.counts.Passed++
-		p.breaker.Undo(c.ticket)
+		p.breaker.Release(c.ticket)
 		p.finishCall(c, nil)
 	}
 }
@@ -502,9 +502,9 @@
 // recordResult passes the result of a call to the circuit breaker.
 func (p *instance) recordResult(c *call, ok bool) {
 	now := p.set.now()
-	if p.onStarted == nil && p.breaker.Done(now, c.ticket, ok) {
+	if p.onStarted == nil && p.breaker.Record(now, c.ticket, ok) {
 		p.set.cfg.Log.Info("plug-in quarantine", "plugin", p.manifest.Name, "state", p.breaker.State(now).String(),
-			"until_s", math.Round((p.breaker.Until()-now).Seconds()*10)/10)
+			"until_s", math.Round((p.breaker.OpenUntil()-now).Seconds()*10)/10)
 	}
 }
 
@@ -614,7 +614,7 @@
 		}{s.flow(m, p), to.Name}, func(r *reply) {
 			if r != nil {
 				p.countCorrections(r.rules)
-				if r.shape.HasBody && !slices.Contains(s.cfg.Bodies, m.Destination) {
+				if r.shape.HasBody && !slices.Contains(s.cfg.BodyDestinations, m.Destination) {
 					r.shape.Body, r.shape.HasBody = nil, false
 					p.countCorrections([]guard.Rule{guard.RuleBody})
 				}
--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -40,7 +40,7 @@
 func newFixture(t *testing.T, hostMode string, startTimeout time.Duration) *fixture {
 	loop := core.NewLoop(time.Now)
 	b := &fixture{t: t, loop: loop, Set: New(Config{
-		Loop: loop, Log: slog.New(slog.DiscardHandler), Command: []string{os.Args[0], hostMode}, StartWithin: startTimeout, SampleWithin: testTimeout,
+		Loop: loop, Log: slog.New(slog.DiscardHandler), HostCommand: []string{os.Args[0], hostMode}, StartTimeout: startTimeout, SampleTimeout: testTimeout,
 	})}
 	t.Cleanup(b.Close)
 	return b
@@ -78,7 +78,7 @@
 func script(version, code string, samples ...manifest.Sample) *manifest.Manifest {
 	return &manifest.Manifest{
 		Name: "p", Version: version, Protocol: 1, Engine: "starlark", Code: "p.star", Hooks: []manifest.Hook{manifest.Admit},
-		Text: []byte(code), Samples: samples, Budget: manifest.Budget{TimeMs: int(testTimeout.Milliseconds()), Steps: 100_000, MemoryMB: 64, BodyBytes: 100},
+		Source: []byte(code), Samples: samples, Budget: manifest.Budget{TimeMs: int(testTimeout.Milliseconds()), Steps: 100_000, MemoryMB: 64, BodyBytes: 100},
 	}
 }
 
@@ -94,7 +94,7 @@
 // stored during its samples are dropped.
 func TestStoredValuesAreKept(t *testing.T) {
 	b := newFixture(t, "plugin-host", testTimeout)
-	sample := manifest.Sample{Name: "s", Hook: manifest.Admit, Call: json.RawMessage(`{"id":"s"}`), Want: json.RawMessage(`{"after_ms":1}`)}
+	sample := manifest.Sample{Name: "s", Hook: manifest.Admit, Call: json.RawMessage(`{"id":"s"}`), Expected: json.RawMessage(`{"after_ms":1}`)}
 	require.Empty(t, b.replace(script("1", counting, sample)))
 	for want := range time.Duration(3) {
 		_, after := b.admit("m")
@@ -114,7 +114,7 @@
 func TestFailedSamplesRejectVersion(t *testing.T) {
 	b := newFixture(t, "plugin-host", testTimeout)
 	require.Empty(t, b.replace(script("1", counting)))
-	sample := manifest.Sample{Name: "s", Hook: manifest.Admit, Call: json.RawMessage(`{"id":"s"}`), Want: json.RawMessage(`{"after_ms":7}`)}
+	sample := manifest.Sample{Name: "s", Hook: manifest.Admit, Call: json.RawMessage(`{"id":"s"}`), Expected: json.RawMessage(`{"after_ms":7}`)}
 	assert.Equal(t, `plug-in p: sample s: wanted {"after_ms":7}, got {"after_ms":1}`, b.replace(script("2", counting, sample)))
 	assert.Contains(t, b.replace(script("2", "x = 1")), "must define admit(call)")
 	assert.Equal(t, "1", b.List()[0].Version)
@@ -126,7 +126,7 @@
 // answer when it is exceeded.
 func TestBudgetTimeDoesNotApplyToSamples(t *testing.T) {
 	b := newFixture(t, "plugin-host", testTimeout)
-	sample := manifest.Sample{Name: "s", Hook: manifest.Admit, Call: json.RawMessage(`{"id":"s"}`), Want: json.RawMessage(`{"after_ms":7}`)}
+	sample := manifest.Sample{Name: "s", Hook: manifest.Admit, Call: json.RawMessage(`{"id":"s"}`), Expected: json.RawMessage(`{"after_ms":7}`)}
 	m := script("1", "def admit(call):\n    for i in range(100000):\n        pass\n    return {'after_ms': 7}\n", sample)
 	m.Budget.TimeMs, m.Budget.Steps = 1, 100_000_000 // the loop takes much longer than 1 ms
 	require.Empty(t, b.replace(m))
@@ -156,7 +156,7 @@
 		b.until(func() bool { return done })
 		return s
 	}
-	b.AllowBodies([]uint32{7})
+	b.SetBodyDestinations([]uint32{7})
 	require.Empty(t, b.replace(m))
 	assert.False(t, shape(7).HasBody, "the manifest does not allow it")
 	touching := *m
--- a/internal/plugin/reply.go
+++ b/internal/plugin/reply.go
@@ -26,7 +26,7 @@
 // newReply parses an answer. It removes changes to a request that the plug-in may not make.
 func newReply(a host.Answer, allowed guard.Permissions) *reply {
 	r := &reply{Answer: a}
-	if a.Out == nil {
+	if a.Output == nil {
 		return r
 	}
 	switch a.Hook {
@@ -45,14 +45,14 @@
 	if r == nil {
 		return nil
 	}
-	return r.Out
+	return r.Output
 }
 
 func (r *reply) parseAdmit() {
 	var parsed struct {
 		AfterMs json.RawMessage `json:"after_ms"`
 	}
-	if json.Unmarshal(r.Out, &parsed) == nil && parsed.AfterMs != nil {
+	if json.Unmarshal(r.Output, &parsed) == nil && parsed.AfterMs != nil {
 		r.refuses, r.afterMs = true, parseNumber(parsed.AfterMs)
 	}
 }
@@ -64,7 +64,7 @@
 		Query   string            `json:"query"`
 		Body    *string           `json:"body"`
 	}
-	if json.Unmarshal(r.Out, &parsed) != nil {
+	if json.Unmarshal(r.Output, &parsed) != nil {
 		r.rules = []guard.Rule{guard.RuleHeader}
 		return
 	}
@@ -89,7 +89,7 @@
 		Outcome json.RawMessage `json:"outcome"`
 		WaitMs  json.RawMessage `json:"wait_ms"`
 	}
-	if json.Unmarshal(r.Out, &parsed) != nil {
+	if json.Unmarshal(r.Output, &parsed) != nil {
 		return
 	}
 	if parsed.Outcome != nil && json.Unmarshal(parsed.Outcome, &r.interpretation.Outcome) != nil {
--- a/internal/proto/h2/conn.go
+++ b/internal/proto/h2/conn.go
@@ -13,10 +13,10 @@
 
 // Limits limits the resources that the peer can make this side use. Sizes are in bytes.
 type Limits struct {
-	Streams     int // streams that the peer may have open at once
-	HeaderBytes int // decoded size of a header list
-	Body        int // body of one message
-	Buffered    int // all incomplete bodies together
+	MaxStreams       int // streams that the peer may have open at once
+	MaxHeaderBytes   int // decoded size of a header list
+	MaxBodyBytes     int // body of one message
+	MaxBufferedBytes int // all incomplete bodies together
 }
 
 // Event is an event returned by Conn.Feed.
@@ -30,9 +30,9 @@
 		Body   []byte
 		TooBig bool // headers or body exceed their limit, and the content is incomplete
 	}
-	// Head reports to a client that the headers of a response have been received. Its status
+	// ResponseHead reports to a client that the headers of a response have been received. Its status
 	// is final, even if the rest of the response fails.
-	Head struct {
+	ResponseHead struct {
 		Stream uint32
 		Fields []Field
 	}
@@ -43,14 +43,14 @@
 		Code   Code
 		NotRun bool
 	}
-	// Farewell reports a GOAWAY frame: the peer accepts no further streams.
-	Farewell struct{ Code Code }
+	// GoAwayReceived reports a GOAWAY frame: the peer accepts no further streams.
+	GoAwayReceived struct{ Code Code }
 )
 
-func (Message) event()  {}
-func (Head) event()     {}
-func (Reset) event()    {}
-func (Farewell) event() {}
+func (Message) event()        {}
+func (ResponseHead) event()   {}
+func (Reset) event()          {}
+func (GoAwayReceived) event() {}
 
 // Conn is one side of an HTTP/2 connection. It is not safe for concurrent use.
 type Conn struct {
@@ -127,17 +127,17 @@
 	c := &Conn{
 		client: client, limits: l, streams: map[uint32]*stream{}, nextStreamID: 1, prefaceReceived: client,
 		sendWindow: defaultWindow, peerInitialWindow: defaultWindow, peerMaxFrameSize: minFrameSize, peerMaxStreams: 100,
-		receiveWindow: int64(max(l.Buffered, defaultWindow)),
+		receiveWindow: int64(max(l.MaxBufferedBytes, defaultWindow)),
 	}
 	c.encoder = hpack.NewEncoder(&c.encoded)
 	c.decoder = hpack.NewDecoder(4096, func(f Field) {
-		if c.headerListSize += len(f.Name) + len(f.Value) + 32; c.headerListSize <= l.HeaderBytes {
+		if c.headerListSize += len(f.Name) + len(f.Value) + 32; c.headerListSize <= l.MaxHeaderBytes {
 			c.fields = append(c.fields, f)
 		}
 	})
 	// Longer strings are left to the limit of the header list, because an error here would end
 	// the whole connection.
-	c.decoder.SetMaxStringLength(4 * l.HeaderBytes)
+	c.decoder.SetMaxStringLength(4 * l.MaxHeaderBytes)
 	if client {
 		c.outBuffer = append(c.outBuffer, Preface...)
 	}
@@ -145,9 +145,9 @@
 	if client {
 		s = appendSetting(s, settingPush, 0)
 	}
-	s = appendSetting(s, settingMaxStreams, uint32(l.Streams))
+	s = appendSetting(s, settingMaxStreams, uint32(l.MaxStreams))
 	s = appendSetting(s, settingWindow, uint32(c.initialStreamWindow()))
-	s = appendSetting(s, settingHeaderBytes, uint32(l.HeaderBytes))
+	s = appendSetting(s, settingHeaderBytes, uint32(l.MaxHeaderBytes))
 	c.outBuffer = appendFrame(c.outBuffer, frameSettings, 0, 0, s)
 	if c.receiveWindow > defaultWindow {
 		c.sendWindowUpdate(0, c.receiveWindow-defaultWindow)
@@ -157,7 +157,7 @@
 
 // initialStreamWindow returns the receive window of a stream. It is larger than the body limit so that
 // a body over the limit can be detected.
-func (c *Conn) initialStreamWindow() int { return max(c.limits.Body+1024, defaultWindow) }
+func (c *Conn) initialStreamWindow() int { return max(c.limits.MaxBodyBytes+1024, defaultWindow) }
 
 // Output returns the bytes to be sent and clears the buffer.
 func (c *Conn) Output() []byte {
@@ -190,7 +190,7 @@
 // fail makes an error permanent and sends it with GOAWAY.
 func (c *Conn) fail(err *ConnError) {
 	c.connError = err
-	c.goAway(err.Code, err.Why)
+	c.goAway(err.Code, err.Reason)
 }
 
 // read processes the buffered input.
@@ -388,7 +388,7 @@
 			}
 		}
 	}
-	c.events = append(c.events, Farewell{code})
+	c.events = append(c.events, GoAwayReceived{code})
 	return nil
 }
 
@@ -407,17 +407,17 @@
 	c.outBuffer = appendFrame(c.outBuffer, frameGoAway, 0, 0, append(b, reason...))
 }
 
-// Begun reports whether a frame or a header block has been received in part.
-func (c *Conn) Begun() bool { return len(c.inBuffer) > 0 || c.headerFrame.stream != 0 }
+// HasPartialInput reports whether a frame or a header block has been received in part.
+func (c *Conn) HasPartialInput() bool { return len(c.inBuffer) > 0 || c.headerFrame.stream != 0 }
 
-// Open returns the number of open streams.
-func (c *Conn) Open() int { return len(c.streams) }
+// OpenStreams returns the number of open streams.
+func (c *Conn) OpenStreams() int { return len(c.streams) }
 
-// Room reports whether this side may open another stream.
-func (c *Conn) Room() bool { return c.Free() > 0 }
+// CanOpenStream reports whether this side may open another stream.
+func (c *Conn) CanOpenStream() bool { return c.FreeStreams() > 0 }
 
-// Free returns how many more streams this side may open now. It is zero while Closing.
-func (c *Conn) Free() int {
+// FreeStreams returns how many more streams this side may open now. It is zero while Closing.
+func (c *Conn) FreeStreams() int {
 	if c.Closing() {
 		return 0
 	}
@@ -430,5 +430,5 @@
 	return c.goAwayReceived || c.goAwaySent || c.connError != nil || c.nextStreamID >= maxWindow
 }
 
-// Left reports whether the peer has sent GOAWAY.
-func (c *Conn) Left() bool { return c.goAwayReceived }
+// PeerSentGoAway reports whether the peer has sent GOAWAY.
+func (c *Conn) PeerSentGoAway() bool { return c.goAwayReceived }
--- a/internal/proto/h2/frame.go
+++ b/internal/proto/h2/frame.go
@@ -32,12 +32,14 @@
 
 // ConnError is a connection error (section 5.4.1). The GOAWAY frame for it is already in Output.
 type ConnError struct {
-	Code Code
-	Why  string
+	Code   Code
+	Reason string
 }
 
 // Error returns the error code and the reason.
-func (e *ConnError) Error() string { return fmt.Sprintf("HTTP/2 error %#x: %s", uint32(e.Code), e.Why) }
+func (e *ConnError) Error() string {
+	return fmt.Sprintf("HTTP/2 error %#x: %s", uint32(e.Code), e.Reason)
+}
 
 // ErrNoStream means that no further stream can be opened on the connection.
 var ErrNoStream = errors.New("no further stream on this connection")
--- a/internal/proto/h2/h2_test.go
+++ b/internal/proto/h2/h2_test.go
@@ -15,7 +15,7 @@
 )
 
 var (
-	testLimits = Limits{Streams: 2, HeaderBytes: 1 << 10, Body: 100, Buffered: 1 << 16}
+	testLimits = Limits{MaxStreams: 2, MaxHeaderBytes: 1 << 10, MaxBodyBytes: 100, MaxBufferedBytes: 1 << 16}
 	start      = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 )
 
@@ -104,7 +104,7 @@
 	_, err = p.feed()
 	require.NoError(t, err)
 	assert.Equal(t, []string{"HEADERS 1 200", "DATA 1 3 true"}, p.frames())
-	assert.Zero(t, p.c.Open())
+	assert.Zero(t, p.c.OpenStreams())
 }
 
 // A body is sent as far as both flow-control windows allow, and continues when they are updated.
@@ -187,17 +187,17 @@
 		Reset{Stream: 1, Code: RefusedStream, NotRun: true},
 		Reset{Stream: 3, Code: InternalError},
 		Reset{Stream: 7, Code: RefusedStream, NotRun: true},
-		Farewell{},
+		GoAwayReceived{},
 		Reset{Stream: 5, Code: ProtocolError}, // an interim response must not end the stream
 	}, events)
-	assert.False(t, p.c.Room())
+	assert.False(t, p.c.CanOpenStream())
 	_, err = p.c.Request(nil, nil)
 	assert.ErrorIs(t, err, ErrNoStream)
 }
 
 // Incomplete messages must not use up the connection's receive window permanently: the newest is refused.
 func TestIncompleteMessagesDoNotExhaustWindow(t *testing.T) {
-	p := newPeer(t, NewServer(Limits{Streams: 10, HeaderBytes: 1 << 10, Body: 60000, Buffered: 1 << 16}))
+	p := newPeer(t, NewServer(Limits{MaxStreams: 10, MaxHeaderBytes: 1 << 10, MaxBodyBytes: 60000, MaxBufferedBytes: 1 << 16}))
 	for _, id := range []uint32{1, 3} {
 		p.headers(id, false, append(getRequest, "content-length", "48000")...)
 	}
@@ -348,7 +348,7 @@
 			if err != nil {
 				return
 			}
-			if len(c.inBuffer) > minFrameSize+frameHeaderSize || len(c.streams) > testLimits.Streams+1 {
+			if len(c.inBuffer) > minFrameSize+frameHeaderSize || len(c.streams) > testLimits.MaxStreams+1 {
 				t.Fatalf("%d bytes, %d streams kept", len(c.inBuffer), len(c.streams))
 			}
 		}
--- a/internal/proto/h2/stream.go
+++ b/internal/proto/h2/stream.go
@@ -30,7 +30,7 @@
 	}
 	// Without limits a header block could continue forever, one empty frame at a time.
 	c.headerFrameCount++
-	if c.headerBlock = append(c.headerBlock, f.payload...); len(c.headerBlock) > 2*c.limits.HeaderBytes || c.headerFrameCount > maxHeaderFrames {
+	if c.headerBlock = append(c.headerBlock, f.payload...); len(c.headerBlock) > 2*c.limits.MaxHeaderBytes || c.headerFrameCount > maxHeaderFrames {
 		return &ConnError{EnhanceYourCalm, "an endless header list"}
 	}
 	if f.has(flagEndHeaders) {
@@ -51,7 +51,7 @@
 		return &ConnError{CompressionError, "header list: " + err.Error()}
 	}
 	c.headerBlock = nil
-	fields, tooBig := c.fields, c.headerListSize > c.limits.HeaderBytes
+	fields, tooBig := c.fields, c.headerListSize > c.limits.MaxHeaderBytes
 	c.fields = nil
 	s := c.streams[f.stream]
 	switch {
@@ -69,7 +69,7 @@
 		if c.highestPeerStream = f.stream; c.goAwaySent {
 			return nil // above the last stream id in our GOAWAY, so the client knows that it did not run
 		}
-		if c.openPeerStreams >= c.limits.Streams {
+		if c.openPeerStreams >= c.limits.MaxStreams {
 			c.floodScore++
 			c.sendReset(f.stream, RefusedStream)
 			return nil
@@ -88,7 +88,7 @@
 	}
 	s.headersReceived, s.fields, s.tooBig = true, fields, tooBig
 	if c.client {
-		c.events = append(c.events, Head{Stream: s.id, Fields: fields})
+		c.events = append(c.events, ResponseHead{Stream: s.id, Fields: fields})
 	}
 	length, ok := checkFields(fields, c.client)
 	if !ok && !tooBig {
@@ -98,7 +98,7 @@
 	switch {
 	case f.has(flagEndStream):
 		return c.complete(s)
-	case tooBig, length > int64(c.limits.Body):
+	case tooBig, length > int64(c.limits.MaxBodyBytes):
 		return c.completeTooBig(s)
 	}
 	return nil
@@ -200,7 +200,7 @@
 	}
 	s.body = append(s.body, b...)
 	switch {
-	case len(s.body) > c.limits.Body:
+	case len(s.body) > c.limits.MaxBodyBytes:
 		return c.completeTooBig(s)
 	case f.has(flagEndStream):
 		return c.complete(s)
@@ -246,7 +246,7 @@
 // frames, it collects them until they are a quarter of the window or the window is almost used up.
 func (c *Conn) returnCredit(n int64) {
 	c.unreturnedCredit += n
-	if c.unreturnedCredit >= int64(max(c.limits.Buffered, defaultWindow))/4 || c.unreturnedCredit > 0 && c.receiveWindow < minFrameSize {
+	if c.unreturnedCredit >= int64(max(c.limits.MaxBufferedBytes, defaultWindow))/4 || c.unreturnedCredit > 0 && c.receiveWindow < minFrameSize {
 		c.receiveWindow += c.unreturnedCredit
 		c.sendWindowUpdate(0, c.unreturnedCredit)
 		c.unreturnedCredit = 0
@@ -293,7 +293,7 @@
 
 // Request opens a stream, sends a complete request on it and returns the stream id.
 func (c *Conn) Request(fields []Field, body []byte) (uint32, error) {
-	if !c.Room() {
+	if !c.CanOpenStream() {
 		return 0, ErrNoStream
 	}
 	s := c.openStream(c.nextStreamID)
--- a/internal/proto/http1/http1.go
+++ b/internal/proto/http1/http1.go
@@ -30,8 +30,8 @@
 
 type field struct{ name, value string }
 
-// Get returns the value of the first header with the given name, ignoring case, or "".
-func (r *Response) Get(name string) string {
+// Header returns the value of the first header with the given name, ignoring case, or "".
+func (r *Response) Header(name string) string {
 	for _, f := range r.header {
 		if strings.EqualFold(f.name, name) {
 			return f.value
@@ -40,8 +40,8 @@
 	return ""
 }
 
-// Each calls f for every header, in order.
-func (r *Response) Each(f func(name, value string)) {
+// EachHeader calls f for every header, in order.
+func (r *Response) EachHeader(f func(name, value string)) {
 	for _, h := range r.header {
 		f(h.name, h.value)
 	}
@@ -62,7 +62,7 @@
 
 // Parser parses the responses of a connection. MaxBody limits a body, in bytes.
 type Parser struct {
-	MaxBody int
+	MaxBodyBytes int
 	// Sink, if set, receives the bodies of responses with status 200 in pieces as they arrive.
 	// MaxBody does not apply to them. Next returns the errors of Sink.
 	Sink      func(b []byte) error
@@ -76,8 +76,8 @@
 // Feed adds received bytes.
 func (p *Parser) Feed(b []byte) { p.buf = append(p.buf, b...) }
 
-// Begun reports whether part of a response has been received.
-func (p *Parser) Begun() bool { return len(p.buf) > 0 || p.state != head }
+// HasPartialResponse reports whether part of a response has been received.
+func (p *Parser) HasPartialResponse() bool { return len(p.buf) > 0 || p.state != head }
 
 // Status returns the status of an incomplete response whose status line is complete, even if
 // the rest is malformed. Otherwise it returns zero.
@@ -119,7 +119,7 @@
 					return nil, err
 				}
 			} else {
-				if len(p.current.Body)+n > p.MaxBody {
+				if len(p.current.Body)+n > p.MaxBodyBytes {
 					return nil, ErrTooBig
 				}
 				p.current.Body = append(p.current.Body, p.buf[:n]...)
@@ -222,7 +222,7 @@
 		}
 		r.header = append(r.header, field{name, strings.TrimSpace(value)})
 	}
-	for _, token := range strings.Split(r.Get("Connection"), ",") {
+	for _, token := range strings.Split(r.Header("Connection"), ",") {
 		switch strings.ToLower(strings.TrimSpace(token)) {
 		case "close":
 			r.Close = true
@@ -247,7 +247,7 @@
 
 // selectBodyFraming determines how the end of the body is found.
 func (p *Parser) selectBodyFraming() error {
-	coding, length := p.current.Get("Transfer-Encoding"), p.current.Get("Content-Length")
+	coding, length := p.current.Header("Transfer-Encoding"), p.current.Header("Content-Length")
 	switch {
 	case p.current.Status/100 == 1, p.current.Status == 204, p.current.Status == 304:
 		p.state, p.remaining = sizedBody, 0
@@ -260,7 +260,7 @@
 		if err != nil {
 			return ErrSyntax
 		}
-		if int(n) > p.MaxBody && (p.Sink == nil || p.current.Status != 200) {
+		if int(n) > p.MaxBodyBytes && (p.Sink == nil || p.current.Status != 200) {
 			return ErrTooBig
 		}
 		p.state, p.remaining = sizedBody, int(n)
--- a/internal/proto/http1/http1_test.go
+++ b/internal/proto/http1/http1_test.go
@@ -16,7 +16,7 @@
 
 func TestResponsesInPiecesOfAnySize(t *testing.T) {
 	for size := 1; size <= len(threeResponses); size++ {
-		p := Parser{MaxBody: 10}
+		p := Parser{MaxBodyBytes: 10}
 		var got []*Response
 		for at := 0; at < len(threeResponses); at += size {
 			p.Feed([]byte(threeResponses[at:min(at+size, len(threeResponses))]))
@@ -31,16 +31,16 @@
 		}
 		require.Len(t, got, 3)
 		assert.Equal(t, "abc", string(got[0].Body))
-		assert.Equal(t, "x0=1", got[0].Get("x-server-LOAD"))
+		assert.Equal(t, "x0=1", got[0].Header("x-server-LOAD"))
 		assert.Equal(t, "hello", string(got[1].Body))
 		assert.True(t, got[1].Close)
 		assert.Equal(t, 204, got[2].Status)
-		assert.False(t, p.Begun())
+		assert.False(t, p.HasPartialResponse())
 	}
 }
 
 func TestBodyUntilEndOfStream(t *testing.T) {
-	p := Parser{MaxBody: 10}
+	p := Parser{MaxBodyBytes: 10}
 	p.Feed([]byte("HTTP/1.0 200 OK\r\n\r\nabc"))
 	r, err := p.Next()
 	require.NoError(t, err)
@@ -63,7 +63,7 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab":          200,
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent": 200,
 	} {
-		p := Parser{MaxBody: 10}
+		p := Parser{MaxBodyBytes: 10}
 		p.Feed([]byte(in))
 		_, err := p.Next()
 		require.NoError(t, err, in)
@@ -85,7 +85,7 @@
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n": ErrSyntax,
 		"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", maxHeadBytes):       ErrTooBig,
 	} {
-		p := Parser{MaxBody: 10}
+		p := Parser{MaxBodyBytes: 10}
 		p.Feed([]byte(in))
 		_, err := p.Next()
 		assert.ErrorIs(t, err, want, "%.60q", in)
@@ -102,7 +102,7 @@
 	f.Add([]byte(threeResponses), 5)
 	f.Fuzz(func(t *testing.T, b []byte, size int) {
 		size = max(1, size%512)
-		p := Parser{MaxBody: 1000}
+		p := Parser{MaxBodyBytes: 1000}
 		for at := 0; at < len(b); at += size {
 			p.Feed(b[at:min(at+size, len(b))])
 			for {
@@ -113,7 +113,7 @@
 				if r == nil {
 					break
 				}
-				if len(r.Body) > p.MaxBody {
+				if len(r.Body) > p.MaxBodyBytes {
 					t.Fatalf("a body of %d bytes", len(r.Body))
 				}
 			}
@@ -130,7 +130,7 @@
 	long := strings.Repeat("x", 300)
 	for _, head := range []string{"Content-Length: 300\r\n\r\n" + long, "Transfer-Encoding: chunked\r\n\r\n12c\r\n" + long + "\r\n0\r\n\r\n"} {
 		var got []byte
-		p := Parser{MaxBody: 100, Sink: func(b []byte) error {
+		p := Parser{MaxBodyBytes: 100, Sink: func(b []byte) error {
 			got = append(got, b...)
 			return nil
 		}}
--- a/internal/proto/listing/capacity_test.go
+++ b/internal/proto/listing/capacity_test.go
@@ -25,7 +25,7 @@
 	text.WriteString(`]}`)
 	all := []byte(text.String())
 	gauge.CPUPerItem(b, n, "entry", func() {
-		r := &Reader{MaxSize: 1 << 30, MaxList: 1 << 30, Entry: func(*fastjson.Value) error { return nil }}
+		r := &Reader{MaxBytes: 1 << 30, MaxEntries: 1 << 30, OnEntry: func(*fastjson.Value) error { return nil }}
 		if err := errors.Join(r.Feed(all), r.End()); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/proto/listing/listing.go
+++ b/internal/proto/listing/listing.go
@@ -29,16 +29,16 @@
 // Reader parses one list. Entry is called for each of its instances. The value is valid only
 // during the call.
 type Reader struct {
-	Entry   func(v *fastjson.Value) error
-	MaxSize int // bytes
-	MaxList int // entries
+	OnEntry    func(v *fastjson.Value) error
+	MaxBytes   int // bytes
+	MaxEntries int // entries
 
 	Generation uint64
-	Full       bool // the list is complete rather than a set of changes (member "reset")
+	Complete   bool // the list is complete rather than a set of changes (member "reset")
 	Entries    int  // number of instances read
-	// Partitions is the total number of partitions if the list contains only the requested ones.
+	// TotalPartitions is the total number of partitions if the list contains only the requested ones.
 	// Zero means that the list is not partitioned, -1 that the value is invalid.
-	Partitions int
+	TotalPartitions int
 
 	size           int
 	position       position
@@ -126,8 +126,8 @@
 
 func isSpace(c byte) bool { return c == ' ' || c == '\n' || c == '\t' || c == '\r' }
 
-// Size returns the number of bytes received.
-func (r *Reader) Size() int { return r.size }
+// ReceivedBytes returns the number of bytes received.
+func (r *Reader) ReceivedBytes() int { return r.size }
 
 // Feed parses received bytes. After an error it returns the same error again.
 func (r *Reader) Feed(b []byte) error {
@@ -138,8 +138,8 @@
 }
 
 func (r *Reader) feed(b []byte) error {
-	if r.size += len(b); r.size > r.MaxSize {
-		return fmt.Errorf("%w: over %d bytes", ErrTooBig, r.MaxSize)
+	if r.size += len(b); r.size > r.MaxBytes {
+		return fmt.Errorf("%w: over %d bytes", ErrTooBig, r.MaxBytes)
 	}
 	for len(b) > 0 {
 		if r.position == inValue || r.position == inEntry {
@@ -219,11 +219,11 @@
 	}
 	switch {
 	case r.position == inEntry:
-		if r.Entries++; r.Entries > r.MaxList {
-			return fmt.Errorf("%w: over %d entries", ErrTooBig, r.MaxList)
+		if r.Entries++; r.Entries > r.MaxEntries {
+			return fmt.Errorf("%w: over %d entries", ErrTooBig, r.MaxEntries)
 		}
 		r.position = afterEntry
-		if err := r.Entry(v); err != nil {
+		if err := r.OnEntry(v); err != nil {
 			return fmt.Errorf("instances[%d]: %w", r.Entries-1, err)
 		}
 	case r.key == "":
@@ -245,11 +245,11 @@
 			r.generationSeen = true
 		case "partitions":
 			n, err := strconv.ParseUint(string(r.buf), 10, 31)
-			if r.Partitions = int(n); err != nil || n == 0 {
-				r.Partitions = -1
+			if r.TotalPartitions = int(n); err != nil || n == 0 {
+				r.TotalPartitions = -1
 			}
 		case "reset":
-			r.Full = v.Type() == fastjson.TypeTrue
+			r.Complete = v.Type() == fastjson.TypeTrue
 		case "instances":
 			if v.Type() != fastjson.TypeNull {
 				return fmt.Errorf("instances: %w", ErrSyntax)
--- a/internal/proto/listing/listing_test.go
+++ b/internal/proto/listing/listing_test.go
@@ -12,7 +12,7 @@
 )
 
 func newReader(got *[]string) *Reader {
-	return &Reader{MaxSize: 1 << 20, MaxList: 100, Entry: func(v *fastjson.Value) error {
+	return &Reader{MaxBytes: 1 << 20, MaxEntries: 100, OnEntry: func(v *fastjson.Value) error {
 		*got = append(*got, string(v.GetStringBytes("instanceId")))
 		return nil
 	}}
@@ -33,7 +33,7 @@
 		}
 		require.NoError(t, r.End())
 		assert.Equal(t, []string{`a"}]`, "b"}, got, "in pieces of %d", size)
-		assert.Equal(t, [2]any{uint64(41), true}, [2]any{r.Generation, r.Full})
+		assert.Equal(t, [2]any{uint64(41), true}, [2]any{r.Generation, r.Complete})
 		assert.Equal(t, 2, r.Entries)
 	}
 }
@@ -77,13 +77,13 @@
 		r := newReader(&[]string{})
 		require.NoError(t, r.Feed([]byte(`{"generation":1`+text+`,"instances":[]}`)))
 		require.NoError(t, r.End())
-		assert.Equal(t, want, r.Partitions, text)
+		assert.Equal(t, want, r.TotalPartitions, text)
 	}
 }
 
 // An error of Entry is returned with the index of the instance.
 func TestEntryErrorNamesIndex(t *testing.T) {
-	r := &Reader{MaxSize: 1000, MaxList: 9, Entry: func(v *fastjson.Value) error {
+	r := &Reader{MaxBytes: 1000, MaxEntries: 9, OnEntry: func(v *fastjson.Value) error {
 		if !v.Exists("cell") {
 			return errors.New("no cell")
 		}
@@ -100,7 +100,7 @@
 	f.Fuzz(func(t *testing.T, text []byte, size int) {
 		size = max(size, 1)
 		n := 0
-		r := &Reader{MaxSize: 1 << 16, MaxList: 64, Entry: func(*fastjson.Value) error { n++; return nil }}
+		r := &Reader{MaxBytes: 1 << 16, MaxEntries: 64, OnEntry: func(*fastjson.Value) error { n++; return nil }}
 		for rest := text; len(rest) > 0; rest = rest[min(size, len(rest)):] {
 			if r.Feed(rest[:min(size, len(rest))]) != nil {
 				break
@@ -134,7 +134,7 @@
 	b.SetBytes(int64(len(all)))
 	b.ReportAllocs()
 	for b.Loop() {
-		r := &Reader{MaxSize: 1 << 30, MaxList: 1 << 30, Entry: func(*fastjson.Value) error { return nil }}
+		r := &Reader{MaxBytes: 1 << 30, MaxEntries: 1 << 30, OnEntry: func(*fastjson.Value) error { return nil }}
 		if err := errors.Join(r.Feed(all), r.End()); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/proto/oneline/oneline.go
+++ b/internal/proto/oneline/oneline.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// Most is the maximum length of a line in bytes, without the line end.
-const Most = 256
+// MaxLineBytes is the maximum length of a line in bytes, without the line end.
+const MaxLineBytes = 256
 
 // Errors returned by Feed.
 var (
@@ -21,7 +21,7 @@
 )
 
 // Call is a parsed call.
-type Call struct{ Word, Arg string }
+type Call struct{ Command, Arg string }
 
 // Parser parses one call. The zero value is ready to use.
 type Parser struct {
@@ -36,16 +36,16 @@
 	}
 	n := bytes.IndexByte(b, '\n')
 	if n < 0 {
-		if p.buf = append(p.buf, b[:min(len(b), Most+2)]...); len(p.buf) > Most+1 { // may end with \r
+		if p.buf = append(p.buf, b[:min(len(b), MaxLineBytes+2)]...); len(p.buf) > MaxLineBytes+1 { // may end with \r
 			p.done, p.buf = true, nil
 			return c, false, ErrTooLong
 		}
 		return c, false, nil
 	}
-	line := append(p.buf, b[:min(n, Most+2)]...)
+	line := append(p.buf, b[:min(n, MaxLineBytes+2)]...)
 	p.done, p.buf = true, nil
 	line = bytes.TrimSuffix(line, []byte("\r"))
-	if len(line) > Most {
+	if len(line) > MaxLineBytes {
 		return c, false, ErrTooLong
 	}
 	for _, x := range line {
@@ -58,9 +58,9 @@
 	case 0:
 		return c, false, ErrEmpty
 	case 1:
-		return Call{Word: words[0]}, true, nil
+		return Call{Command: words[0]}, true, nil
 	case 2:
-		return Call{Word: words[0], Arg: words[1]}, true, nil
+		return Call{Command: words[0], Arg: words[1]}, true, nil
 	}
 	return c, false, ErrTooManyWords
 }
--- a/internal/proto/oneline/oneline_test.go
+++ b/internal/proto/oneline/oneline_test.go
@@ -8,15 +8,15 @@
 )
 
 func TestCalls(t *testing.T) {
-	long := strings.Repeat("x", Most)
+	long := strings.Repeat("x", MaxLineBytes)
 	for in, want := range map[string]struct {
 		call Call
 		err  error
 	}{
-		"readyz\n":            {call: Call{Word: "readyz"}},
+		"readyz\n":            {call: Call{Command: "readyz"}},
 		"exclude s-1\r\nmore": {call: Call{"exclude", "s-1"}},
-		" readyz \n":          {call: Call{Word: "readyz"}},
-		long + "\r\n":         {call: Call{Word: long}},
+		" readyz \n":          {call: Call{Command: "readyz"}},
+		long + "\r\n":         {call: Call{Command: long}},
 		"\n":                  {err: ErrEmpty},
 		"a b c\n":             {err: ErrTooManyWords},
 		"re\x00dyz\n":         {err: ErrNotPrintable},
@@ -43,7 +43,7 @@
 		var p Parser
 		for step = max(1, step); len(b) > 0; b = b[min(step, len(b)):] {
 			c, ok, err := p.Feed(b[:min(step, len(b))])
-			if len(p.buf) > 2*Most || ok && (err != nil || c.Word == "") || len(c.Word) > Most {
+			if len(p.buf) > 2*MaxLineBytes || ok && (err != nil || c.Command == "") || len(c.Command) > MaxLineBytes {
 				t.Fatal(c, ok, err)
 			}
 		}
--- a/internal/proto/resp/resp.go
+++ b/internal/proto/resp/resp.go
@@ -44,9 +44,9 @@
 // Idle reports whether no part of a command is buffered.
 func (p *Parser) Idle() bool { return p.missingArgs == 0 && p.offset == len(p.buf) }
 
-// Rest returns the received part of an incomplete command. Feeding it to a new parser
+// Unparsed returns the received part of an incomplete command. Feeding it to a new parser
 // restores the state of this one.
-func (p *Parser) Rest() []byte {
+func (p *Parser) Unparsed() []byte {
 	var b []byte
 	if p.missingArgs > 0 {
 		b = append(strconv.AppendInt(append(b, '*'), int64(len(p.args)+p.missingArgs), 10), "\r\n"...)
--- a/internal/standin/sink/sink.go
+++ b/internal/standin/sink/sink.go
@@ -150,7 +150,7 @@
 }
 
 func (s *Sink) servePush(c net.Conn) {
-	p := h2.NewServer(h2.Limits{Streams: 256, HeaderBytes: 16 << 10, Body: 64 << 10, Buffered: 4 << 20})
+	p := h2.NewServer(h2.Limits{MaxStreams: 256, MaxHeaderBytes: 16 << 10, MaxBodyBytes: 64 << 10, MaxBufferedBytes: 4 << 20})
 	b := make([]byte, 64<<10)
 	created := []h2.Field{{Name: ":status", Value: "201"}}
 	for {
