--- a/cmd/snowjunction/plugin_test.go
+++ b/cmd/snowjunction/plugin_test.go
@@ -116,7 +116,7 @@
 	return sum
 }
 
-// brokenWaits returns the result of standin.BrokenWaits for the calls and log so far.
+// brokenWaits returns the result of standin.RetryAfterViolations for the calls and log so far.
 func (s *testbed) brokenWaits() []standin.RetryAfterViolation {
 	s.counter("n.sent") // after this, all earlier log lines have arrived
 	return standin.RetryAfterViolations(s.partners.RecordedCalls(), standin.Traces(s.Log()))
--- a/fleet.go
+++ b/fleet.go
@@ -251,9 +251,9 @@
 
 // receiveFromPeer handles the messages of another courier.
 func (c *Courier) receiveFromPeer(ev PeerMessagesReceived) {
-	// A lease owner that received nothing for PassedFor was cut off. The other couriers have
-	// moved to the next owner in order, each at a different moment, and would return in the same
-	// way. Until all had returned, the limit would be granted more than once.
+	// A lease owner that received nothing for lease.UnreachableFor was cut off. The other couriers
+	// have moved to the next owner in order, each at a different moment, and would return in the
+	// same way. Until all had returned, the limit would be granted more than once.
 	if c.now-c.lastPeerAt >= lease.UnreachableFor && c.isPrimaryOwner() {
 		c.announced = false
 	}
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -270,8 +270,8 @@
 		classIndex, known := c.classes[m.Class]
 		if known && m.MayHaveRun { // its window continues, whatever its state
 			c.rememberRun(&flow{msg: m, class: &c.Settings.Classes[classIndex]})
-			// The clock was set back. RanSince may have passed by the time the module sees the message;
-			// its window would then seem to have just begun.
+			// The clock was set back. MayHaveRunSince may have passed by the time the module sees the
+			// message; its window would then seem to have just begun.
 			if now := c.Loop.Now(); m.MayHaveRunSince.After(now) {
 				m.MayHaveRunSince = now.Add(-c.Settings.Classes[classIndex].Window)
 			}
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// finalSnapshot passes the events since Hush to the module and collects its state. Other resulting
-// actions are dropped: the next process decides from the same state.
+// finalSnapshot passes the events since Suspend to the module and collects its state. Other
+// resulting actions are dropped: the next process decides from the same state.
 func (c *Core) finalSnapshot(e *handover.State) {
 	now := c.Loop.Now()
 	events := c.events
--- a/internal/core/learn_test.go
+++ b/internal/core/learn_test.go
@@ -15,7 +15,7 @@
 	"snowjunction/internal/snapshot"
 )
 
-// learnedStore is a Learnt that stores the records in memory.
+// learnedStore is a LearnedStore that stores the records in memory.
 type learnedStore struct {
 	n       learnedstate.Counts
 	records map[uint32]learnedstate.Record
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -19,8 +19,8 @@
 type Target interface {
 	// Call makes one attempt. done is called once with its result, unless the call is given up, and
 	// never before Call returns. may is called when the first byte is about to be sent; if it
-	// returns false, nothing is sent and the outcome is Moot. If that happens within Call, Call may
-	// return nil instead of reporting a result.
+	// returns false, nothing is sent and the outcome is NotSent. If that happens within Call, Call
+	// may return nil instead of reporting a result.
 	Call(m *store.Message, shape Shape, timeout time.Duration, may func() bool, done func(Result)) Call
 	// CloseIdle closes idle connections.
 	CloseIdle()
--- a/internal/core/sleep_test.go
+++ b/internal/core/sleep_test.go
@@ -251,7 +251,7 @@
 	assert.Equal(t, 10, b.c.routes.destinations())
 }
 
-// beyond is a Beyond whose answers are sent by the test.
+// beyond is a SnapshotStore whose answers are sent by the test.
 type beyond struct {
 	b     *harness
 	kept  map[uint32][]byte
--- a/internal/core/takein.go
+++ b/internal/core/takein.go
@@ -38,7 +38,7 @@
 // Answer is the single answer to a Request.
 type Answer struct {
 	Verdict    Verdict
-	RetryAfter time.Duration // with Fixed: retry delay; 0 means no advice
+	RetryAfter time.Duration // with FixedResponse: retry delay; 0 means no advice
 }
 
 // AnswerFunc receives the answer to a Request, with the message if it was accepted. It returns
--- a/internal/emulate/result.go
+++ b/internal/emulate/result.go
@@ -45,7 +45,7 @@
 	Unreached  int `json:"unreached"`
 	Handshakes int `json:"handshakes"`
 	Collapses  int `json:"fell"` // collapses of recovering partners
-	// Collapses of recovering partners after more than N + 2*sqrt(N) + 2 calls (rules.Ramp),
+	// Collapses of recovering partners after more than N + 2*sqrt(N) + 2 calls (rules.RampCounter),
 	// those that violate the rule, and the maximum of the calls as a multiple of that bound.
 	RampCollapses  int     `json:"ramp_fell,omitempty"`
 	RampViolations int     `json:"ramp_broken,omitempty"`
--- a/internal/emulate/rules/rules.go
+++ b/internal/emulate/rules/rules.go
@@ -26,7 +26,7 @@
 	KeyOrder      Rule = "order"       // messages of a key go one at a time, in order
 	RetryAfter    Rule = "wait"        // retry-after delays are respected
 	ColdCollapse  Rule = "cold"        // a recovering partner does not collapse under overload
-	RampCollapse  Rule = "cold ramp"   // nor because of informed couriers (Ramp)
+	RampCollapse  Rule = "cold ramp"   // nor because of informed couriers (RampCounter)
 	WrongEndpoint Rule = "wrong place" // only listed endpoints of its destination are called
 )
 
--- a/internal/front/platform/forward.go
+++ b/internal/front/platform/forward.go
@@ -95,7 +95,7 @@
 // Submit submits a message like a client's command does, but without a client connection: the
 // message is accepted here or forwarded. It calls answer once, possibly before it returns, with the
 // text that a client would be sent. A nil text means that the outcome is unknown; a client's
-// connection would be closed. HandIn returns an error if the message is invalid; answer is then not
+// connection would be closed. Submit returns an error if the message is invalid; answer is then not
 // called.
 func (f *Front) Submit(r core.Request, answer func(text []byte)) error {
 	_, err := f.submit(r, func(text []byte) bool {
--- a/internal/groups/groups.go
+++ b/internal/groups/groups.go
@@ -203,7 +203,7 @@
 	}
 }
 
-// Nth returns the nth endpoint in the order of From.
+// Nth returns the nth endpoint in the order of EntriesFrom.
 func (t *Table) Nth(n int) Entry { return t.entry(uint32(n)) }
 
 // EntriesFrom yields the endpoints from the nth on. They are in listing order as long as none has been
--- a/internal/h2pool/pool.go
+++ b/internal/h2pool/pool.go
@@ -16,7 +16,7 @@
 // Connection is the state of one connection of a target.
 type Connection struct {
 	Ready       bool          // the peer's preface and settings have been received
-	FreeStreams int           // additional streams that may be opened: the peer's limit minus Open
+	FreeStreams int           // additional streams that may be opened: the peer's limit minus OpenStreams
 	OpenStreams int           // open streams
 	QueuedCalls int           // calls waiting for a stream of the connection
 	Closing     bool          // no further streams: GOAWAY sent or received, or stream ids exhausted
--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -130,8 +130,8 @@
 	return Conn{FD: fd, Peer: r.Text(maxNameBytes), Since: r.time(), In: r.number(), Out: r.number()}
 }
 
-// Frames calls yield with the frames of the state in order, up to and including the End frame or
-// until yield returns false.
+// Frames calls yield with the frames of the state in order, up to and including the KindEnd frame
+// or until yield returns false.
 func (e *State) Frames(yield func(Frame) bool) {
 	n, more := uint64(0), true
 	emit := func(k Kind, text string, fd int, body []byte) {
--- a/internal/lease/ramp.go
+++ b/internal/lease/ramp.go
@@ -6,10 +6,10 @@
 )
 
 // This file limits the load on a destination that recovers from an outage where no owner adds up
-// the calls of the fleet. The settings allow the fleet n calls within the collapse window
-// (FallTime); the destination collapses above a threshold a little over n. Each courier has a share
-// of n, often less than one call. The couriers that saw the outage return to the destination
-// together, and one call of each may already be too much.
+// the calls of the fleet. The settings allow the fleet n calls within the collapse window; the
+// destination collapses above a threshold a little over n. Each courier has a share of n, often
+// less than one call. The couriers that saw the outage return to the destination together, and one
+// call of each may already be too much.
 
 const (
 	outageLoadFactor = 2.0 // calls sent during an outage, as a multiple of the capacity; includes retries, also by clients
--- a/internal/openload/openload_test.go
+++ b/internal/openload/openload_test.go
@@ -95,7 +95,7 @@
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// When connections are lost, their messages in flight end as Unheard, and all others are sent over
+// When connections are lost, their messages in flight end as NoResponse, and all others are sent over
 // new connections.
 func TestLostConnections(t *testing.T) {
 	for _, share := range []float64{0, 1} {
@@ -115,7 +115,7 @@
 	}
 }
 
-// Without a server, and with a server that never responds, all messages end as Unheard.
+// Without a server, and with a server that never responds, all messages end as NoResponse.
 func TestNoServerAndNoResponses(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/partition/router_test.go
+++ b/internal/partition/router_test.go
@@ -66,7 +66,7 @@
 	assert.Equal(t, owners[1], r.Route(Message{Destination: d}, nil, longAfterStart+firstSkip-1).To.Name)
 	assert.Equal(t, owners[0], r.Route(Message{Destination: d}, nil, longAfterStart+firstSkip).To.Name, "the first owner is tried again")
 	now := longAfterStart
-	for _, pause := range []time.Duration{2, 4, 8, 8} { // times downFirst: doubled up to downMost
+	for _, pause := range []time.Duration{2, 4, 8, 8} { // times firstSkip: doubled up to maxSkip
 		now += pause * firstSkip
 		r.MarkUnreachable(owners[0], now)
 		assert.Equal(t, owners[1], r.Route(Message{Destination: d}, nil, now+min(pause*firstSkip, maxSkip)-1).To.Name)
--- a/internal/peermsg/peermsg.go
+++ b/internal/peermsg/peermsg.go
@@ -45,7 +45,7 @@
 	maxItemBytes = 5 + 1 + 2 + 2 + 2 + 4
 )
 
-// Errors returned by Read.
+// Errors returned by Decode.
 var (
 	ErrFormat = errors.New("peer message has an unknown format")
 	ErrItem   = errors.New("peer message is truncated or has a value out of range")
--- a/internal/plugin/host/host.go
+++ b/internal/plugin/host/host.go
@@ -44,7 +44,7 @@
 
 	TimeLimit time.Duration `json:"within"` // time limit of the call: usually the plug-in's budget
 
-	// If Recall is set, Memory replaces the stored values of the plug-in.
+	// If ReplaceMemory is set, Memory replaces the stored values of the plug-in.
 	ReplaceMemory bool              `json:"recall,omitempty"`
 	Memory        map[string]string `json:"memory,omitempty"`
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -56,7 +56,7 @@
 	Failed bool
 }
 
-// Take returns the next n bytes, or nil if Bad.
+// Take returns the next n bytes, or nil if decoding has failed.
 func (r *Reader) Take(n int) []byte {
 	if r.Failed || n < 0 || len(r.Data) < n {
 		r.Failed = true
--- a/internal/scenario/courier.go
+++ b/internal/scenario/courier.go
@@ -41,7 +41,7 @@
 	Targets    []Target
 	Env        []string
 	Peers      map[string]any // settings for peer messages, merged into the configuration
-	LogTimeout time.Duration  // timeout for a log line; 0 means Limit
+	LogTimeout time.Duration  // timeout for a log line; 0 means EventTimeout
 
 	dir, stateDir string
 	cmd           *exec.Cmd
@@ -75,8 +75,8 @@
 	return c
 }
 
-// ExtendTimeouts sets the times of all classes to Limit, so that no call, message or window expires on a
-// busy machine while a script waits for its next event.
+// ExtendTimeouts sets the times of all classes to EventTimeout, so that no call, message or window
+// expires on a busy machine while a script waits for its next event.
 func (c *Courier) ExtendTimeouts() {
 	for _, class := range c.Settings["classes"].([]any) {
 		for _, name := range []string{"promise-ms", "deadline-ms", "window-ms"} {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -3,16 +3,16 @@
 // Each line of a script names an actor, an action and an argument:
 //
 //	SERVER accept WHO      accepts the next connection to a simulated server and names it WHO
-//	ADDRESS dial WHO       connects to an address defined with Let and names the connection WHO
+//	ADDRESS dial WHO       connects to an address defined with Define and names the connection WHO
 //	WHO send TEXT          sends TEXT, which may be quoted as in Go
 //	WHO expect TEXT        the next bytes must be TEXT; "...TEXT" skips everything before it
 //	WHO expect EOF         the connection must end without further data
 //	WHO close
 //	ADDRESS h2dial WHO     as dial, over HTTP/2, like SERVER h2accept WHO; see h2Conn
-//	THING wait WORD        runs a step that the test defined with On
+//	THING wait WORD        runs a step that the test defined with DefineStep
 //
-// $name is replaced by the value defined with Let. No line waits for a fixed time: each waits for its
-// event, and fails if the event does not occur within Limit.
+// $name is replaced by the value defined with Define. No line waits for a fixed time: each waits for
+// its event, and fails if the event does not occur within EventTimeout.
 package scenario
 
 import (
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -5,7 +5,7 @@
 // floats, big-endian; times are signed varints in milliseconds; counts are varints. An endpoint is
 // identified by the 64-bit hash of its name, because endpoint numbers change each time a
 // destination is loaded. Decode rejects unknown versions, truncated data and trailing bytes; it
-// accepts the older version 1, which ends before Served, RepeatGap and Small.
+// accepts the older version 1, which ends before Successes, RetryGap and SmallTableFor.
 package snapshot
 
 import (
@@ -38,11 +38,11 @@
 // EndpointHash identifies an endpoint by the hash of its name.
 type EndpointHash uint64
 
-// HashName returns the Name of an endpoint of the given name.
+// HashName returns the EndpointHash of an endpoint of the given name.
 func HashName(name string) EndpointHash { return EndpointHash(xxhash.Sum64String(name)) }
 
 // Snapshot is a destination's state with the names of its endpoints, in the order of
-// State.EndpointsSeen, whose endpoint numbers are not used.
+// State.Endpoints, whose endpoint numbers are not used.
 type Snapshot struct {
 	State snowjunction.DestinationSnapshot
 	Names []EndpointHash
@@ -149,7 +149,7 @@
 	return time.Duration(v) * time.Millisecond
 }
 
-// Decode decodes a snapshot that Encode has written. Its errors wrap ErrForm.
+// Decode decodes a snapshot that Encode has written. Its errors wrap ErrFormat.
 func Decode(b []byte) (*Snapshot, error) {
 	if len(b) == 0 || b[0] < minVersion || b[0] > Version {
 		return nil, fmt.Errorf("%w: unknown version", ErrFormat)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -118,7 +118,7 @@
 		Endpoints: []snowjunction.EndpointSnapshot{{Latency: .5, Condition: snowjunction.Down, Failures: 4, SinceCondition: time.Second}},
 	}}
 	b := Encode(nil, m)
-	added := 4 + 2 + 3 // Served, RepeatGap, Small as varints
+	added := 4 + 2 + 3 // Successes, RetryGap, SmallTableFor as varints
 	first := append([]byte(nil), b[:len(b)-added]...)
 	first[0] = 1
 	got, err := Decode(first)
--- a/internal/standin/directory.go
+++ b/internal/standin/directory.go
@@ -186,7 +186,7 @@
 	return d.generation
 }
 
-// SetFixedResponse makes raw the response to every request, until Say is called with nil.
+// SetFixedResponse makes raw the response to every request, until it is called with nil.
 func (d *Directory) SetFixedResponse(raw []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/partner/partner.go
+++ b/internal/standin/partner/partner.go
@@ -36,8 +36,8 @@
 // Kind is a kind of fault.
 type Kind int
 
-// The kinds of fault. Error, Shut, Reset and Silent affect a share of the calls; Slow increases
-// the latency of all calls.
+// The kinds of fault. Error, Reject, Reset and Silent affect a share of the calls; Slow
+// increases the latency of all calls.
 const (
 	Error  Kind = iota // status 500 after a short delay; the call may have run
 	Reject             // rejected, possibly with a retry-after delay until the end of the fault
@@ -49,12 +49,12 @@
 
 // Fault is a failure mode in force between two times. A partner may have several at once: they
 // are evaluated in the order in which they were added, and the first that applies to a call
-// decides its response. Slow and Cut faults are cumulative instead.
+// decides its response. Slow and ReducedLimit faults are cumulative instead.
 type Fault struct {
 	Kind        Kind
 	From, Until time.Duration
 	Share       float64 // share of the calls affected; 0 means all
-	Factor      float64 // factor on the latency (Slow) or on the limit (Cut)
+	Factor      float64 // factor on the latency (Slow) or on the limit (ReducedLimit)
 	Cold        bool    // the partner recovers cold from the fault, with reduced capacity
 }
 
@@ -111,7 +111,7 @@
 	DuplicateGrace time.Duration
 	rng            *rand.Rand
 	faults         []Fault
-	uncutLimit     float64 // the limit without Cut faults; 0 until the first Cut fault
+	uncutLimit     float64 // the limit without ReducedLimit faults; 0 until the first of them
 
 	tokens           float64         // in the token bucket
 	refilledAt       time.Duration   // time of the last refill
@@ -133,7 +133,7 @@
 
 	deliveredByID map[string]bool          // false while in flight, true once delivered
 	deliveredLate map[string]bool          // IDs of messages delivered late
-	startedAt     map[string]time.Duration // by message ID, if Again is set
+	startedAt     map[string]time.Duration // by message ID, if DuplicateGrace is set
 	keys          map[uint64]keyState      // by ordering key
 }
 
@@ -211,7 +211,7 @@
 	return answer
 }
 
-// applyCuts applies the Cut faults in force to the limit.
+// applyCuts applies the ReducedLimit faults in force to the limit.
 func (p *Partner) applyCuts(now time.Duration) {
 	if !slices.ContainsFunc(p.faults, func(f Fault) bool { return f.Kind == ReducedLimit }) {
 		return
@@ -367,8 +367,8 @@
 	return Response{Status: 200, Delay: duration}
 }
 
-// ColdAllowance returns the number of calls that the partner withstands per FallTime while it recovers
-// from an outage. cold is false if the partner is warm, collapsed or in an outage.
+// ColdAllowance returns the number of calls that the partner withstands per CollapseWindow while
+// it recovers from an outage. cold is false if the partner is warm, collapsed or in an outage.
 func (p *Partner) ColdAllowance(now time.Duration) (allowed float64, cold bool) {
 	f := p.Profile
 	share := p.capacityShare(now)
@@ -451,7 +451,7 @@
 }
 
 // reject rejects a call. If the end of the condition is known (until is after now), a share of
-// the rejections given by Profile.Tells carries it as a retry-after delay.
+// the rejections given by Profile.RetryAfterShare carries it as a retry-after delay.
 func (p *Partner) reject(now, until time.Duration) Response {
 	p.Counts.Refused++
 	if until > now && p.rng.Float64() < p.Profile.RetryAfterShare {
--- a/internal/standin/partner/partner_test.go
+++ b/internal/standin/partner/partner_test.go
@@ -143,8 +143,8 @@
 }
 
 // After an outage a partner withstands the allowed number of calls plus the slack of its profile
-// (FallSlack and FallRoot). Cold returns the allowed number while the partner is cold and has not
-// collapsed.
+// (CollapseSlack and CollapseRootSlack). ColdAllowance returns the allowed number while the partner
+// is cold and has not collapsed.
 func TestCollapseBeyondSlack(t *testing.T) {
 	const back = 10 * time.Second
 	for _, tc := range []struct {
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -68,7 +68,7 @@
 	ID          string
 }
 
-// Reply is the response to an Order, a line of JSON.
+// Reply is the response to a Command, a line of JSON.
 type Reply struct {
 	Error     string                    `json:",omitempty"`
 	Directory string                    `json:",omitempty"`
--- a/internal/standin/waits.go
+++ b/internal/standin/waits.go
@@ -11,10 +11,10 @@
 
 // Trace is an event of a message from a courier's log at level debug.
 type Trace struct {
-	Kind    string // TraceLeaves, TraceTold, TraceAttempt or TraceEnd
+	Kind    string // TraceSent, TraceRetryAfter, TraceAttempt or TraceFinalResult
 	ID      string
 	Outcome string        // outcome of an attempt, or the final result of the message
-	Left    time.Duration // with TraceEnd: time left until the message's deadline
+	Left    time.Duration // with TraceFinalResult: time left until the message's deadline
 }
 
 // The kinds of trace. The values are log messages of the daemon.
@@ -124,7 +124,7 @@
 		case t.Kind == TraceFinalResult:
 			finals[t.ID]++
 			expired[t.ID] = t.Outcome == "failed" && t.Left < expiredSlack
-		case t.Kind == TraceAttempt && t.Outcome == "ok": // for a late response it follows TraceEnd
+		case t.Kind == TraceAttempt && t.Outcome == "ok": // for a late response it follows TraceFinalResult
 			readLate[t.ID] = finals[t.ID] > 0
 			readInTime[t.ID] = readInTime[t.ID] || finals[t.ID] == 0
 		}
